--- a/cmd/thymechute/agreed.go
+++ b/cmd/thymechute/agreed.go
@@ -12,7 +12,7 @@
 
 	"go.uber.org/zap"
 
-	"thymechute/internal/decide/owner"
+	"thymechute/internal/decide/lease"
 	"thymechute/internal/decide/voters"
 	"thymechute/internal/fleet/log"
 	"thymechute/internal/fleet/member"
@@ -57,7 +57,7 @@
 func (a *agreed) start(o *operator.Log, m *member.Member, life uint64) error {
 	a.member = m
 	length := time.Duration(o.LeaseMS) * time.Millisecond
-	lease := owner.Lease{Length: length, Drift: drift, Margin: length / 50}
+	lease := lease.Lease{Length: length, Drift: drift, Margin: length / 50}
 	send := func(process string, b []byte) error { return m.Send(process[:strings.LastIndexByte(process, '#')], b) }
 	d, err := log.Drive(log.Config{Process: a.process, Bind: o.Bind, Advertise: o.Advertise, Duties: duties, Beat: length * 3 / 10},
 		lease, life, a, send, nil)
@@ -151,6 +151,6 @@
 
 func (a *agreed) Lost(duty string) { a.log.Info("fleet log: duty lost", zap.String("duty", duty)) }
 
-func (a *agreed) Entry(uint64, owner.Command, owner.Outcome) {}
+func (a *agreed) Entry(uint64, lease.Command, lease.Outcome) {}
 func (a *agreed) Restored([]byte)                            {}
 func (a *agreed) Tick(time.Duration)                         {}
--- a/internal/decide/owner/encode.go
+++ b/internal/decide/lease/encode.go
@@ -1,6 +1,6 @@
 // This file owns the table's form in a snapshot. It must never take one that breaks a bound.
 
-package owner
+package lease
 
 import (
 	"encoding/json"
--- a/internal/decide/owner/export_test.go
+++ b/internal/decide/lease/export_test.go
@@ -1,4 +1,4 @@
-package owner
+package lease
 
 // Unfence takes the fence out while f runs: the mutation that every check must notice.
 func Unfence(f func()) {
--- a/internal/decide/owner/guard.go
+++ b/internal/decide/lease/guard.go
@@ -1,7 +1,7 @@
 // This file owns what a member asks before it acts on a decision outside the log. It must never let one pass that is
 // older than what it has acted on.
 
-package owner
+package lease
 
 // Guard keeps the highest token and index acted on, a duty. The zero value has acted on nothing. It outlives a change
 // of owners, not the process: one that starts cold takes its first marks from the log, which has every decision.
--- a/internal/decide/owner/holder.go
+++ b/internal/decide/lease/holder.go
@@ -1,7 +1,7 @@
 // This file owns one member's part: when it claims, renews and gives up, and when it takes itself for the holder. It
 // must never issue a command past its own lease.
 
-package owner
+package lease
 
 import "time"
 
--- a/internal/decide/owner/owner.go
+++ b/internal/decide/lease/owner.go
@@ -13,7 +13,7 @@
 //
 // Tables: a Table holds the duties it was made with, at most MostDuties; a Holder one state a duty and at most one
 // proposal in flight a duty; a Guard one mark a duty. Nothing grows.
-package owner
+package lease
 
 import "time"
 
--- a/internal/decide/owner/owner_test.go
+++ b/internal/decide/lease/owner_test.go
@@ -1,4 +1,4 @@
-package owner_test
+package lease_test
 
 import (
 	"fmt"
@@ -8,17 +8,17 @@
 
 	"pgregory.net/rapid"
 
-	"thymechute/internal/decide/owner"
+	"thymechute/internal/decide/lease"
 	"thymechute/internal/lab/emu"
 )
 
-var lease = owner.Lease{Length: time.Second, Drift: 0.05, Margin: 5 * time.Millisecond}
+var leaseTerms = lease.Lease{Length: time.Second, Drift: 0.05, Margin: 5 * time.Millisecond}
 
 // Any order of pauses, cuts, cold restarts, lost and late entries, with clocks at any rate within the bound.
 func TestOneHolderAtATimeWhateverHappens(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		r := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "rates"), 1))
-		s, err := emu.NewOwnerSim(rapid.IntRange(2, 5).Draw(t, "size"), lease, r, "ring", "roll")
+		s, err := emu.NewOwnerSim(rapid.IntRange(2, 5).Draw(t, "size"), leaseTerms, r, "ring", "roll")
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -73,7 +73,7 @@
 }
 
 func TestWithTheFenceTakenOutTheChecksFail(t *testing.T) {
-	owner.Unfence(func() {
+	lease.Unfence(func() {
 		accepted, acted := 0, 0
 		for seed := uint64(1); seed <= 3; seed++ {
 			f, _ := emu.Owner(12, 120, seed)
@@ -92,9 +92,9 @@
 	two := 0
 	for seed := range uint64(20) {
 		r := rand.New(rand.NewPCG(seed, 2))
-		wide := owner.Lease{Length: time.Second, Drift: 0.4}
+		wide := lease.Lease{Length: time.Second, Drift: 0.4}
 		s, _ := emu.NewOwnerSim(3, wide, r, "ring") // clocks at 0.6 to 1.4
-		s.Restrict(owner.Lease{Length: time.Second})
+		s.Restrict(lease.Lease{Length: time.Second})
 		for range 400 {
 			s.Advance(20 * time.Millisecond)
 			for s.Flight() > 0 {
@@ -123,13 +123,13 @@
 // or as late as may be, to a depth: leases left out, so that only the fence stands. It returns states and faults.
 func walk(depth int) (states, faults int) {
 	type node struct {
-		table  *owner.Table
-		flight []owner.Command
+		table  *lease.Table
+		flight []lease.Command
 		token  [3][2]uint64 // the last that each member was granted
 		seen   [3][2]uint64
 	}
 	duties := []string{"a", "b"}
-	first, _ := owner.NewTable(duties...)
+	first, _ := lease.NewTable(duties...)
 	known := map[string]bool{}
 	level := []node{{table: first}}
 	for range depth {
@@ -153,12 +153,12 @@
 					if len(n.flight) >= 2 {
 						continue
 					}
-					for _, kind := range []owner.Kind{owner.Claim, owner.Renew, owner.Release, owner.Do} {
-						if kind != owner.Claim && n.token[m][d] == 0 {
+					for _, kind := range []lease.Kind{lease.Claim, lease.Renew, lease.Release, lease.Do} {
+						if kind != lease.Claim && n.token[m][d] == 0 {
 							continue
 						}
 						c := n
-						c.flight = append(append([]owner.Command{}, n.flight...), owner.Command{Kind: kind, Duty: duty,
+						c.flight = append(append([]lease.Command{}, n.flight...), lease.Command{Kind: kind, Duty: duty,
 							Member: fmt.Sprint(m), Life: 1, Token: n.token[m][d], Seen: n.seen[m][d]})
 						add(c)
 					}
@@ -166,17 +166,17 @@
 			}
 			for f, cmd := range n.flight {
 				c := n
-				c.flight = append(append([]owner.Command{}, n.flight[:f]...), n.flight[f+1:]...)
+				c.flight = append(append([]lease.Command{}, n.flight[:f]...), n.flight[f+1:]...)
 				add(c) // lost
 				c.table = n.table.Copy()
 				before, _ := n.table.At(cmd.Duty)
 				o := c.table.Apply(n.table.Index()+1, cmd)
 				after, _ := c.table.At(cmd.Duty)
 				m, d := int(cmd.Member[0]-'0'), int(cmd.Duty[0]-'a')
-				if cmd.Kind == owner.Claim && o.Accepted {
+				if cmd.Kind == lease.Claim && o.Accepted {
 					c.token[m][d] = after.Token
 				}
-				if after.Token < before.Token || o.Accepted && cmd.Kind != owner.Claim &&
+				if after.Token < before.Token || o.Accepted && cmd.Kind != lease.Claim &&
 					(cmd.Token != before.Token || cmd.Member != before.Holder) {
 					faults++
 				}
@@ -197,7 +197,7 @@
 }
 
 func TestALargeFleetClaimsInTurn(t *testing.T) {
-	s, err := emu.NewOwnerSim(500, lease, rand.New(rand.NewPCG(1, 1)), "ring")
+	s, err := emu.NewOwnerSim(500, leaseTerms, rand.New(rand.NewPCG(1, 1)), "ring")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -218,7 +218,7 @@
 }
 
 func TestADutyGivenUpGoesToAnother(t *testing.T) {
-	s, _ := emu.NewOwnerSim(3, lease, rand.New(rand.NewPCG(3, 3)), "roll")
+	s, _ := emu.NewOwnerSim(3, leaseTerms, rand.New(rand.NewPCG(3, 3)), "roll")
 	pass := func() *emu.OwnerMember {
 		for range 120 {
 			s.Advance(25 * time.Millisecond)
@@ -239,7 +239,7 @@
 }
 
 func TestGuardRefusesTheOlder(t *testing.T) {
-	var g owner.Guard
+	var g lease.Guard
 	for n, c := range []struct {
 		duty         string
 		token, index uint64
@@ -250,7 +250,7 @@
 			t.Errorf("%d: %+v: %v", n, c, got)
 		}
 	}
-	for n := range 2 * owner.MostDuties {
+	for n := range 2 * lease.MostDuties {
 		g.Admit(fmt.Sprint(n), 1, 1)
 	}
 	if g.Admit("one too many", 1, 1) {
@@ -259,17 +259,17 @@
 }
 
 func TestANoteNeedsNoTokenAndChangesNothing(t *testing.T) {
-	tab, _ := owner.NewTable("a")
-	tab.Apply(1, owner.Command{Kind: owner.Claim, Duty: "a", Member: "x", Life: 1})
+	tab, _ := lease.NewTable("a")
+	tab.Apply(1, lease.Command{Kind: lease.Claim, Duty: "a", Member: "x", Life: 1})
 	before, _ := tab.At("a")
-	if o := tab.Apply(2, owner.Command{Kind: owner.Note, Duty: "a", Member: "y", Life: 2}); !o.Accepted {
+	if o := tab.Apply(2, lease.Command{Kind: lease.Note, Duty: "a", Member: "y", Life: 2}); !o.Accepted {
 		t.Errorf("%+v", o)
 	}
 	if after, _ := tab.At("a"); after != before {
 		t.Errorf("%+v became %+v", before, after)
 	}
 	b, _ := tab.Encode()
-	if back, err := owner.Decode(b); err != nil || back.Index() != 2 {
+	if back, err := lease.Decode(b); err != nil || back.Index() != 2 {
 		t.Errorf("decoded: %v", err)
 	} else if d, _ := back.At("a"); d != before {
 		t.Errorf("decoded %+v, encoded %+v", d, before)
@@ -277,17 +277,17 @@
 }
 
 func TestTableRefusesWhatItDoesNotKnow(t *testing.T) {
-	if _, err := owner.NewTable("a", "a"); err == nil {
+	if _, err := lease.NewTable("a", "a"); err == nil {
 		t.Error("a duty twice")
 	}
-	tab, _ := owner.NewTable("a")
-	for n, c := range []owner.Command{{Kind: owner.Claim, Duty: "b"}, {Kind: owner.Do, Duty: "a", Token: 0, Member: "x"},
-		{Kind: owner.Kind(9), Duty: "a"}, {Kind: owner.Claim, Duty: "a", Seen: 7}} {
+	tab, _ := lease.NewTable("a")
+	for n, c := range []lease.Command{{Kind: lease.Claim, Duty: "b"}, {Kind: lease.Do, Duty: "a", Token: 0, Member: "x"},
+		{Kind: lease.Kind(9), Duty: "a"}, {Kind: lease.Claim, Duty: "a", Seen: 7}} {
 		if o := tab.Apply(uint64(n+1), c); o.Accepted || o.Why == "" {
 			t.Errorf("%+v: %+v", c, o)
 		}
 	}
-	if o := tab.Apply(2, owner.Command{Kind: owner.Claim, Duty: "a"}); o.Accepted {
+	if o := tab.Apply(2, lease.Command{Kind: lease.Claim, Duty: "a"}); o.Accepted {
 		t.Error("an index under the last was applied")
 	}
 }
--- a/internal/decide/owner/table.go
+++ b/internal/decide/lease/table.go
@@ -1,7 +1,7 @@
 // This file owns the log's state machine. It must give the same outcome for the same entries in every member, so it
 // knows no time and nothing of who is alive.
 
-package owner
+package lease
 
 import (
 	"fmt"
--- a/internal/fleet/log/driver.go
+++ b/internal/fleet/log/driver.go
@@ -1,4 +1,4 @@
-// This file owns the goroutine that drives one member's owner.Holder: entries, ticks and messages come to it one by
+// This file owns the goroutine that drives one member's lease.Holder: entries, ticks and messages come to it one by
 // one. It must never block raft for longer than its queue, nor call the Holder from two goroutines.
 
 package log
@@ -9,14 +9,14 @@
 	"sync"
 	"time"
 
-	"thymechute/internal/decide/owner"
+	"thymechute/internal/decide/lease"
 )
 
 // Watcher hears what becomes of duties and entries, on the driver's goroutine.
 type Watcher interface {
 	Held(duty string, token uint64)
 	Lost(duty string)
-	Entry(index uint64, c owner.Command, o owner.Outcome) // each entry, in order
+	Entry(index uint64, c lease.Command, o lease.Outcome) // each entry, in order
 	Restored(machine []byte)                              // a snapshot took the place of those so far
 	Tick(now time.Duration)                               // often beside a lease
 }
@@ -24,9 +24,9 @@
 // Driver is one member's duties.
 type Driver struct {
 	Log     *Log
-	holder  *owner.Holder
+	holder  *lease.Holder
 	watch   Watcher
-	lease   owner.Lease
+	lease   lease.Lease
 	start   time.Time
 	work    chan func() // bounded; raft waits where it is full
 	send    chan forward
@@ -48,15 +48,15 @@
 )
 
 // Drive starts a log and its driver; ready, if not nil, is handed the driver before the first entry comes. send takes a message to the member that is this process (Incoming there).
-func Drive(c Config, lease owner.Lease, life uint64, w Watcher,
+func Drive(c Config, terms lease.Lease, life uint64, w Watcher,
 	send func(process string, b []byte) error, ready func(*Driver)) (*Driver, error) {
-	table, err := owner.NewTable(c.Duties...)
+	table, err := lease.NewTable(c.Duties...)
 	if err != nil {
 		return nil, err
 	}
-	d := &Driver{watch: w, lease: lease, start: time.Now(), work: make(chan func(), queued), send: make(chan forward, forwards),
+	d := &Driver{watch: w, lease: terms, start: time.Now(), work: make(chan func(), queued), send: make(chan forward, forwards),
 		forward: send, stop: make(chan struct{}), process: c.Process}
-	d.holder = owner.NewHolder(d, table, lease, c.Process, life)
+	d.holder = lease.NewHolder(d, table, terms, c.Process, life)
 	if ready != nil {
 		ready(d)
 	}
@@ -112,20 +112,20 @@
 }
 
 // Entry and Restored make the driver the log's Reader.
-func (d *Driver) Entry(index uint64, c owner.Command) {
+func (d *Driver) Entry(index uint64, c lease.Command) {
 	d.do(func() { d.watch.Entry(index, c, d.holder.Applied(d.now(), index, c)) })
 }
 
 // Restored implements Reader.
-func (d *Driver) Restored(t *owner.Table, machine []byte) {
+func (d *Driver) Restored(t *lease.Table, machine []byte) {
 	d.do(func() {
 		d.holder.Restored(d.now(), t)
 		d.watch.Restored(machine)
 	})
 }
 
-// Propose implements owner.Host: into the log here, or to the leader.
-func (d *Driver) Propose(c owner.Command) {
+// Propose implements lease.Host: into the log here, or to the leader.
+func (d *Driver) Propose(c lease.Command) {
 	if d.Log.Propose(c) == nil {
 		return
 	}
@@ -140,15 +140,15 @@
 	}
 }
 
-// Holds and Lost implement owner.Host.
+// Holds and Lost implement lease.Host.
 func (d *Driver) Holds(duty string, token uint64) { d.watch.Held(duty, token) }
 
-// Lost implements owner.Host.
+// Lost implements lease.Host.
 func (d *Driver) Lost(duty string) { d.watch.Lost(duty) }
 
 // Incoming is another member's proposal; what does not read is dropped.
 func (d *Driver) Incoming(b []byte) {
-	var c owner.Command
+	var c lease.Command
 	if json.Unmarshal(b, &c) == nil {
 		_ = d.Log.Propose(c) // no longer the leader: its sender tries again
 	}
--- a/internal/fleet/log/life_test.go
+++ b/internal/fleet/log/life_test.go
@@ -6,15 +6,15 @@
 
 	"github.com/hashicorp/raft"
 
-	"thymechute/internal/decide/owner"
+	"thymechute/internal/decide/lease"
 	"thymechute/internal/testkit"
 )
 
 // still is a Reader that says nothing.
 type still struct{}
 
-func (still) Entry(uint64, owner.Command)   {}
-func (still) Restored(*owner.Table, []byte) {}
+func (still) Entry(uint64, lease.Command)   {}
+func (still) Restored(*lease.Table, []byte) {}
 
 // A process that starts cold at an address where another has voted must not vote, nor acknowledge an entry, in its place:
 // the log would count as kept what that vote's life has lost, and one vote could be given twice in a term.
--- a/internal/fleet/log/log.go
+++ b/internal/fleet/log/log.go
@@ -1,6 +1,6 @@
 // Package log carries the fleet's agreed log by hashicorp/raft, over raft's own transport; what members that don't lead
 // propose goes to the leader as one of memberlist's reliable messages. No protocol of ours. It owns raft, the entries'
-// form and who votes (by internal/decide/voters), and must never decide what an entry means: internal/decide/owner does.
+// form and who votes (by internal/decide/voters), and must never decide what an entry means: internal/decide/lease does.
 //
 // Without a folder nothing is on disk. A process is therefore known to raft under an identity of its one life (name and
 // life): started cold it is another server, and can't vote where it has voted. Only one process, once, founds a log.
@@ -19,7 +19,7 @@
 	"github.com/hashicorp/go-hclog"
 	"github.com/hashicorp/raft"
 
-	"thymechute/internal/decide/owner"
+	"thymechute/internal/decide/lease"
 )
 
 const (
@@ -50,15 +50,15 @@
 // Machine is a state that every member builds alike from the entries, on raft's goroutine. What it encodes replaces all
 // entries so far in a member that joins late.
 type Machine interface {
-	Apply(index uint64, c owner.Command, o owner.Outcome)
+	Apply(index uint64, c lease.Command, o lease.Outcome)
 	Encode() ([]byte, error)
 	Decode(b []byte) error
 }
 
 // Reader hears the log, from raft's goroutine, in the entries' order.
 type Reader interface {
-	Entry(index uint64, c owner.Command)
-	Restored(t *owner.Table, machine []byte) // a snapshot took the place of all before
+	Entry(index uint64, c lease.Command)
+	Restored(t *lease.Table, machine []byte) // a snapshot took the place of all before
 }
 
 // Log is one process's end of it.
@@ -67,7 +67,7 @@
 	self   raft.Server
 	stores *raft.InmemStore
 	reader Reader
-	table  *owner.Table // for snapshots, and the machine; raft's goroutine alone
+	table  *lease.Table // for snapshots, and the machine; raft's goroutine alone
 	more   Machine
 
 	contact contact // of this process as the leader
@@ -78,7 +78,7 @@
 
 // Start begins. Errors: an address that can't be bound, faulty duties.
 func Start(c Config, r Reader) (*Log, error) {
-	table, err := owner.NewTable(c.Duties...)
+	table, err := lease.NewTable(c.Duties...)
 	if err != nil {
 		return nil, err
 	}
@@ -127,7 +127,7 @@
 
 // Propose puts a command into the log where this process leads; ErrNotLeader elsewhere. It does not wait: what comes of
 // it comes back by the Reader, or never.
-func (l *Log) Propose(c owner.Command) error {
+func (l *Log) Propose(c lease.Command) error {
 	if l.raft.State() != raft.Leader {
 		return ErrNotLeader
 	}
@@ -159,7 +159,7 @@
 type machine struct{ l *Log }
 
 func (m machine) Apply(e *raft.Log) any {
-	var c owner.Command
+	var c lease.Command
 	if err := json.Unmarshal(e.Data, &c); err != nil {
 		return err // an entry of another version: the same in every member that reads it so
 	}
@@ -206,7 +206,7 @@
 	if err := json.Unmarshal(b, &k); err != nil {
 		return err
 	}
-	t, err := owner.Decode(k.Table)
+	t, err := lease.Decode(k.Table)
 	if err != nil {
 		return err
 	}
--- a/internal/fleet/log/log_test.go
+++ b/internal/fleet/log/log_test.go
@@ -13,15 +13,15 @@
 	"testing"
 	"time"
 
-	"thymechute/internal/decide/owner"
+	"thymechute/internal/decide/lease"
 	"thymechute/internal/decide/voters"
 	"thymechute/internal/fleet/member"
 	"thymechute/internal/testkit"
 )
 
 var (
-	lease  = owner.Lease{Length: time.Second, Drift: 0.01, Margin: 20 * time.Millisecond}
-	bounds = voters.Bounds{Most: 5, Settle: 300 * time.Millisecond, HoldDown: 2 * time.Second}
+	leaseTerms = lease.Lease{Length: time.Second, Drift: 0.01, Margin: 20 * time.Millisecond}
+	bounds     = voters.Bounds{Most: 5, Settle: 300 * time.Millisecond, HoldDown: 2 * time.Second}
 )
 
 // line is what a child tells, one JSON object a line.
@@ -29,7 +29,7 @@
 	What         string // held, lost, decides, entry, tried, leads, change, voters
 	Duty, Why    string
 	Token, Index uint64
-	Kind         owner.Kind
+	Kind         lease.Kind
 	Accepted     bool
 	At           int64 // Unix ms
 	name         string
@@ -72,7 +72,7 @@
 	t.tell(line{What: "held", Duty: duty, Token: token})
 }
 func (t *teller) Lost(duty string) { t.tell(line{What: "lost", Duty: duty}) }
-func (t *teller) Entry(index uint64, c owner.Command, o owner.Outcome) {
+func (t *teller) Entry(index uint64, c lease.Command, o lease.Outcome) {
 	t.tell(line{What: "entry", Duty: c.Duty, Token: c.Token, Index: index, Kind: c.Kind, Accepted: o.Accepted})
 }
 
@@ -106,7 +106,7 @@
 		os.Exit(1)
 	}
 	t.d, err = Drive(Config{Process: process, Bind: at, Advertise: front, Found: os.Getenv("PACK_FOUND") != "", Duties: []string{"ring", "roll"},
-		Beat: 300 * time.Millisecond}, lease, life, t, func(to string, b []byte) error { return m.Send(to[:strings.IndexByte(to, '#')], b) }, nil)
+		Beat: 300 * time.Millisecond}, leaseTerms, life, t, func(to string, b []byte) error { return m.Send(to[:strings.IndexByte(to, '#')], b) }, nil)
 	if err != nil {
 		fmt.Fprintln(os.Stderr, err)
 		os.Exit(1)
@@ -121,15 +121,15 @@
 		}
 		return out
 	}, bounds, func(c voters.Change) {
-		t.tell(line{What: "change", Kind: owner.Kind(c.Kind), Why: c.Why + " " + c.Process})
+		t.tell(line{What: "change", Kind: lease.Kind(c.Kind), Why: c.Why + " " + c.Process})
 	})
 	go func() {
 		led, last, applied, voting := uint64(0), time.Now(), uint64(0), "" // led: the last term told
 		for n := 0; ; n++ {
 			time.Sleep(20 * time.Millisecond)
-			if time.Since(last) > lease.Length { // it stood still: on without looking, as one does who had checked just before
+			if time.Since(last) > leaseTerms.Length { // it stood still: on without looking, as one does who had checked just before
 				held.Range(func(duty, token any) bool {
-					c := owner.Command{Kind: owner.Do, Duty: duty.(string), Member: process, Life: life, Token: token.(uint64), Body: "late"}
+					c := lease.Command{Kind: lease.Do, Duty: duty.(string), Member: process, Life: life, Token: token.(uint64), Body: "late"}
 					t.tell(line{What: "tried", Duty: c.Duty, Token: c.Token})
 					for range 20 { // until it surely reached a leader
 						t.d.Propose(c)
@@ -257,7 +257,7 @@
 	time.Sleep(time.Second - min(time.Since(stopped), time.Second)) // it stands still for more than a lease in any case
 	p.Signal(ring.name, syscall.SIGCONT)
 	p.Until("the late command in the log", from, func(l line) bool {
-		return l.What == "entry" && l.Kind == owner.Do && l.Duty == "ring" && l.Token == ring.Token && !l.Accepted
+		return l.What == "entry" && l.Kind == lease.Do && l.Duty == "ring" && l.Token == ring.Token && !l.Accepted
 	})
 
 	from = p.Told()
@@ -290,7 +290,7 @@
 	p.Start(other)
 	p.Until("a leader after the cold restarts", from, func(l line) bool { return l.What == "leads" })
 	p.Until("a decision after them", from, func(l line) bool {
-		return l.What == "entry" && l.Kind == owner.Do && l.Accepted && l.Duty == "ring" && l.Token >= token
+		return l.What == "entry" && l.Kind == lease.Do && l.Accepted && l.Duty == "ring" && l.Token >= token
 	})
 	p.check(true)
 }
@@ -330,7 +330,7 @@
 	highest := map[string]uint64{}
 	for index := uint64(0); index <= uint64(1<<20); index++ {
 		e, ok := entries[index]
-		if !ok || e.Kind != owner.Do || !e.Accepted {
+		if !ok || e.Kind != lease.Do || !e.Accepted {
 			continue
 		}
 		if accepted++; e.Token < highest[e.Duty] {
--- a/internal/fleet/log/machines.go
+++ b/internal/fleet/log/machines.go
@@ -8,14 +8,14 @@
 	"maps"
 	"slices"
 
-	"thymechute/internal/decide/owner"
+	"thymechute/internal/decide/lease"
 )
 
 // Machines are states by name, each told of every entry.
 type Machines map[string]Machine
 
 // Apply implements Machine, in the order of the names.
-func (m Machines) Apply(index uint64, c owner.Command, o owner.Outcome) {
+func (m Machines) Apply(index uint64, c lease.Command, o lease.Outcome) {
 	for _, name := range slices.Sorted(maps.Keys(m)) {
 		m[name].Apply(index, c, o)
 	}
--- a/internal/fleet/log/snapshot_test.go
+++ b/internal/fleet/log/snapshot_test.go
@@ -5,13 +5,13 @@
 	"io"
 	"testing"
 
-	"thymechute/internal/decide/owner"
+	"thymechute/internal/decide/lease"
 )
 
 // blob is a Machine of a given state.
 type blob struct{ state []byte }
 
-func (b *blob) Apply(uint64, owner.Command, owner.Outcome) {}
+func (b *blob) Apply(uint64, lease.Command, lease.Outcome) {}
 func (b *blob) Encode() ([]byte, error)                    { return b.state, nil }
 func (b *blob) Decode(state []byte) error                  { b.state = bytes.Clone(state); return nil }
 
@@ -25,8 +25,8 @@
 // A follower that joins late is handed a snapshot; at the size that is planned for it is some megabytes. Cut off at one, it
 // did not read, and nobody could join any more.
 func TestASnapshotOfThePlannedSizeIsRestored(t *testing.T) {
-	table := func() *owner.Table {
-		made, err := owner.NewTable("ring")
+	table := func() *lease.Table {
+		made, err := lease.NewTable("ring")
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -51,7 +51,7 @@
 }
 
 func TestASnapshotPastItsBoundIsRefused(t *testing.T) {
-	made, err := owner.NewTable("ring")
+	made, err := lease.NewTable("ring")
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/fleet/rolls/rolls.go
+++ b/internal/fleet/rolls/rolls.go
@@ -10,7 +10,7 @@
 	"sync"
 	"time"
 
-	"thymechute/internal/decide/owner"
+	"thymechute/internal/decide/lease"
 	"thymechute/internal/decide/roll"
 )
 
@@ -73,15 +73,15 @@
 func (k *Keeper) Lost() { k.owns, k.planned = false, "" }
 
 // Entry is one of the log's, with what became of it.
-func (k *Keeper) Entry(now time.Duration, c owner.Command, o owner.Outcome) {
+func (k *Keeper) Entry(now time.Duration, c lease.Command, o lease.Outcome) {
 	if w, ok := read(c, o); ok && apply(k.roll, now, w) && w.Drain == k.c.Name && w.Life == k.c.Life && !k.drained {
 		k.drained = true
 		k.c.Drain()
 	}
 }
 
-func read(c owner.Command, o owner.Outcome) (w word, ok bool) {
-	ok = c.Duty == Duty && c.Kind == owner.Do && o.Accepted && json.Unmarshal([]byte(c.Body), &w) == nil
+func read(c lease.Command, o lease.Outcome) (w word, ok bool) {
+	ok = c.Duty == Duty && c.Kind == lease.Do && o.Accepted && json.Unmarshal([]byte(c.Body), &w) == nil
 	return w, ok
 }
 
@@ -165,7 +165,7 @@
 func NewState() *State { return &State{roll.New("")} }
 
 // Apply implements log.Machine.
-func (s *State) Apply(_ uint64, c owner.Command, o owner.Outcome) {
+func (s *State) Apply(_ uint64, c lease.Command, o lease.Outcome) {
 	if w, ok := read(c, o); ok {
 		apply(s.roll, 0, w)
 	}
--- a/internal/fleet/rolls/rolls_test.go
+++ b/internal/fleet/rolls/rolls_test.go
@@ -15,7 +15,7 @@
 	"testing"
 	"time"
 
-	"thymechute/internal/decide/owner"
+	"thymechute/internal/decide/lease"
 	"thymechute/internal/decide/roll"
 	"thymechute/internal/decide/voters"
 	"thymechute/internal/fleet/log"
@@ -24,9 +24,9 @@
 )
 
 var (
-	lease  = owner.Lease{Length: time.Second, Drift: 0.01, Margin: 20 * time.Millisecond}
-	votes  = voters.Bounds{Most: 5, Settle: 300 * time.Millisecond, HoldDown: 2 * time.Second}
-	bounds = roll.Bounds{Keep: 0.3, AtOnce: 2, Longest: 20 * time.Second, ColdFrom: 0.2, WarmAfter: time.Second}
+	leaseTerms = lease.Lease{Length: time.Second, Drift: 0.01, Margin: 20 * time.Millisecond}
+	votes      = voters.Bounds{Most: 5, Settle: 300 * time.Millisecond, HoldDown: 2 * time.Second}
+	bounds     = roll.Bounds{Keep: 0.3, AtOnce: 2, Longest: 20 * time.Second, ColdFrom: 0.2, WarmAfter: time.Second}
 )
 
 // line is what a child tells.
@@ -64,7 +64,7 @@
 func (h *hub) Lost(string)            { h.keeper.Lost() }
 func (h *hub) Restored(b []byte)      { h.keeper.Restored(h.driver.Load().Now(), b) }
 func (h *hub) Tick(now time.Duration) { h.keeper.Tick(now) }
-func (h *hub) Entry(_ uint64, c owner.Command, o owner.Outcome) {
+func (h *hub) Entry(_ uint64, c lease.Command, o lease.Outcome) {
 	h.keeper.Entry(h.driver.Load().Now(), c, o)
 }
 
@@ -135,7 +135,7 @@
 		Drain:  func() { close(leaving) },
 		Say:    func(text string) { h.tell(line{What: "said", Text: text}) }})
 	d, err := log.Drive(log.Config{Process: process, Bind: os.Getenv("PACK_BIND1"), Advertise: front, Found: os.Getenv("PACK_FOUND") != "",
-		Duties: []string{Duty}, Beat: 300 * time.Millisecond, Machine: log.Machines{Duty: NewState()}}, lease, life, h,
+		Duties: []string{Duty}, Beat: 300 * time.Millisecond, Machine: log.Machines{Duty: NewState()}}, leaseTerms, life, h,
 		func(to string, b []byte) error { return m.Send(to[:strings.IndexByte(to, '#')], b) }, func(d *log.Driver) { h.driver.Store(d) })
 	fail(err)
 	place, _ := strconv.Atoi(name[1:])
--- a/internal/fleet/slots/slots.go
+++ b/internal/fleet/slots/slots.go
@@ -18,7 +18,7 @@
 	"sync"
 	"time"
 
-	"thymechute/internal/decide/owner"
+	"thymechute/internal/decide/lease"
 	"thymechute/internal/decide/ring"
 )
 
@@ -115,7 +115,7 @@
 }
 
 // Entry is one of the log's, with what became of it.
-func (k *Keeper) Entry(now time.Duration, c owner.Command, o owner.Outcome) {
+func (k *Keeper) Entry(now time.Duration, c lease.Command, o lease.Outcome) {
 	if c.Duty != Duty || !o.Accepted || c.Body == "" {
 		return
 	}
@@ -126,7 +126,7 @@
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	switch {
-	case c.Kind == owner.Do && w.Freeze != nil:
+	case c.Kind == lease.Do && w.Freeze != nil:
 		if next, slots, ok := k.c.follow(&k.agreed, *w.Freeze); ok {
 			k.calls.Frozen(slots)
 			k.nextAck = now
@@ -137,7 +137,7 @@
 			k.broken = true
 			k.c.Say(fmt.Sprintf("ring: plan %d came out otherwise than the fleet's: no calls by it; is this another build?", next.Version))
 		}
-	case c.Kind == owner.Do && w.Open != 0:
+	case c.Kind == lease.Do && w.Open != 0:
 		if k.agreed.Open(w.Open) {
 			k.calls.Opened(k.agreed.Table)
 			if k.mover != nil {
@@ -145,16 +145,16 @@
 			}
 			k.c.Say(fmt.Sprintf("ring: table %d", w.Open))
 		}
-	case c.Kind == owner.Do && w.Lot != nil:
+	case c.Kind == lease.Do && w.Lot != nil:
 		if k.agreed.Grant(*w.Lot) {
 			k.calls.Granted(w.Lot.Shares(k.agreed.Roster, k.c.Process))
 			if k.ramps != nil {
 				k.ramps.Granted(now)
 			}
 		}
-	case c.Kind == owner.Note && w.Ack != 0:
+	case c.Kind == lease.Note && w.Ack != 0:
 		k.acknowledged(now, c, w)
-	case c.Kind == owner.Note && w.Ends:
+	case c.Kind == lease.Note && w.Ends:
 		delete(k.heard, c.Member)
 		k.agreed.Left(c.Member)
 		if k.mover != nil {
@@ -178,7 +178,7 @@
 	return next, slots, a.Freeze(next, slots)
 }
 
-func (k *Keeper) acknowledged(now time.Duration, c owner.Command, w word) {
+func (k *Keeper) acknowledged(now time.Duration, c lease.Command, w word) {
 	if !k.agreed.Confirms(w.Ack) {
 		return
 	}
--- a/internal/fleet/slots/slots_test.go
+++ b/internal/fleet/slots/slots_test.go
@@ -17,7 +17,7 @@
 	"testing"
 	"time"
 
-	"thymechute/internal/decide/owner"
+	"thymechute/internal/decide/lease"
 	"thymechute/internal/decide/ring"
 	"thymechute/internal/decide/voters"
 	"thymechute/internal/fleet/log"
@@ -28,9 +28,9 @@
 const keys = 48
 
 var (
-	lease  = owner.Lease{Length: time.Second, Drift: 0.01, Margin: 20 * time.Millisecond}
-	bounds = voters.Bounds{Most: 5, Settle: 300 * time.Millisecond, HoldDown: 2 * time.Second}
-	terms  = ring.Terms{Length: time.Second, Drift: 0.01, Linger: 20 * time.Millisecond}
+	leaseTerms = lease.Lease{Length: time.Second, Drift: 0.01, Margin: 20 * time.Millisecond}
+	bounds     = voters.Bounds{Most: 5, Settle: 300 * time.Millisecond, HoldDown: 2 * time.Second}
+	terms      = ring.Terms{Length: time.Second, Drift: 0.01, Linger: 20 * time.Millisecond}
 )
 
 // line is what a child tells.
@@ -76,7 +76,7 @@
 func (h *hub) Lost(string)            { h.keeper.Load().Lost() }
 func (h *hub) Restored(b []byte)      { h.keeper.Load().Restored(b) }
 func (h *hub) Tick(now time.Duration) { h.keeper.Load().Tick(now) }
-func (h *hub) Entry(_ uint64, c owner.Command, o owner.Outcome) {
+func (h *hub) Entry(_ uint64, c lease.Command, o lease.Outcome) {
 	if h.deaf.Load() {
 		return
 	}
@@ -135,7 +135,7 @@
 		}}, quiet{})
 	fail(err)
 	d, err := log.Drive(log.Config{Process: process, Bind: os.Getenv("PACK_BIND1"), Advertise: front, Found: os.Getenv("PACK_FOUND") != "",
-		Duties: []string{Duty}, Beat: 300 * time.Millisecond, Machine: state}, lease, life, h,
+		Duties: []string{Duty}, Beat: 300 * time.Millisecond, Machine: state}, leaseTerms, life, h,
 		func(to string, b []byte) error { return m.Send(to[:strings.IndexByte(to, '#')], b) }, func(d *log.Driver) { h.driver.Store(d) })
 	fail(err)
 	place, _ := strconv.Atoi(name[1:])
--- a/internal/fleet/slots/state.go
+++ b/internal/fleet/slots/state.go
@@ -5,7 +5,7 @@
 import (
 	"encoding/json"
 
-	"thymechute/internal/decide/owner"
+	"thymechute/internal/decide/lease"
 	"thymechute/internal/decide/ring"
 )
 
@@ -38,8 +38,8 @@
 }
 
 // Apply implements log.Machine.
-func (s *State) Apply(_ uint64, c owner.Command, o owner.Outcome) {
-	if c.Duty != Duty || !o.Accepted || c.Kind == owner.Note && !s.agreed.Table.Cold() {
+func (s *State) Apply(_ uint64, c lease.Command, o lease.Outcome) {
+	if c.Duty != Duty || !o.Accepted || c.Kind == lease.Note && !s.agreed.Table.Cold() {
 		return // acknowledgements matter to the roster alone
 	}
 	var w word
@@ -47,11 +47,11 @@
 		return
 	}
 	switch {
-	case c.Kind == owner.Note && w.Ends:
+	case c.Kind == lease.Note && w.Ends:
 		s.agreed.Left(c.Member)
-	case c.Kind == owner.Note && w.Ack != 0 && s.agreed.Confirms(w.Ack):
+	case c.Kind == lease.Note && w.Ack != 0 && s.agreed.Confirms(w.Ack):
 		s.agreed.Acknowledged(c.Member)
-	case c.Kind != owner.Do:
+	case c.Kind != lease.Do:
 	case w.Freeze != nil:
 		s.c.follow(&s.agreed, *w.Freeze)
 	case w.Open != 0:
--- a/internal/lab/emu/configuration_faults.go
+++ b/internal/lab/emu/configuration_faults.go
@@ -8,7 +8,7 @@
 	"time"
 
 	"thymechute/internal/decide/configuration"
-	"thymechute/internal/decide/owner"
+	"thymechute/internal/decide/lease"
 )
 
 const (
@@ -27,7 +27,7 @@
 		return
 	}
 	command := configuration.Command{Base: in, Version: v, Changes: []configuration.Change{{Resource: r}}}
-	c.Propose(owner.Command{Kind: owner.Do, Duty: configurationDuty, Member: c.p.name, Life: uint64(c.p.life), Token: c.token,
+	c.Propose(lease.Command{Kind: lease.Do, Duty: configurationDuty, Member: c.p.name, Life: uint64(c.p.life), Token: c.token,
 		Body: string(command.Encode())})
 }
 
--- a/internal/lab/emu/configuration_judge.go
+++ b/internal/lab/emu/configuration_judge.go
@@ -7,7 +7,7 @@
 	"time"
 
 	"thymechute/internal/decide/configuration"
-	"thymechute/internal/decide/owner"
+	"thymechute/internal/decide/lease"
 )
 
 // ConfigurationFigures are what a run counts.
@@ -39,7 +39,7 @@
 
 type configurationJudge struct {
 	figures ConfigurationFigures
-	table   *owner.Table
+	table   *lease.Table
 	state   *configuration.State
 	roots   []uint64                // by counter
 	marks   []configuration.Version // by counter
@@ -49,7 +49,7 @@
 }
 
 func (j *configurationJudge) start(first *configuration.State) {
-	j.table, _ = owner.NewTable(configurationDuty)
+	j.table, _ = lease.NewTable(configurationDuty)
 	j.state = first
 	j.roots = []uint64{0, first.Root()}
 	j.marks = []configuration.Version{{}, first.Version()}
@@ -61,13 +61,13 @@
 func (j *configurationJudge) head() uint64 { return j.state.Version().Counter }
 
 // commit judges an entry of the log as it is agreed: the version it makes, if it makes one.
-func (j *configurationJudge) commit(index uint64, c owner.Command, command *configuration.Command, asked time.Duration) (made bool) {
+func (j *configurationJudge) commit(index uint64, c lease.Command, command *configuration.Command, asked time.Duration) (made bool) {
 	before, _ := j.table.At(configurationDuty)
 	outcome := j.table.Apply(index, c)
-	if c.Kind == owner.Claim && outcome.Accepted {
+	if c.Kind == lease.Claim && outcome.Accepted {
 		j.figures.OwnerChanges++
 	}
-	if c.Kind != owner.Do {
+	if c.Kind != lease.Do {
 		return false
 	}
 	if c.Token < before.Token {
--- a/internal/lab/emu/configuration_log.go
+++ b/internal/lab/emu/configuration_log.go
@@ -8,7 +8,7 @@
 	"time"
 
 	"thymechute/internal/decide/configuration"
-	"thymechute/internal/decide/owner"
+	"thymechute/internal/decide/lease"
 )
 
 const (
@@ -18,10 +18,10 @@
 	trailing             = time.Second / 2 // by which a machine's copy may be confirmed late
 )
 
-var configurationLease = owner.Lease{Length: 2 * time.Second, Drift: 0.01, Margin: 20 * time.Millisecond}
+var configurationLease = lease.Lease{Length: 2 * time.Second, Drift: 0.01, Margin: 20 * time.Millisecond}
 
 type configurationEntry struct {
-	owner.Command
+	lease.Command
 	change *configuration.Command // nil: none
 	made   bool                   // the judge's word
 	stale  bool                   // issued under a token older than the last that was granted
@@ -38,8 +38,8 @@
 	*configuration.Control
 	p       *configurationProcess
 	store   *configuration.Store
-	table   *owner.Table
-	holder  *owner.Holder
+	table   *lease.Table
+	holder  *lease.Holder
 	at      int // entries applied
 	token   uint64
 	started time.Duration
@@ -48,7 +48,7 @@
 
 func newConfigurationControl(p *configurationProcess) *configurationControl {
 	c := &configurationControl{p: p, store: configuration.NewStore(p.s.first, 0)}
-	c.table, _ = owner.NewTable(configurationDuty)
+	c.table, _ = lease.NewTable(configurationDuty)
 	c.begin()
 	return c
 }
@@ -60,7 +60,7 @@
 	p.up, p.paused = true, false
 	p.last, c.started, c.token = c.store.State().Version(), s.now, 0
 	c.Control = configuration.NewControl(s.now, p, c.store)
-	c.holder = owner.NewHolder(c, c.table, configurationLease, p.name, uint64(p.life))
+	c.holder = lease.NewHolder(c, c.table, configurationLease, p.name, uint64(p.life))
 	c.holder.Placed(configurationDuty, p.n)
 	c.holder.CaughtUp(0)
 	p.bytes.begin(s.now)
@@ -69,8 +69,8 @@
 
 func (c *configurationControl) clock() time.Duration { return c.p.s.now - c.started }
 
-// Propose, Holds and Lost make it the owner.Host of its process.
-func (c *configurationControl) Propose(command owner.Command) { c.p.s.propose(c.p, command) }
+// Propose, Holds and Lost make it the lease.Host of its process.
+func (c *configurationControl) Propose(command lease.Command) { c.p.s.propose(c.p, command) }
 
 // Holds keeps the token, for what it does without looking.
 func (c *configurationControl) Holds(_ string, token uint64) { c.token = token }
@@ -90,7 +90,7 @@
 }
 
 // propose sends a command to the leader; where a quorum agrees it becomes an entry.
-func (s *configurationSim) propose(p *configurationProcess, c owner.Command) {
+func (s *configurationSim) propose(p *configurationProcess, c lease.Command) {
 	leader := s.all[s.log.leader]
 	there := s.net.delay[p.region][leader.region] + s.jitter(20*time.Millisecond)
 	s.after(there, func() {
@@ -121,9 +121,9 @@
 }
 
 // agree puts a command into the log; now and then it comes a second time.
-func (s *configurationSim) agree(c owner.Command) {
+func (s *configurationSim) agree(c lease.Command) {
 	e := configurationEntry{Command: c}
-	if c.Kind == owner.Do {
+	if c.Kind == lease.Do {
 		if command, err := configuration.DecodeCommand([]byte(c.Body)); err == nil {
 			e.change = &command
 		} else {
@@ -131,7 +131,7 @@
 		}
 	}
 	before, _ := s.judge.table.At(configurationDuty)
-	e.stale = c.Kind == owner.Do && c.Token < before.Token
+	e.stale = c.Kind == lease.Do && c.Token < before.Token
 	s.log.entries = append(s.log.entries, e)
 	index := len(s.log.entries)
 	var asked time.Duration
@@ -161,7 +161,7 @@
 	for ; c.at < upTo; c.at++ {
 		e := s.log.entries[c.at]
 		outcome := c.holder.Applied(c.clock(), uint64(c.at+1), e.Command)
-		if e.Kind == owner.Claim && outcome.Accepted {
+		if e.Kind == lease.Claim && outcome.Accepted {
 			c.Granted(outcome.Token)
 		}
 		if e.change == nil {
--- a/internal/lab/emu/owner.go
+++ b/internal/lab/emu/owner.go
@@ -1,5 +1,5 @@
 // This file owns the emulated fleet on which owners are tried: an agreed log, members that apply it late, clocks that
-// drift, proposals that are lost or come late, pauses, cuts and cold restarts. It decides nothing: internal/decide/owner
+// drift, proposals that are lost or come late, pauses, cuts and cold restarts. It decides nothing: internal/decide/lease
 // does, by the same methods as on sockets. It must never look at real time, nor draw chance but from its seed.
 
 package emu
@@ -10,22 +10,22 @@
 	"slices"
 	"time"
 
-	"thymechute/internal/decide/owner"
+	"thymechute/internal/decide/lease"
 )
 
 const mostFlight = 1 << 14 // proposals in flight; past them one is lost
 
 // OwnerSim is a fleet of members over one log. Its methods are what can happen to it; after each Check holds or not.
 type OwnerSim struct {
-	Lease   owner.Lease
+	Lease   lease.Lease
 	Members []*OwnerMember
 	Figures OwnerFigures
 
 	now    time.Duration // true time
-	log    []owner.Command
-	flight []owner.Command
+	log    []lease.Command
+	flight []lease.Command
 	duties []string
-	truth  *owner.Table             // the log applied at once; for claims alone
+	truth  *lease.Table             // the log applied at once; for claims alone
 	top    []map[string]uint64      // by index: the token granted last, a duty
 	vacant map[string]time.Duration // since when nobody holds a duty
 	took   []time.Duration          // takeovers
@@ -48,9 +48,9 @@
 type OwnerMember struct {
 	Name   string
 	place  int
-	Holder *owner.Holder
-	table  *owner.Table
-	guard  owner.Guard
+	Holder *lease.Holder
+	table  *lease.Table
+	guard  lease.Guard
 	sim    *OwnerSim
 	rate   float64       // of its clock
 	start  time.Duration // true time of its start
@@ -63,17 +63,17 @@
 }
 
 // NewOwnerSim is a fleet of size members, all with an empty log; their clocks run at rates within the lease's drift.
-func NewOwnerSim(size int, lease owner.Lease, r *rand.Rand, duties ...string) (*OwnerSim, error) {
-	truth, err := owner.NewTable(duties...)
+func NewOwnerSim(size int, terms lease.Lease, r *rand.Rand, duties ...string) (*OwnerSim, error) {
+	truth, err := lease.NewTable(duties...)
 	if err != nil {
 		return nil, err
 	}
-	s := &OwnerSim{Lease: lease, size: size, duties: truth.Duties(), truth: truth, vacant: map[string]time.Duration{}}
+	s := &OwnerSim{Lease: terms, size: size, duties: truth.Duties(), truth: truth, vacant: map[string]time.Duration{}}
 	for _, d := range s.duties {
 		s.vacant[d] = 0
 	}
 	for n := range size {
-		m := &OwnerMember{Name: fmt.Sprintf("m%d", n), place: n, sim: s, rate: 1 + lease.Drift*(2*r.Float64()-1)}
+		m := &OwnerMember{Name: fmt.Sprintf("m%d", n), place: n, sim: s, rate: 1 + terms.Drift*(2*r.Float64()-1)}
 		s.Members = append(s.Members, m)
 		s.Restart(m)
 	}
@@ -90,11 +90,11 @@
 		}
 	}
 	s.lives++
-	m.table, _ = owner.NewTable(s.duties...)
-	m.guard, m.tokens = owner.Guard{}, map[string]uint64{}
+	m.table, _ = lease.NewTable(s.duties...)
+	m.guard, m.tokens = lease.Guard{}, map[string]uint64{}
 	m.start, m.life, m.at, m.goal = s.now, s.lives, 0, len(s.log)
 	m.Paused, m.Deaf, m.Mute = false, false, false
-	m.Holder = owner.NewHolder(m, m.table, s.Lease, m.Name, m.life)
+	m.Holder = lease.NewHolder(m, m.table, s.Lease, m.Name, m.life)
 	for n, d := range s.duties { // ranks as the fleet's: each duty's turns begin elsewhere
 		m.Holder.Placed(d, (m.place+n*max(s.size/len(s.duties), 1))%s.size)
 	}
@@ -105,8 +105,8 @@
 	return time.Duration(float64(m.sim.now-m.start) * m.rate)
 }
 
-// Propose, Holds and Lost make a member the owner.Host of its process.
-func (m *OwnerMember) Propose(c owner.Command) {
+// Propose, Holds and Lost make a member the lease.Host of its process.
+func (m *OwnerMember) Propose(c lease.Command) {
 	if !m.Mute && len(m.sim.flight) < mostFlight {
 		m.sim.flight = append(m.sim.flight, c)
 	}
@@ -135,7 +135,7 @@
 }
 
 // Entries are the log so far, in order.
-func (s *OwnerSim) Entries() []owner.Command { return s.log }
+func (s *OwnerSim) Entries() []lease.Command { return s.log }
 
 // Now is the true time since the start.
 func (s *OwnerSim) Now() time.Duration { return s.now }
@@ -151,7 +151,7 @@
 	c := s.flight[n]
 	s.Drop(n)
 	s.log = append(s.log, c)
-	if c.Kind != owner.Do { // whom the log made the holder: judged by claims, renewals and releases alone
+	if c.Kind != lease.Do { // whom the log made the holder: judged by claims, renewals and releases alone
 		s.truth.Apply(uint64(len(s.log)), c)
 	}
 	top := map[string]uint64{}
@@ -172,7 +172,7 @@
 		m.at++
 		o := m.Holder.Applied(m.clock(), index, c)
 		m.catchUp()
-		if c.Kind != owner.Do || !o.Accepted {
+		if c.Kind != lease.Do || !o.Accepted {
 			continue
 		}
 		stale := c.Token < s.top[index-1][c.Duty]
@@ -209,7 +209,7 @@
 	for d, token := range m.tokens {
 		if at, _ := s.truth.At(d); at.Token > token {
 			s.Figures.StaleTried++
-			m.Propose(owner.Command{Kind: owner.Do, Duty: d, Member: m.Name, Life: m.life, Token: token, Body: "late"})
+			m.Propose(lease.Command{Kind: lease.Do, Duty: d, Member: m.Name, Life: m.life, Token: token, Body: "late"})
 		}
 	}
 }
@@ -249,13 +249,13 @@
 // mute, and all heal again; a twentieth of the proposals is lost. It ends with all members at the log's end.
 func Owner(size, leases int, seed uint64) (OwnerFigures, error) {
 	r := rand.New(rand.NewPCG(seed, 0x07e4))
-	lease := owner.Lease{Length: time.Second, Drift: 0.01, Margin: 10 * time.Millisecond}
-	s, err := NewOwnerSim(size, lease, r, "budget", "ring", "roll")
+	terms := lease.Lease{Length: time.Second, Drift: 0.01, Margin: 10 * time.Millisecond}
+	s, err := NewOwnerSim(size, terms, r, "budget", "ring", "roll")
 	if err != nil {
 		return OwnerFigures{}, err
 	}
 	const step = 25 * time.Millisecond
-	perLease := int(lease.Length / step)
+	perLease := int(terms.Length / step)
 	for n := range leases * perLease {
 		s.Advance(step)
 		for s.Flight() > 0 && r.IntN(4) > 0 { // what is not committed now comes later, in another order
@@ -334,7 +334,7 @@
 func (s *OwnerSim) GiveUp(m *OwnerMember, duty string) { m.Holder.GiveUp(m.clock(), duty) }
 
 // Restrict starts all members anew under another lease, their clocks as they are.
-func (s *OwnerSim) Restrict(l owner.Lease) {
+func (s *OwnerSim) Restrict(l lease.Lease) {
 	s.Lease = l
 	for _, m := range s.Members {
 		s.Restart(m)
--- a/internal/lab/scale/decisions/owner.go
+++ b/internal/lab/scale/decisions/owner.go
@@ -7,7 +7,7 @@
 	"fmt"
 	"time"
 
-	"thymechute/internal/decide/owner"
+	"thymechute/internal/decide/lease"
 	"thymechute/internal/lab/emu"
 )
 
@@ -20,12 +20,12 @@
 
 // As cmd/thymechute has them by default: a lease of 2 s and its duties.
 var (
-	ownerLease = owner.Lease{Length: 2 * time.Second, Drift: 0.01, Margin: 40 * time.Millisecond}
+	ownerLease = lease.Lease{Length: 2 * time.Second, Drift: 0.01, Margin: 40 * time.Millisecond}
 	duties     = []string{"ring", "roll"}
 )
 
 // entryBytes is the bytes of an entry's body as internal/fleet/log encodes it.
-func entryBytes(c owner.Command) int {
+func entryBytes(c lease.Command) int {
 	b, _ := json.Marshal(c)
 	return len(b)
 }
@@ -74,14 +74,14 @@
 
 // measureOwnerTables times an entry's way through the table and a member's tick, and sizes the table.
 func measureOwnerTables(c *collector, l Layout) error {
-	table, err := owner.NewTable(duties...)
+	table, err := lease.NewTable(duties...)
 	if err != nil {
 		return err
 	}
-	holder := owner.NewHolder(silent{}, table, ownerLease, processName(0, 0), 1)
+	holder := lease.NewHolder(silent{}, table, ownerLease, processName(0, 0), 1)
 	c.timing("owner_entry", "member", l.Size, func(n int) {
 		seen, _ := table.At(duties[0])
-		holder.Applied(time.Duration(n)*time.Millisecond, table.Index()+1, owner.Command{Kind: owner.Claim, Duty: duties[0],
+		holder.Applied(time.Duration(n)*time.Millisecond, table.Index()+1, lease.Command{Kind: lease.Claim, Duty: duties[0],
 			Member: processName(n, 0), Life: 1, Seen: seen.Renewed})
 		holder.Tick(time.Duration(n) * time.Millisecond)
 	})
@@ -93,7 +93,7 @@
 // silent is a host whose proposals go nowhere.
 type silent struct{}
 
-func (silent) Propose(owner.Command) {}
+func (silent) Propose(lease.Command) {}
 func (silent) Holds(string, uint64)  {}
 func (silent) Lost(string)           {}
 
@@ -156,9 +156,9 @@
 	return held == len(duties)
 }
 
-func claims(entries []owner.Command) (count int) {
+func claims(entries []lease.Command) (count int) {
 	for _, e := range entries {
-		if e.Kind == owner.Claim {
+		if e.Kind == lease.Claim {
 			count++
 		}
 	}
--- a/internal/lab/scale/decisions/ring.go
+++ b/internal/lab/scale/decisions/ring.go
@@ -7,7 +7,7 @@
 	"fmt"
 	"time"
 
-	"thymechute/internal/decide/owner"
+	"thymechute/internal/decide/lease"
 	"thymechute/internal/decide/ring"
 	"thymechute/internal/fleet/slots"
 )
@@ -83,10 +83,10 @@
 	process string
 	now     time.Duration
 	seq     uint64
-	said    []owner.Command
+	said    []lease.Command
 }
 
-func (w *words) say(c owner.Command) uint64 {
+func (w *words) say(c lease.Command) uint64 {
 	w.seq++
 	c.Member, c.Life, c.Seq, c.Duty = w.process, 0x18f3a2b4c5000000, w.seq, slots.Duty
 	w.said = append(w.said, c)
@@ -95,13 +95,13 @@
 
 // DecideNow implements slots.Log.
 func (w *words) DecideNow(_, body string) bool {
-	w.say(owner.Command{Kind: owner.Do, Token: 7, Body: body})
+	w.say(lease.Command{Kind: lease.Do, Token: 7, Body: body})
 	return true
 }
 
 // Note implements slots.Log.
 func (w *words) Note(_, body string) uint64 {
-	return w.say(owner.Command{Kind: owner.Note, Body: body})
+	return w.say(lease.Command{Kind: lease.Note, Body: body})
 }
 
 // Now implements slots.Log.
@@ -114,16 +114,16 @@
 	return k, w, err
 }
 
-var accepted = owner.Outcome{Accepted: true}
+var accepted = lease.Outcome{Accepted: true}
 
 // move lets an owner freeze and open a table over these backends, and gives both entries.
-func move(k *slots.Keeper, w *words, backends []ring.Backend) (entries []owner.Command, err error) {
+func move(k *slots.Keeper, w *words, backends []ring.Backend) (entries []lease.Command, err error) {
 	k.Want(backends)
 	k.Held(0)
 	for len(entries) < 2 && w.now < 10*ringTerms.Length {
 		k.Tick(w.now)
 		for _, c := range w.said {
-			if c.Kind == owner.Do {
+			if c.Kind == lease.Do {
 				entries = append(entries, c)
 			}
 			k.Entry(w.now, c, accepted)
--- a/internal/lab/scale/decisions/roll.go
+++ b/internal/lab/scale/decisions/roll.go
@@ -6,7 +6,7 @@
 import (
 	"time"
 
-	"thymechute/internal/decide/owner"
+	"thymechute/internal/decide/lease"
 	"thymechute/internal/decide/roll"
 	"thymechute/internal/fleet/rolls"
 	"thymechute/internal/lab/emu"
@@ -83,8 +83,8 @@
 		HandOn: func() {}, Drain: func() {}, Say: func(string) {}})
 	k.Want(wantedRelease)
 	k.Held()
-	entry := func(body string) owner.Command {
-		return owner.Command{Kind: owner.Do, Duty: rolls.Duty, Member: processName(0, 0), Life: 0x18f3a2b4c5000000, Seq: 99999, Token: 7, Body: body}
+	entry := func(body string) lease.Command {
+		return lease.Command{Kind: lease.Do, Duty: rolls.Duty, Member: processName(0, 0), Life: 0x18f3a2b4c5000000, Seq: 99999, Token: 7, Body: body}
 	}
 	k.Tick(time.Second)
 	if len(bodies) == 1 {
--- a/internal/lab/scale/raftlog/child.go
+++ b/internal/lab/scale/raftlog/child.go
@@ -15,7 +15,7 @@
 	"strings"
 	"time"
 
-	"thymechute/internal/decide/owner"
+	"thymechute/internal/decide/lease"
 )
 
 // ChildCommand is the command line's word for a process of logs.
@@ -128,7 +128,7 @@
 // propose writes one entry with a body of so many bytes, by the first log.
 func (p *process) propose(bodyBytes int) error {
 	first := p.logs[0]
-	return first.log.Propose(owner.Command{Kind: owner.Note, Duty: "ring", Member: first.peer.Process, Body: strings.Repeat("x", bodyBytes)})
+	return first.log.Propose(lease.Command{Kind: lease.Note, Duty: "ring", Member: first.peer.Process, Body: strings.Repeat("x", bodyBytes)})
 }
 
 func tryFor(limit time.Duration, f func() error) error {
--- a/internal/lab/scale/raftlog/election.go
+++ b/internal/lab/scale/raftlog/election.go
@@ -10,7 +10,7 @@
 	"slices"
 	"time"
 
-	"thymechute/internal/decide/owner"
+	"thymechute/internal/decide/lease"
 )
 
 const (
@@ -131,7 +131,7 @@
 // agreed proposes one entry and waits until the proposer has it back.
 func agreed(ctx context.Context, h *hollow) error {
 	before := h.applied.Load()
-	if err := h.log.Propose(owner.Command{Kind: owner.Note, Duty: "ring", Member: h.peer.Process, Body: "x"}); err != nil {
+	if err := h.log.Propose(lease.Command{Kind: lease.Note, Duty: "ring", Member: h.peer.Process, Body: "x"}); err != nil {
 		return err
 	}
 	for began := time.Now(); h.applied.Load() <= before; {
--- a/internal/lab/scale/raftlog/process.go
+++ b/internal/lab/scale/raftlog/process.go
@@ -10,7 +10,7 @@
 	"sync/atomic"
 	"time"
 
-	"thymechute/internal/decide/owner"
+	"thymechute/internal/decide/lease"
 	"thymechute/internal/fleet/log"
 	"thymechute/internal/lab/scale"
 )
@@ -40,9 +40,9 @@
 	decoded atomic.Int64 // bytes of the state that it was handed
 }
 
-func (h *hollow) Entry(index uint64, _ owner.Command)        { h.applied.Store(index) }
-func (h *hollow) Restored(*owner.Table, []byte)              {}
-func (h *hollow) Apply(uint64, owner.Command, owner.Outcome) {}
+func (h *hollow) Entry(index uint64, _ lease.Command)        { h.applied.Store(index) }
+func (h *hollow) Restored(*lease.Table, []byte)              {}
+func (h *hollow) Apply(uint64, lease.Command, lease.Outcome) {}
 func (h *hollow) Encode() ([]byte, error)                    { return h.state, nil }
 func (h *hollow) Decode(state []byte) error                  { h.decoded.Store(int64(len(state))); return nil }
 
