--- a/cmd/thymechute/agreed.go
+++ b/cmd/thymechute/agreed.go
@@ -13,7 +13,7 @@
 	"go.uber.org/zap"
 
 	"thymechute/internal/decide/lease"
-	"thymechute/internal/decide/voters"
+	"thymechute/internal/decide/quorum"
 	"thymechute/internal/fleet/log"
 	"thymechute/internal/fleet/member"
 	"thymechute/internal/operator"
@@ -65,7 +65,7 @@
 		return err
 	}
 	a.driver.Store(d)
-	d.Care(a.peers, voters.Bounds{Most: o.Voters, Settle: length, HoldDown: 2 * length}, a.changed)
+	d.Care(a.peers, quorum.Bounds{Most: o.Voters, Settle: length, HoldDown: 2 * length}, a.changed)
 	return nil
 }
 
@@ -88,10 +88,10 @@
 }
 
 // changed is told at the leader: each change of who votes, and each new reason for none.
-func (a *agreed) changed(c voters.Change) {
+func (a *agreed) changed(c quorum.Change) {
 	switch {
-	case c.Kind != voters.None:
-		words := map[voters.Kind]string{voters.Learn: "chosen to vote", voters.Vote: "votes", voters.Drop: "dropped"}
+	case c.Kind != quorum.None:
+		words := map[quorum.Kind]string{quorum.Learn: "chosen to vote", quorum.Vote: "votes", quorum.Drop: "dropped"}
 		a.log.Info("fleet log: member "+words[c.Kind], zap.String("process", c.Process), zap.String("why", c.Why))
 	case strings.HasPrefix(c.Why, "quorum lost"):
 		a.log.Warn("fleet log: nothing new is decided", zap.String("why", c.Why))
--- a/internal/decide/voters/before_test.go
+++ b/internal/decide/quorum/before_test.go
@@ -1,4 +1,4 @@
-package voters
+package quorum
 
 import (
 	"fmt"
--- a/internal/decide/voters/spread.go
+++ b/internal/decide/quorum/spread.go
@@ -1,6 +1,6 @@
 // This file owns how the voters lie over regions and zones. It must never want a swap that another swap would undo.
 
-package voters
+package quorum
 
 import "slices"
 
--- a/internal/decide/voters/voters.go
+++ b/internal/decide/quorum/voters.go
@@ -6,7 +6,7 @@
 // Process here and in the log, and votes only after being chosen anew, or two could be elected in one term.
 //
 // It keeps no table: what it is given is all that it knows.
-package voters
+package quorum
 
 import (
 	"cmp"
--- a/internal/fleet/log/contact_test.go
+++ b/internal/fleet/log/contact_test.go
@@ -6,7 +6,7 @@
 
 	"github.com/hashicorp/raft"
 
-	"thymechute/internal/decide/voters"
+	"thymechute/internal/decide/quorum"
 	"thymechute/internal/testkit"
 )
 
@@ -57,11 +57,11 @@
 	began, learner := time.Now(), ""
 	known := map[string]*seen{}
 	look(known, []Peer{{Process: "c#1", Address: "c"}}, began.Add(-careEvery*10)) // the third of three, silent since
-	care := func(now time.Time) voters.Change {                                   // b is in the view, as membership has it
+	care := func(now time.Time) quorum.Change {                                   // b is in the view, as membership has it
 		look(known, []Peer{{Process: "a#1", Address: "a"}, {Process: "b#1", Address: at, Applied: 1000}}, now)
-		return a.care(known, &learner, now, voters.Bounds{Most: 3, HoldDown: time.Hour})
+		return a.care(known, &learner, now, quorum.Bounds{Most: 3, HoldDown: time.Hour})
 	}
-	if c := care(began); c.Kind != voters.None || learner != "" {
+	if c := care(began); c.Kind != quorum.None || learner != "" {
 		t.Errorf("%+v by a leader that has just begun to lead", c)
 	}
 	later := began.Add(leadFirst)
@@ -70,7 +70,7 @@
 		t.Fatal(err)
 	}
 	testkit.Eventually(t, "the heartbeats miss it", func() bool { return a.contact.misses("b#1", time.Now()) })
-	if c := care(later); c.Kind == voters.Vote {
+	if c := care(later); c.Kind == quorum.Vote {
 		t.Errorf("%+v, though the heartbeats miss it", c)
 	}
 	if got := a.Voters(); len(got) != 1 {
--- a/internal/fleet/log/lead.go
+++ b/internal/fleet/log/lead.go
@@ -1,4 +1,4 @@
-// This file owns the leader's care for the others: who follows the log, and who votes (by internal/decide/voters). It
+// This file owns the leader's care for the others: who follows the log, and who votes (by internal/decide/quorum). It
 // must never change two things at once.
 
 package log
@@ -8,7 +8,7 @@
 
 	"github.com/hashicorp/raft"
 
-	"thymechute/internal/decide/voters"
+	"thymechute/internal/decide/quorum"
 )
 
 // Peer is one process as membership has it.
@@ -51,14 +51,14 @@
 }
 
 // candidate is what the choice of voters knows of it.
-func (s *seen) candidate(silent time.Duration, caughtUp bool, now time.Time) voters.Member {
-	return voters.Member{Process: s.Process, Zone: s.Zone, Region: s.Region, Age: now.Sub(s.first), SilentFor: silent, Leaving: s.Leaving,
+func (s *seen) candidate(silent time.Duration, caughtUp bool, now time.Time) quorum.Member {
+	return quorum.Member{Process: s.Process, Zone: s.Zone, Region: s.Region, Age: now.Sub(s.first), SilentFor: silent, Leaving: s.Leaving,
 		CaughtUp: caughtUp, Ended: s.ended}
 }
 
 // Care runs at every member, and acts only at the leader, until stop: peers gives the view, say tells each change and each
 // new reason for none.
-func (d *Driver) Care(peers func() []Peer, b voters.Bounds, say func(voters.Change)) {
+func (d *Driver) Care(peers func() []Peer, b quorum.Bounds, say func(quorum.Change)) {
 	d.done.Add(1)
 	go func() {
 		defer d.done.Done()
@@ -76,7 +76,7 @@
 					continue
 				}
 				c := d.Log.care(known, &learner, now, b)
-				if c.Kind != voters.None || c.Why != last {
+				if c.Kind != quorum.None || c.Why != last {
 					say(c)
 				}
 				last = c.Why
@@ -112,20 +112,20 @@
 }
 
 // care makes one change at most, and waits until it is in force.
-func (l *Log) care(known map[string]*seen, learner *string, now time.Time, b voters.Bounds) voters.Change {
+func (l *Log) care(known map[string]*seen, learner *string, now time.Time, b quorum.Bounds) quorum.Change {
 	future := l.raft.GetConfiguration()
 	if future.Error() != nil {
-		return voters.Change{}
+		return quorum.Change{}
 	}
 	votes, follows := []string{}, map[string]bool{}
 	for _, s := range future.Configuration().Servers {
 		if id := string(s.ID); s.Suffrage == raft.Voter {
 			votes = append(votes, id)
 		} else if follows[id] = true; known[id] == nil || known[id].ended || now.Sub(known[id].last) > forgetOld {
-			return l.change(voters.Change{Kind: voters.Drop, Process: id, Why: "a follower long silent, or ended"}, "")
+			return l.change(quorum.Change{Kind: quorum.Drop, Process: id, Why: "a follower long silent, or ended"}, "")
 		}
 	}
-	var members []voters.Member
+	var members []quorum.Member
 	failed := ""
 	committed := l.raft.CommitIndex()
 	for id, s := range known {
@@ -148,23 +148,23 @@
 		members = append(members, s.candidate(silent, s.caughtUp(committed, now) && follows[id], now))
 	}
 	if l.contact.early(now) {
-		return voters.Change{Why: "it has just begun to lead"}
+		return quorum.Change{Why: "it has just begun to lead"}
 	}
 	var learners []string
 	if *learner != "" {
 		learners = []string{*learner}
 	}
-	c := voters.Next(members, votes, learners, false, b)
-	if c.Kind == voters.None && failed != "" {
+	c := quorum.Next(members, votes, learners, false, b)
+	if c.Kind == quorum.None && failed != "" {
 		c.Why += "; " + failed
 	}
 	switch c.Kind {
-	case voters.Learn: // it follows the log already, as all do: it is only chosen
+	case quorum.Learn: // it follows the log already, as all do: it is only chosen
 		*learner = c.Process
-	case voters.Vote:
+	case quorum.Vote:
 		*learner = ""
 		c = l.change(c, known[c.Process].Address)
-	case voters.Drop:
+	case quorum.Drop:
 		if c.Process == *learner {
 			*learner = ""
 			return c
@@ -175,15 +175,15 @@
 }
 
 // change carries one out, and tells in Why if it could not be.
-func (l *Log) change(c voters.Change, address string) voters.Change {
+func (l *Log) change(c quorum.Change, address string) quorum.Change {
 	var err error
-	if c.Kind == voters.Vote {
+	if c.Kind == quorum.Vote {
 		err = l.Vote(c.Process, address)
 	} else {
 		err = l.raft.RemoveServer(raft.ServerID(c.Process), 0, changeFor).Error()
 	}
 	if err != nil {
-		c.Kind, c.Why = voters.None, c.Why+": "+err.Error()
+		c.Kind, c.Why = quorum.None, c.Why+": "+err.Error()
 	}
 	return c
 }
--- a/internal/fleet/log/log.go
+++ b/internal/fleet/log/log.go
@@ -1,6 +1,6 @@
 // Package log carries the fleet's agreed log by hashicorp/raft, over raft's own transport; what members that don't lead
 // propose goes to the leader as one of memberlist's reliable messages. No protocol of ours. It owns raft, the entries'
-// form and who votes (by internal/decide/voters), and must never decide what an entry means: internal/decide/lease does.
+// form and who votes (by internal/decide/quorum), and must never decide what an entry means: internal/decide/lease does.
 //
 // Without a folder nothing is on disk. A process is therefore known to raft under an identity of its one life (name and
 // life): started cold it is another server, and can't vote where it has voted. Only one process, once, founds a log.
--- a/internal/fleet/log/log_test.go
+++ b/internal/fleet/log/log_test.go
@@ -14,14 +14,14 @@
 	"time"
 
 	"thymechute/internal/decide/lease"
-	"thymechute/internal/decide/voters"
+	"thymechute/internal/decide/quorum"
 	"thymechute/internal/fleet/member"
 	"thymechute/internal/testkit"
 )
 
 var (
 	leaseTerms = lease.Lease{Length: time.Second, Drift: 0.01, Margin: 20 * time.Millisecond}
-	bounds     = voters.Bounds{Most: 5, Settle: 300 * time.Millisecond, HoldDown: 2 * time.Second}
+	bounds     = quorum.Bounds{Most: 5, Settle: 300 * time.Millisecond, HoldDown: 2 * time.Second}
 )
 
 // line is what a child tells, one JSON object a line.
@@ -120,7 +120,7 @@
 			out = append(out, Peer{Process: r.Process, Address: r.Log, Zone: r.Zone, Applied: r.Applied, Leaving: r.Flag == "leaving"})
 		}
 		return out
-	}, bounds, func(c voters.Change) {
+	}, bounds, func(c quorum.Change) {
 		t.tell(line{What: "change", Kind: lease.Kind(c.Kind), Why: c.Why + " " + c.Process})
 	})
 	go func() {
--- a/internal/fleet/log/regions_test.go
+++ b/internal/fleet/log/regions_test.go
@@ -7,7 +7,7 @@
 	"testing"
 	"time"
 
-	"thymechute/internal/decide/voters"
+	"thymechute/internal/decide/quorum"
 )
 
 // chosen are the voters of each region once the choice rests, fed as the leader feeds it: peers looked at, each a candidate.
@@ -21,26 +21,26 @@
 		look(known, peers[:n+1], now.Add(time.Duration(n)*time.Second))
 	}
 	now = now.Add(time.Hour)
-	var members []voters.Member
+	var members []quorum.Member
 	for _, s := range known {
 		members = append(members, s.candidate(0, true, now))
 	}
 	vote, learn := []string{peers[0].Process}, []string{}
 	for range 100 {
-		c := voters.Next(members, vote, learn, false, voters.Bounds{Most: 5, Settle: time.Second, HoldDown: time.Second})
+		c := quorum.Next(members, vote, learn, false, quorum.Bounds{Most: 5, Settle: time.Second, HoldDown: time.Second})
 		isChanged := func(process string) bool { return process == c.Process }
 		switch c.Kind {
-		case voters.None:
+		case quorum.None:
 			regions := map[string]int{}
 			for _, process := range vote {
 				regions[known[process].Region]++
 			}
 			return regions
-		case voters.Learn:
+		case quorum.Learn:
 			learn = append(learn, c.Process)
-		case voters.Vote:
+		case quorum.Vote:
 			vote, learn = append(vote, c.Process), slices.DeleteFunc(learn, isChanged)
-		case voters.Drop:
+		case quorum.Drop:
 			vote, learn = slices.DeleteFunc(vote, isChanged), slices.DeleteFunc(learn, isChanged)
 		}
 	}
--- a/internal/fleet/rolls/rolls_test.go
+++ b/internal/fleet/rolls/rolls_test.go
@@ -16,8 +16,8 @@
 	"time"
 
 	"thymechute/internal/decide/lease"
+	"thymechute/internal/decide/quorum"
 	"thymechute/internal/decide/roll"
-	"thymechute/internal/decide/voters"
 	"thymechute/internal/fleet/log"
 	"thymechute/internal/fleet/member"
 	"thymechute/internal/testkit"
@@ -25,7 +25,7 @@
 
 var (
 	leaseTerms = lease.Lease{Length: time.Second, Drift: 0.01, Margin: 20 * time.Millisecond}
-	votes      = voters.Bounds{Most: 5, Settle: 300 * time.Millisecond, HoldDown: 2 * time.Second}
+	votes      = quorum.Bounds{Most: 5, Settle: 300 * time.Millisecond, HoldDown: 2 * time.Second}
 	bounds     = roll.Bounds{Keep: 0.3, AtOnce: 2, Longest: 20 * time.Second, ColdFrom: 0.2, WarmAfter: time.Second}
 )
 
@@ -145,7 +145,7 @@
 			out = append(out, log.Peer{Process: r.Process, Address: r.Log, Zone: r.Zone, Applied: r.Applied, Leaving: r.Flag == "leaving"})
 		}
 		return out
-	}, votes, func(c voters.Change) {
+	}, votes, func(c quorum.Change) {
 		h.tell(line{What: "said", Text: fmt.Sprint("care ", c.Kind, " ", c.Why, " ", c.Process)})
 	})
 	go func() {
--- a/internal/fleet/slots/slots_test.go
+++ b/internal/fleet/slots/slots_test.go
@@ -18,8 +18,8 @@
 	"time"
 
 	"thymechute/internal/decide/lease"
+	"thymechute/internal/decide/quorum"
 	"thymechute/internal/decide/ring"
-	"thymechute/internal/decide/voters"
 	"thymechute/internal/fleet/log"
 	"thymechute/internal/fleet/member"
 	"thymechute/internal/testkit"
@@ -29,7 +29,7 @@
 
 var (
 	leaseTerms = lease.Lease{Length: time.Second, Drift: 0.01, Margin: 20 * time.Millisecond}
-	bounds     = voters.Bounds{Most: 5, Settle: 300 * time.Millisecond, HoldDown: 2 * time.Second}
+	bounds     = quorum.Bounds{Most: 5, Settle: 300 * time.Millisecond, HoldDown: 2 * time.Second}
 	terms      = ring.Terms{Length: time.Second, Drift: 0.01, Linger: 20 * time.Millisecond}
 )
 
@@ -145,8 +145,8 @@
 			out = append(out, log.Peer{Process: r.Process, Address: r.Log, Zone: r.Zone, Applied: r.Applied, Leaving: r.Flag == "leaving"})
 		}
 		return out
-	}, bounds, func(c voters.Change) {
-		if c.Kind == voters.Vote {
+	}, bounds, func(c quorum.Change) {
+		if c.Kind == quorum.Vote {
 			h.tell(line{What: "votes"})
 		}
 	})
--- a/internal/lab/scale/decisions/voters.go
+++ b/internal/lab/scale/decisions/voters.go
@@ -9,7 +9,7 @@
 
 	"github.com/hashicorp/raft"
 
-	"thymechute/internal/decide/voters"
+	"thymechute/internal/decide/quorum"
 )
 
 // As cmd/thymechute and internal/fleet/log have them with a lease of 2 s.
@@ -22,12 +22,12 @@
 	wantedVoters  = 5
 )
 
-var voterBounds = voters.Bounds{Most: wantedVoters, Settle: voterSettle, HoldDown: voterHoldDown}
+var voterBounds = quorum.Bounds{Most: wantedVoters, Settle: voterSettle, HoldDown: voterHoldDown}
 
 // choice is a fleet with its voters.
 type choice struct {
 	l        Layout
-	members  []voters.Member
+	members  []quorum.Member
 	voters   []string
 	learners []string
 }
@@ -35,9 +35,9 @@
 // newChoice has chosen its voters one by one out of a fleet whose members joined in this order; regions tells whether the
 // choice knows them. The program's records name a zone alone.
 func newChoice(l Layout, order []int, regions bool) *choice {
-	p := &choice{l: l, members: make([]voters.Member, l.Size)}
+	p := &choice{l: l, members: make([]quorum.Member, l.Size)}
 	for at, n := range order {
-		p.members[n] = voters.Member{Process: processName(n, 0), Zone: l.zoneName(n), Age: time.Hour + time.Duration(l.Size-at)*time.Second,
+		p.members[n] = quorum.Member{Process: processName(n, 0), Zone: l.zoneName(n), Age: time.Hour + time.Duration(l.Size-at)*time.Second,
 			CaughtUp: true}
 		if regions {
 			p.members[n].Region = fmt.Sprint("r", l.region(n))
@@ -51,14 +51,14 @@
 }
 
 // ask is one of the leader's: at most one change, in force before the next.
-func (p *choice) ask() voters.Change {
-	c := voters.Next(p.members, p.voters, p.learners, false, voterBounds)
+func (p *choice) ask() quorum.Change {
+	c := quorum.Next(p.members, p.voters, p.learners, false, voterBounds)
 	switch c.Kind {
-	case voters.Learn:
+	case quorum.Learn:
 		p.learners = []string{c.Process}
-	case voters.Vote:
+	case quorum.Vote:
 		p.learners, p.voters = nil, append(p.voters, c.Process)
-	case voters.Drop:
+	case quorum.Drop:
 		is := func(x string) bool { return x == c.Process }
 		p.learners, p.voters = slices.DeleteFunc(p.learners, is), slices.DeleteFunc(p.voters, is)
 	}
@@ -89,8 +89,8 @@
 	if len(p.voters) != wantedVoters {
 		c.result.Fault("voters: %d of %d chosen among %d", len(p.voters), wantedVoters, l.Size)
 	}
-	p.members[slices.IndexFunc(p.members, func(m voters.Member) bool { return m.Process == p.voters[4] })].SilentFor = time.Minute
-	c.timing("voters", "log_leader", l.Size, func(int) { voters.Next(p.members, p.voters, nil, false, voterBounds) })
+	p.members[slices.IndexFunc(p.members, func(m quorum.Member) bool { return m.Process == p.voters[4] })].SilentFor = time.Minute
+	c.timing("voters", "log_leader", l.Size, func(int) { quorum.Next(p.members, p.voters, nil, false, voterBounds) })
 	c.point("log_membership_entry_bytes", "log_leader", 0, l.Size, float64(membershipEntry(l.Size)))
 	return nil
 }
@@ -117,7 +117,7 @@
 		}
 		for _, kind := range lossKinds {
 			p := newChoice(l, r.Perm(l.Size), regions)
-			first := slices.IndexFunc(p.members, func(m voters.Member) bool { return m.Process == p.voters[0] })
+			first := slices.IndexFunc(p.members, func(m quorum.Member) bool { return m.Process == p.voters[0] })
 			c.replaced(name+"_"+kind, p, l.lose(kind, first))
 		}
 		draws, quorums := quorumDraws, 0
@@ -125,7 +125,7 @@
 			draws /= 10
 		}
 		for range draws {
-			if newChoice(l, r.Perm(l.Size), regions).regions() >= voters.Quorum(wantedVoters) {
+			if newChoice(l, r.Perm(l.Size), regions).regions() >= quorum.Quorum(wantedVoters) {
 				quorums++
 			}
 		}
@@ -151,7 +151,7 @@
 				p.members[n].SilentFor = now
 			}
 		}
-		if p.ask().Kind != voters.None {
+		if p.ask().Kind != quorum.None {
 			changes++
 			took = now
 		}
@@ -160,7 +160,7 @@
 	c.result.Put(name+"_changes", float64(changes))
 	c.result.Put(name+"_s", took.Seconds())
 	quorumLost := 0.0
-	if lost >= voters.Quorum(wantedVoters) {
+	if lost >= quorum.Quorum(wantedVoters) {
 		quorumLost = 1
 	}
 	c.result.Put(name+"_quorum_lost", quorumLost)
