--- a/internal/decide/configuration/member.go
+++ b/internal/decide/configuration/member.go
@@ -7,7 +7,7 @@
 	"slices"
 	"time"
 
-	"thymechute/internal/decide/chance"
+	"thymechute/internal/decide/random"
 )
 
 // Times of a member. A source that dies is left silence after its last word at most; another is tried for tryFor.
@@ -30,7 +30,7 @@
 // Member is one process of the fleet, relay to those that ask it.
 type Member struct {
 	server
-	chance  chance.Source
+	chance  random.Source
 	sources []string // Near, then Last
 	near    int      // how many are Near
 	to      int      // the source it asks, by place
@@ -47,7 +47,7 @@
 
 // NewMember is of a process that has just started with a state (Empty, or what it kept) of an age. seed is its own.
 func NewMember(now time.Duration, h Host, s *State, age time.Duration, seed uint64) *Member {
-	m := &Member{chance: chance.New(seed), stale: now + staleTry}
+	m := &Member{chance: random.New(seed), stale: now + staleTry}
 	m.server = server{host: h, state: s, history: &History{}, fresh: now - age, mostChild: MostChildren,
 		pace: Pace{Bin: relayBin, Budget: relayBudget}}
 	return m
--- a/internal/decide/intake/intake.go
+++ b/internal/decide/intake/intake.go
@@ -10,7 +10,7 @@
 	"fmt"
 	"time"
 
-	"thymechute/internal/decide/chance"
+	"thymechute/internal/decide/random"
 )
 
 const (
@@ -92,7 +92,7 @@
 type Intake struct {
 	host    Host
 	told    Told
-	chance  chance.Source
+	chance  random.Source
 	brokers []broker
 
 	phase            phase
@@ -116,7 +116,7 @@
 
 // New makes one that waits for the instance to be ready.
 func New(h Host, seed uint64, told Told) *Intake {
-	i := &Intake{host: h, told: told, chance: chance.New(seed), brokers: make([]broker, told.Brokers),
+	i := &Intake{host: h, told: told, chance: random.New(seed), brokers: make([]broker, told.Brokers),
 		credit: told.Least}
 	for n := range i.brokers {
 		i.brokers[n].wait = leastWait
--- a/internal/decide/chance/chance.go
+++ b/internal/decide/random/chance.go
@@ -1,6 +1,6 @@
 // Package chance is the decisions' own random generator, multiply with carry as in the module: a told seed gives the
 // same run again. It owns one number and must never read a clock or another source.
-package chance
+package random
 
 // Source is a generator; the zero value is seeded with 0.
 type Source uint64
