--- a/internal/decide/roll/order.go
+++ b/internal/decide/rollout/order.go
@@ -1,7 +1,7 @@
 // This file owns who goes first: each zone's instances sorted once, however many waves are chosen from them. It must never
 // choose otherwise than by sorting them all anew for each wave.
 
-package roll
+package rollout
 
 import (
 	"cmp"
--- a/internal/decide/roll/order_test.go
+++ b/internal/decide/rollout/order_test.go
@@ -1,4 +1,4 @@
-package roll
+package rollout
 
 import (
 	"cmp"
--- a/internal/decide/roll/plan.go
+++ b/internal/decide/rollout/plan.go
@@ -1,7 +1,7 @@
 // This file owns the order: waves of instances that may be away at once. It must never put two voters, or a zone's last
 // instance at work, into one wave.
 
-package roll
+package rollout
 
 import (
 	"math"
--- a/internal/decide/roll/roll.go
+++ b/internal/decide/rollout/roll.go
@@ -4,7 +4,7 @@
 // drain is an entry of the agreed log, so that a successor goes on where its forerunner stopped.
 //
 // Tables: a Roll holds one entry a process drained, at most MostInstances, emptied where the wanted release changes.
-package roll
+package rollout
 
 import (
 	"fmt"
--- a/internal/decide/roll/roll_test.go
+++ b/internal/decide/rollout/roll_test.go
@@ -1,4 +1,4 @@
-package roll_test
+package rollout_test
 
 import (
 	"errors"
@@ -10,15 +10,15 @@
 
 	"pgregory.net/rapid"
 
-	"thymechute/internal/decide/roll"
+	"thymechute/internal/decide/rollout"
 	"thymechute/internal/lab/emu"
 )
 
-var bounds = roll.Bounds{Keep: 0.5, OverLoad: 1.1, AtOnce: 3, Longest: time.Minute, ColdFrom: 0.2, WarmAfter: 10 * time.Second}
+var bounds = rollout.Bounds{Keep: 0.5, OverLoad: 1.1, AtOnce: 3, Longest: time.Minute, ColdFrom: 0.2, WarmAfter: 10 * time.Second}
 
-func fleet(n, zones int, capacity func(int) float64) (out []roll.Instance) {
+func fleet(n, zones int, capacity func(int) float64) (out []rollout.Instance) {
 	for k := range n {
-		out = append(out, roll.Instance{Name: fmt.Sprint("m", k), Zone: fmt.Sprint("z", k%zones), Release: "old", Life: 1,
+		out = append(out, rollout.Instance{Name: fmt.Sprint("m", k), Zone: fmt.Sprint("z", k%zones), Release: "old", Life: 1,
 			Capacity: capacity(k), Age: time.Hour})
 	}
 	return out
@@ -56,9 +56,9 @@
 		}
 		b := bounds
 		b.Keep, b.AtOnce = rapid.SampledFrom([]float64{0.1, 0.3, 0.5}).Draw(t, "keep"), rapid.IntRange(1, 4).Draw(t, "at once")
-		waves, bound, err := roll.Plan(f, nil, "new", b)
+		waves, bound, err := rollout.Plan(f, nil, "new", b)
 		if err != nil {
-			var r *roll.Refusal
+			var r *rollout.Refusal
 			if !errors.As(err, &r) || r.Has >= r.Needs+r.Away {
 				t.Fatalf("refused for nothing: %v", err)
 			}
@@ -91,7 +91,7 @@
 			set := uint(0)
 			for _, name := range w.Names {
 				drained[name]++
-				set |= 1 << slices.IndexFunc(f, func(i roll.Instance) bool { return i.Name == name })
+				set |= 1 << slices.IndexFunc(f, func(i rollout.Instance) bool { return i.Name == name })
 			}
 			if !fits(set) {
 				t.Fatalf("wave %v breaks a bound", w.Names)
@@ -113,18 +113,18 @@
 func TestAFloorThatCannotBeKeptIsRefusedWithItsZone(t *testing.T) {
 	b := bounds
 	b.Keep = 0.9
-	_, _, err := roll.Plan(fleet(9, 3, alike), map[string]float64{"z1": 1}, "new", b)
+	_, _, err := rollout.Plan(fleet(9, 3, alike), map[string]float64{"z1": 1}, "new", b)
 	if err == nil || !strings.Contains(err.Error(), "zone z") || !strings.Contains(err.Error(), "missing") {
 		t.Errorf("%v", err)
 	}
-	if _, _, err := roll.Plan(fleet(9, 3, alike), map[string]float64{"z1": 1}, "new", bounds); err == nil {
+	if _, _, err := rollout.Plan(fleet(9, 3, alike), map[string]float64{"z1": 1}, "new", bounds); err == nil {
 		t.Error("a zone of three at a load of one, with 1.1 over it and one to lose, gave one away")
 	}
 }
 
 func TestEachStepIsLetGoOnlyOnTheStateAsItIs(t *testing.T) {
 	f := fleet(12, 3, alike) // four a zone: floor 2, one to lose, one to drain
-	r := roll.New("new")
+	r := rollout.New("new")
 	first := r.Next(0, f, nil, bounds)
 	if len(first.Drain) != 3 {
 		t.Fatalf("%+v", first)
@@ -137,10 +137,10 @@
 	if s := r.Next(time.Second, f, nil, bounds); len(s.Drain) != 0 || s.Hold == "" {
 		t.Errorf("three are on their way: %+v", s)
 	}
-	back := func(age time.Duration) []roll.Instance {
+	back := func(age time.Duration) []rollout.Instance {
 		g := slices.Clone(f)
 		for n := range g {
-			if slices.ContainsFunc(first.Drain, func(d roll.Instance) bool { return d.Name == g[n].Name }) {
+			if slices.ContainsFunc(first.Drain, func(d rollout.Instance) bool { return d.Name == g[n].Name }) {
 				g[n].Life, g[n].Release, g[n].Age = 2, "new", age
 			}
 		}
@@ -158,7 +158,7 @@
 	}
 	silent := back(time.Hour)
 	silent[5].Silent = true // of z2
-	if s := r.Next(20*time.Second, silent, nil, bounds); len(s.Drain) != 2 || slices.ContainsFunc(s.Drain, func(i roll.Instance) bool { return i.Zone == "z2" }) {
+	if s := r.Next(20*time.Second, silent, nil, bounds); len(s.Drain) != 2 || slices.ContainsFunc(s.Drain, func(i rollout.Instance) bool { return i.Zone == "z2" }) {
 		t.Errorf("a zone that has lost one gives no other: %+v", s)
 	}
 }
@@ -166,12 +166,12 @@
 func TestVotersOneAtATimeAndTheOwnerLast(t *testing.T) {
 	f := fleet(12, 3, alike)
 	f[0].Voter, f[1].Voter, f[2].Owner = true, true, true
-	r := roll.New("new")
-	if s := r.Next(0, f, nil, bounds); len(s.Drain) != 3 || slices.ContainsFunc(s.Drain, func(i roll.Instance) bool { return i.Owner || i.Name == "m1" }) {
+	r := rollout.New("new")
+	if s := r.Next(0, f, nil, bounds); len(s.Drain) != 3 || slices.ContainsFunc(s.Drain, func(i rollout.Instance) bool { return i.Owner || i.Name == "m1" }) {
 		t.Errorf("%+v", s)
 	}
 	f[3].Silent, f[3].Voter = true, true
-	if s := r.Next(0, f, nil, bounds); slices.ContainsFunc(s.Drain, func(i roll.Instance) bool { return i.Voter }) {
+	if s := r.Next(0, f, nil, bounds); slices.ContainsFunc(s.Drain, func(i rollout.Instance) bool { return i.Voter }) {
 		t.Errorf("a voter is silent, and another goes: %+v", s)
 	}
 	f[3].Silent = false
@@ -190,15 +190,15 @@
 func TestADeadLifeThatStillVotesIsAVoterAway(t *testing.T) {
 	f := fleet(12, 3, alike)
 	f[0].Voter, f[1].Voter = true, true
-	f = append(f, roll.Instance{Name: "m9#1", Silent: true, Voter: true})
-	if s := roll.New("new").Next(0, f, nil, bounds); len(s.Drain) == 0 || slices.ContainsFunc(s.Drain, func(i roll.Instance) bool { return i.Voter }) {
+	f = append(f, rollout.Instance{Name: "m9#1", Silent: true, Voter: true})
+	if s := rollout.New("new").Next(0, f, nil, bounds); len(s.Drain) == 0 || slices.ContainsFunc(s.Drain, func(i rollout.Instance) bool { return i.Voter }) {
 		t.Errorf("%+v", s)
 	}
 }
 
 func TestTheWayBackAndWhoIsStuck(t *testing.T) {
 	f := fleet(12, 3, alike)
-	r := roll.New("new")
+	r := rollout.New("new")
 	for _, d := range r.Next(0, f, nil, bounds).Drain {
 		r.Drained(0, d.Name, d.Life)
 	}
@@ -206,7 +206,7 @@
 		t.Errorf("three never ended: %+v", s)
 	}
 	f[0].Life = 2 // ended, and came back with the old release
-	if s := r.Next(time.Second, f, nil, bounds); !slices.Contains(s.Stuck, "m0") || slices.ContainsFunc(s.Drain, func(i roll.Instance) bool { return i.Name == "m0" }) {
+	if s := r.Next(time.Second, f, nil, bounds); !slices.Contains(s.Stuck, "m0") || slices.ContainsFunc(s.Drain, func(i rollout.Instance) bool { return i.Name == "m0" }) {
 		t.Errorf("one came back as it was: %+v", s)
 	}
 	f[1].Life, f[1].Release = 2, "new"
@@ -222,13 +222,13 @@
 }
 
 func TestASnapshotKnowsWhoWasTold(t *testing.T) {
-	r := roll.New("new")
+	r := rollout.New("new")
 	r.Drained(0, "m0", 1)
 	b, err := r.Encode()
 	if err != nil {
 		t.Fatal(err)
 	}
-	back := roll.New("")
+	back := rollout.New("")
 	if err := back.Decode(time.Second, b); err != nil || back.Want != "new" || back.Drained(2*time.Second, "m0", 1) || !back.Drained(0, "m0", 2) {
 		t.Errorf("%v: %+v", err, back)
 	}
--- a/internal/decide/roll/step.go
+++ b/internal/decide/rollout/step.go
@@ -1,6 +1,6 @@
 // This file owns carrying a roll out. It must never drain a process twice, nor let one go on a plan's word alone.
 
-package roll
+package rollout
 
 import (
 	"cmp"
--- a/internal/fleet/rolls/rolls.go
+++ b/internal/fleet/rolls/rolls.go
@@ -1,4 +1,4 @@
-// Package rolls carries a rolling drain (internal/decide/roll) over the agreed log (internal/fleet/log): the owner of the
+// Package rolls carries a rolling drain (internal/decide/rollout) over the agreed log (internal/fleet/log): the owner of the
 // duty "roll" judges the fleet and says who is to drain, one entry each; every member keeps the same roll, and the one
 // that is named drains by the way that its own notice takes. It owns the entries' words and must never decide who goes.
 //
@@ -11,7 +11,7 @@
 	"time"
 
 	"thymechute/internal/decide/lease"
-	"thymechute/internal/decide/roll"
+	"thymechute/internal/decide/rollout"
 )
 
 // Duty is the roll's.
@@ -31,9 +31,9 @@
 type Config struct {
 	Name   string
 	Life   uint64
-	Bounds roll.Bounds
+	Bounds rollout.Bounds
 	// Fleet is the fleet as this member has it now, and each zone's load.
-	Fleet func() ([]roll.Instance, map[string]float64)
+	Fleet func() ([]rollout.Instance, map[string]float64)
 	// Absent are the processes that vote in the log and are not heard of, dead lives of names that are back among them:
 	// until the log has dropped one, it is a voter away, and no second one may go.
 	Absent func() []string
@@ -48,7 +48,7 @@
 	c       Config
 	mu      sync.Mutex // guards want
 	want    string
-	roll    *roll.Roll
+	roll    *rollout.Roll
 	owns    bool
 	next    time.Duration
 	planned string // the release whose plan was found to be possible
@@ -57,7 +57,7 @@
 }
 
 // New is of a process that has just started.
-func New(c Config) *Keeper { return &Keeper{c: c, roll: roll.New("")} }
+func New(c Config) *Keeper { return &Keeper{c: c, roll: rollout.New("")} }
 
 // Want tells the release that should run; the owner acts on its own. "" for none.
 func (k *Keeper) Want(release string) {
@@ -86,7 +86,7 @@
 }
 
 // apply is the same in every member; true where a process was told for the first time.
-func apply(r *roll.Roll, now time.Duration, w word) bool {
+func apply(r *rollout.Roll, now time.Duration, w word) bool {
 	if w.Want != nil {
 		r.Wanted(*w.Want)
 		return false
@@ -116,10 +116,10 @@
 	}
 	fleet, load := k.c.Fleet()
 	for _, process := range k.c.Absent() {
-		fleet = append(fleet, roll.Instance{Name: process, Silent: true, Voter: true})
+		fleet = append(fleet, rollout.Instance{Name: process, Silent: true, Voter: true})
 	}
 	if want != "" && k.planned != want { // refused before anybody is drained, or not at all
-		waves, bound, err := roll.Plan(fleet, load, want, k.c.Bounds)
+		waves, bound, err := rollout.Plan(fleet, load, want, k.c.Bounds)
 		if err != nil {
 			k.line(err.Error())
 			return
@@ -159,10 +159,10 @@
 }
 
 // State is the same roll on raft's goroutine, for snapshots alone.
-type State struct{ roll *roll.Roll }
+type State struct{ roll *rollout.Roll }
 
 // NewState goes with a Keeper, as one of the log's Machines.
-func NewState() *State { return &State{roll.New("")} }
+func NewState() *State { return &State{rollout.New("")} }
 
 // Apply implements log.Machine.
 func (s *State) Apply(_ uint64, c lease.Command, o lease.Outcome) {
--- a/internal/fleet/rolls/rolls_test.go
+++ b/internal/fleet/rolls/rolls_test.go
@@ -17,7 +17,7 @@
 
 	"thymechute/internal/decide/lease"
 	"thymechute/internal/decide/quorum"
-	"thymechute/internal/decide/roll"
+	"thymechute/internal/decide/rollout"
 	"thymechute/internal/fleet/log"
 	"thymechute/internal/fleet/member"
 	"thymechute/internal/testkit"
@@ -26,7 +26,7 @@
 var (
 	leaseTerms = lease.Lease{Length: time.Second, Drift: 0.01, Margin: 20 * time.Millisecond}
 	votes      = quorum.Bounds{Most: 5, Settle: 300 * time.Millisecond, HoldDown: 2 * time.Second}
-	bounds     = roll.Bounds{Keep: 0.3, AtOnce: 2, Longest: 20 * time.Second, ColdFrom: 0.2, WarmAfter: time.Second}
+	bounds     = rollout.Bounds{Keep: 0.3, AtOnce: 2, Longest: 20 * time.Second, ColdFrom: 0.2, WarmAfter: time.Second}
 )
 
 // line is what a child tells.
@@ -100,13 +100,13 @@
 		}}, quiet{})
 	fail(err)
 	leaving, flagged := make(chan struct{}), make(chan struct{})
-	known := map[string]roll.Instance{} // all ever heard of: a silent one counts as gone, not as never there
+	known := map[string]rollout.Instance{} // all ever heard of: a silent one counts as gone, not as never there
 	h.keeper = New(Config{Name: name, Life: life, Bounds: bounds,
-		Fleet: func() (out []roll.Instance, load map[string]float64) {
+		Fleet: func() (out []rollout.Instance, load map[string]float64) {
 			d := h.driver.Load()
 			voting, view := d.Log.Voters(), m.View()
 			for n, r := range view {
-				known[n] = roll.Instance{Name: n, Zone: r.Zone, Release: r.Release, Life: r.Epoch, Capacity: r.Capacity,
+				known[n] = rollout.Instance{Name: n, Zone: r.Zone, Release: r.Release, Life: r.Epoch, Capacity: r.Capacity,
 					Age: time.Duration(time.Now().UnixMilli()-int64(r.Epoch)) * time.Millisecond, Leaving: r.Flag == "leaving",
 					Voter: slices.Contains(voting, r.Process), Owner: n == name}
 			}
@@ -115,7 +115,7 @@
 				i.Silent = !heard
 				out = append(out, i)
 			}
-			slices.SortFunc(out, func(x, y roll.Instance) int { return strings.Compare(x.Name, y.Name) })
+			slices.SortFunc(out, func(x, y rollout.Instance) int { return strings.Compare(x.Name, y.Name) })
 			return out, nil
 		},
 		Absent: func() (out []string) {
--- a/internal/lab/emu/roll.go
+++ b/internal/lab/emu/roll.go
@@ -9,7 +9,7 @@
 	"slices"
 	"time"
 
-	"thymechute/internal/decide/roll"
+	"thymechute/internal/decide/rollout"
 )
 
 // RollFigures are a run's.
@@ -25,7 +25,7 @@
 }
 
 type rolling struct {
-	roll.Instance
+	rollout.Instance
 	drained time.Duration // since when; 0: not
 	start   time.Duration
 	told    int
@@ -36,7 +36,7 @@
 func Roll(size, zones int, seed uint64, faults bool) (RollFigures, error) {
 	r := rand.New(rand.NewPCG(seed, 0x6011))
 	const step = 100 * time.Millisecond
-	b := roll.Bounds{Keep: 0.6, OverLoad: 1.05, AtOnce: max(size/8, zones), Longest: time.Minute, ColdFrom: 0.2, WarmAfter: 16 * time.Second}
+	b := rollout.Bounds{Keep: 0.6, OverLoad: 1.05, AtOnce: max(size/8, zones), Longest: time.Minute, ColdFrom: 0.2, WarmAfter: 16 * time.Second}
 	f := RollFigures{OverFloorMin: 1e9, OverLoadMin: 1e9}
 	var fleet []*rolling
 	load := map[string]float64{}
@@ -45,31 +45,31 @@
 		if n/zones%3 == 0 {
 			capacity = 130
 		}
-		i := &rolling{Instance: roll.Instance{Name: fmt.Sprintf("m%d", n), Zone: fmt.Sprintf("z%d", n%zones), Release: "old", Life: 1,
+		i := &rolling{Instance: rollout.Instance{Name: fmt.Sprintf("m%d", n), Zone: fmt.Sprintf("z%d", n%zones), Release: "old", Life: 1,
 			Capacity: capacity, Voter: n < 5, Owner: n == 0}, start: -time.Hour}
 		fleet = append(fleet, i)
 		load[i.Zone] += 0.6 * capacity
 	}
 	usual := load
 	now := time.Duration(0)
-	view := func() (out []roll.Instance) {
+	view := func() (out []rollout.Instance) {
 		for _, i := range fleet {
 			i.Age = now - i.start
 			out = append(out, i.Instance)
 		}
 		return out
 	}
-	waves, bound, err := roll.Plan(view(), load, "new", b)
+	waves, bound, err := rollout.Plan(view(), load, "new", b)
 	if err != nil {
 		return f, err
 	}
 	f.Waves, f.Bound = len(waves), bound
 	tight := b
 	tight.Keep = 0.999
-	_, _, err = roll.Plan(view(), load, "new", tight)
+	_, _, err = rollout.Plan(view(), load, "new", tight)
 	f.RefusedSpoken = err != nil
 
-	agreed := roll.New("new")
+	agreed := rollout.New("new")
 	dead := map[string]time.Duration{} // one a zone at a time: until when it stays away
 	for ; now < 2*time.Hour; now += step {
 		tick := int(now / step)
--- a/internal/lab/emu/rollloss.go
+++ b/internal/lab/emu/rollloss.go
@@ -10,7 +10,7 @@
 	"strings"
 	"time"
 
-	"thymechute/internal/decide/roll"
+	"thymechute/internal/decide/rollout"
 )
 
 // RollPlace is where a member stands.
@@ -25,7 +25,7 @@
 // carry meanwhile.
 type RollLoss struct {
 	Places  []RollPlace
-	Bounds  roll.Bounds
+	Bounds  rollout.Bounds
 	Drain   time.Duration // from the drain to the return
 	At, For time.Duration
 	Load    float64 // of each zone, a part of its whole capacity
@@ -56,7 +56,7 @@
 	usual  map[string]float64
 	whole  map[string]float64
 	place  map[string]int // of a name in fleet
-	agreed *roll.Roll
+	agreed *rollout.Roll
 	now    time.Duration
 	f      RollLossFigures
 }
@@ -64,7 +64,7 @@
 // RollThrough plays the script.
 func RollThrough(script RollLoss) (RollLossFigures, error) {
 	s := newRollLossRun(script)
-	if _, _, err := roll.Plan(s.view(), s.usual, "new", s.Bounds); err != nil {
+	if _, _, err := rollout.Plan(s.view(), s.usual, "new", s.Bounds); err != nil {
 		return s.f, err
 	}
 	for ; s.now < s.Most && s.f.Took == 0; s.now += rollLossStep {
@@ -84,10 +84,10 @@
 }
 
 func newRollLossRun(script RollLoss) *rollLossRun {
-	s := &rollLossRun{RollLoss: script, usual: map[string]float64{}, whole: map[string]float64{}, place: map[string]int{}, agreed: roll.New("new")}
+	s := &rollLossRun{RollLoss: script, usual: map[string]float64{}, whole: map[string]float64{}, place: map[string]int{}, agreed: rollout.New("new")}
 	s.f.OverFloorMin = math.Inf(1)
 	for n, p := range s.Places {
-		i := roll.Instance{Name: fmt.Sprintf("instance-%04d", n), Zone: p.Zone, Release: "old", Life: 1, Capacity: 100, Voter: p.Voter, Owner: p.Owner}
+		i := rollout.Instance{Name: fmt.Sprintf("instance-%04d", n), Zone: p.Zone, Release: "old", Life: 1, Capacity: 100, Voter: p.Voter, Owner: p.Owner}
 		if p.Runs {
 			i.Release = "new"
 		}
@@ -132,7 +132,7 @@
 	return load
 }
 
-func (s *rollLossRun) view() (out []roll.Instance) {
+func (s *rollLossRun) view() (out []rollout.Instance) {
 	for n := range s.fleet {
 		s.fleet[n].Age = s.now - s.fleet[n].start
 		out = append(out, s.fleet[n].Instance)
@@ -141,7 +141,7 @@
 }
 
 // take drains whom the step names, and hands the duty on where it says so.
-func (s *rollLossRun) take(step roll.Step, view []roll.Instance, load map[string]float64) {
+func (s *rollLossRun) take(step rollout.Step, view []rollout.Instance, load map[string]float64) {
 	s.f.Stuck = max(s.f.Stuck, len(step.Stuck))
 	if step.Done && !s.inLoss() && s.now >= s.At {
 		s.f.Took = s.now
@@ -177,7 +177,7 @@
 }
 
 // underFloor sums a zone up on its own, as its rule is stated.
-func (s *rollLossRun) underFloor(view []roll.Instance, load map[string]float64, zone string) bool {
+func (s *rollLossRun) underFloor(view []rollout.Instance, load map[string]float64, zone string) bool {
 	have, largest := 0.0, 0.0
 	for _, i := range view {
 		if i.Zone != zone || i.Silent || i.Leaving {
--- a/internal/lab/scale/decisions/roll.go
+++ b/internal/lab/scale/decisions/roll.go
@@ -7,7 +7,7 @@
 	"time"
 
 	"thymechute/internal/decide/lease"
-	"thymechute/internal/decide/roll"
+	"thymechute/internal/decide/rollout"
 	"thymechute/internal/fleet/rolls"
 	"thymechute/internal/lab/emu"
 )
@@ -26,8 +26,8 @@
 	return int(float64(l.Size/2)*(rollDrain+time.Second).Seconds()/halfInHour.Seconds()) + 1
 }
 
-func (l Layout) rollBounds() roll.Bounds {
-	return roll.Bounds{Keep: 0.6, OverLoad: 1.05, AtOnce: l.atOnce(), Longest: 2 * time.Minute, ColdFrom: 0.2, WarmAfter: 16 * time.Second}
+func (l Layout) rollBounds() rollout.Bounds {
+	return rollout.Bounds{Keep: 0.6, OverLoad: 1.05, AtOnce: l.atOnce(), Longest: 2 * time.Minute, ColdFrom: 0.2, WarmAfter: 16 * time.Second}
 }
 
 // places are the members, half of which run the release already.
@@ -41,10 +41,10 @@
 }
 
 // instances are the members as the roll's owner sees them, all at the old release, and their zones' loads.
-func (l Layout) instances() (fleet []roll.Instance, load map[string]float64) {
+func (l Layout) instances() (fleet []rollout.Instance, load map[string]float64) {
 	load = map[string]float64{}
 	for n, p := range l.places(Loss{}, false) {
-		fleet = append(fleet, roll.Instance{Name: processName(n, 0), Zone: p.Zone, Release: "2026.11.30-1", Life: 0x18f3a2b4c5000000 + uint64(n),
+		fleet = append(fleet, rollout.Instance{Name: processName(n, 0), Zone: p.Zone, Release: "2026.11.30-1", Life: 0x18f3a2b4c5000000 + uint64(n),
 			Capacity: 100, Age: time.Hour, Voter: p.Voter, Owner: p.Owner})
 		load[p.Zone] += 60
 	}
@@ -56,8 +56,8 @@
 func measureRoll(c *collector, l Layout) error {
 	fleet, load := l.instances()
 	var err error
-	plan := func(b roll.Bounds) func(int) {
-		return func(int) { _, _, err = roll.Plan(fleet, load, wantedRelease, b) }
+	plan := func(b rollout.Bounds) func(int) {
+		return func(int) { _, _, err = rollout.Plan(fleet, load, wantedRelease, b) }
 	}
 	paced := l.rollBounds()
 	c.timing("roll_plan_paced", "owner_of_roll", l.Size, plan(paced))
@@ -67,7 +67,7 @@
 	single := paced
 	single.AtOnce = 1
 	c.timing("roll_plan_one_by_one", "owner_of_roll", l.Size, plan(single))
-	agreed := roll.New(wantedRelease)
+	agreed := rollout.New(wantedRelease)
 	c.timing("roll_step", "owner_of_roll", l.Size, func(int) { agreed.Next(0, fleet, load, fast) })
 	if err != nil {
 		return err
@@ -76,9 +76,9 @@
 }
 
 // measureRollTables drains all, and sizes entries, table and snapshot.
-func measureRollTables(c *collector, l Layout, fleet []roll.Instance, load map[string]float64) error {
+func measureRollTables(c *collector, l Layout, fleet []rollout.Instance, load map[string]float64) error {
 	bodies := []string{}
-	k := rolls.New(rolls.Config{Name: "x", Bounds: l.rollBounds(), Fleet: func() ([]roll.Instance, map[string]float64) { return fleet, load },
+	k := rolls.New(rolls.Config{Name: "x", Bounds: l.rollBounds(), Fleet: func() ([]rollout.Instance, map[string]float64) { return fleet, load },
 		Absent: func() []string { return nil }, Decide: func(body string) bool { bodies = append(bodies, body); return true },
 		HandOn: func() {}, Drain: func() {}, Say: func(string) {}})
 	k.Want(wantedRelease)
@@ -97,13 +97,13 @@
 	}
 	c.point("roll_entry_bytes", "log_leader", 0, l.Size, float64(entryBytes(entry(bodies[1]))))
 	drained := func() any {
-		r := roll.New(wantedRelease)
+		r := rollout.New(wantedRelease)
 		for _, i := range fleet {
 			r.Drained(time.Hour, i.Name, i.Life)
 		}
 		return r
 	}
-	encoded, err := drained().(*roll.Roll).Encode()
+	encoded, err := drained().(*rollout.Roll).Encode()
 	c.point("roll_snapshot_bytes", "member", 0, l.Size, float64(len(encoded)))
 	c.point("roll_heap_bytes", "member", 0, l.Size, heapOf(drained))
 	return err
