--- a/cmd/thymechute/agreed.go
+++ b/cmd/thymechute/agreed.go
@@ -15,7 +15,7 @@
 	"thymechute/internal/decide/lease"
 	"thymechute/internal/decide/quorum"
 	"thymechute/internal/fleet/log"
-	"thymechute/internal/fleet/member"
+	"thymechute/internal/fleet/membership"
 	"thymechute/internal/operator"
 )
 
@@ -34,7 +34,7 @@
 // agreed is this process's end of the log; nil where there is none.
 type agreed struct {
 	log     *zap.Logger
-	member  *member.Member
+	member  *membership.Member
 	process string
 	driver  atomic.Pointer[log.Driver]
 	founds  time.Time // when it may found the log; zero: it may not
@@ -42,7 +42,7 @@
 }
 
 // newAgreed prepares it: the record names this life and where its log is reached.
-func newAgreed(o *operator.Log, own *member.Record, name string, zlog *zap.Logger) *agreed {
+func newAgreed(o *operator.Log, own *membership.Record, name string, zlog *zap.Logger) *agreed {
 	a := &agreed{log: zlog, process: fmt.Sprintf("%s#%x", name, own.Epoch)}
 	if own.Process, own.Log = a.process, o.Advertise; o.Advertise == "" {
 		own.Log = o.Bind
@@ -54,7 +54,7 @@
 }
 
 // start begins to follow the log. Errors: an address that can't be bound.
-func (a *agreed) start(o *operator.Log, m *member.Member, life uint64) error {
+func (a *agreed) start(o *operator.Log, m *membership.Member, life uint64) error {
 	a.member = m
 	length := time.Duration(o.LeaseMS) * time.Millisecond
 	lease := lease.Lease{Length: length, Drift: drift, Margin: length / 50}
@@ -100,7 +100,7 @@
 
 // keep founds the log once it is time, notes who leads, and tells in the record how far it has been applied; it returns
 // whether the record changed.
-func (a *agreed) keep(own *member.Record) bool {
+func (a *agreed) keep(own *membership.Record) bool {
 	d := a.driver.Load()
 	if !a.founds.IsZero() && time.Now().After(a.founds) {
 		a.founds = time.Time{}
--- a/cmd/thymechute/fleet.go
+++ b/cmd/thymechute/fleet.go
@@ -16,7 +16,7 @@
 	"go.uber.org/zap"
 
 	"thymechute/internal/decide/subset"
-	"thymechute/internal/fleet/member"
+	"thymechute/internal/fleet/membership"
 	"thymechute/internal/operator"
 )
 
@@ -44,12 +44,12 @@
 	}
 }
 
-func (f *fleetLog) Joined(r member.Record) {
+func (f *fleetLog) Joined(r membership.Record) {
 	f.log.Info("member joined", zap.String("member", r.Name), zap.String("zone", r.Zone))
 	f.poke()
 }
 
-func (f *fleetLog) Updated(member.Record) { f.poke() }
+func (f *fleetLog) Updated(membership.Record) { f.poke() }
 
 func (f *fleetLog) Left(name string) {
 	f.log.Info("member left", zap.String("member", name))
@@ -74,10 +74,10 @@
 // fleet is a running member, the goroutine that keeps its record, and its end of the agreed log; nil where the file has no
 // fleet.
 type fleet struct {
-	member *member.Member
+	member *membership.Member
 	agreed *agreed
-	own    member.Record // the keeping goroutine's until kept is closed
-	within time.Duration // each step of leaving
+	own    membership.Record // the keeping goroutine's until kept is closed
+	within time.Duration     // each step of leaving
 	done   chan struct{}
 	kept   chan struct{}
 	once   sync.Once
@@ -94,13 +94,13 @@
 		seeds[i] = s.Address
 	}
 	watch := &fleetLog{log: log, changed: make(chan struct{}, 1), named: map[string]bool{}}
-	f := &fleet{own: member.Record{Zone: o.Zone, Region: o.Region, Rank: -1, Epoch: uint64(time.Now().UnixMilli())},
+	f := &fleet{own: membership.Record{Zone: o.Zone, Region: o.Region, Rank: -1, Epoch: uint64(time.Now().UnixMilli())},
 		within: min(stop/3, time.Second), done: make(chan struct{}), kept: make(chan struct{})}
 	if o.Log != nil {
 		f.agreed = newAgreed(o.Log, &f.own, name, log)
 	}
 	var err error
-	f.member, err = member.Start(member.Config{Name: name, Bind: o.Bind, Advertise: o.Advertise, Seeds: seeds, Most: o.Most, Record: f.own,
+	f.member, err = membership.Start(membership.Config{Name: name, Bind: o.Bind, Advertise: o.Advertise, Seeds: seeds, Most: o.Most, Record: f.own,
 		Probe: time.Duration(o.ProbeMS) * time.Millisecond, Sync: time.Duration(o.SyncMS) * time.Millisecond, Message: f.agreed.incoming}, watch)
 	if err != nil {
 		return nil, err
--- a/internal/fleet/log/log_test.go
+++ b/internal/fleet/log/log_test.go
@@ -15,7 +15,7 @@
 
 	"thymechute/internal/decide/lease"
 	"thymechute/internal/decide/quorum"
-	"thymechute/internal/fleet/member"
+	"thymechute/internal/fleet/membership"
 	"thymechute/internal/testkit"
 )
 
@@ -79,13 +79,13 @@
 func (t *teller) Restored([]byte)    {}
 func (t *teller) Tick(time.Duration) {}
 
-// quiet is a member.Watcher that hears nothing: the view is asked for.
+// quiet is a membership.Watcher that hears nothing: the view is asked for.
 type quiet struct{}
 
-func (quiet) Joined(member.Record)  {}
-func (quiet) Updated(member.Record) {}
-func (quiet) Left(string)           {}
-func (quiet) Refused(string, error) {}
+func (quiet) Joined(membership.Record)  {}
+func (quiet) Updated(membership.Record) {}
+func (quiet) Left(string)               {}
+func (quiet) Refused(string, error)     {}
 
 func child() {
 	go func() { time.Sleep(100 * time.Second); os.Exit(3) }() // bounded, whatever the parent does
@@ -97,9 +97,9 @@
 	if s := os.Getenv("PACK_SEED"); s != "" {
 		seeds = []string{s}
 	}
-	record := member.Record{Zone: os.Getenv("PACK_ZONE"), Rank: -1, Process: process, Log: front}
+	record := membership.Record{Zone: os.Getenv("PACK_ZONE"), Rank: -1, Process: process, Log: front}
 	ready := make(chan struct{})
-	m, err := member.Start(member.Config{Name: name, Bind: bind, Advertise: os.Getenv("PACK_FRONT0"), Seeds: seeds, Most: 16, Probe: 200 * time.Millisecond,
+	m, err := membership.Start(membership.Config{Name: name, Bind: bind, Advertise: os.Getenv("PACK_FRONT0"), Seeds: seeds, Most: 16, Probe: 200 * time.Millisecond,
 		Sync: 500 * time.Millisecond, Record: record, Message: func(b []byte) { <-ready; t.d.Incoming(b) }}, quiet{})
 	if err != nil {
 		fmt.Fprintln(os.Stderr, err)
--- a/internal/fleet/member/change.go
+++ b/internal/fleet/membership/change.go
@@ -1,6 +1,6 @@
 // This file owns the changes of a member's own record: what is told at once, and what waits. It must never lose the last.
 
-package member
+package membership
 
 import "time"
 
--- a/internal/fleet/member/delegates.go
+++ b/internal/fleet/membership/delegates.go
@@ -1,7 +1,7 @@
 // This file owns what memberlist calls: the transport, the delegates, the changes of the view. It must never call
 // memberlist back, whose lock is held here.
 
-package member
+package membership
 
 import (
 	"fmt"
--- a/internal/fleet/member/exchange.go
+++ b/internal/fleet/membership/exchange.go
@@ -1,7 +1,7 @@
 // This file owns finding the others: the seeds, the members declared dead, and the full exchange of state with one member
 // (push and pull) that repairs what gossip missed. It must never run two exchanges of one kind at once.
 
-package member
+package membership
 
 import (
 	"math/rand/v2"
--- a/internal/fleet/member/member.go
+++ b/internal/fleet/membership/member.go
@@ -11,7 +11,7 @@
 // enters memberlist's table nor ours and costs only itself. Members that leave or are declared dead are removed from
 // the view at once; memberlist keeps dead ones for its GossipToTheDeadTime and then drops them. Members declared
 // dead (not left) are kept apart, at most Most of them, each for reconnectFor, to be tried again.
-package member
+package membership
 
 import (
 	"encoding/json"
--- a/internal/fleet/member/pace.go
+++ b/internal/fleet/membership/pace.go
@@ -5,7 +5,7 @@
 // bytes follow the size, and it staggers the members over the unscaled interval only (pushPullTrigger in its state.go), so
 // that a large fleet exchanges all at once and then pauses. Here each exchange has a wait of its own.
 
-package member
+package membership
 
 import (
 	"math/rand/v2"
--- a/internal/fleet/member/record.go
+++ b/internal/fleet/membership/record.go
@@ -1,6 +1,6 @@
 // This file owns the record that each member carries, and its check. It must never take one that breaks a bound.
 
-package member
+package membership
 
 import (
 	"encoding/json"
--- a/internal/fleet/member/record_test.go
+++ b/internal/fleet/membership/record_test.go
@@ -1,4 +1,4 @@
-package member
+package membership
 
 import (
 	"encoding/json"
--- a/internal/fleet/member/settings.go
+++ b/internal/fleet/membership/settings.go
@@ -1,7 +1,7 @@
 // This file owns memberlist's settings: how often members are probed, suspected and told. It must never leave a probe
 // without time for its indirect tries.
 
-package member
+package membership
 
 import (
 	"fmt"
--- a/internal/fleet/rolls/rolls_test.go
+++ b/internal/fleet/rolls/rolls_test.go
@@ -19,7 +19,7 @@
 	"thymechute/internal/decide/quorum"
 	"thymechute/internal/decide/rollout"
 	"thymechute/internal/fleet/log"
-	"thymechute/internal/fleet/member"
+	"thymechute/internal/fleet/membership"
 	"thymechute/internal/testkit"
 )
 
@@ -70,10 +70,10 @@
 
 type quiet struct{}
 
-func (quiet) Joined(member.Record)  {}
-func (quiet) Updated(member.Record) {}
-func (quiet) Left(string)           {}
-func (quiet) Refused(string, error) {}
+func (quiet) Joined(membership.Record)  {}
+func (quiet) Updated(membership.Record) {}
+func (quiet) Left(string)               {}
+func (quiet) Refused(string, error)     {}
 
 func child() {
 	go func() { time.Sleep(100 * time.Second); os.Exit(3) }() // bounded, whatever the parent does
@@ -91,8 +91,8 @@
 	if s := os.Getenv("PACK_SEED"); s != "" {
 		seeds = []string{s}
 	}
-	record := member.Record{Zone: zone, Rank: -1, Epoch: life, Capacity: 1, Process: process, Log: front, Release: release}
-	m, err := member.Start(member.Config{Name: name, Bind: os.Getenv("PACK_BIND0"), Advertise: os.Getenv("PACK_FRONT0"), Seeds: seeds,
+	record := membership.Record{Zone: zone, Rank: -1, Epoch: life, Capacity: 1, Process: process, Log: front, Release: release}
+	m, err := membership.Start(membership.Config{Name: name, Bind: os.Getenv("PACK_BIND0"), Advertise: os.Getenv("PACK_FRONT0"), Seeds: seeds,
 		Most: 16, Probe: 200 * time.Millisecond, Sync: 500 * time.Millisecond, Record: record, Message: func(b []byte) {
 			if d := h.driver.Load(); d != nil {
 				d.Incoming(b)
--- a/internal/lab/scale/members/faults.go
+++ b/internal/lab/scale/members/faults.go
@@ -7,7 +7,7 @@
 	"context"
 	"time"
 
-	"thymechute/internal/fleet/member"
+	"thymechute/internal/fleet/membership"
 )
 
 // kills ends some members with no word; the seeds stay.
@@ -92,7 +92,7 @@
 }
 
 // set changes a record; one that waits long for its turn in memberlist's queue is on its way all the same, and counted.
-func (t *trial) set(h *hollow, record member.Record) {
+func (t *trial) set(h *hollow, record membership.Record) {
 	if err := h.member.Set(record); err != nil {
 		t.out.LateChanges++
 	}
--- a/internal/lab/scale/members/fleet.go
+++ b/internal/lab/scale/members/fleet.go
@@ -11,7 +11,7 @@
 	"sync/atomic"
 	"time"
 
-	"thymechute/internal/fleet/member"
+	"thymechute/internal/fleet/membership"
 	"thymechute/internal/lab/scale"
 )
 
@@ -48,14 +48,14 @@
 	heard       int
 }
 
-// hollow is one member with nothing round it. It implements member.Watcher.
+// hollow is one member with nothing round it. It implements membership.Watcher.
 type hollow struct {
 	fleet  *fleet
 	index  int
 	name   string
 	bind   string
 	region int
-	member *member.Member
+	member *membership.Member
 	live   atomic.Bool
 	known  atomic.Int64 // members in its view
 	rank   int
@@ -103,9 +103,9 @@
 func (h *hollow) start() error {
 	h.known.Store(0)
 	var err error
-	h.member, err = member.Start(member.Config{
+	h.member, err = membership.Start(membership.Config{
 		Name: h.name, Bind: h.bind, Seeds: h.seeds(), Most: 10_000, Probe: h.fleet.probe, Sync: h.fleet.sync, Record: h.record(),
-		Wrap: func(inner member.Transport) member.Transport {
+		Wrap: func(inner membership.Transport) membership.Transport {
 			return newTransport(inner, h.fleet.meter, h.fleet.network, h.region)
 		},
 	}, h)
@@ -118,10 +118,10 @@
 
 // record is as full as that of an instance that follows the agreed log and has claimed its rank: the longest that the
 // program makes.
-func (h *hollow) record() member.Record {
+func (h *hollow) record() membership.Record {
 	mixed := mix(h.index)
 	epoch := 1_790_000_000_000 + mixed%1_000_000_000
-	return member.Record{Zone: fmt.Sprintf("region-%d-zone-%d", h.region, h.index/regions%zonesEach), Epoch: epoch, Rank: h.rank,
+	return membership.Record{Zone: fmt.Sprintf("region-%d-zone-%d", h.region, h.index/regions%zonesEach), Epoch: epoch, Rank: h.rank,
 		Process: fmt.Sprintf("%s#%x", h.name, epoch), Applied: 1_000_000,
 		Log: fmt.Sprintf("10.%d.%d.%d:7947", mixed>>8%256, mixed>>16%256, mixed>>24%256)}
 }
@@ -137,9 +137,9 @@
 	return x ^ x>>31
 }
 
-func (h *hollow) Joined(member.Record)  { h.known.Add(1) }
-func (h *hollow) Updated(member.Record) {}
-func (h *hollow) Refused(string, error) {}
+func (h *hollow) Joined(membership.Record)  { h.known.Add(1) }
+func (h *hollow) Updated(membership.Record) {}
+func (h *hollow) Refused(string, error)     {}
 
 func (h *hollow) Left(name string) {
 	h.known.Add(-1)
--- a/internal/lab/scale/members/meter.go
+++ b/internal/lab/scale/members/meter.go
@@ -9,7 +9,7 @@
 
 	"github.com/hashicorp/memberlist"
 
-	"thymechute/internal/fleet/member"
+	"thymechute/internal/fleet/membership"
 )
 
 // meter counts what all hollow members of a process send and receive. Headers of IP, UDP and TCP are left out: 28 bytes a
@@ -58,7 +58,7 @@
 
 // transport is a member's own, with its bytes counted and what crosses a cut held back.
 type transport struct {
-	member.Transport
+	membership.Transport
 	meter   *meter
 	network *network
 	region  int
@@ -67,7 +67,7 @@
 	stop    chan struct{}
 }
 
-func newTransport(inner member.Transport, meter *meter, network *network, region int) *transport {
+func newTransport(inner membership.Transport, meter *meter, network *network, region int) *transport {
 	t := &transport{Transport: inner, meter: meter, network: network, region: region, packets: make(chan *memberlist.Packet),
 		conns: make(chan net.Conn), stop: make(chan struct{})}
 	go t.forwardPackets()
--- a/internal/lab/scale/members/part.go
+++ b/internal/lab/scale/members/part.go
@@ -13,7 +13,7 @@
 	"fmt"
 	"sync"
 
-	"thymechute/internal/fleet/member"
+	"thymechute/internal/fleet/membership"
 	"thymechute/internal/lab/scale"
 )
 
@@ -66,7 +66,7 @@
 
 // exchangeRate is what full exchanges cost a member a second: the measured bytes of one, at the pace of the size.
 func (o Outcome) exchangeRate() float64 {
-	return o.ExchangeBytes / member.ExchangeEvery(syncDefault, o.Size).Seconds()
+	return o.ExchangeBytes / membership.ExchangeEvery(syncDefault, o.Size).Seconds()
 }
 
 func figures() []figure {
--- a/internal/operator/fleet.go
+++ b/internal/operator/fleet.go
@@ -10,7 +10,7 @@
 	"thymechute/internal/xsd"
 )
 
-// Fleet is membership with the other instances (internal/fleet/member).
+// Fleet is membership with the other instances (internal/fleet/membership).
 type Fleet struct {
 	Line      int      `xml:"-"`
 	Seeds     []Broker `xml:"seed"`
@@ -36,7 +36,7 @@
 	FoundAt time.Time `xml:"-"` // from Found; zero: this member founds none
 }
 
-// mostPlaceBytes is the longest zone or region that a member's record carries (internal/fleet/member).
+// mostPlaceBytes is the longest zone or region that a member's record carries (internal/fleet/membership).
 const mostPlaceBytes = 64
 
 // check says what no schema can, of the log too.
