--- a/cmd/thymechute/agreed.go
+++ b/cmd/thymechute/agreed.go
@@ -14,7 +14,7 @@
 
 	"thymechute/internal/decide/lease"
 	"thymechute/internal/decide/quorum"
-	"thymechute/internal/fleet/log"
+	"thymechute/internal/fleet/consensus"
 	"thymechute/internal/fleet/membership"
 	"thymechute/internal/operator"
 )
@@ -36,7 +36,7 @@
 	log     *zap.Logger
 	member  *membership.Member
 	process string
-	driver  atomic.Pointer[log.Driver]
+	driver  atomic.Pointer[consensus.Driver]
 	founds  time.Time // when it may found the log; zero: it may not
 	leader  string    // last told; the fleet's goroutine alone
 }
@@ -59,7 +59,7 @@
 	length := time.Duration(o.LeaseMS) * time.Millisecond
 	lease := lease.Lease{Length: length, Drift: drift, Margin: length / 50}
 	send := func(process string, b []byte) error { return m.Send(process[:strings.LastIndexByte(process, '#')], b) }
-	d, err := log.Drive(log.Config{Process: a.process, Bind: o.Bind, Advertise: o.Advertise, Duties: duties, Beat: length * 3 / 10},
+	d, err := consensus.Drive(consensus.Config{Process: a.process, Bind: o.Bind, Advertise: o.Advertise, Duties: duties, Beat: length * 3 / 10},
 		lease, life, a, send, nil)
 	if err != nil {
 		return err
@@ -79,9 +79,9 @@
 	}
 }
 
-func (a *agreed) peers() (out []log.Peer) {
+func (a *agreed) peers() (out []consensus.Peer) {
 	for _, r := range a.member.View() {
-		out = append(out, log.Peer{Process: r.Process, Address: r.Log, Zone: r.Zone, Region: r.Region, Applied: r.Applied,
+		out = append(out, consensus.Peer{Process: r.Process, Address: r.Log, Zone: r.Zone, Region: r.Region, Applied: r.Applied,
 			Leaving: r.Flag == "leaving"})
 	}
 	return out
@@ -122,7 +122,7 @@
 }
 
 // found begins the log here, unless somebody in the fleet has one.
-func (a *agreed) found(d *log.Driver) {
+func (a *agreed) found(d *consensus.Driver) {
 	for _, r := range a.member.View() {
 		if r.Applied > 0 && r.Process != a.process {
 			a.log.Warn("fleet log: not founded, one is there", zap.String("member", r.Name))
--- a/internal/fleet/log/contact.go
+++ b/internal/fleet/consensus/contact.go
@@ -2,7 +2,7 @@
 // seconds later, and a voter added meanwhile beside dead ones could cost the quorum for good. It must never block raft, which
 // calls it.
 
-package log
+package consensus
 
 import (
 	"sync"
--- a/internal/fleet/log/driver.go
+++ b/internal/fleet/consensus/driver.go
@@ -1,7 +1,7 @@
 // This file owns the goroutine that drives one member's lease.Holder: entries, ticks and messages come to it one by
 // one. It must never block raft for longer than its queue, nor call the Holder from two goroutines.
 
-package log
+package consensus
 
 import (
 	"encoding/json"
--- a/internal/fleet/log/layer.go
+++ b/internal/fleet/consensus/layer.go
@@ -1,7 +1,7 @@
 // This file owns raft's stream: where it listens and dials, and that a connection reaches the one life it is meant for. It
 // must never let a process answer for another.
 
-package log
+package consensus
 
 import (
 	"bufio"
--- a/internal/fleet/log/lead.go
+++ b/internal/fleet/consensus/lead.go
@@ -1,7 +1,7 @@
 // This file owns the leader's care for the others: who follows the log, and who votes (by internal/decide/quorum). It
 // must never change two things at once.
 
-package log
+package consensus
 
 import (
 	"time"
--- a/internal/fleet/log/log.go
+++ b/internal/fleet/consensus/log.go
@@ -6,7 +6,7 @@
 // life): started cold it is another server, and can't vote where it has voted. Only one process, once, founds a log.
 //
 // Tables: raft keeps keepEntries entries behind a snapshot; proposals wait in raft's own bounded queue.
-package log
+package consensus
 
 import (
 	"encoding/json"
--- a/internal/fleet/log/machines.go
+++ b/internal/fleet/consensus/machines.go
@@ -1,6 +1,6 @@
 // This file owns several states over one log. It must never let one see another's encoding.
 
-package log
+package consensus
 
 import (
 	"encoding/json"
--- a/internal/fleet/log/regions_test.go
+++ b/internal/fleet/consensus/regions_test.go
@@ -1,4 +1,4 @@
-package log
+package consensus
 
 import (
 	"fmt"
--- a/internal/fleet/rolls/rolls.go
+++ b/internal/fleet/rolls/rolls.go
@@ -1,4 +1,4 @@
-// Package rolls carries a rolling drain (internal/decide/rollout) over the agreed log (internal/fleet/log): the owner of the
+// Package rolls carries a rolling drain (internal/decide/rollout) over the agreed log (internal/fleet/consensus): the owner of the
 // duty "roll" judges the fleet and says who is to drain, one entry each; every member keeps the same roll, and the one
 // that is named drains by the way that its own notice takes. It owns the entries' words and must never decide who goes.
 //
--- a/internal/fleet/slots/slots.go
+++ b/internal/fleet/slots/slots.go
@@ -1,4 +1,4 @@
-// Package slots carries the ring (internal/decide/ring) over the agreed log (internal/fleet/log): the owner of the duty
+// Package slots carries the ring (internal/decide/ring) over the agreed log (internal/fleet/consensus): the owner of the duty
 // "ring" plans and moves, every member builds the same tables from the entries, acknowledges them, and calls by them
 // under its lease. It owns the entries' words and one member's calls in flight, and must never decide where a slot
 // belongs, nor let a call out that the ring's Calls does not allow.
--- a/internal/fleet/slots/slots_test.go
+++ b/internal/fleet/slots/slots_test.go
@@ -20,7 +20,7 @@
 	"thymechute/internal/decide/lease"
 	"thymechute/internal/decide/quorum"
 	"thymechute/internal/decide/ring"
-	"thymechute/internal/fleet/log"
+	"thymechute/internal/fleet/consensus"
 	"thymechute/internal/fleet/membership"
 	"thymechute/internal/testkit"
 )
@@ -53,7 +53,7 @@
 // hub is the log's Watcher: it hands what it hears to the Keeper.
 type hub struct {
 	keeper atomic.Pointer[Keeper]
-	driver atomic.Pointer[log.Driver]
+	driver atomic.Pointer[consensus.Driver]
 	deaf   atomic.Bool // its Keeper hears nothing of the log
 	mu     sync.Mutex
 }
@@ -134,15 +134,15 @@
 			}
 		}}, quiet{})
 	fail(err)
-	d, err := log.Drive(log.Config{Process: process, Bind: os.Getenv("PACK_BIND1"), Advertise: front, Found: os.Getenv("PACK_FOUND") != "",
+	d, err := consensus.Drive(consensus.Config{Process: process, Bind: os.Getenv("PACK_BIND1"), Advertise: front, Found: os.Getenv("PACK_FOUND") != "",
 		Duties: []string{Duty}, Beat: 300 * time.Millisecond, Machine: state}, leaseTerms, life, h,
-		func(to string, b []byte) error { return m.Send(to[:strings.IndexByte(to, '#')], b) }, func(d *log.Driver) { h.driver.Store(d) })
+		func(to string, b []byte) error { return m.Send(to[:strings.IndexByte(to, '#')], b) }, func(d *consensus.Driver) { h.driver.Store(d) })
 	fail(err)
 	place, _ := strconv.Atoi(name[1:])
 	d.Placed(Duty, place)
-	d.Care(func() (out []log.Peer) {
+	d.Care(func() (out []consensus.Peer) {
 		for _, r := range m.View() {
-			out = append(out, log.Peer{Process: r.Process, Address: r.Log, Zone: r.Zone, Applied: r.Applied, Leaving: r.Flag == "leaving"})
+			out = append(out, consensus.Peer{Process: r.Process, Address: r.Log, Zone: r.Zone, Applied: r.Applied, Leaving: r.Flag == "leaving"})
 		}
 		return out
 	}, bounds, func(c quorum.Change) {
--- a/internal/lab/scale/decisions/owner.go
+++ b/internal/lab/scale/decisions/owner.go
@@ -24,7 +24,7 @@
 	duties     = []string{"ring", "roll"}
 )
 
-// entryBytes is the bytes of an entry's body as internal/fleet/log encodes it.
+// entryBytes is the bytes of an entry's body as internal/fleet/consensus encodes it.
 func entryBytes(c lease.Command) int {
 	b, _ := json.Marshal(c)
 	return len(b)
--- a/internal/lab/scale/decisions/voters.go
+++ b/internal/lab/scale/decisions/voters.go
@@ -12,7 +12,7 @@
 	"thymechute/internal/decide/quorum"
 )
 
-// As cmd/thymechute and internal/fleet/log have them with a lease of 2 s.
+// As cmd/thymechute and internal/fleet/consensus have them with a lease of 2 s.
 const (
 	careEvery     = 250 * time.Millisecond
 	voterSettle   = 2 * time.Second
--- a/internal/lab/scale/raftlog/part.go
+++ b/internal/lab/scale/raftlog/part.go
@@ -1,5 +1,5 @@
 // Package raftlog measures what the agreed log costs: at the leader, at one that follows, in an election across regions, and
-// when one comes late. It runs the program's own internal/fleet/log with no instance round it. It owns these logs, the
+// when one comes late. It runs the program's own internal/fleet/consensus with no instance round it. It owns these logs, the
 // counting on their connections and the delay between regions. It must never listen outside loopback, nor leave a log or a
 // process running.
 //
--- a/internal/lab/scale/raftlog/process.go
+++ b/internal/lab/scale/raftlog/process.go
@@ -1,4 +1,4 @@
-// This file owns the logs that share a process: the program's own internal/fleet/log, with no duties' driver round it. It
+// This file owns the logs that share a process: the program's own internal/fleet/consensus, with no duties' driver round it. It
 // must never leave one running.
 
 package raftlog
@@ -11,7 +11,7 @@
 	"time"
 
 	"thymechute/internal/decide/lease"
-	"thymechute/internal/fleet/log"
+	"thymechute/internal/fleet/consensus"
 	"thymechute/internal/lab/scale"
 )
 
@@ -31,10 +31,10 @@
 	logs  []*hollow
 }
 
-// hollow is one log with nothing round it. It implements log.Reader and log.Machine.
+// hollow is one log with nothing round it. It implements consensus.Reader and consensus.Machine.
 type hollow struct {
 	peer    Peer
-	log     *log.Log
+	log     *consensus.Log
 	applied atomic.Uint64
 	state   []byte
 	decoded atomic.Int64 // bytes of the state that it was handed
@@ -58,7 +58,7 @@
 	n := len(p.logs)
 	h := &hollow{peer: Peer{fmt.Sprintf("checkout-%04d#%x", n, time.Now().UnixMilli()), address(n)}, state: state}
 	var err error
-	h.log, err = log.Start(log.Config{Process: h.peer.Process, Bind: h.peer.Address, Found: found, Duties: []string{"ring", "roll"}, Machine: h,
+	h.log, err = consensus.Start(consensus.Config{Process: h.peer.Process, Bind: h.peer.Address, Found: found, Duties: []string{"ring", "roll"}, Machine: h,
 		Beat: beat, Stream: func(conn net.Conn) net.Conn {
 			counted := net.Conn(&countedConn{conn, &p.meter})
 			if wrap != nil {
--- a/internal/operator/fleet.go
+++ b/internal/operator/fleet.go
@@ -24,7 +24,7 @@
 	Log       *Log     `xml:"log"`
 }
 
-// Log is the fleet's agreed log (internal/fleet/log).
+// Log is the fleet's agreed log (internal/fleet/consensus).
 type Log struct {
 	Line      int    `xml:"-"`
 	Bind      string `xml:"bind,attr"`
