--- a/internal/fleet/rolls/rolls.go
+++ b/internal/fleet/rolling/rolls.go
@@ -3,7 +3,7 @@
 // that is named drains by the way that its own notice takes. It owns the entries' words and must never decide who goes.
 //
 // Tables: the roll's own.
-package rolls
+package rolling
 
 import (
 	"encoding/json"
--- a/internal/fleet/rolls/rolls_test.go
+++ b/internal/fleet/rolling/rolls_test.go
@@ -1,4 +1,4 @@
-package rolls
+package rolling
 
 import (
 	"encoding/json"
--- a/internal/lab/scale/decisions/roll.go
+++ b/internal/lab/scale/decisions/roll.go
@@ -1,4 +1,4 @@
-// This file owns the roll: its plan and its steps timed, its words as internal/fleet/rolls encodes them, and a release
+// This file owns the roll: its plan and its steps timed, its words as internal/fleet/rolling encodes them, and a release
 // that replaces half in an hour through each loss.
 
 package decisions
@@ -8,7 +8,7 @@
 
 	"thymechute/internal/decide/lease"
 	"thymechute/internal/decide/rollout"
-	"thymechute/internal/fleet/rolls"
+	"thymechute/internal/fleet/rolling"
 	"thymechute/internal/lab/emu"
 )
 
@@ -78,13 +78,13 @@
 // measureRollTables drains all, and sizes entries, table and snapshot.
 func measureRollTables(c *collector, l Layout, fleet []rollout.Instance, load map[string]float64) error {
 	bodies := []string{}
-	k := rolls.New(rolls.Config{Name: "x", Bounds: l.rollBounds(), Fleet: func() ([]rollout.Instance, map[string]float64) { return fleet, load },
+	k := rolling.New(rolling.Config{Name: "x", Bounds: l.rollBounds(), Fleet: func() ([]rollout.Instance, map[string]float64) { return fleet, load },
 		Absent: func() []string { return nil }, Decide: func(body string) bool { bodies = append(bodies, body); return true },
 		HandOn: func() {}, Drain: func() {}, Say: func(string) {}})
 	k.Want(wantedRelease)
 	k.Held()
 	entry := func(body string) lease.Command {
-		return lease.Command{Kind: lease.Do, Duty: rolls.Duty, Member: processName(0, 0), Life: 0x18f3a2b4c5000000, Seq: 99999, Token: 7, Body: body}
+		return lease.Command{Kind: lease.Do, Duty: rolling.Duty, Member: processName(0, 0), Life: 0x18f3a2b4c5000000, Seq: 99999, Token: 7, Body: body}
 	}
 	k.Tick(time.Second)
 	if len(bodies) == 1 {
