--- a/internal/verdict/verdict.go
+++ b/internal/invariant/verdict.go
@@ -2,7 +2,7 @@
 // happened. A work item is named by its caller (a message-id, a key); a try is one reading of it by one instance. It
 // owns one entry an item and one a try, for as long as the rig runs, and must never guess: what was not recorded did
 // not happen.
-package verdict
+package invariant
 
 import (
 	"fmt"
--- a/internal/verdict/verdict_test.go
+++ b/internal/invariant/verdict_test.go
@@ -1,4 +1,4 @@
-package verdict
+package invariant
 
 import (
 	"strings"
--- a/internal/lab/amqpbroker.go
+++ b/internal/lab/amqpbroker.go
@@ -10,10 +10,10 @@
 	"sync"
 	"time"
 
+	"thymechute/internal/invariant"
 	"thymechute/internal/lab/rig"
 	"thymechute/internal/stand/broker"
 	"thymechute/internal/stand/runtime"
-	"thymechute/internal/verdict"
 )
 
 const settingsFile = `<thymechute xmlns="urn:thymechute:operator:1">
@@ -30,21 +30,21 @@
 	address string
 	start   time.Time
 	mu      sync.Mutex
-	book    *verdict.Book
-	marks   map[string]verdict.How // what a published copy says of a try's end
+	book    *invariant.Book
+	marks   map[string]invariant.How // what a published copy says of a try's end
 	ended   map[string]bool
 	dead    int
 }
 
 // kinds is what the recorded rules know of a class.
-func kinds(class string) verdict.Kind {
+func kinds(class string) invariant.Kind {
 	switch class {
 	case rig.Trace:
-		return verdict.Pure
+		return invariant.Pure
 	case rig.Excursion:
-		return verdict.Receipted
+		return invariant.Receipted
 	}
-	return verdict.Effectful
+	return invariant.Effectful
 }
 
 func newRecordedBroker(faults ...broker.Fault) (*recordedBroker, error) {
@@ -52,7 +52,7 @@
 	if err != nil {
 		return nil, err
 	}
-	r := &recordedBroker{b: b, start: time.Now(), book: verdict.New(rig.Window), marks: map[string]verdict.How{}, ended: map[string]bool{}}
+	r := &recordedBroker{b: b, start: time.Now(), book: invariant.New(rig.Window), marks: map[string]invariant.How{}, ended: map[string]bool{}}
 	if err := b.Depot("given-up", nil); err != nil {
 		return nil, err
 	}
@@ -73,14 +73,14 @@
 		}
 		if e.Queue == "dead" {
 			r.dead++
-			r.marks[e.Peer+e.ID] = verdict.Scrapped
+			r.marks[e.Peer+e.ID] = invariant.Scrapped
 		} else {
-			r.marks[e.Peer+e.ID] = verdict.TurnedBack
+			r.marks[e.Peer+e.ID] = invariant.TurnedBack
 		}
 	case "delivered":
 		r.book.Read(at, e.Peer, e.ID, try, kinds(e.Type), at+rig.CallerTimeout)
 	case "acked", "ack-dropped":
-		how := verdict.Fulfilled
+		how := invariant.Fulfilled
 		if mark := r.marks[e.Peer+e.ID]; mark != "" {
 			how = mark
 			delete(r.marks, e.Peer+e.ID)
@@ -88,10 +88,10 @@
 		r.ended[try] = true
 		r.book.Answered(at, try, how)
 	case "requeued", "rejected":
-		r.book.Answered(at, try, verdict.Scrapped)
+		r.book.Answered(at, try, invariant.Scrapped)
 	case "gone":
 		if !r.ended[try] { // else its ack was lost, and it was answered
-			r.book.Answered(at, try, verdict.Gone)
+			r.book.Answered(at, try, invariant.Gone)
 		}
 		delete(r.ended, try)
 		delete(r.marks, e.Peer+e.ID) // the copy went out, and the message will come again
@@ -164,10 +164,10 @@
 	b.Memory("instances", most, rig.MemoryMB<<20)
 	to.Put("messages", float64(size))
 	to.Put("read", float64(b.Tries()))
-	to.Put("fulfilled", float64(b.Count(verdict.Fulfilled)))
-	to.Put("turned_back", float64(b.Count(verdict.TurnedBack)))
-	to.Put("scrapped", float64(b.Count(verdict.Scrapped)))
-	to.Put("caller_gone", float64(b.Count(verdict.Gone)))
+	to.Put("fulfilled", float64(b.Count(invariant.Fulfilled)))
+	to.Put("turned_back", float64(b.Count(invariant.TurnedBack)))
+	to.Put("scrapped", float64(b.Count(invariant.Scrapped)))
+	to.Put("caller_gone", float64(b.Count(invariant.Gone)))
 	to.Put("dead_lettered", float64(r.dead))
 	to.Put("ran_messages", float64(b.Ran()))
 	to.Put("acks_dropped", float64(r.b.Counted("ack-dropped")))
