--- a/cmd/thymelab/configuration.go
+++ b/cmd/thymelab/configuration.go
@@ -12,7 +12,7 @@
 	"github.com/spf13/cobra"
 
 	"thymechute/internal/lab"
-	"thymechute/internal/lab/emu"
+	"thymechute/internal/lab/emulator"
 )
 
 const leastOfAZone = 6 // members, on the mean
@@ -22,7 +22,7 @@
 	var zones int
 	c := experiment("configuration", "A day's changes of configuration through the plan's failures, in the emulator",
 		sizes{usual: 1200, least: 24, most: 3000, unit: "members, in 4 regions"}, func(t trial) (*lab.Report, error) {
-			day := emu.NewConfigurationDay(t.size)
+			day := emulator.NewConfigurationDay(t.size)
 			if most := t.size / leastOfAZone; zones != 0 && (zones < day.Regions || zones > most) {
 				return nil, usageError{fmt.Errorf("--zones: found %d, expected %d to %d", zones, day.Regions, most)}
 			}
@@ -30,7 +30,7 @@
 				day.Zones = zones
 			}
 			before := processorSeconds()
-			f := emu.Configuration(day, t.seed)
+			f := emulator.Configuration(day, t.seed)
 			spent := processorSeconds() - before
 			return configurationReport(day, f, spent), nil
 		})
@@ -44,7 +44,7 @@
 	return c
 }
 
-func configurationReport(day emu.ConfigurationDay, f emu.ConfigurationFigures, spent float64) *lab.Report {
+func configurationReport(day emulator.ConfigurationDay, f emulator.ConfigurationFigures, spent float64) *lab.Report {
 	r := &lab.Report{}
 	figures := f.ByName()
 	for _, name := range slices.Sorted(maps.Keys(figures)) {
@@ -52,7 +52,7 @@
 	}
 	r.Put("emulated_s", day.Span.Seconds())
 	r.Put("cpu_s_emulation", spent)
-	state, history := emu.ConfigurationMemory(day)
+	state, history := emulator.ConfigurationMemory(day)
 	r.Put("state_bytes_member", float64(state))
 	r.Put("history_bytes_member", float64(history))
 	for _, fault := range f.Faults() {
--- a/cmd/thymelab/emulated.go
+++ b/cmd/thymelab/emulated.go
@@ -11,7 +11,7 @@
 
 	"thymechute/internal/decide/subset"
 	"thymechute/internal/lab"
-	"thymechute/internal/lab/emu"
+	"thymechute/internal/lab/emulator"
 )
 
 // runSubsets plays the fleet's script of views in the emulator, every way of subsetting in turn, and holds the chosen
@@ -26,7 +26,7 @@
 				return nil, usageError{fmt.Errorf("--subset: found %d, expected 1 to %d", per, mostPer)}
 			}
 			below := max(6, t.size/4)
-			figures, err := emu.Subsets(t.size, below, per, t.seed, 20)
+			figures, err := emulator.Subsets(t.size, below, per, t.seed, 20)
 			if err != nil {
 				return nil, usageError{err}
 			}
@@ -58,7 +58,7 @@
 	const mostTakeover = 3 * time.Second
 	return experiment("owner", "One owner a duty through pauses, cuts and cold restarts, in the emulator",
 		sizes{usual: 12, least: 2, most: 5000, unit: "members"}, func(t trial) (*lab.Report, error) {
-			f, err := emu.Owner(t.size, 120, t.seed)
+			f, err := emulator.Owner(t.size, 120, t.seed)
 			if err != nil {
 				return nil, err
 			}
@@ -86,7 +86,7 @@
 			if t.size > 60 {
 				slots, keys = 1<<16, 1_000_000
 			}
-			f, err := emu.Ring(t.size, slots, keys, t.seed)
+			f, err := emulator.Ring(t.size, slots, keys, t.seed)
 			if err != nil {
 				return nil, err
 			}
@@ -118,11 +118,11 @@
 			if t.size >= 300 {
 				zones = 6
 			}
-			calm, err := emu.Roll(t.size, zones, t.seed, false)
+			calm, err := emulator.Roll(t.size, zones, t.seed, false)
 			if err != nil {
 				return nil, err
 			}
-			f, err := emu.Roll(t.size, zones, t.seed, true)
+			f, err := emulator.Roll(t.size, zones, t.seed, true)
 			if err != nil {
 				return nil, err
 			}
--- a/internal/decide/configuration/emulated_test.go
+++ b/internal/decide/configuration/emulated_test.go
@@ -5,19 +5,19 @@
 	"testing"
 
 	"thymechute/internal/decide/configuration"
-	"thymechute/internal/lab/emu"
+	"thymechute/internal/lab/emulator"
 )
 
 func TestEmulatedDayThroughFaults(t *testing.T) {
 	for seed := uint64(1); seed <= 5; seed++ {
-		f := emu.Configuration(emu.NewConfigurationDay(48), seed)
+		f := emulator.Configuration(emulator.NewConfigurationDay(48), seed)
 		if err := errors.Join(f.Faults()...); err != nil {
 			t.Errorf("seed %d: %v\n%+v", seed, err, f)
 		}
 		if seed > 1 {
 			continue
 		}
-		if again := emu.Configuration(emu.NewConfigurationDay(48), seed); again != f {
+		if again := emulator.Configuration(emulator.NewConfigurationDay(48), seed); again != f {
 			t.Errorf("seed %d gives %+v, then %+v", seed, f, again)
 		}
 	}
@@ -26,17 +26,17 @@
 func TestWithAGuardTakenOutTheEmulatedDayFails(t *testing.T) {
 	for name, c := range map[string]struct {
 		without func(func())
-		seen    func(f emu.ConfigurationFigures) int
+		seen    func(f emulator.ConfigurationFigures) int
 	}{
-		"the fence":          {configuration.Unfence, func(f emu.ConfigurationFigures) int { return f.StaleAccepted }},
-		"all or nothing":     {configuration.Tear, func(f emu.ConfigurationFigures) int { return f.HalfApplied }},
-		"the digests' check": {configuration.Uncheck, func(f emu.ConfigurationFigures) int { return f.HalfApplied }},
+		"the fence":          {configuration.Unfence, func(f emulator.ConfigurationFigures) int { return f.StaleAccepted }},
+		"all or nothing":     {configuration.Tear, func(f emulator.ConfigurationFigures) int { return f.HalfApplied }},
+		"the digests' check": {configuration.Uncheck, func(f emulator.ConfigurationFigures) int { return f.HalfApplied }},
 	} {
 		t.Run(name, func(t *testing.T) {
 			c.without(func() {
 				seen := 0
 				for seed := uint64(1); seed <= 3; seed++ {
-					f := emu.Configuration(emu.NewConfigurationDay(48), seed)
+					f := emulator.Configuration(emulator.NewConfigurationDay(48), seed)
 					seen += c.seen(f)
 					if c.seen(f) > 0 && len(f.Faults()) == 0 {
 						t.Error("seen, but the run's claim holds")
@@ -51,8 +51,8 @@
 }
 
 func TestMemoryOfAMember(t *testing.T) {
-	day := emu.NewConfigurationDay(1200)
-	state, history := emu.ConfigurationMemory(day)
+	day := emulator.NewConfigurationDay(1200)
+	state, history := emulator.ConfigurationMemory(day)
 	t.Logf("%d bytes for %d resources, %d for the history", state, day.Tenants+day.Routes, history)
 	if state > 16<<20 || history > 6<<20 {
 		t.Errorf("%d bytes for the state, %d for the history; expected 16 MB and 6 MB at most", state, history)
--- a/internal/decide/lease/owner_test.go
+++ b/internal/decide/lease/owner_test.go
@@ -9,7 +9,7 @@
 	"pgregory.net/rapid"
 
 	"thymechute/internal/decide/lease"
-	"thymechute/internal/lab/emu"
+	"thymechute/internal/lab/emulator"
 )
 
 var leaseTerms = lease.Lease{Length: time.Second, Drift: 0.05, Margin: 5 * time.Millisecond}
@@ -18,11 +18,11 @@
 func TestOneHolderAtATimeWhateverHappens(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		r := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "rates"), 1))
-		s, err := emu.NewOwnerSim(rapid.IntRange(2, 5).Draw(t, "size"), leaseTerms, r, "ring", "roll")
+		s, err := emulator.NewOwnerSim(rapid.IntRange(2, 5).Draw(t, "size"), leaseTerms, r, "ring", "roll")
 		if err != nil {
 			t.Fatal(err)
 		}
-		some := func(t *rapid.T) *emu.OwnerMember {
+		some := func(t *rapid.T) *emulator.OwnerMember {
 			return s.Members[rapid.IntRange(0, len(s.Members)-1).Draw(t, "member")]
 		}
 		inFlight := func(t *rapid.T) int {
@@ -59,7 +59,7 @@
 
 func TestEmulatedFleetThroughFaults(t *testing.T) {
 	for seed := uint64(1); seed <= 3; seed++ {
-		f, err := emu.Owner(12, 120, seed)
+		f, err := emulator.Owner(12, 120, seed)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -76,7 +76,7 @@
 	lease.Unfence(func() {
 		accepted, acted := 0, 0
 		for seed := uint64(1); seed <= 3; seed++ {
-			f, _ := emu.Owner(12, 120, seed)
+			f, _ := emulator.Owner(12, 120, seed)
 			accepted, acted = accepted+f.StaleAccepted, acted+f.StaleActed
 		}
 		if accepted == 0 || acted == 0 {
@@ -93,7 +93,7 @@
 	for seed := range uint64(20) {
 		r := rand.New(rand.NewPCG(seed, 2))
 		wide := lease.Lease{Length: time.Second, Drift: 0.4}
-		s, _ := emu.NewOwnerSim(3, wide, r, "ring") // clocks at 0.6 to 1.4
+		s, _ := emulator.NewOwnerSim(3, wide, r, "ring") // clocks at 0.6 to 1.4
 		s.Restrict(lease.Lease{Length: time.Second})
 		for range 400 {
 			s.Advance(20 * time.Millisecond)
@@ -197,7 +197,7 @@
 }
 
 func TestALargeFleetClaimsInTurn(t *testing.T) {
-	s, err := emu.NewOwnerSim(500, leaseTerms, rand.New(rand.NewPCG(1, 1)), "ring")
+	s, err := emulator.NewOwnerSim(500, leaseTerms, rand.New(rand.NewPCG(1, 1)), "ring")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -218,8 +218,8 @@
 }
 
 func TestADutyGivenUpGoesToAnother(t *testing.T) {
-	s, _ := emu.NewOwnerSim(3, leaseTerms, rand.New(rand.NewPCG(3, 3)), "roll")
-	pass := func() *emu.OwnerMember {
+	s, _ := emulator.NewOwnerSim(3, leaseTerms, rand.New(rand.NewPCG(3, 3)), "roll")
+	pass := func() *emulator.OwnerMember {
 		for range 120 {
 			s.Advance(25 * time.Millisecond)
 			for s.Flight() > 0 {
--- a/internal/decide/rollout/roll_test.go
+++ b/internal/decide/rollout/roll_test.go
@@ -11,7 +11,7 @@
 	"pgregory.net/rapid"
 
 	"thymechute/internal/decide/rollout"
-	"thymechute/internal/lab/emu"
+	"thymechute/internal/lab/emulator"
 )
 
 var bounds = rollout.Bounds{Keep: 0.5, OverLoad: 1.1, AtOnce: 3, Longest: time.Minute, ColdFrom: 0.2, WarmAfter: 10 * time.Second}
@@ -239,7 +239,7 @@
 
 func TestEmulatedRollThroughFaults(t *testing.T) {
 	for seed := uint64(1); seed <= 3; seed++ {
-		f, err := emu.Roll(24, 3, seed, true)
+		f, err := emulator.Roll(24, 3, seed, true)
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/lab/emu/baselines.go
+++ b/internal/lab/emulator/baselines.go
@@ -2,7 +2,7 @@
 // (Karger), rendezvous, jump, Maglev's table, and a ring with bounded loads. Each maps all keys at once for a set of
 // equal backends. They are for comparison only, and must never be linked by cmd/thymechute.
 
-package emu
+package emulator
 
 import (
 	"slices"
--- a/internal/lab/emu/configuration.go
+++ b/internal/lab/emulator/configuration.go
@@ -5,7 +5,7 @@
 // A day is compressed into Span: its changes, restarts and deaths come that much more often, while links, leases, polls
 // and cuts keep their real times, so each figure is by the harder reading.
 
-package emu
+package emulator
 
 import (
 	"fmt"
--- a/internal/lab/emu/configuration_claim.go
+++ b/internal/lab/emulator/configuration_claim.go
@@ -1,6 +1,6 @@
 // This file owns what a run has to hold, and what a state takes in memory.
 
-package emu
+package emulator
 
 import (
 	"fmt"
--- a/internal/lab/emu/configuration_day.go
+++ b/internal/lab/emulator/configuration_day.go
@@ -1,7 +1,7 @@
 // This file owns the emulated day: the first state, what operators ask for, and when what fails. All of it is drawn from
 // the seed.
 
-package emu
+package emulator
 
 import (
 	"errors"
--- a/internal/lab/emu/configuration_events.go
+++ b/internal/lab/emulator/configuration_events.go
@@ -1,6 +1,6 @@
 // This file owns the emulation's order of events, by time and then by when they were put in.
 
-package emu
+package emulator
 
 import (
 	"time"
--- a/internal/lab/emu/configuration_faults.go
+++ b/internal/lab/emulator/configuration_faults.go
@@ -1,6 +1,6 @@
 // This file owns the emulated failures: what ends, is cut off, stands still or lies, and how it comes back.
 
-package emu
+package emulator
 
 import (
 	"fmt"
--- a/internal/lab/emu/configuration_judge.go
+++ b/internal/lab/emulator/configuration_judge.go
@@ -1,7 +1,7 @@
 // This file owns what is counted, and what is right: the judge applies the agreed log once, by rules of its own, and
 // holds what each process has in force against it.
 
-package emu
+package emulator
 
 import (
 	"time"
--- a/internal/lab/emu/configuration_log.go
+++ b/internal/lab/emulator/configuration_log.go
@@ -1,7 +1,7 @@
 // This file owns the agreed log among the control machines as the emulator has it: a leader that some voters reach,
 // entries agreed after a quorum's round trip, members that hear them late. It stands in for raft and decides no duty.
 
-package emu
+package emulator
 
 import (
 	"slices"
--- a/internal/lab/emu/configuration_net.go
+++ b/internal/lab/emulator/configuration_net.go
@@ -1,6 +1,6 @@
 // This file owns the emulated links: delay, loss, doubles and cuts, the bytes that go over them, and the order of events.
 
-package emu
+package emulator
 
 import (
 	"time"
--- a/internal/lab/emu/owner.go
+++ b/internal/lab/emulator/owner.go
@@ -2,7 +2,7 @@
 // drift, proposals that are lost or come late, pauses, cuts and cold restarts. It decides nothing: internal/decide/lease
 // does, by the same methods as on sockets. It must never look at real time, nor draw chance but from its seed.
 
-package emu
+package emulator
 
 import (
 	"fmt"
--- a/internal/lab/emu/ring.go
+++ b/internal/lab/emulator/ring.go
@@ -1,7 +1,7 @@
 // This file owns the script on which the ring's plans are measured beside the published ways: backends that join and
 // leave, keys counted. It must never count a key as moved that only its slot's number changed for.
 
-package emu
+package emulator
 
 import (
 	"fmt"
--- a/internal/lab/emu/roll.go
+++ b/internal/lab/emulator/roll.go
@@ -1,7 +1,7 @@
 // This file owns the emulated fleet on which rolls are tried: instances that drain, end, come back cold under the new
 // release and warm up, zones that lose one, an owner that changes, load that rises for a while. It decides nothing.
 
-package emu
+package emulator
 
 import (
 	"fmt"
--- a/internal/lab/emu/rollloss.go
+++ b/internal/lab/emulator/rollloss.go
@@ -1,7 +1,7 @@
 // This file owns the roll of a release at a given pace through the loss of many members at once: a rack, a zone or a
 // region that falls silent in the middle of it and comes back. It decides nothing.
 
-package emu
+package emulator
 
 import (
 	"fmt"
--- a/internal/lab/emu/subsets.go
+++ b/internal/lab/emulator/subsets.go
@@ -1,7 +1,7 @@
 // Package emu runs the fleet's decide packages without sockets, at sizes that processes on one machine don't reach:
 // the views that membership would hand them are played from a script. It owns the scripts' state for one run and must
 // never be linked by cmd/thymechute. Same seed, same run.
-package emu
+package emulator
 
 import (
 	"fmt"
--- a/internal/lab/emu/subsets_test.go
+++ b/internal/lab/emulator/subsets_test.go
@@ -1,4 +1,4 @@
-package emu
+package emulator
 
 import (
 	"testing"
--- a/internal/lab/scale/decisions/owner.go
+++ b/internal/lab/scale/decisions/owner.go
@@ -8,7 +8,7 @@
 	"time"
 
 	"thymechute/internal/decide/lease"
-	"thymechute/internal/lab/emu"
+	"thymechute/internal/lab/emulator"
 )
 
 const (
@@ -31,11 +31,11 @@
 }
 
 // ownerFleet is an emulated fleet whose log takes every proposal at once and in order.
-func ownerFleet(c *collector, size int) (*emu.OwnerSim, error) {
-	return emu.NewOwnerSim(size, ownerLease, chance(c.seed, 0x07e4), duties...)
+func ownerFleet(c *collector, size int) (*emulator.OwnerSim, error) {
+	return emulator.NewOwnerSim(size, ownerLease, chance(c.seed, 0x07e4), duties...)
 }
 
-func play(s *emu.OwnerSim, until time.Duration) {
+func play(s *emulator.OwnerSim, until time.Duration) {
 	for s.Now() < until {
 		s.Advance(ownerStep)
 		for s.Flight() > 0 {
@@ -119,7 +119,7 @@
 	return nil
 }
 
-func (c *collector) takeover(name string, s *emu.OwnerSim, loss Loss) {
+func (c *collector) takeover(name string, s *emulator.OwnerSim, loss Loss) {
 	cut := s.Members[loss.From:loss.To]
 	for _, m := range cut {
 		m.Deaf, m.Mute = true, true
@@ -146,7 +146,7 @@
 }
 
 // heldOutside tells whether every duty is held by one that the loss does not take.
-func heldOutside(s *emu.OwnerSim, loss Loss) bool {
+func heldOutside(s *emulator.OwnerSim, loss Loss) bool {
 	held := 0
 	for n, m := range s.Members {
 		if !loss.takes(n) {
--- a/internal/lab/scale/decisions/roll.go
+++ b/internal/lab/scale/decisions/roll.go
@@ -9,7 +9,7 @@
 	"thymechute/internal/decide/lease"
 	"thymechute/internal/decide/rollout"
 	"thymechute/internal/fleet/rolling"
-	"thymechute/internal/lab/emu"
+	"thymechute/internal/lab/emulator"
 )
 
 const (
@@ -31,12 +31,12 @@
 }
 
 // places are the members, half of which run the release already.
-func (l Layout) places(loss Loss, cold bool) []emu.RollPlace {
-	out := make([]emu.RollPlace, l.Size)
+func (l Layout) places(loss Loss, cold bool) []emulator.RollPlace {
+	out := make([]emulator.RollPlace, l.Size)
 	for n := range out {
-		out[n] = emu.RollPlace{Zone: l.zoneName(n), Runs: n%2 == 1, Lost: loss.takes(n), ComesBackCold: cold}
+		out[n] = emulator.RollPlace{Zone: l.zoneName(n), Runs: n%2 == 1, Lost: loss.takes(n), ComesBackCold: cold}
 	}
-	emu.EveryNth(out, wantedVoters)
+	emulator.EveryNth(out, wantedVoters)
 	return out
 }
 
@@ -118,9 +118,9 @@
 		if kind != "none" {
 			loss = l.drawn(kind, r)
 		}
-		script := emu.RollLoss{Places: l.places(loss, kind != "region"), Bounds: l.rollBounds(), Drain: rollDrain, At: rollLossAt, For: rollLossFor,
+		script := emulator.RollLoss{Places: l.places(loss, kind != "region"), Bounds: l.rollBounds(), Drain: rollDrain, At: rollLossAt, For: rollLossFor,
 			Load: rollLoad, Shift: float64(l.Size) / float64(l.Size-(loss.To-loss.From)), Most: rollMost}
-		f, err := emu.RollThrough(script)
+		f, err := emulator.RollThrough(script)
 		if err != nil {
 			return err
 		}
@@ -129,7 +129,7 @@
 	return nil
 }
 
-func (c *collector) rolled(name string, f emu.RollLossFigures) {
+func (c *collector) rolled(name string, f emulator.RollLossFigures) {
 	for figure, value := range map[string]float64{"took_s": f.Took.Seconds(), "held_s": f.Held.Seconds(), "drains": float64(f.Drains),
 		"drains_in_loss": float64(f.DrainsInLoss), "resumed_s": f.ResumedWithin.Seconds(), "over_floor_min": f.OverFloorMin,
 		"stuck_most": float64(f.Stuck)} {
