--- a/cmd/benchlink/main.go
+++ b/cmd/benchlink/main.go
@@ -5,11 +5,11 @@
 	"fmt"
 	"os"
 
-	"thymechute/internal/link"
+	"thymechute/internal/simhost"
 )
 
 func main() {
-	if err := link.Serve(os.Stdin, os.Stdout); err != nil {
+	if err := simhost.Serve(os.Stdin, os.Stdout); err != nil {
 		fmt.Fprintln(os.Stderr, "benchlink:", err)
 		os.Exit(1)
 	}
--- a/internal/link/link.go
+++ b/internal/simhost/link.go
@@ -1,6 +1,6 @@
 // Package link hosts many instances of the decision module on the bench's wire: it decodes
 // events into calls of the module, maps ids to small indices and encodes what the module does.
-package link
+package simhost
 
 import (
 	"bufio"
--- a/internal/link/link_test.go
+++ b/internal/simhost/link_test.go
@@ -1,4 +1,4 @@
-package link
+package simhost
 
 import (
 	"bytes"
