--- a/cmd/thymechute/agreed_test.go
+++ b/cmd/thymechute/agreed_test.go
@@ -11,7 +11,7 @@
 	"time"
 
 	"thymechute/internal/stand/faultnet"
-	"thymechute/internal/testkit"
+	"thymechute/internal/testutil"
 )
 
 // logFleet is several programs with an agreed log, behind the fault network.
@@ -19,7 +19,7 @@
 	t        *testing.T
 	net      *faultnet.Net
 	names    []string
-	worlds   map[string]*testkit.World
+	worlds   map[string]*testutil.World
 	settings map[string]string
 	before   map[string]string // what a process that was started anew under this name had logged
 }
@@ -36,14 +36,14 @@
 
 // startLogFleet starts one at each place, the first founding the log.
 func startLogFleet(t *testing.T, octet int, at []place) *logFleet {
-	f := &logFleet{t: t, net: faultnet.New(1), worlds: map[string]*testkit.World{}, settings: map[string]string{}, before: map[string]string{}}
+	f := &logFleet{t: t, net: faultnet.New(1), worlds: map[string]*testutil.World{}, settings: map[string]string{}, before: map[string]string{}}
 	t.Cleanup(f.net.Close)
 	type ports struct{ bind, front, logBind, logFront string }
 	var all []ports
 	for n := range at {
 		name := fmt.Sprint("m", n)
 		own, front := fmt.Sprintf("127.0.%d.%d", octet, n+1), fmt.Sprintf("127.0.%d.%d", octet+1, n+1)
-		p := ports{testkit.FreePort(t, own), testkit.FreePort(t, front), testkit.FreePort(t, own), testkit.FreePort(t, front)}
+		p := ports{testutil.FreePort(t, own), testutil.FreePort(t, front), testutil.FreePort(t, own), testutil.FreePort(t, front)}
 		for _, pair := range [][2]string{{p.bind, p.front}, {p.logBind, p.logFront}} {
 			if err := f.net.Front(name, pair[0], pair[1]); err != nil {
 				t.Fatal(err)
@@ -63,7 +63,7 @@
 		if err := os.WriteFile(f.settings[name], []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
-		f.worlds[name] = testkit.NewWorld(t, func(given map[string]any) { given["name"] = name })
+		f.worlds[name] = testutil.NewWorld(t, func(given map[string]any) { given["name"] = name })
 		f.start(name)
 	}
 	return f
@@ -75,7 +75,7 @@
 	if w.Program != nil {
 		f.before[name] += w.Program.Log()
 	}
-	w.Program = testkit.StartWith(f.t, w.Given, nil, "--settings", f.settings[name])
+	w.Program = testutil.StartWith(f.t, w.Given, nil, "--settings", f.settings[name])
 }
 
 func (f *logFleet) log(name string) string { return f.worlds[name].Program.Log() }
@@ -121,7 +121,7 @@
 
 func (f *logFleet) eventually(what string, holds func() bool) {
 	f.t.Helper()
-	testkit.Eventually(f.t, what, func() bool {
+	testutil.Eventually(f.t, what, func() bool {
 		time.Sleep(20 * time.Millisecond) // logs grow, and are read whole
 		return holds()
 	})
--- a/cmd/thymechute/amqp_test.go
+++ b/cmd/thymechute/amqp_test.go
@@ -19,12 +19,12 @@
 	"time"
 
 	"thymechute/internal/stand/broker"
-	"thymechute/internal/testkit"
+	"thymechute/internal/testutil"
 )
 
 // fed is the program at a stand-in broker: queue readings, dead letters in dead, answers in replies.
 type fed struct {
-	*testkit.World
+	*testutil.World
 	b        *broker.Broker
 	address  string // the broker's
 	settings string
@@ -68,7 +68,7 @@
 	if err := errors.Join(b.Depot("given-up", broker.Table{"x-dead-letter-exchange": "given-up"}), b.Declare("replies", nil)); err != nil {
 		t.Fatal(err)
 	}
-	f := &fed{World: testkit.NewWorld(t, change), b: b, address: address, settings: filepath.Join(t.TempDir(), "settings.xml")}
+	f := &fed{World: testutil.NewWorld(t, change), b: b, address: address, settings: filepath.Join(t.TempDir(), "settings.xml")}
 	if err := os.WriteFile(f.settings, fmt.Appendf(nil, settingsForm, amqp, address, queue), 0o600); err != nil {
 		t.Fatal(err)
 	}
@@ -79,7 +79,7 @@
 // live starts the program, beside a runtime that began so many milliseconds ago.
 func (f *fed) live(state string, ago int) {
 	f.T.Helper()
-	f.Program = testkit.StartWith(f.T, f.Given, nil, "serve", "--settings", f.settings)
+	f.Program = testutil.StartWith(f.T, f.Given, nil, "serve", "--settings", f.settings)
 	f.Runtime.Sync(0, state, ago)
 }
 
@@ -228,8 +228,8 @@
 	f := feed(t, "", "", nil)
 	f.put("excursion", "k1", "a")
 	task := f.started("a")
-	other := testkit.NewWorld(t, func(given map[string]any) { given["name"] = "n4" })
-	other.Program = testkit.StartWith(t, other.Given, nil, "--settings", f.settings)
+	other := testutil.NewWorld(t, func(given map[string]any) { given["name"] = "n4" })
+	other.Program = testutil.StartWith(t, other.Given, nil, "--settings", f.settings)
 	other.Runtime.Sync(0, "new", 0)
 	f.seen("consumed", 2)
 	f.b.CutPeer("n3")
@@ -312,7 +312,7 @@
 			`<tls ca="%s" name="%s"/><queue name="readings" dead-letter="given-up"/></amqp></thymechute>`, front.Addr(), login, ca, name))
 		f.live("old", 1000)
 		if name == "another" {
-			testkit.Eventually(t, "the certificate is refused", func() bool { return strings.Contains(f.Program.Log(), "not another") })
+			testutil.Eventually(t, "the certificate is refused", func() bool { return strings.Contains(f.Program.Log(), "not another") })
 			if strings.Contains(f.Program.Log(), "secret") {
 				t.Error("the log tells a credential")
 			}
@@ -457,7 +457,7 @@
 	}
 	f.b.Release()
 	f.Program.EndsWith(0)
-	testkit.Eventually(t, "the ack is read", func() bool { return f.b.Counted("acked") == 1 }) // the program does not wait for that
+	testutil.Eventually(t, "the ack is read", func() bool { return f.b.Counted("acked") == 1 }) // the program does not wait for that
 }
 
 // What a broker pushes after the grace is not run, though it goes on pushing: it is the broker's again, as unrun.
@@ -547,7 +547,7 @@
 	f.Runtime.End(1, f.started(body), "good", result)
 	s.Wants(1, 0, result)
 	f.seen("lost", 1)
-	testkit.Eventually(t, "the log names the refusal", func() bool { return strings.Contains(f.Program.Log(), "broker 1 lost") })
+	testutil.Eventually(t, "the log names the refusal", func() bool { return strings.Contains(f.Program.Log(), "broker 1 lost") })
 	if log := f.Program.Log(); strings.Count(log, "lost:") != 1 || strings.Contains(log, "guest") {
 		t.Error(log)
 	}
--- a/cmd/thymechute/drain_test.go
+++ b/cmd/thymechute/drain_test.go
@@ -11,12 +11,12 @@
 	"testing"
 	"time"
 
-	"thymechute/internal/testkit"
+	"thymechute/internal/testutil"
 )
 
 func TestDrainBeforeTheRuntimeIsUp(t *testing.T) {
-	w := testkit.NewWorld(t, nil)
-	w.Program = testkit.Start(t, w.Given)
+	w := testutil.NewWorld(t, nil)
+	w.Program = testutil.Start(t, w.Given)
 	w.Runtime.Accept()
 	s := w.Stub()
 	s.Ask(1, "trace", "aa01", body, "")
@@ -25,7 +25,7 @@
 	s.Closing()
 	w.Program.Term()
 	w.Runtime.Send(`{"verb":"ready","outcome":"old","spent":3600000}` + "\n")
-	testkit.Eventually(t, "the runtime is up", func() bool { return strings.Contains(w.Program.Log(), "runtime link") })
+	testutil.Eventually(t, "the runtime is up", func() bool { return strings.Contains(w.Program.Log(), "runtime link") })
 	s.Ask(2, "trace", "aa02", body, "")
 	s.Wants(2, -32001, "")
 	s.Ends()
@@ -65,14 +65,14 @@
 func (s *slowFile) fill(f *os.File) { _, _ = f.Write(s.text) }
 
 func TestDrainInTheMiddleOfAReload(t *testing.T) {
-	w := testkit.NewWorld(t, nil)
+	w := testutil.NewWorld(t, nil)
 	file := newSlowFile(t, w.Given)
 	go func() {
 		f := file.open()
 		file.fill(f)
 		f.Close()
 	}()
-	w.Program = testkit.StartFrom(t, file.path)
+	w.Program = testutil.StartFrom(t, file.path)
 	w.Runtime.Sync(0, "new", 0)
 	s := w.Stub()
 	s.Ask(1, "trace", "aa01", body, "")
@@ -90,7 +90,7 @@
 }
 
 func TestDrainRefusesWhatComesPastTheGrace(t *testing.T) {
-	w := testkit.Serve(t, func(given map[string]any) {
+	w := testutil.Serve(t, func(given map[string]any) {
 		given["settings"].(map[string]any)["rules"].(map[string]any)["drain_grace_s"] = 0
 	})
 	s, other := w.Stub(), w.Stub()
@@ -119,7 +119,7 @@
 }
 
 func TestDrainWaitsForTheSlowReader(t *testing.T) {
-	w := testkit.Serve(t, nil)
+	w := testutil.Serve(t, nil)
 	s := w.SlowStub()
 	large := strings.Repeat("r", 4<<10)
 	for id := 1; id <= 30; id++ {
@@ -133,7 +133,7 @@
 		w.Runtime.End(n, task, "good", large)
 	}
 	w.Program.Term()
-	testkit.Eventually(t, "no longer listening", func() bool { return strings.Contains(w.Program.Log(), "no longer listening") })
+	testutil.Eventually(t, "no longer listening", func() bool { return strings.Contains(w.Program.Log(), "no longer listening") })
 	select {
 	case <-w.Program.Exited:
 		t.Fatal("ended over what nobody has read")
@@ -152,7 +152,7 @@
 }
 
 func TestAnswersAtTheKillAreNotReset(t *testing.T) {
-	w := testkit.Serve(t, nil)
+	w := testutil.Serve(t, nil)
 	s := w.Stub()
 	s.Ask(1, "seal", "aa01", body, "")
 	w.Runtime.Command("start") // and never ends
@@ -171,9 +171,9 @@
 }
 
 func TestDrainWhileStarting(t *testing.T) {
-	w := testkit.NewWorld(t, nil)
+	w := testutil.NewWorld(t, nil)
 	file := newSlowFile(t, w.Given)
-	w.Program = testkit.StartFrom(t, file.path)
+	w.Program = testutil.StartFrom(t, file.path)
 	f := file.open() // the program has opened it, and waits
 	w.Program.Term()
 	w.Program.Term()
--- a/cmd/thymechute/ends_test.go
+++ b/cmd/thymechute/ends_test.go
@@ -10,13 +10,13 @@
 	"testing"
 	"time"
 
-	"thymechute/internal/testkit"
+	"thymechute/internal/testutil"
 )
 
 // A caller may tell that it is gone by a notification, which has no id: that is no fault, and the other requests of its
 // connection are owed their answers. Seen in the wide variant's short days.
 func TestNotificationCostsNothing(t *testing.T) {
-	w := testkit.Serve(t, nil)
+	w := testutil.Serve(t, nil)
 	s := w.Stub()
 	s.Ask(1, "trace", "aa01", body, "")
 	w.Runtime.Command("start")
@@ -33,7 +33,7 @@
 // What can't be answered under an id ends the connection, but not before its open requests have their answers; what stands
 // behind the fault is not run.
 func TestFaultWithoutAnIDEndsBehindTheOpen(t *testing.T) {
-	w := testkit.Serve(t, nil)
+	w := testutil.Serve(t, nil)
 	for n, fault := range []string{`{"jsonrpc":"2.0","method":`, `{"jsonrpc":"2.0","method":"trace","params":{}}`, `{"jsonrpc":"2.0","method":"check"}`,
 		`[]`, strings.Repeat("x", 10000)} {
 		rid := fmt.Sprintf("aa%d", n)
@@ -62,7 +62,7 @@
 // Half a line that never gets whole ends the connection; the request open on it is answered first, and the rest of the line
 // comes too late to be run.
 func TestHalfALineEndsBehindTheOpen(t *testing.T) {
-	w := testkit.Serve(t, nil)
+	w := testutil.Serve(t, nil)
 	s := w.Stub()
 	s.Ask(1, "seal", "aa01", body, "")
 	w.Runtime.Command("start")
@@ -89,7 +89,7 @@
 
 // A line that takes long to arrive is told closing, and served where its rest crosses that.
 func TestSlowLineThatCrossesItsNoticeIsServed(t *testing.T) {
-	w := testkit.Serve(t, nil)
+	w := testutil.Serve(t, nil)
 	s := w.Stub()
 	line := fmt.Sprintf(`{"jsonrpc":"2.0","id":1,"method":"seal","params":{"rid":"aa01","t0":%d,"peer":1,"acct":"acme","mem":10,"prio":0.5,"doc":"AA=="}}`+"\n", time.Now().UnixMilli())
 	for n, part := range []string{line[:40], line[40:]} {
@@ -108,9 +108,9 @@
 
 // At the limit the connection that is needed least makes room; a request that crosses its notice is served on it.
 func TestRequestThatCrossesTheEvictionIsServed(t *testing.T) {
-	w := testkit.Serve(t, func(given map[string]any) { given["limits"].(map[string]any)["sockets"] = 64 })
+	w := testutil.Serve(t, func(given map[string]any) { given["limits"].(map[string]any)["sockets"] = 64 })
 	const most = (64 - own) / 8 * stubParts
-	var stubs []*testkit.Stub
+	var stubs []*testutil.Stub
 	for range most {
 		s := w.Stub()
 		s.Send(`{"jsonrpc":"2.0","id":1,"method":"check"}`)
@@ -135,7 +135,7 @@
 
 // An idle connection is told closing first; a request that crosses the notice is served on it.
 func TestRequestThatCrossesTheIdleEndIsServed(t *testing.T) {
-	w := testkit.Serve(t, func(given map[string]any) {
+	w := testutil.Serve(t, func(given map[string]any) {
 		given["settings"].(map[string]any)["domain"].(map[string]any)["caller_idle_s"] = 4 // a tenth of it, at first
 	})
 	s := w.Stub()
@@ -160,13 +160,13 @@
 // From exec to listed and serving takes well under a second, a thirtieth of what is allowed; also for a process that starts
 // again beside a runtime at work.
 func TestReadySoonAfterExec(t *testing.T) {
-	testkit.Built(t)
-	w := testkit.NewWorld(t, nil)
+	testutil.Built(t)
+	w := testutil.NewWorld(t, nil)
 	for life, state := range []string{"new", "old"} {
 		began := time.Now()
-		w.Program = testkit.Start(t, w.Given)
+		w.Program = testutil.Start(t, w.Given)
 		w.Runtime.Sync(0, state, life*100000)
-		testkit.Until(t, w.Words, "a good report", func(word string) bool { return word == "alive n3 passing" })
+		testutil.Until(t, w.Words, "a good report", func(word string) bool { return word == "alive n3 passing" })
 		listed := time.Since(began)
 		s := w.Stub()
 		s.Send(`{"jsonrpc":"2.0","id":1,"method":"check"}`)
@@ -187,7 +187,7 @@
 
 // An answer that breaks off in mid-write costs its own connection: the run counts, and a repeat gets its result, not a run.
 func TestAnswerThatBreaksOffLeavesItsResult(t *testing.T) {
-	w := testkit.Serve(t, nil)
+	w := testutil.Serve(t, nil)
 	large := strings.Repeat("r", 4<<10)
 	s := w.Stub()
 	_ = s.Conn.(*net.TCPConn).SetReadBuffer(1 << 10)
@@ -216,8 +216,8 @@
 
 // A catalog that is away for a while hears the next report after it is back, on the same address.
 func TestCatalogThatComesBackHearsReports(t *testing.T) {
-	w := testkit.Serve(t, nil)
-	testkit.Next(t, w.Words, "a report")
+	w := testutil.Serve(t, nil)
+	testutil.Next(t, w.Words, "a report")
 	address := w.Catalog.LocalAddr().String()
 	w.Catalog.Close()
 	s := w.Stub()
@@ -242,7 +242,7 @@
 // A repeat just before the window's end gets the result, with the same body; with another it is an error. Past the end it is new
 // work. The window counts from the first try, and a repeat from when it came, not from when it was read.
 func TestRepeatsAroundTheWindowsEnd(t *testing.T) {
-	w := testkit.Serve(t, func(given map[string]any) {
+	w := testutil.Serve(t, func(given map[string]any) {
 		given["settings"].(map[string]any)["classes"].([]any)[1].(map[string]any)["window_s"] = 1
 	})
 	s := w.Stub()
@@ -279,7 +279,7 @@
 
 // The descriptors of a flood are given back.
 func TestDescriptorsAreGivenBack(t *testing.T) {
-	w := testkit.Serve(t, nil)
+	w := testutil.Serve(t, nil)
 	count := func() int {
 		fds, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", w.Program.Cmd.Process.Pid))
 		if err != nil {
@@ -291,7 +291,7 @@
 	s.Send(`{"jsonrpc":"2.0","id":1,"method":"check"}`)
 	s.Read()
 	before := count()
-	var conns []*testkit.Stub
+	var conns []*testutil.Stub
 	for range 150 {
 		conns = append(conns, w.Stub())
 	}
@@ -303,17 +303,17 @@
 			c.Conn.Close()
 		}
 	}
-	testkit.Eventually(t, "the descriptors are back", func() bool { return count() <= before })
+	testutil.Eventually(t, "the descriptors are back", func() bool { return count() <= before })
 }
 
 // A link on which nothing comes any more, though it stands, is replaced.
 func TestRuntimeLinkThatFallsSilentIsOpenedAnew(t *testing.T) {
-	w := testkit.Serve(t, nil)
+	w := testutil.Serve(t, nil)
 	s := w.Stub()
 	s.Ask(1, "seal", "aa01", body, "")
 	w.Runtime.Command("start")
 	w.Runtime.Mute()
-	w.Runtime.Sync(0, "new", 3000, testkit.EndLine(1, "aa01", "good", result))
+	w.Runtime.Sync(0, "new", 3000, testutil.EndLine(1, "aa01", "good", result))
 	s.Wants(1, 0, result)
 	s.Ask(2, "seal", "aa02", body, "")
 	w.Runtime.Until("start", "aa02")
@@ -346,7 +346,7 @@
 		"under a Tick": {"classes": []any{class("u", "by_key", "aim_s", 0.001, "deadline_s", 0.005, "window_s", 0.005)}},
 	} {
 		t.Run(what, func(t *testing.T) {
-			w := testkit.Serve(t, func(given map[string]any) { given["settings"] = settings })
+			w := testutil.Serve(t, func(given map[string]any) { given["settings"] = settings })
 			s := w.Stub()
 			go w.Runtime.Obey(1, result)
 			for n, c := range settings["classes"].([]any) {
@@ -383,7 +383,7 @@
 
 // What one caller floods costs that caller alone.
 func TestFloodsCostTheirSenderOnly(t *testing.T) {
-	w := testkit.Serve(t, nil)
+	w := testutil.Serve(t, nil)
 	flood := bytes.Repeat([]byte(`{"jsonrpc":"2.0","method":"note"}`+"\n"+`{"jsonrpc":"2.0","id":1,"method":"check"}`+"\n"), 500)
 	for range 4 {
 		c, err := net.Dial("tcp", w.Listen)
--- a/cmd/thymechute/main_test.go
+++ b/cmd/thymechute/main_test.go
@@ -11,13 +11,13 @@
 	"testing"
 	"time"
 
-	"thymechute/internal/testkit"
+	"thymechute/internal/testutil"
 )
 
 const body, reply, result = "\x00\xff body\n", "a reply\r\n", "the \"result\"\x01"
 
 func TestServedWithItsCallBytesUnchanged(t *testing.T) {
-	w := testkit.Serve(t, nil)
+	w := testutil.Serve(t, nil)
 	s := w.Stub()
 	s.Ask(1, "trace", "aa01", body, "")
 	if task, got := w.Runtime.Command("start"); task != "aa01" || got != body {
@@ -34,13 +34,13 @@
 	}
 	w.Runtime.End(2, "aa01", "good", result)
 	s.Wants(1, 0, result)
-	if word := testkit.Next(t, w.Words, "a report"); !strings.HasPrefix(word, "alive n3 ") {
+	if word := testutil.Next(t, w.Words, "a report"); !strings.HasPrefix(word, "alive n3 ") {
 		t.Errorf("reported %q", word)
 	}
 }
 
 func TestAnswersComeInAnyOrderAndOnlyOnce(t *testing.T) {
-	w := testkit.Serve(t, nil)
+	w := testutil.Serve(t, nil)
 	s := w.Stub()
 	for id := 1; id <= 3; id++ {
 		s.Ask(id, "trace", fmt.Sprintf("aa%d", id), body, "")
@@ -58,7 +58,7 @@
 }
 
 func TestTurnedBackWhereItDoesNotFit(t *testing.T) {
-	w := testkit.Serve(t, func(given map[string]any) {
+	w := testutil.Serve(t, func(given map[string]any) {
 		given["settings"].(map[string]any)["domain"].(map[string]any)["ram_kb"] = 5
 	})
 	s := w.Stub()
@@ -69,7 +69,7 @@
 }
 
 func TestRepeatIsFulfilledFromItsForerunner(t *testing.T) {
-	w := testkit.Serve(t, nil)
+	w := testutil.Serve(t, nil)
 	s, other := w.Stub(), w.Stub()
 	const token = `,"token":"5c0f"`
 	s.Ask(1, "excursion", "aa01", body, token)
@@ -87,7 +87,7 @@
 }
 
 func TestRepeatOfWhatFailedIsNotRun(t *testing.T) {
-	w := testkit.Serve(t, nil)
+	w := testutil.Serve(t, nil)
 	s := w.Stub()
 	s.Ask(1, "excursion", "aa01", body, `,"token":"5c0f"`)
 	w.Runtime.Command("start")
@@ -98,7 +98,7 @@
 }
 
 func TestLinkBreaksAndNoticesCountOnce(t *testing.T) {
-	w := testkit.Serve(t, nil)
+	w := testutil.Serve(t, nil)
 	s := w.Stub()
 	for id := 1; id <= 3; id++ {
 		s.Ask(id, "seal", fmt.Sprintf("aa%d", id), body, "")
@@ -109,7 +109,7 @@
 	w.Runtime.Send(`{"verb":"end","index":2,"task":"aa2","out`) // broken at any byte
 	w.Runtime.Break()
 	// What ended meanwhile is not started again; what is not known of is, as its start may not have come.
-	w.Runtime.Sync(1, "new", 50, testkit.EndLine(1, "aa1", "good", "one"), testkit.EndLine(2, "aa2", "good", "two"))
+	w.Runtime.Sync(1, "new", 50, testutil.EndLine(1, "aa1", "good", "one"), testutil.EndLine(2, "aa2", "good", "two"))
 	s.Wants(2, 0, "two")
 	if task, _ := w.Runtime.Command("start"); task != "aa3" {
 		t.Errorf("%s was started again", task)
@@ -119,7 +119,7 @@
 }
 
 func TestReplyThatMayHaveBeenTakenIsNotGivenTwice(t *testing.T) {
-	w := testkit.Serve(t, nil)
+	w := testutil.Serve(t, nil)
 	s := w.AtCall("aa01", body)
 	w.Index.Send("aa01 HIT 1\r\nx\r\n")
 	w.Runtime.Command("give")
@@ -132,7 +132,7 @@
 }
 
 func TestNewConfigurationMovesToItsAddressesAndWorkGoesOn(t *testing.T) {
-	w := testkit.Serve(t, nil)
+	w := testutil.Serve(t, nil)
 	s := w.Stub()
 	s.Ask(1, "excursion", "aa01", body, `,"token":"5c0f"`)
 	w.Runtime.Command("start")
@@ -140,8 +140,8 @@
 	w.Program.Reload(good[:len(good)/2], "configuration not taken")
 	w.Program.Reload([]byte(strings.Replace(string(good), w.Runtime.Address, "nowhere", 1)), `runtime: found \"nowhere\"`)
 	old, oldIndex := w.Runtime, w.Index
-	w.Runtime, w.Index = testkit.NewParty(t), testkit.NewParty(t)
-	w.Given["runtime"], w.Given["index"], w.Given["listen"] = w.Runtime.Address, w.Index.Address, testkit.FreeAddress(t)
+	w.Runtime, w.Index = testutil.NewParty(t), testutil.NewParty(t)
+	w.Given["runtime"], w.Given["index"], w.Given["listen"] = w.Runtime.Address, w.Index.Address, testutil.FreeAddress(t)
 	again, _ := json.Marshal(w.Given)
 	w.Program.Reload(again, `"not changed while running": ["listen"]`)
 	w.Runtime.Sync(0, "new", 50)
@@ -162,8 +162,8 @@
 }
 
 func TestRuntimeStartedAnewHasLostItsRuns(t *testing.T) {
-	w := testkit.NewWorld(t, nil)
-	w.Program = testkit.Start(t, w.Given)
+	w := testutil.NewWorld(t, nil)
+	w.Program = testutil.Start(t, w.Given)
 	w.Runtime.Sync(0, "new", 5000)
 	s := w.Stub()
 	s.Ask(1, "trace", "aa01", body, "")
@@ -174,8 +174,8 @@
 }
 
 func TestRuntimeThatComesUpLate(t *testing.T) {
-	w := testkit.NewWorld(t, nil)
-	w.Program = testkit.Start(t, w.Given)
+	w := testutil.NewWorld(t, nil)
+	w.Program = testutil.Start(t, w.Given)
 	s := w.Stub()
 	s.Send(`{"jsonrpc":"2.0","id":1,"method":"check"}`)
 	if r, _ := s.Read(); r.Code() != 0 || r.Result.Serving {
@@ -189,14 +189,14 @@
 }
 
 func TestRestartBesideARuntimeAtWorkDoesNotRunRepeats(t *testing.T) {
-	w := testkit.Serve(t, nil)
+	w := testutil.Serve(t, nil)
 	s := w.Stub()
 	s.Ask(1, "excursion", "aa01", body, `,"token":"5c0f"`)
 	w.Runtime.Command("start")
 	_ = w.Program.Cmd.Process.Kill()
 	w.Program.Exit()
-	w.Program = testkit.Start(t, w.Given)
-	w.Runtime.Sync(0, "old", 5000, testkit.EndLine(1, "aa01", "good", result)) // of the life before
+	w.Program = testutil.Start(t, w.Given)
+	w.Runtime.Sync(0, "old", 5000, testutil.EndLine(1, "aa01", "good", result)) // of the life before
 	s = w.Stub()
 	s.Ask(1, "excursion", "aa02", body, `,"token":"5c0f","again":1`)
 	s.Wants(1, -32000, "")
@@ -207,7 +207,7 @@
 }
 
 func TestCallIsRepeatedOnlyIfItNeverRan(t *testing.T) {
-	w := testkit.Serve(t, nil)
+	w := testutil.Serve(t, nil)
 	s := w.Stub()
 	address := w.Index.Address
 	w.Index.Down() // refused: nothing ran
@@ -229,7 +229,7 @@
 }
 
 func TestCallBrokenInItsReplyMayHaveRun(t *testing.T) {
-	w := testkit.Serve(t, nil)
+	w := testutil.Serve(t, nil)
 	s := w.AtCall("aa01", body)
 	w.Index.Send("aa01 HIT 9\r\nhal")
 	w.Index.Break()
@@ -237,7 +237,7 @@
 }
 
 func TestLeaveAnswersWhatWasReadAndEnds(t *testing.T) {
-	w := testkit.Serve(t, nil)
+	w := testutil.Serve(t, nil)
 	s := w.Stub()
 	s.Ask(1, "trace", "aa01", body, "")
 	s.Ask(2, "trace", "aa02", body, "")
@@ -255,11 +255,11 @@
 		c.Close()
 		t.Error("still listening")
 	}
-	testkit.Until(t, w.Words, "a report that it leaves", func(word string) bool { return word == "alive n3 critical" })
+	testutil.Until(t, w.Words, "a report that it leaves", func(word string) bool { return word == "alive n3 critical" })
 }
 
 func TestBadInputFromAStub(t *testing.T) {
-	w := testkit.Serve(t, nil)
+	w := testutil.Serve(t, nil)
 	other := w.Stub()
 	other.Ask(1, "excursion", "cc01", body, `,"token":"5c0f"`)
 	w.Runtime.Command("start")
@@ -293,7 +293,7 @@
 		s := w.Stub()
 		s.Send("%s", line)
 		for closed := false; !closed; { // an error to nobody in particular first
-			var r testkit.Reply
+			var r testutil.Reply
 			if r, closed = s.Read(); !closed && (r.Code() >= 0 || r.Result.Doc != "") {
 				t.Errorf("%s: got %+v", line, r)
 			}
@@ -327,7 +327,7 @@
 }
 
 func TestBadInputFromRuntimeAndIndex(t *testing.T) {
-	w := testkit.Serve(t, nil)
+	w := testutil.Serve(t, nil)
 	s := w.Stub()
 	s.Ask(1, "seal", "aa01", body, "")
 	w.Runtime.Command("start")
@@ -349,7 +349,7 @@
 }
 
 func TestAtTheLimitWhoBroughtNothingMakesRoom(t *testing.T) {
-	w := testkit.Serve(t, func(given map[string]any) { given["limits"].(map[string]any)["sockets"] = 64 })
+	w := testutil.Serve(t, func(given map[string]any) { given["limits"].(map[string]any)["sockets"] = 64 })
 	busy := w.Stub()
 	busy.Ask(1, "trace", "aa01", body, "")
 	w.Runtime.Command("start")
@@ -368,7 +368,7 @@
 }
 
 func TestStubThatDoesNotReadIsClosedAndOthersServed(t *testing.T) {
-	w := testkit.Serve(t, nil)
+	w := testutil.Serve(t, nil)
 	s, other := w.Stub(), w.Stub()
 	go func() { // until the program ends this connection, as its answers pile up
 		for {
@@ -394,8 +394,8 @@
 		t.Fatal(err)
 	}
 	reader.Close()
-	w := testkit.NewWorld(t, nil)
-	w.Program = testkit.StartWith(t, w.Given, log)
+	w := testutil.NewWorld(t, nil)
+	w.Program = testutil.StartWith(t, w.Given, log)
 	w.Runtime.Sync(0, "new", 0)
 	w.Runtime.Break() // this and the sync are worth a line each
 	w.Runtime.Sync(0, "new", 50)
@@ -405,8 +405,8 @@
 }
 
 func TestFaultyConfigurationEndsWithTheKey(t *testing.T) {
-	w := testkit.NewWorld(t, func(given map[string]any) { given["stop_ms"] = "soon" })
-	p := testkit.Start(t, w.Given)
+	w := testutil.NewWorld(t, func(given map[string]any) { given["stop_ms"] = "soon" })
+	p := testutil.Start(t, w.Given)
 	if code := p.Exit(); code != 2 || strings.Count(p.Log(), "\n") != 1 || !strings.Contains(p.Log(), `stop_ms: found "soon"`) {
 		t.Errorf("exit code %d, %q", code, p.Log())
 	}
@@ -432,7 +432,7 @@
 		{"sevre", 2, `found "sevre"`},
 		{"--setings x", 2, "unknown flag"},
 	} {
-		out, err := exec.Command(testkit.Built(t), strings.Fields(c.args)...).CombinedOutput()
+		out, err := exec.Command(testutil.Built(t), strings.Fields(c.args)...).CombinedOutput()
 		code := 0
 		if e, ok := err.(*exec.ExitError); ok {
 			code = e.ExitCode()
--- a/cmd/thymechute/reload_test.go
+++ b/cmd/thymechute/reload_test.go
@@ -10,7 +10,7 @@
 	"testing"
 	"time"
 
-	"thymechute/internal/testkit"
+	"thymechute/internal/testutil"
 	"thymechute/policy/settings"
 )
 
@@ -40,7 +40,7 @@
 	for key, value := range given {
 		later[key] = value
 	}
-	s := testkit.Settings()
+	s := testutil.Settings()
 	s["tenants"] = tenants
 	later["settings"] = s
 	text, err := json.Marshal(later)
@@ -52,7 +52,7 @@
 
 // asks tells whether a request of this tenant is taken. It has a connection of its own, as one may bring only a few that
 // are not.
-func asks(w *testkit.World, tenant string) bool {
+func asks(w *testutil.World, tenant string) bool {
 	w.T.Helper()
 	s := w.Stub()
 	defer s.Conn.Close()
@@ -97,9 +97,9 @@
 		rounds, _ = strconv.Atoi(text)
 		start, inForce, p99, most = 2*time.Second, 200*time.Millisecond, 6400*time.Microsecond, 20*time.Millisecond
 	}
-	testkit.Built(t)
+	testutil.Built(t)
 	began := time.Now()
-	w := testkit.Serve(t, func(given map[string]any) {
+	w := testutil.Serve(t, func(given map[string]any) {
 		given["limits"].(map[string]any)["memory_mb"] = 128
 		given["settings"].(map[string]any)["tenants"] = tenantList(planned, -1, 0)
 	})
@@ -143,7 +143,7 @@
 // As many tenants as may be are read again; one more is refused by name, at the start and while running, and the version
 // in force is named.
 func TestTenantsAreBoundedByName(t *testing.T) {
-	w := testkit.Serve(t, func(given map[string]any) {
+	w := testutil.Serve(t, func(given map[string]any) {
 		given["settings"].(map[string]any)["tenants"] = tenantList(1001, -1, 0) // more than once could be read again
 	})
 	w.Program.Reload(withTenants(t, w.Given, tenantList(1001, 1000, 5)), `"settings": true, "version": 2`)
@@ -157,10 +157,10 @@
 	if !asks(w, "tenant-001000") || asks(w, "tenant-001001") {
 		t.Error("half of a refused file is in force")
 	}
-	other := testkit.NewWorld(t, func(given map[string]any) {
+	other := testutil.NewWorld(t, func(given map[string]any) {
 		given["settings"].(map[string]any)["tenants"] = tenantList(settings.MaxTenants+1, -1, 0)
 	})
-	other.Program = testkit.Start(t, other.Given)
+	other.Program = testutil.Start(t, other.Given)
 	if code := other.Program.Exit(); code != 2 || !strings.Contains(other.Program.Log(), "settings.tenants: found more than 100000") {
 		t.Errorf("ended with %d: %s", code, other.Program.Log())
 	}
@@ -168,7 +168,7 @@
 
 // A tenant that was removed is refused, what it has in hand is answered, and it may come back.
 func TestRemovedTenantEndsItsWork(t *testing.T) {
-	w := testkit.Serve(t, nil)
+	w := testutil.Serve(t, nil)
 	here, err := json.Marshal(w.Given)
 	if err != nil {
 		t.Fatal(err)
--- a/cmd/thymechute/restarts_test.go
+++ b/cmd/thymechute/restarts_test.go
@@ -11,7 +11,7 @@
 	"testing"
 	"time"
 
-	"thymechute/internal/testkit"
+	"thymechute/internal/testutil"
 )
 
 const (
@@ -23,7 +23,7 @@
 
 // work is a runtime that goes on beside the program's lives: it runs what is started, but for runs that are held.
 type work struct {
-	w    *testkit.World
+	w    *testutil.World
 	held chan string
 	over chan struct{} // closed once the link of the life that runs now has broken
 }
@@ -45,7 +45,7 @@
 }
 
 // press keeps clients at it for as long as the test goes, whatever becomes of the program.
-func press(w *testkit.World, clients int) {
+func press(w *testutil.World, clients int) {
 	over := make(chan struct{})
 	w.T.Cleanup(func() { close(over) })
 	for client := range clients {
@@ -70,13 +70,13 @@
 	}
 	defer c.Close()
 	_ = c.SetDeadline(time.Now().Add(time.Second))
-	if _, err = fmt.Fprintln(c, testkit.AskLine(1, "trace", rid, body, "")); err == nil {
+	if _, err = fmt.Fprintln(c, testutil.AskLine(1, "trace", rid, body, "")); err == nil {
 		_, _ = bufio.NewReader(c).ReadString('\n')
 	}
 }
 
 // until asks again and again until an answer is the wanted one.
-func until(t *testing.T, s *testkit.Stub, ask func(id int), wanted func(testkit.Reply) bool) {
+func until(t *testing.T, s *testutil.Stub, ask func(id int), wanted func(testutil.Reply) bool) {
 	t.Helper()
 	for id := 1; ; id++ {
 		ask(id)
@@ -95,8 +95,8 @@
 // a runtime that goes on, has all its cores at work and runs in hand that the next life knows nothing of; with 60,000 tenants
 // in the file, and clients that ask all the while. Ready: a health check says serving, and a first request is served.
 func TestTenRestartsBesideARuntimeAtWorkAreReadyInTime(t *testing.T) {
-	testkit.Built(t)
-	w := testkit.NewWorld(t, func(given map[string]any) {
+	testutil.Built(t)
+	w := testutil.NewWorld(t, func(given map[string]any) {
 		tenants := []any{map[string]any{"name": "acme", "quota_per_s": 1000}}
 		for n := range manyTenants - 1 {
 			tenants = append(tenants, map[string]any{"name": fmt.Sprintf("tenant-%05d", n), "quota_per_s": 5})
@@ -113,29 +113,29 @@
 	}
 	runtime := &work{w: w, held: make(chan string, 100)}
 	w.Runtime.Busy()
-	w.Program = testkit.StartFrom(t, file)
+	w.Program = testutil.StartFrom(t, file)
 	w.Runtime.Sync(0, "new", 0)
 	runtime.goOn(0)
 	press(w, 4)
 	for life := range manyRestarts {
 		for n := range heldRuns {
 			w.Stub().Ask(1, "trace", fmt.Sprintf("held%dx%d", life, n), body, "")
-			testkit.Next(t, runtime.held, "a start of a run to be held")
+			testutil.Next(t, runtime.held, "a start of a run to be held")
 		}
 		w.Program.Kill()
-		testkit.Next(t, runtime.over, "the end of the link")
+		testutil.Next(t, runtime.over, "the end of the link")
 
 		began := time.Now()
-		w.Program = testkit.StartFrom(t, file)
-		w.Runtime.Sync(0, "old", 60000+1000*life, testkit.EndLine(1, fmt.Sprintf("held%dx0", life), "good", result))
+		w.Program = testutil.StartFrom(t, file)
+		w.Runtime.Sync(0, "old", 60000+1000*life, testutil.EndLine(1, fmt.Sprintf("held%dx0", life), "good", result))
 		runtime.goOn(1)
 		s := w.Stub()
 		until(t, s, func(id int) { s.Send(`{"jsonrpc":"2.0","id":%d,"method":"check"}`, id) },
-			func(r testkit.Reply) bool { return r.Result.Serving })
+			func(r testutil.Reply) bool { return r.Result.Serving })
 		serving := time.Since(began)
 		s = w.Stub()
 		until(t, s, func(id int) { s.Ask(id, "trace", fmt.Sprintf("first%dx%d", life, id), body, "") },
-			func(r testkit.Reply) bool { return r.Code() == 0 && r.Doc() == result })
+			func(r testutil.Reply) bool { return r.Code() == 0 && r.Doc() == result })
 		served := time.Since(began)
 		t.Logf("restart %d: serving after %v, a request served after %v", life, serving.Round(time.Millisecond), served.Round(time.Millisecond))
 		if served > readyWithin {
--- a/cmd/thymechute/switch_test.go
+++ b/cmd/thymechute/switch_test.go
@@ -6,18 +6,18 @@
 	"strings"
 	"testing"
 
-	"thymechute/internal/testkit"
+	"thymechute/internal/testutil"
 )
 
 // elsewhere are the settings of a deployment that is put together differently: another band, a longer window, the
 // other forms of what the module reads.
-func elsewhere(t *testing.T, w *testkit.World, change func(settings map[string]any)) []byte {
+func elsewhere(t *testing.T, w *testutil.World, change func(settings map[string]any)) []byte {
 	t.Helper()
 	given := map[string]any{}
 	for k, v := range w.Given {
 		given[k] = v
 	}
-	s := testkit.Settings()
+	s := testutil.Settings()
 	classes := s["classes"].([]any)
 	classes[0] = map[string]any{"name": "issue", "repeat": "by_key", "worth": 10, "aim_s": 20, "deadline_s": 30, "window_s": 60}
 	classes[1].(map[string]any)["window_s"] = 90
@@ -37,7 +37,7 @@
 // The switch under load with receipted work in hand: each start and each answer is counted by coming exactly once in
 // its place; a command or an answer too many would be taken for the next.
 func TestSwitchThereAndBackAndThereAgain(t *testing.T) {
-	w := testkit.Serve(t, nil)
+	w := testutil.Serve(t, nil)
 	here, err := json.Marshal(w.Given)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/catalog/catalog_test.go
+++ b/internal/catalog/catalog_test.go
@@ -7,13 +7,13 @@
 	"time"
 
 	"thymechute/internal/loop"
-	"thymechute/internal/testkit"
+	"thymechute/internal/testutil"
 )
 
 func TestSeveralReportsGoOutWhileAnEntryLasts(t *testing.T) {
 	var dialled []*socket
 	r := New("n3", func(p loop.Peer) { dialled = append(dialled, p.(*socket)) })
-	now, w := time.Now(), &testkit.Wire{}
+	now, w := time.Now(), &testutil.Wire{}
 	r.Sweep(now, true)
 	dialled[0].Opened(w)
 	for at := now; at.Before(now.Add(3 * time.Second)); at = at.Add(20 * time.Millisecond) {
@@ -24,7 +24,7 @@
 	}
 	r.Move()
 	r.Sweep(now.Add(4*time.Second), false)
-	again := &testkit.Wire{}
+	again := &testutil.Wire{}
 	dialled[1].Opened(again)
 	if r.Sweep(now.Add(4*time.Second), false); !w.Closed || again.Out != "alive n3 critical" {
 		t.Errorf("closed %v, wrote %q", w.Closed, again.Out)
@@ -41,7 +41,7 @@
 		if len(dialled) != n+1 {
 			t.Fatalf("dialled %d times after %d errors", len(dialled), n)
 		}
-		w := &testkit.Wire{}
+		w := &testutil.Wire{}
 		dialled[n].Opened(w)
 		if r.Sweep(now, true); w.Out != "alive n3 passing" {
 			t.Errorf("wrote %q after %d errors", w.Out, n)
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -8,7 +8,7 @@
 	"testing"
 	"time"
 
-	"thymechute/internal/testkit"
+	"thymechute/internal/testutil"
 	"thymechute/policy/settings"
 )
 
@@ -18,7 +18,7 @@
 	limits := map[string]any{"cores": 0.5, "memory_mb": 64, "sockets": 128, "unheard": 1}
 	file := map[string]any{"name": "n3", "listen": "127.0.0.1:80", "runtime": "127.0.0.1:81", "index": "127.0.0.1:82",
 		"directory": "127.0.0.1:83", "seed": "8c1f30d27a5be964", "stop_ms": 3200, "limits": limits,
-		"settings": testkit.Settings(), "unheard": []any{}}
+		"settings": testutil.Settings(), "unheard": []any{}}
 	change(file, limits)
 	text, _ := json.Marshal(file)
 	path := filepath.Join(t.TempDir(), "c.json")
--- a/internal/fleet/consensus/contact_test.go
+++ b/internal/fleet/consensus/contact_test.go
@@ -7,7 +7,7 @@
 	"github.com/hashicorp/raft"
 
 	"thymechute/internal/decide/quorum"
-	"thymechute/internal/testkit"
+	"thymechute/internal/testutil"
 )
 
 func TestWhomTheHeartbeatsMiss(t *testing.T) {
@@ -47,10 +47,10 @@
 		}
 		return l
 	}
-	at := testkit.FreePort(t, "127.0.60.4")
-	a, b := start("a#1", testkit.FreePort(t, "127.0.60.3"), true), start("b#1", at, false)
+	at := testutil.FreePort(t, "127.0.60.4")
+	a, b := start("a#1", testutil.FreePort(t, "127.0.60.3"), true), start("b#1", at, false)
 	defer func() { _ = a.Stop() }()
-	testkit.Eventually(t, "a leader", func() bool { return a.raft.State() == raft.Leader })
+	testutil.Eventually(t, "a leader", func() bool { return a.raft.State() == raft.Leader })
 	if err := a.Follow("b#1", at); err != nil {
 		t.Fatal(err)
 	}
@@ -69,7 +69,7 @@
 	if err := b.Stop(); err != nil {
 		t.Fatal(err)
 	}
-	testkit.Eventually(t, "the heartbeats miss it", func() bool { return a.contact.misses("b#1", time.Now()) })
+	testutil.Eventually(t, "the heartbeats miss it", func() bool { return a.contact.misses("b#1", time.Now()) })
 	if c := care(later); c.Kind == quorum.Vote {
 		t.Errorf("%+v, though the heartbeats miss it", c)
 	}
--- a/internal/fleet/consensus/life_test.go
+++ b/internal/fleet/consensus/life_test.go
@@ -7,7 +7,7 @@
 	"github.com/hashicorp/raft"
 
 	"thymechute/internal/decide/lease"
-	"thymechute/internal/testkit"
+	"thymechute/internal/testutil"
 )
 
 // still is a Reader that says nothing.
@@ -26,10 +26,10 @@
 		}
 		return l
 	}
-	at := testkit.FreePort(t, "127.0.60.2")
-	a, b := start("a#1", testkit.FreePort(t, "127.0.60.1"), true), start("b#1", at, false)
+	at := testutil.FreePort(t, "127.0.60.2")
+	a, b := start("a#1", testutil.FreePort(t, "127.0.60.1"), true), start("b#1", at, false)
 	defer func() { _ = a.Stop() }()
-	testkit.Eventually(t, "a leader", func() bool { return a.raft.State() == raft.Leader })
+	testutil.Eventually(t, "a leader", func() bool { return a.raft.State() == raft.Leader })
 	if err := a.Vote("b#1", at); err != nil {
 		t.Fatal(err)
 	}
@@ -41,7 +41,7 @@
 	}
 	cold := start("b#2", at, false)
 	defer func() { _ = cold.Stop() }()
-	testkit.Eventually(t, "the leader steps down", func() bool { return a.raft.State() != raft.Leader })
+	testutil.Eventually(t, "the leader steps down", func() bool { return a.raft.State() != raft.Leader })
 	if err := a.raft.Barrier(time.Second).Error(); err == nil {
 		t.Error("an entry is agreed though half of the voters have lost their log")
 	}
--- a/internal/fleet/consensus/log_test.go
+++ b/internal/fleet/consensus/log_test.go
@@ -16,7 +16,7 @@
 	"thymechute/internal/decide/lease"
 	"thymechute/internal/decide/quorum"
 	"thymechute/internal/fleet/membership"
-	"thymechute/internal/testkit"
+	"thymechute/internal/testutil"
 )
 
 var (
@@ -174,13 +174,13 @@
 }
 
 type pack struct {
-	*testkit.Pack[line]
+	*testutil.Pack[line]
 	t *testing.T
 }
 
 // five starts the processes, each behind its proxies, and waits until all vote.
 func five(t *testing.T) *pack {
-	p := &pack{testkit.NewPack(t, 6, 2, func(l *line, name string) { l.name = name }), t}
+	p := &pack{testutil.NewPack(t, 6, 2, func(l *line, name string) { l.name = name }), t}
 	t.Cleanup(func() { // who voted is what a failure is mostly about
 		for _, l := range p.Lines() {
 			if t.Failed() && (l.What == "change" || l.What == "voters" || l.What == "leads" || l.What == "held") {
--- a/internal/fleet/membership/change_test.go
+++ b/internal/fleet/membership/change_test.go
@@ -6,7 +6,7 @@
 	"testing"
 	"time"
 
-	"thymechute/internal/testkit"
+	"thymechute/internal/testutil"
 )
 
 // heard counts the changes of records that a member hears of.
@@ -87,7 +87,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { _ = other.Stop() })
-	testkit.Eventually(t, "both see each other", func() bool { return len(m.View()) == 2 && len(other.View()) == 2 })
+	testutil.Eventually(t, "both see each other", func() bool { return len(m.View()) == 2 && len(other.View()) == 2 })
 	const changes = 10
 	began := time.Now()
 	for n := range changes {
@@ -98,7 +98,7 @@
 	if took := time.Since(began); took > changes*200*time.Millisecond {
 		t.Errorf("%d changes took %v, a round of gossip each at least", changes, took)
 	}
-	testkit.Eventually(t, "the last is heard", func() bool { return other.View()["a"].Rank == changes-1 })
+	testutil.Eventually(t, "the last is heard", func() bool { return other.View()["a"].Rank == changes-1 })
 }
 
 func TestAFaultyRecordChangesNothing(t *testing.T) {
--- a/internal/fleet/membership/member_test.go
+++ b/internal/fleet/membership/member_test.go
@@ -17,7 +17,7 @@
 
 	"github.com/hashicorp/memberlist"
 
-	"thymechute/internal/testkit"
+	"thymechute/internal/testutil"
 )
 
 // The test binary is also the member process: with MEMBER_CHILD set it runs one member on loopback and prints its
@@ -147,7 +147,7 @@
 // freeAddress is a port free for TCP and UDP on the n-th member's own loopback IP, 127.0.5.n: its sockets and its
 // dials (from its bind address) never take a port of 127.0.0.1 that another test picked and is about to bind.
 func freeAddress(t *testing.T, n int) string {
-	return testkit.FreePort(t, fmt.Sprintf("127.0.5.%d", n))
+	return testutil.FreePort(t, fmt.Sprintf("127.0.5.%d", n))
 }
 
 func (f *fleet) start(name, bind string, lie bool, seeds ...string) {
--- a/internal/fleet/rolling/rolls_test.go
+++ b/internal/fleet/rolling/rolls_test.go
@@ -20,7 +20,7 @@
 	"thymechute/internal/decide/rollout"
 	"thymechute/internal/fleet/consensus"
 	"thymechute/internal/fleet/membership"
-	"thymechute/internal/testkit"
+	"thymechute/internal/testutil"
 )
 
 var (
@@ -186,7 +186,7 @@
 	if err := os.WriteFile(want, nil, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	p := testkit.NewPack(t, 12, 2, func(l *line, name string) { l.name = name })
+	p := testutil.NewPack(t, 12, 2, func(l *line, name string) { l.name = name })
 	over := make(chan struct{})
 	var installed atomic.Value
 	installed.Store("old")
@@ -246,7 +246,7 @@
 }
 
 // check: who was told to drain was told once; and how many stood ready in each zone at the least.
-func check(t *testing.T, p *testkit.Pack[line]) {
+func check(t *testing.T, p *testutil.Pack[line]) {
 	lines := p.Lines()
 	slices.SortStableFunc(lines, func(x, y line) int { return int(x.At - y.At) })
 	told, up, least, rolling := map[string]int{}, map[string]map[string]bool{"0": {}, "1": {}}, 4, false
--- a/internal/fleet/slots/cold_test.go
+++ b/internal/fleet/slots/cold_test.go
@@ -14,7 +14,7 @@
 	"time"
 
 	"thymechute/internal/decide/ring"
-	"thymechute/internal/testkit"
+	"thymechute/internal/testutil"
 )
 
 // What a cold backend bears here: a tenth of 200 calls a second at first.
@@ -142,14 +142,14 @@
 }
 
 // fleet starts members of which the last so many stay out, and waits until the others go by a table of four backends.
-func fleet(t *testing.T, octet, members, late int, more ...string) (p *testkit.Pack[line], env []string, want string, four []ring.Backend) {
+func fleet(t *testing.T, octet, members, late int, more ...string) (p *testutil.Pack[line], env []string, want string, four []ring.Backend) {
 	want = filepath.Join(t.TempDir(), "want.json")
 	env = append([]string{"PACK_WANT=" + want}, more...)
 	for n := range 4 {
 		four = append(four, ring.Backend{Name: fmt.Sprint("b", n), Zone: new(backend).serve(t), Weight: 1})
 	}
 	ask(t, want, four)
-	p = testkit.NewPack(t, octet, 2, func(l *line, name string) { l.name = name })
+	p = testutil.NewPack(t, octet, 2, func(l *line, name string) { l.name = name })
 	p.Start("m0", append(env, "PACK_FOUND=1")...)
 	p.Until("first owner", 0, func(l line) bool { return l.What == "held" })
 	for n := 1; n < members-late; n++ {
@@ -171,14 +171,14 @@
 	cold := &backend{}
 	asked := time.Now()
 	ask(t, want, append(four[:4:4], ring.Backend{Name: coldName, Zone: cold.serve(t), Weight: 1, Cold: true}))
-	testkit.Eventually(t, "calls from the one that will be deaf", func() bool { return calledBy(cold.all(), "m22", time.Time{}) })
+	testutil.Eventually(t, "calls from the one that will be deaf", func() bool { return calledBy(cold.all(), "m22", time.Time{}) })
 	if err := os.WriteFile(deafFile, nil, 0o600); err != nil {
 		t.Fatal(err)
 	}
 	deaf := time.Now()
 	p.Start("m23", env...)
 	p.Until("table at the late one", 0, func(l line) bool { return l.What == "table" && l.name == "m23" })
-	testkit.Eventually(t, "calls from the late one, and the end of the ramp", func() bool {
+	testutil.Eventually(t, "calls from the late one, and the end of the ramp", func() bool {
 		got := cold.all()
 		return calledBy(got, "m23", time.Time{}) && !got[len(got)-1].cold
 	})
@@ -214,7 +214,7 @@
 	cold := &backend{}
 	asked := time.Now()
 	ask(t, want, append(four[:4:4], ring.Backend{Name: coldName, Zone: cold.serve(t), Weight: 1, Cold: true}))
-	testkit.Eventually(t, "the end of the ramp", func() bool { return time.Since(asked) > ends() })
+	testutil.Eventually(t, "the end of the ramp", func() bool { return time.Since(asked) > ends() })
 	if judged, over := judge(cold.all(), asked); over <= 0 {
 		t.Errorf("%d calls judged, no window over the budget (%d under): the check sees nothing", judged, -over)
 	} else {
--- a/internal/fleet/slots/slots_test.go
+++ b/internal/fleet/slots/slots_test.go
@@ -22,7 +22,7 @@
 	"thymechute/internal/decide/ring"
 	"thymechute/internal/fleet/consensus"
 	"thymechute/internal/fleet/membership"
-	"thymechute/internal/testkit"
+	"thymechute/internal/testutil"
 )
 
 const keys = 48
@@ -299,7 +299,7 @@
 	}
 	wants := func(backends ...ring.Backend) { ask(t, want, backends) }
 	wants(all[:4]...)
-	p := testkit.NewPack(t, octet, 2, func(l *line, name string) { l.name = name })
+	p := testutil.NewPack(t, octet, 2, func(l *line, name string) { l.name = name })
 	for n := range 5 {
 		env := append([]string{"PACK_WANT=" + want}, more...)
 		if n == 0 {
--- a/internal/loop/ends_test.go
+++ b/internal/loop/ends_test.go
@@ -14,7 +14,7 @@
 	"go.uber.org/zap"
 	"golang.org/x/sys/unix"
 
-	"thymechute/internal/testkit"
+	"thymechute/internal/testutil"
 )
 
 // tb is a test, or a case of a state machine.
@@ -109,7 +109,7 @@
 	go func() {
 		s.ended <- Run("127.0.0.1:0", s, memory, 20, zap.NewNop(), func(l *Loop) { up <- l })
 	}()
-	s.l = testkit.Next(t, up, "the loop")
+	s.l = testutil.Next(t, up, "the loop")
 	s.address = s.l.listener.Addr().String()
 	return s
 }
@@ -118,7 +118,7 @@
 	s.t.Helper()
 	s.phase.Store(int32(Ended))
 	s.l.Do(nil)
-	if err := testkit.Next(s.t, s.ended, "the end"); err != nil {
+	if err := testutil.Next(s.t, s.ended, "the end"); err != nil {
 		s.t.Error(err)
 	}
 }
@@ -131,7 +131,7 @@
 		f()
 		close(done)
 	})
-	testkit.Next(s.t, done, "a task")
+	testutil.Next(s.t, done, "a task")
 }
 
 // dial connects with a receive buffer of so many bytes, 0 for the usual one.
@@ -156,7 +156,7 @@
 func (s *site) owing(buffer int, text string) (net.Conn, *echo) {
 	s.t.Helper()
 	c := s.dial(buffer)
-	e := testkit.Next(s.t, s.opened, "a connection")
+	e := testutil.Next(s.t, s.opened, "a connection")
 	send(s.t, c, text)
 	s.await(func() bool { return len(e.owed) == len(text) })
 	return c, e
@@ -195,7 +195,7 @@
 	send(t, c, "ghi") // after the end
 	s.await(func() bool { return e.wire.(*conn).dropped == 6 })
 	c.Close()
-	testkit.Next(t, s.closed, "the end")
+	testutil.Next(t, s.closed, "the end")
 	if string(e.read) != "abc!" {
 		t.Errorf("its peer read %q", e.read)
 	}
@@ -218,7 +218,7 @@
 	s := start(t, false)
 	s.smallBuffers()
 	c := s.dial(4 << 10)
-	e := testkit.Next(t, s.opened, "a connection")
+	e := testutil.Next(t, s.opened, "a connection")
 	answer := bytes.Repeat([]byte("0123456789abcdef"), 12<<10) // 192 KiB
 	left := 0
 	s.on(func() {
@@ -241,7 +241,7 @@
 	var first *conn
 	for n := range 25 {
 		s.dial(0)
-		e := testkit.Next(t, s.opened, "a connection")
+		e := testutil.Next(t, s.opened, "a connection")
 		s.on(func() {
 			e.wire.Close()
 			if n == 0 {
@@ -251,16 +251,16 @@
 	}
 	s.await(func() bool { return len(s.l.ending) == 20 && first.state == closed })
 	for range 5 {
-		testkit.Next(t, s.closed, "the end of one beyond the room")
+		testutil.Next(t, s.closed, "the end of one beyond the room")
 	}
 	flood := s.dial(0)
-	e := testkit.Next(t, s.opened, "a connection")
+	e := testutil.Next(t, s.opened, "a connection")
 	s.on(e.wire.Close)
 	for err := error(nil); err == nil; { // until it closes over what comes
 		_, err = flood.Write(make([]byte, 64<<10))
 	}
 	for range 21 { // by their time
-		testkit.Next(t, s.closed, "the end of one that does not read")
+		testutil.Next(t, s.closed, "the end of one that does not read")
 	}
 	s.await(func() bool { return len(s.l.ending) == 0 && len(s.l.callers) == 0 })
 }
@@ -275,7 +275,7 @@
 		close(held)
 		<-hold
 	})
-	testkit.Next(t, held, "the loop's standstill")
+	testutil.Next(t, held, "the loop's standstill")
 	var conns []net.Conn
 	for n := range 16 {
 		c := s.dial(0)
@@ -290,7 +290,7 @@
 		}
 		c.Close()
 	}
-	if err := testkit.Next(t, s.ended, "the end"); err != nil {
+	if err := testutil.Next(t, s.ended, "the end"); err != nil {
 		t.Error(err)
 	}
 	s.ended <- nil // for the clean-up
@@ -316,7 +316,7 @@
 		t.Errorf("got %q", got)
 	}
 	c.Close()
-	s.ended <- testkit.Next(t, s.ended, "the end")
+	s.ended <- testutil.Next(t, s.ended, "the end")
 }
 
 func TestNoRoomIsNoReset(t *testing.T) {
@@ -326,7 +326,7 @@
 		close(held)
 		<-hold
 	})
-	testkit.Next(t, held, "the loop's standstill")
+	testutil.Next(t, held, "the loop's standstill")
 	s.full.Store(true)
 	c := s.dial(0)
 	send(t, c, "abc") // unread at the end
--- a/internal/loop/life_test.go
+++ b/internal/loop/life_test.go
@@ -14,7 +14,7 @@
 	"golang.org/x/sys/unix"
 	"pgregory.net/rapid"
 
-	"thymechute/internal/testkit"
+	"thymechute/internal/testutil"
 )
 
 // life is one connection in the hands of a state machine: what it was sent, what it owes, how far it may have come.
@@ -59,7 +59,7 @@
 		site.width = rapid.SampledFrom([]int{1, 1, 30 << 10}).Draw(t, "width")
 		l := &life{site: site, c: site.dial(rapid.SampledFrom([]int{0, 4 << 10}).Draw(t, "buffer"))}
 		defer l.c.Close()
-		l.e = testkit.Next(site.t, site.opened, "a connection")
+		l.e = testutil.Next(site.t, site.opened, "a connection")
 		w := l.e.wire.(*conn)
 		l.on(func() { site.l.linger = patience }) // the other side is as slow as the test
 		t.Repeat(map[string]func(*rapid.T){
@@ -114,7 +114,7 @@
 			t.Fatalf("got %d bytes of %d, %v", len(l.got), len(l.owed), err)
 		}
 		l.c.Close()
-		if testkit.Next(site.t, site.closed, "its end") != l.e {
+		if testutil.Next(site.t, site.closed, "its end") != l.e {
 			t.Fatal("another connection closed")
 		}
 	})
@@ -161,7 +161,7 @@
 	var all []*echo
 	for range 6 {
 		s.dial(4 << 10)
-		e := testkit.Next(t, s.opened, "a connection")
+		e := testutil.Next(t, s.opened, "a connection")
 		s.on(func() { e.wire.Write(make([]byte, mostUnsent-1)) })
 		all = append(all, e)
 	}
@@ -199,7 +199,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			e := testkit.Next(t, s.opened, "a connection")
+			e := testutil.Next(t, s.opened, "a connection")
 			send(t, c, "abc")
 			s.await(func() bool { return len(e.read) == 3 })
 			switch n % 3 {
@@ -209,7 +209,7 @@
 				_ = c.(*net.TCPConn).SetLinger(0) // a reset
 			}
 			c.Close()
-			testkit.Next(t, s.closed, "its end")
+			testutil.Next(t, s.closed, "its end")
 		}
 		s.stop()
 	}
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -9,7 +9,7 @@
 	"go.uber.org/zap"
 
 	"thymechute/internal/loop"
-	"thymechute/internal/testkit"
+	"thymechute/internal/testutil"
 	"thymechute/policy"
 	"thymechute/policy/settings"
 )
@@ -61,7 +61,7 @@
 // up is an instance whose runtime is up; classes safe, keyed and unsafe.
 func up(change func(*settings.Settings)) (*Instance, *sides) {
 	s := &sides{}
-	n := New(testkit.TypedSettings(change), 7, 3*time.Second, 192<<20, zap.NewNop())
+	n := New(testutil.TypedSettings(change), 7, 3*time.Second, 192<<20, zap.NewNop())
 	n.Connect(s, s, reports{}, front{s}, front{s})
 	n.Ready(false, 0, time.Now())
 	n.Round()
@@ -204,8 +204,8 @@
 		n.ask(s, "a", "keyed", "k", 0)
 		n.End("a", policy.OK, time.Millisecond, []byte("r"))
 		n.Round()
-		here, end := testkit.TypedSettings(nil), time.Duration(0)
-		there := testkit.TypedSettings(func(s *settings.Settings) {
+		here, end := testutil.TypedSettings(nil), time.Duration(0)
+		there := testutil.TypedSettings(func(s *settings.Settings) {
 			s.Classes[1].KeyWindow, s.Server.Fleet = settings.Of(later), settings.Of(2)
 		})
 		n.free = 0.5
@@ -440,7 +440,7 @@
 // What comes within a moment of the notice is still listened for, also where there is no grace and no runtime yet.
 func TestWhatCrossesTheNoticeIsListenedFor(t *testing.T) {
 	s := &sides{}
-	n := New(testkit.TypedSettings(nil), 7, 3*time.Second, 192<<20, zap.NewNop())
+	n := New(testutil.TypedSettings(nil), 7, 3*time.Second, 192<<20, zap.NewNop())
 	n.Connect(s, s, reports{}, front{s})
 	n.start = n.start.Add(-time.Minute)
 	n.Round()
--- a/internal/node/settings_test.go
+++ b/internal/node/settings_test.go
@@ -11,14 +11,14 @@
 	"go.uber.org/zap"
 	"pgregory.net/rapid"
 
-	"thymechute/internal/testkit"
+	"thymechute/internal/testutil"
 	"thymechute/policy"
 	"thymechute/policy/settings"
 )
 
 // with is a small site of these classes, by name and kind in turn, each with its place, from 1, as its value.
 func with(classes ...string) settings.Settings {
-	return testkit.TypedSettings(func(s *settings.Settings) {
+	return testutil.TypedSettings(func(s *settings.Settings) {
 		s.Classes = nil
 		for n := 0; n < len(classes); n += 2 {
 			s.Classes = append(s.Classes, settings.Class{Name: classes[n], Kind: settings.Kind(classes[n+1]), Value: settings.Of(float64(n/2 + 1)),
@@ -152,7 +152,7 @@
 
 // An index that goes to another tenant brings nothing along: the first one's empty bucket does not hold up the second.
 func TestAFreedIndexLeavesNoBucket(t *testing.T) {
-	here := testkit.TypedSettings(func(s *settings.Settings) {
+	here := testutil.TypedSettings(func(s *settings.Settings) {
 		s.Tenants = []settings.Tenant{{Name: "a", Quota: settings.Of(0.001)}, {Name: "other"}}
 		s.Server.OverQuotaValue = settings.Of(0.001)
 	})
@@ -204,7 +204,7 @@
 type request struct{ class, tenant, key string }
 
 func (m *machine) draw(t *rapid.T) settings.Settings {
-	return testkit.TypedSettings(func(s *settings.Settings) {
+	return testutil.TypedSettings(func(s *settings.Settings) {
 		s.Server.Fleet = settings.Of(float64(rapid.IntRange(1, 2).Draw(t, "fleet")))
 		s.Server.MemoryKB = settings.Of(1e6)
 		s.Classes = []settings.Class{{Name: "trace", Kind: settings.Safe, Deadline: settings.Of(1e4), CallerTimeout: settings.Of(1e4)}}
@@ -350,7 +350,7 @@
 }
 
 func TestLookingUpANameAllocatesNothing(t *testing.T) {
-	n, _ := serving(testkit.TypedSettings(func(s *settings.Settings) { s.Tenants = tenantsOf(60_000) }))
+	n, _ := serving(testutil.TypedSettings(func(s *settings.Settings) { s.Tenants = tenantsOf(60_000) }))
 	name := fmt.Sprint("tenant-", 59_999)
 	if got := testing.AllocsPerRun(100, func() {
 		if _, ok := n.tenants.find(name); !ok {
@@ -376,7 +376,7 @@
 func BenchmarkApply(b *testing.B) {
 	for _, size := range []int{1000, 60_000} {
 		b.Run(fmt.Sprint(size), func(b *testing.B) {
-			n, _ := serving(testkit.TypedSettings(func(s *settings.Settings) { s.Tenants = tenantsOf(size) }))
+			n, _ := serving(testutil.TypedSettings(func(s *settings.Settings) { s.Tenants = tenantsOf(size) }))
 			for at := 0; b.Loop(); at++ {
 				d := settings.Delta{From: n.Version(), To: n.Version() + 1, Tenants: settings.Changes[settings.Tenant]{
 					Set: []settings.Tenant{{Name: "tenant-7", Quota: settings.Of(float64(at))}, {Name: []string{"x", "y"}[at%2]}}, Removed: []string{[]string{"y", "x"}[at%2]}}}
@@ -392,7 +392,7 @@
 func BenchmarkLookUp(b *testing.B) {
 	for _, size := range []int{1000, 60_000} {
 		b.Run(fmt.Sprint(size), func(b *testing.B) {
-			n, _ := serving(testkit.TypedSettings(func(s *settings.Settings) { s.Tenants = tenantsOf(size) }))
+			n, _ := serving(testutil.TypedSettings(func(s *settings.Settings) { s.Tenants = tenantsOf(size) }))
 			names := make([]string, 1024)
 			for at := range names {
 				names[at] = fmt.Sprint("tenant-", at*size/len(names))
@@ -415,12 +415,12 @@
 			s.Classes[k].DegradedValue = settings.Of(0.6)
 		}
 	}
-	without := testkit.TypedSettings(nil)
+	without := testutil.TypedSettings(nil)
 	for name, start := range map[string]func() (*Instance, *sides){
 		"from the start": func() (*Instance, *sides) { return up(pays) },
 		"by a later change": func() (*Instance, *sides) {
 			n, s := up(nil)
-			n.apply(t, without, testkit.TypedSettings(pays))
+			n.apply(t, without, testutil.TypedSettings(pays))
 			return n, s
 		},
 	} {
--- a/internal/rpc/rpc_test.go
+++ b/internal/rpc/rpc_test.go
@@ -12,7 +12,7 @@
 
 	"thymechute/internal/loop"
 	"thymechute/internal/node"
-	"thymechute/internal/testkit"
+	"thymechute/internal/testutil"
 )
 
 var (
@@ -64,7 +64,7 @@
 func TestOnlyConnectionsWithNothingOpenAreClosedAsIdle(t *testing.T) {
 	d := &admission{}
 	f := NewFront(d, 2, 1, zap.NewNop())
-	busy, idle := &testkit.Wire{}, &testkit.Wire{}
+	busy, idle := &testutil.Wire{}, &testutil.Wire{}
 	one, two := f.Accept(), f.Accept()
 	one.Opened(busy)
 	two.Opened(idle)
@@ -104,8 +104,8 @@
 func TestAtTheLimitTheLeastNeededIsToldFirst(t *testing.T) {
 	d := &admission{}
 	f := NewFront(d, 2, 1, zap.NewNop())
-	open := func() (loop.Caller, *testkit.Wire) {
-		p, w := f.Accept(), &testkit.Wire{}
+	open := func() (loop.Caller, *testutil.Wire) {
+		p, w := f.Accept(), &testutil.Wire{}
 		if p != nil {
 			p.Opened(w)
 		}
@@ -146,7 +146,7 @@
 	f := NewFront(&admission{}, 9, 1, zap.NewNop())
 	now := time.Now()
 	for what, part := range map[string]string{"silent": "", "half a request": text[:50], "whole and half": text + "\n" + text[:50], "whole": text + "\n"} {
-		p, w := f.Accept(), &testkit.Wire{}
+		p, w := f.Accept(), &testutil.Wire{}
 		p.Opened(w)
 		if err := p.Read([]byte(part)); err != nil {
 			t.Fatal(err)
@@ -171,7 +171,7 @@
 }
 
 func TestMoreOpenThanAllowedAreNotTaken(t *testing.T) {
-	d, w := &admission{}, &testkit.Wire{}
+	d, w := &admission{}, &testutil.Wire{}
 	p := NewFront(d, 2, 1, zap.NewNop()).Accept()
 	p.Opened(w)
 	for n := range mostOpen + 1 {
--- a/internal/runtime/runtime_test.go
+++ b/internal/runtime/runtime_test.go
@@ -9,7 +9,7 @@
 	"go.uber.org/zap"
 
 	"thymechute/internal/loop"
-	"thymechute/internal/testkit"
+	"thymechute/internal/testutil"
 	"thymechute/policy"
 )
 
@@ -41,7 +41,7 @@
 
 func TestNoticesAreToldOnceAndInOrder(t *testing.T) {
 	l, s, _ := link()
-	w := &testkit.Wire{}
+	w := &testutil.Wire{}
 	open(l, w)
 	const notices = `{"verb":"ready","outcome":"new","spent":1.5}
 {"verb":"wants","index":1,"task":"a","bytes":"eA=="}
@@ -62,7 +62,7 @@
 	if got := strings.Join(s.got, "; "); got != "ready false 1.5ms; wants a x; end a 1 z; caught up; readings [1 2]" {
 		t.Error(got)
 	}
-	again := &testkit.Wire{}
+	again := &testutil.Wire{}
 	l.now.Closed(&loop.Broken{Connected: true})
 	open(l, again)
 	if l.Up() || !strings.Contains(again.Out, `"index":2`) {
@@ -84,7 +84,7 @@
 
 func TestNewLinkTakesThePlaceOfTheOldWhenItIsOpen(t *testing.T) {
 	l, s, _ := link()
-	old, w := &testkit.Wire{}, &testkit.Wire{}
+	old, w := &testutil.Wire{}, &testutil.Wire{}
 	open(l, old)
 	first := l.now
 	l.Open()
@@ -104,7 +104,7 @@
 
 func TestRefusedStartIsMoot(t *testing.T) {
 	l, s, _ := link()
-	open(l, &testkit.Wire{})
+	open(l, &testutil.Wire{})
 	_ = l.now.Read([]byte(`{"verb":"nack","outcome":"start","task":"a"}` + "\n" + `{"verb":"nack","outcome":"give","task":"b"}` + "\n"))
 	if len(s.got) != 1 || s.got[0] != fmt.Sprintf("end a %d ", policy.Moot) {
 		t.Errorf("%q", s.got)
--- a/internal/settingsjson/read_test.go
+++ b/internal/settingsjson/read_test.go
@@ -7,7 +7,7 @@
 	"strings"
 	"testing"
 
-	"thymechute/internal/testkit"
+	"thymechute/internal/testutil"
 	"thymechute/policy/settings"
 )
 
@@ -40,7 +40,7 @@
 }
 
 func TestAllIsRead(t *testing.T) {
-	s, fault, err := parse(t, testkit.Settings())
+	s, fault, err := parse(t, testutil.Settings())
 	if fault != nil || err != nil {
 		t.Fatal(fault, err)
 	}
--- a/internal/testkit/book.go
+++ b/internal/testutil/book.go
@@ -1,6 +1,6 @@
 // This file owns the decision module's host written down, and settings typed and in the deployment's words.
 
-package testkit
+package testutil
 
 import (
 	"fmt"
--- a/internal/testkit/pack.go
+++ b/internal/testutil/pack.go
@@ -1,7 +1,7 @@
 // This file owns packs: several processes of a test's own binary behind a fault network, that tell what they do in
 // lines of JSON. It must never leave a process behind, nor wait without a bound.
 
-package testkit
+package testutil
 
 import (
 	"bufio"
--- a/internal/testkit/party.go
+++ b/internal/testutil/party.go
@@ -1,6 +1,6 @@
 // This file owns the stand-in that the program dials: the runtime or the index.
 
-package testkit
+package testutil
 
 import (
 	"bufio"
--- a/internal/testkit/probe.go
+++ b/internal/testutil/probe.go
@@ -1,7 +1,7 @@
 // This file owns the probe: health checks sent at times that were set beforehand, whether or not the earlier ones were
 // answered, and how long each waited from its time on. It must never wait for an answer before it sends the next.
 
-package testkit
+package testutil
 
 import (
 	"bufio"
--- a/internal/testkit/program.go
+++ b/internal/testutil/program.go
@@ -1,6 +1,6 @@
 // This file owns the program as a process.
 
-package testkit
+package testutil
 
 import (
 	"bytes"
--- a/internal/testkit/stub.go
+++ b/internal/testutil/stub.go
@@ -1,6 +1,6 @@
 // This file owns a client stub's connection, from its own side.
 
-package testkit
+package testutil
 
 import (
 	"bufio"
--- a/internal/testkit/testkit.go
+++ b/internal/testutil/testkit.go
@@ -1,7 +1,7 @@
 // Package testkit is what all tests share: a host that writes down what the module does, the program as a process, and
 // stand-ins for the parties it talks to, written from the protocol's page. They wait on events, never on time
 // alone; the patience below only ends a test that is stuck. Nothing but tests imports it.
-package testkit
+package testutil
 
 import (
 	"fmt"
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -6,13 +6,13 @@
 	"testing"
 	"time"
 
-	"thymechute/internal/testkit"
+	"thymechute/internal/testutil"
 	"thymechute/policy/settings"
 )
 
-func fresh(change func(*settings.Settings)) (*Instance, *testkit.Book) {
-	b := &testkit.Book{}
-	return New(b, 7, testkit.TypedSettings(change)), b
+func fresh(change func(*settings.Settings)) (*Instance, *testutil.Book) {
+	b := &testutil.Book{}
+	return New(b, 7, testutil.TypedSettings(change)), b
 }
 
 func of(class int) Request { return Request{Class: class, KB: 10, Forerunner: NoForerunner} }
@@ -265,7 +265,7 @@
 	i, _ := fresh(func(s *settings.Settings) { s.Server.Calls = settings.Of(0.5); s.Server.CallsWindow = settings.Of(5) })
 	busy(i, 0, 0)
 	i.AtCall(0, 0)
-	host := &patient{Book: &testkit.Book{}}
+	host := &patient{Book: &testutil.Book{}}
 	i.host = host
 	i.Settle(0)
 	if host.patience != 800*ms { // 0.4 of half a call over five seconds, less 0.2 s in which it lingers
@@ -291,7 +291,7 @@
 
 // patient keeps the patience of the last call.
 type patient struct {
-	*testkit.Book
+	*testutil.Book
 	now, at, patience time.Duration
 }
 
@@ -371,7 +371,7 @@
 }
 
 func TestAbsurdSettingsDoNoHarm(t *testing.T) {
-	b := &testkit.Book{}
+	b := &testutil.Book{}
 	i := New(b, 0, settings.Settings{Server: settings.Server{Cores: settings.Of(-1), MemoryKB: settings.Of(math.NaN()), Fleet: settings.Of(0)}})
 	i.Arrived(0, 0, of(0))
 	i.Arrived(0, 1, of(5000))
@@ -520,7 +520,7 @@
 	judged(i, 1, 0)
 	judged(i, 1, 0)
 	learnt := i.classes[1]
-	later := testkit.TypedSettings(func(s *settings.Settings) {
+	later := testutil.TypedSettings(func(s *settings.Settings) {
 		s.Server.RunMemory, s.Server.KeyEntryKB = settings.Of(8), settings.Of(30)
 		s.Server.Advertise, s.Server.Calls = settings.AdvertiseShare, settings.Of(0.5)
 		s.Classes[1].Value = settings.Of(7)
@@ -710,7 +710,7 @@
 }
 
 func TestNoBandsTold(t *testing.T) {
-	b := &testkit.Book{}
+	b := &testutil.Book{}
 	i := New(b, 0, settings.Settings{})
 	i.Tick(sweepGap, Gauges{Busy: -1})
 	i.Arrived(sweepGap, 0, of(0))
