--- a/cmd/thymechute/agreed_test.go
+++ b/cmd/thymechute/agreed_test.go
@@ -10,7 +10,7 @@
 	"testing"
 	"time"
 
-	"thymechute/internal/stand/faultnet"
+	"thymechute/internal/fake/faultnet"
 	"thymechute/internal/testutil"
 )
 
--- a/cmd/thymechute/amqp_test.go
+++ b/cmd/thymechute/amqp_test.go
@@ -18,7 +18,7 @@
 	"testing"
 	"time"
 
-	"thymechute/internal/stand/broker"
+	"thymechute/internal/fake/broker"
 	"thymechute/internal/testutil"
 )
 
--- a/cmd/thymelab/stands.go
+++ b/cmd/thymelab/stands.go
@@ -11,9 +11,9 @@
 
 	"github.com/spf13/cobra"
 
+	"thymechute/internal/fake/broker"
+	"thymechute/internal/fake/runtime"
 	"thymechute/internal/lab/rig"
-	"thymechute/internal/stand/broker"
-	"thymechute/internal/stand/runtime"
 )
 
 // standBroker is the stand-in message broker.
--- a/internal/front/amqp/guard_test.go
+++ b/internal/front/amqp/guard_test.go
@@ -9,7 +9,7 @@
 	"testing"
 	"time"
 
-	"thymechute/internal/stand/broker"
+	"thymechute/internal/fake/broker"
 )
 
 // wire is a connection that brings what it was given.
--- a/internal/lab/amqp.go
+++ b/internal/lab/amqp.go
@@ -7,9 +7,9 @@
 	"fmt"
 	"time"
 
+	"thymechute/internal/fake/broker"
 	"thymechute/internal/invariant"
 	"thymechute/internal/lab/rig"
-	"thymechute/internal/stand/broker"
 )
 
 const (
--- a/internal/lab/amqpbroker.go
+++ b/internal/lab/amqpbroker.go
@@ -10,10 +10,10 @@
 	"sync"
 	"time"
 
+	"thymechute/internal/fake/broker"
+	"thymechute/internal/fake/runtime"
 	"thymechute/internal/invariant"
 	"thymechute/internal/lab/rig"
-	"thymechute/internal/stand/broker"
-	"thymechute/internal/stand/runtime"
 )
 
 const settingsFile = `<thymechute xmlns="urn:thymechute:operator:1">
--- a/internal/lab/amqpcost.go
+++ b/internal/lab/amqpcost.go
@@ -6,9 +6,9 @@
 	"fmt"
 	"time"
 
+	"thymechute/internal/fake/broker"
+	"thymechute/internal/fake/runtime"
 	"thymechute/internal/lab/rig"
-	"thymechute/internal/stand/broker"
-	"thymechute/internal/stand/runtime"
 )
 
 // amqpCost has one instance do the same work by either front, in turns.
--- a/internal/lab/rig/address.go
+++ b/internal/lab/rig/address.go
@@ -2,7 +2,7 @@
 
 package rig
 
-import "thymechute/internal/stand/faultnet"
+import "thymechute/internal/fake/faultnet"
 
 // Free is a loopback address with a port free for TCP and UDP both.
 func Free() (string, error) { return faultnet.FreeAddress("127.0.0.1") }
--- a/internal/lab/rig/fleet.go
+++ b/internal/lab/rig/fleet.go
@@ -10,8 +10,8 @@
 	"strings"
 	"time"
 
-	"thymechute/internal/stand/faultnet"
-	"thymechute/internal/stand/runtime"
+	"thymechute/internal/fake/faultnet"
+	"thymechute/internal/fake/runtime"
 )
 
 // fleetSettings is the operator's file of one member; fast probes and exchanges, as on loopback they cost little.
--- a/internal/lab/scale/instance/connections.go
+++ b/internal/lab/scale/instance/connections.go
@@ -8,8 +8,8 @@
 	"net"
 	"time"
 
+	"thymechute/internal/fake/stub"
 	"thymechute/internal/lab/scale"
-	"thymechute/internal/stand/stub"
 )
 
 const (
--- a/internal/lab/scale/instance/figures.go
+++ b/internal/lab/scale/instance/figures.go
@@ -8,8 +8,8 @@
 	"slices"
 	"strings"
 
+	"thymechute/internal/fake/stub"
 	"thymechute/internal/lab/scale"
-	"thymechute/internal/stand/stub"
 )
 
 // The bounds of one instance at the target, beyond those of the frame.
--- a/internal/lab/scale/instance/instance_test.go
+++ b/internal/lab/scale/instance/instance_test.go
@@ -6,8 +6,8 @@
 	"testing"
 	"time"
 
+	"thymechute/internal/fake/stub"
 	"thymechute/internal/lab/scale"
-	"thymechute/internal/stand/stub"
 	"thymechute/internal/testutil"
 )
 
--- a/internal/lab/scale/instance/load.go
+++ b/internal/lab/scale/instance/load.go
@@ -9,7 +9,7 @@
 	"math/rand/v2"
 	"time"
 
-	"thymechute/internal/stand/stub"
+	"thymechute/internal/fake/stub"
 )
 
 const (
--- a/internal/lab/scale/instance/probe.go
+++ b/internal/lab/scale/instance/probe.go
@@ -11,7 +11,7 @@
 	"net"
 	"time"
 
-	"thymechute/internal/stand/stub"
+	"thymechute/internal/fake/stub"
 )
 
 const (
--- a/internal/lab/scale/instance/reports.go
+++ b/internal/lab/scale/instance/reports.go
@@ -9,9 +9,9 @@
 	"time"
 
 	"thymechute/internal/catalog"
+	stand "thymechute/internal/fake/catalog"
 	"thymechute/internal/lab/scale"
 	"thymechute/internal/loop"
-	stand "thymechute/internal/stand/catalog"
 )
 
 const (
--- a/internal/lab/scale/instance/rig.go
+++ b/internal/lab/scale/instance/rig.go
@@ -12,9 +12,9 @@
 	"sync/atomic"
 	"time"
 
-	"thymechute/internal/stand/catalog"
-	"thymechute/internal/stand/faultnet"
-	"thymechute/internal/stand/runtime"
+	"thymechute/internal/fake/catalog"
+	"thymechute/internal/fake/faultnet"
+	"thymechute/internal/fake/runtime"
 )
 
 // nobody is an address where no index listens: no class calls it.
--- a/internal/lab/scale/instance/row.go
+++ b/internal/lab/scale/instance/row.go
@@ -7,7 +7,7 @@
 	"math"
 	"time"
 
-	"thymechute/internal/stand/stub"
+	"thymechute/internal/fake/stub"
 )
 
 const (
--- a/internal/state/disk/disk.go
+++ b/internal/state/disk/disk.go
@@ -1,6 +1,6 @@
 // Package disk is the few file calls that state which outlives the process may make: one folder, files that are only
 // appended to and cut, names that are made, renamed and removed. What outlives a crash is said at each call, and no
-// more may be relied on; internal/stand/crashdisk holds callers to it. It keeps no table, and must never retry, hide
+// more may be relied on; internal/fake/crashdisk holds callers to it. It keeps no table, and must never retry, hide
 // an error, or touch anything outside its folder.
 package disk
 
--- a/internal/testutil/pack.go
+++ b/internal/testutil/pack.go
@@ -16,7 +16,7 @@
 	"testing"
 	"time"
 
-	"thymechute/internal/stand/faultnet"
+	"thymechute/internal/fake/faultnet"
 )
 
 // Pack is such processes; L is a line of theirs.
