--- a/internal/lab/scale/instance/reports.go
+++ b/internal/lab/scale/instance/reports.go
@@ -9,7 +9,7 @@
 	"time"
 
 	"thymechute/internal/catalog"
-	stand "thymechute/internal/fake/catalog"
+	fakecatalog "thymechute/internal/fake/catalog"
 	"thymechute/internal/lab/scale"
 	"thymechute/internal/loop"
 )
@@ -85,17 +85,17 @@
 func memberName(n int) string { return fmt.Sprintf("n%d", n+1) }
 
 // hollowReports lets so many report for a while, their first ones spread over the gap between two.
-func (m *measuring) hollowReports(size int) (stand.Counts, []byte, error) {
-	c, address, err := stand.Start("127.0.0.1:0")
+func (m *measuring) hollowReports(size int) (fakecatalog.Counts, []byte, error) {
+	c, address, err := fakecatalog.Start("127.0.0.1:0")
 	if err != nil {
-		return stand.Counts{}, nil, err
+		return fakecatalog.Counts{}, nil, err
 	}
 	defer c.Close()
 	reporters := make([]*catalog.Reporter, size)
 	for n := range reporters {
 		socket, err := net.Dial("udp", address)
 		if err != nil {
-			return stand.Counts{}, nil, err
+			return fakecatalog.Counts{}, nil, err
 		}
 		defer socket.Close()
 		reporters[n] = catalog.New(memberName(n), func(p loop.Peer) { p.Opened(hollow{socket}) })
@@ -118,9 +118,9 @@
 		m.result.Fault("%d of %d hollow instances listed", len(names), size)
 	}
 	if m.result.Single["list_bytes_subset"] == 0 {
-		m.result.Put("list_bytes_subset", float64(len(stand.List(names[:min(subsetListed, size)], listedAddress))))
+		m.result.Put("list_bytes_subset", float64(len(fakecatalog.List(names[:min(subsetListed, size)], listedAddress))))
 	}
-	return counts, stand.List(names, listedAddress), m.ctx.Err()
+	return counts, fakecatalog.List(names, listedAddress), m.ctx.Err()
 }
 
 // listedAddress is one of usual length.
