--- a/cmd/thymelab/experiment.go
+++ b/cmd/testbed/experiment.go
@@ -80,14 +80,14 @@
 	return nil
 }
 
-// withProgram is a run that starts the program which stands beside thymelab, in a folder of its own that is removed after it.
+// withProgram is a run that starts the program which stands beside testbed, in a folder of its own that is removed after it.
 func withProgram(run func(program, folder string, seed uint64, size int, progress func(string)) (*lab.Report, error)) func(trial) (*lab.Report, error) {
 	return func(t trial) (*lab.Report, error) {
 		program, err := programBeside()
 		if err != nil {
 			return nil, err
 		}
-		folder, err := os.MkdirTemp("", "thymelab")
+		folder, err := os.MkdirTemp("", "testbed")
 		if err != nil {
 			return nil, err
 		}
@@ -96,7 +96,7 @@
 	}
 }
 
-// programBeside is the path of the program that stands beside thymelab.
+// programBeside is the path of the program that stands beside testbed.
 func programBeside() (string, error) {
 	executable, err := os.Executable()
 	if err != nil {
--- a/cmd/thymelab/main.go
+++ b/cmd/testbed/main.go
@@ -1,4 +1,4 @@
-// Command thymelab is for who builds and tries thymechute: stand-ins of outside parties and experiments with the real
+// Command testbed is for who builds and tries thymechute: stand-ins of outside parties and experiments with the real
 // program, on loopback only, each bounded in count and time. This file owns its command line. Exit codes: 0 the claim
 // holds, 1 it does not or could not be tried, 2 a faulty command line.
 package main
@@ -25,7 +25,7 @@
 	if err == nil {
 		return
 	}
-	fmt.Fprintln(os.Stderr, "thymelab:", err)
+	fmt.Fprintln(os.Stderr, "testbed:", err)
 	if usage := (usageError{}); errors.As(err, &usage) {
 		os.Exit(exitUsage)
 	}
@@ -33,7 +33,7 @@
 }
 
 func command() *cobra.Command {
-	root := &cobra.Command{Use: "thymelab", Short: "Stand-ins and experiments around thymechute, on loopback",
+	root := &cobra.Command{Use: "testbed", Short: "Stand-ins and experiments around thymechute, on loopback",
 		SilenceErrors: true, SilenceUsage: true, CompletionOptions: cobra.CompletionOptions{HiddenDefaultCmd: true}}
 	root.SetFlagErrorFunc(func(_ *cobra.Command, err error) error { return usageError{err} })
 	stand := &cobra.Command{Use: "stand", Short: "Start a stand-in of an outside party"}
--- a/cmd/thymelab/main_test.go
+++ b/cmd/testbed/main_test.go
@@ -33,15 +33,15 @@
 	return stdout.String(), stderr.String(), c.ProcessState.ExitCode()
 }
 
-// An experiment runs from any folder, with the program that stands beside thymelab; without one it says what is missing.
+// An experiment runs from any folder, with the program that stands beside testbed; without one it says what is missing.
 func TestExperimentRunsOutsideTheRepository(t *testing.T) {
 	folder := t.TempDir()
-	if out, err := exec.Command("go", "build", "-o", folder, "thymechute/cmd/thymechute", "thymechute/cmd/thymelab").CombinedOutput(); err != nil {
+	if out, err := exec.Command("go", "build", "-o", folder, "thymechute/cmd/thymechute", "thymechute/cmd/testbed").CombinedOutput(); err != nil {
 		t.Fatalf("%v: %s", err, out)
 	}
-	thymelab, program := filepath.Join(folder, "thymelab"), filepath.Join(folder, "thymechute")
+	testbed, program := filepath.Join(folder, "testbed"), filepath.Join(folder, "thymechute")
 
-	out, errs, code := outside(t, thymelab, "run", "amqp-storm", "--size", "200", "--json")
+	out, errs, code := outside(t, testbed, "run", "amqp-storm", "--size", "200", "--json")
 	figures := map[string]float64{}
 	if err := json.Unmarshal([]byte(out), &figures); err != nil || code != 0 || figures["read"] < 200 {
 		t.Errorf("exit code %d, %v, %s%s", code, err, out, errs)
@@ -50,7 +50,7 @@
 	if err := os.Remove(program); err != nil {
 		t.Fatal(err)
 	}
-	out, errs, code = outside(t, thymelab, "run", "amqp-storm", "--size", "200", "--json")
+	out, errs, code = outside(t, testbed, "run", "amqp-storm", "--size", "200", "--json")
 	for _, part := range []string{program, "found nothing", "expected the executable thymechute", "go build -o bin/ ./cmd/..."} {
 		if !strings.Contains(errs, part) {
 			t.Errorf("%q does not say %q", errs, part)
--- a/cmd/thymelab/scale.go
+++ b/cmd/testbed/scale.go
@@ -52,7 +52,7 @@
 	if err != nil {
 		return err
 	}
-	folder, err := os.MkdirTemp("", "thymelab")
+	folder, err := os.MkdirTemp("", "testbed")
 	if err != nil {
 		return err
 	}
--- a/internal/lab/rig/program_test.go
+++ b/internal/lab/rig/program_test.go
@@ -10,7 +10,7 @@
 // The program is looked for beside the executable; what stands there instead is named.
 func TestProgramBeside(t *testing.T) {
 	folder := t.TempDir()
-	beside, wanted := filepath.Join(folder, "thymelab"), filepath.Join(folder, "thymechute")
+	beside, wanted := filepath.Join(folder, "testbed"), filepath.Join(folder, "thymechute")
 	missing := func(found string) {
 		t.Helper()
 		_, err := ProgramBeside(beside)
