--- /dev/null
+++ b/internal/decide/configuration/fixture_test.go
@@ -0,0 +1,133 @@
+package configuration_test
+
+import (
+	"bufio"
+	"bytes"
+	"encoding/binary"
+	"encoding/hex"
+	"fmt"
+	"os"
+	"reflect"
+	"strings"
+	"testing"
+	"time"
+
+	"thymechute/internal/decide/configuration"
+)
+
+// fixturePath holds one line for each encoding: its name, a space, the bytes in hexadecimal. The bytes were written by
+// the program as of commit d489d24; peers and logs of that version must stay readable.
+const fixturePath = "testdata/encoded-d489d24.txt"
+
+// fixtureResources are resources of each type, at versions of their own.
+func fixtureResources(t testing.TB) []*configuration.Resource {
+	t.Helper()
+	var resources []*configuration.Resource
+	for n, kind := range []configuration.Type{configuration.Tenant, configuration.Route, configuration.Class} {
+		r, err := configuration.NewResource(kind, fmt.Sprintf("name-%d", n), strings.Repeat("body", n), version(uint64(n+1), 300))
+		if err != nil {
+			t.Fatal(err)
+		}
+		resources = append(resources, r)
+	}
+	return resources
+}
+
+func fixtureChanges(t testing.TB) []configuration.Change {
+	t.Helper()
+	resources := fixtureResources(t)
+	removed, err := configuration.NewResource(configuration.Tenant, "removed", "", version(3, 300))
+	if err != nil {
+		t.Fatal(err)
+	}
+	return []configuration.Change{
+		{Resource: resources[0]}, {Resource: resources[1]}, {Resource: resources[2]}, {Resource: removed, Removed: true},
+	}
+}
+
+// fixtureMessages has each kind of message, by its name in the fixture.
+func fixtureMessages(t testing.TB) map[string]configuration.Message {
+	t.Helper()
+	at := configuration.At{Version: version(3, 300), Root: 0x0123456789abcdef, Age: 1500 * time.Millisecond}
+	sums := configuration.Sums{}
+	group := configuration.GroupSums{Group: 63}
+	for n := range sums.Groups {
+		sums.Groups[n] = uint32(n * 0x01010101)
+		group.Buckets[n] = uint32(n * 0x10101)
+	}
+	r := fixtureResources(t)[1]
+	return map[string]configuration.Message{
+		"hello":   configuration.Hello{Version: version(1<<40, 128), Root: 0xfedcba9876543210},
+		"head":    configuration.Head{At: at, Repair: true},
+		"delta":   configuration.Delta{At: at, From: version(2, 299), Changes: fixtureChanges(t)},
+		"sums":    sums,
+		"groups":  configuration.Groups{At: at, Groups: []configuration.GroupSums{{Group: 2}, group}},
+		"buckets": configuration.Buckets{Buckets: []configuration.BucketSums{{Bucket: 0, Digests: []uint32{}}, {Bucket: 4095, Digests: []uint32{7, 1 << 31}}}},
+		"fill": configuration.Fill{At: at, Buckets: []configuration.BucketFill{
+			{Bucket: configuration.BucketOf(r), Drop: []uint32{9}, Add: []*configuration.Resource{r}}}},
+		"refer": configuration.Refer{},
+	}
+}
+
+func fixtureCommand(t testing.TB) configuration.Command {
+	t.Helper()
+	return configuration.Command{Base: version(2, 299), Version: version(3, 300), Changes: fixtureChanges(t)}
+}
+
+// fixtureState has some hundred tenants and a resource of each type.
+func fixtureState(t testing.TB) *configuration.State {
+	t.Helper()
+	s, err := tenants(t, 500).With(version(3, 300), fixtureChanges(t))
+	if err != nil {
+		t.Fatal(err)
+	}
+	return s
+}
+
+func readFixture(t testing.TB) map[string][]byte {
+	t.Helper()
+	text, err := os.ReadFile(fixturePath)
+	if err != nil {
+		t.Fatal(err)
+	}
+	encoded := map[string][]byte{}
+	for lines := bufio.NewScanner(bytes.NewReader(text)); lines.Scan(); {
+		name, digits, _ := strings.Cut(lines.Text(), " ")
+		if encoded[name], err = hex.DecodeString(digits); err != nil {
+			t.Fatal(err)
+		}
+	}
+	return encoded
+}
+
+func TestMessagesKeepTheirEncoding(t *testing.T) {
+	encoded := readFixture(t)
+	for name, m := range fixtureMessages(t) {
+		if b := configuration.Append(nil, m); !bytes.Equal(b, encoded[name]) {
+			t.Errorf("%s: encoded as %x, expected %x", name, b, encoded[name])
+		}
+		if decoded, err := configuration.Decode(encoded[name]); err != nil || !reflect.DeepEqual(decoded, m) {
+			t.Errorf("%s: decoded as %#v, %v, expected %#v", name, decoded, err, m)
+		}
+	}
+}
+
+func TestCommandsKeepTheirEncoding(t *testing.T) {
+	encoded, c := readFixture(t)["command"], fixtureCommand(t)
+	if b := c.Encode(); !bytes.Equal(b, encoded) {
+		t.Errorf("encoded as %x, expected %x", b, encoded)
+	}
+	if decoded, err := configuration.DecodeCommand(encoded); err != nil || !reflect.DeepEqual(decoded, c) {
+		t.Errorf("decoded as %#v, %v, expected %#v", decoded, err, c)
+	}
+}
+
+// Members of different program versions compare these digests with each other.
+func TestStatesKeepTheirDigests(t *testing.T) {
+	encoded := readFixture(t)
+	for name, s := range map[string]*configuration.State{"root": fixtureState(t), "root-of-empty": configuration.Empty()} {
+		if root := binary.BigEndian.AppendUint64(nil, s.Root()); !bytes.Equal(root, encoded[name]) {
+			t.Errorf("%s: %x, expected %x", name, root, encoded[name])
+		}
+	}
+}
