--- a/cmd/thymechute/agreed_test.go
+++ b/cmd/thymechute/agreed_test.go
@@ -19,7 +19,7 @@
 	t        *testing.T
 	net      *faultnet.Net
 	names    []string
-	worlds   map[string]*testutil.World
+	worlds   map[string]*testutil.Environment
 	settings map[string]string
 	before   map[string]string // what a process that was started anew under this name had logged
 }
@@ -36,7 +36,7 @@
 
 // startLogFleet starts one at each place, the first founding the log.
 func startLogFleet(t *testing.T, octet int, at []place) *logFleet {
-	f := &logFleet{t: t, net: faultnet.New(1), worlds: map[string]*testutil.World{}, settings: map[string]string{}, before: map[string]string{}}
+	f := &logFleet{t: t, net: faultnet.New(1), worlds: map[string]*testutil.Environment{}, settings: map[string]string{}, before: map[string]string{}}
 	t.Cleanup(f.net.Close)
 	type ports struct{ bind, front, logBind, logFront string }
 	var all []ports
@@ -63,7 +63,7 @@
 		if err := os.WriteFile(f.settings[name], []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
-		f.worlds[name] = testutil.NewWorld(t, func(given map[string]any) { given["name"] = name })
+		f.worlds[name] = testutil.NewEnvironment(t, func(given map[string]any) { given["name"] = name })
 		f.start(name)
 	}
 	return f
@@ -75,7 +75,7 @@
 	if w.Program != nil {
 		f.before[name] += w.Program.Log()
 	}
-	w.Program = testutil.StartWith(f.t, w.Given, nil, "--settings", f.settings[name])
+	w.Program = testutil.StartWith(f.t, w.Config, nil, "--settings", f.settings[name])
 }
 
 func (f *logFleet) log(name string) string { return f.worlds[name].Program.Log() }
--- a/cmd/thymechute/amqp_test.go
+++ b/cmd/thymechute/amqp_test.go
@@ -24,7 +24,7 @@
 
 // fed is the program at a stand-in broker: queue readings, dead letters in dead, answers in replies.
 type fed struct {
-	*testutil.World
+	*testutil.Environment
 	b        *broker.Broker
 	address  string // the broker's
 	settings string
@@ -68,7 +68,7 @@
 	if err := errors.Join(b.Depot("given-up", broker.Table{"x-dead-letter-exchange": "given-up"}), b.Declare("replies", nil)); err != nil {
 		t.Fatal(err)
 	}
-	f := &fed{World: testutil.NewWorld(t, change), b: b, address: address, settings: filepath.Join(t.TempDir(), "settings.xml")}
+	f := &fed{Environment: testutil.NewEnvironment(t, change), b: b, address: address, settings: filepath.Join(t.TempDir(), "settings.xml")}
 	if err := os.WriteFile(f.settings, fmt.Appendf(nil, settingsForm, amqp, address, queue), 0o600); err != nil {
 		t.Fatal(err)
 	}
@@ -79,7 +79,7 @@
 // live starts the program, beside a runtime that began so many milliseconds ago.
 func (f *fed) live(state string, ago int) {
 	f.T.Helper()
-	f.Program = testutil.StartWith(f.T, f.Given, nil, "serve", "--settings", f.settings)
+	f.Program = testutil.StartWith(f.T, f.Config, nil, "serve", "--settings", f.settings)
 	f.Runtime.Sync(0, state, ago)
 }
 
@@ -138,7 +138,7 @@
 // started waits for a start of that body, and tells the task.
 func (f *fed) started(want string) (task string) {
 	f.T.Helper()
-	task, got := f.Runtime.Command("start")
+	task, got := f.Runtime.ExpectCommand("start")
 	if got != want {
 		f.T.Fatalf("started %q, want %q", got, want)
 	}
@@ -203,7 +203,7 @@
 	f.put("trace", "", "a")
 	first := f.started("a")
 	f.b.Cut()
-	if task, _ := f.Runtime.Command("stop"); task != first {
+	if task, _ := f.Runtime.ExpectCommand("stop"); task != first {
 		t.Errorf("stopped %s, want %s", task, first)
 	}
 	f.Runtime.End(1, first, "cut", "")
@@ -228,8 +228,8 @@
 	f := feed(t, "", "", nil)
 	f.put("excursion", "k1", "a")
 	task := f.started("a")
-	other := testutil.NewWorld(t, func(given map[string]any) { given["name"] = "n4" })
-	other.Program = testutil.StartWith(t, other.Given, nil, "--settings", f.settings)
+	other := testutil.NewEnvironment(t, func(given map[string]any) { given["name"] = "n4" })
+	other.Program = testutil.StartWith(t, other.Config, nil, "--settings", f.settings)
 	other.Runtime.Sync(0, "new", 0)
 	f.seen("consumed", 2)
 	f.b.CutPeer("n3")
@@ -485,7 +485,7 @@
 	f.seen("lost", 1)
 	f.put("trace", "", "b")
 	for n := 1; ; n++ {
-		task, got := f.Runtime.Command("start")
+		task, got := f.Runtime.ExpectCommand("start")
 		if f.Runtime.End(n, task, "good", ""); got == "b" {
 			break
 		}
@@ -518,10 +518,10 @@
 			s := f.Stub()
 			s.Ask(1, "trace", "aa01", body, "")
 			f.put("excursion", "k1", "a") // unknown to this instance after a redelivery: not run, but not lost
-			started, got := f.Runtime.Command("start")
+			started, got := f.Runtime.ExpectCommand("start")
 			for n := 1; got != body; n++ {
 				f.Runtime.End(n, started, "good", "")
-				started, got = f.Runtime.Command("start")
+				started, got = f.Runtime.ExpectCommand("start")
 			}
 			f.Runtime.End(9, started, "good", result)
 			s.Wants(1, 0, result)
@@ -529,7 +529,7 @@
 			f.b.Release()
 			f.put("trace", "", "b")
 			for {
-				task, got := f.Runtime.Command("start")
+				task, got := f.Runtime.ExpectCommand("start")
 				f.Runtime.End(int(time.Now().UnixMicro()%1e9)+10, task, "good", "")
 				if got == "b" {
 					break
--- a/cmd/thymechute/descriptors_test.go
+++ b/cmd/thymechute/descriptors_test.go
@@ -21,7 +21,7 @@
 
 // idle opens a connection that stays and takes no notice of notices; every second one has brought a whole request, so that
 // it does not count as stalled.
-func idle(t *testing.T, w *testutil.World, n int) {
+func idle(t *testing.T, w *testutil.Environment, n int) {
 	t.Helper()
 	c, err := net.DialTimeout("tcp", w.Listen, 5*time.Second)
 	if err != nil {
@@ -34,7 +34,7 @@
 }
 
 // serves asks on a new connection, which has to be answered within the class's deadline.
-func serves(t *testing.T, w *testutil.World, notice *int, rid string) {
+func serves(t *testing.T, w *testutil.Environment, notice *int, rid string) {
 	t.Helper()
 	began := time.Now()
 	s := w.Stub()
@@ -54,14 +54,14 @@
 // index and the link to the runtime that stood before go on, a new call is made, and the catalog that is back hears a report
 // though the clients are still there.
 func TestIdleClientsFillTheDescriptorsWhileTheCatalogIsAway(t *testing.T) {
-	w := testutil.NewWorld(t, func(given map[string]any) {
+	w := testutil.NewEnvironment(t, func(given map[string]any) {
 		given["limits"].(map[string]any)["sockets"] = fewSockets
 		trace := given["settings"].(map[string]any)["classes"].([]any)[0].(map[string]any)
 		trace["aim_s"], trace["deadline_s"] = askDeadline, askDeadline
 	})
 	catalog := w.Catalog.LocalAddr().String()
 	w.Catalog.Close() // each report from now on is refused, and costs its socket
-	w.Program = testutil.Start(t, w.Given)
+	w.Program = testutil.Start(t, w.Config)
 	limit := unix.Rlimit{Cur: fewSockets, Max: fewSockets}
 	if err := unix.Prlimit(w.Program.Cmd.Process.Pid, unix.RLIMIT_NOFILE, &limit, nil); err != nil {
 		t.Fatal(err)
@@ -88,9 +88,9 @@
 	s.Ask(1, "seal", "called", body, "")
 	w.Runtime.Until("start", "called")
 	notice++
-	w.Runtime.Wants(notice, "called", "call")
+	w.Runtime.RequestCall(notice, "called", "call")
 	w.Index.Accept()
-	w.Index.Get()
+	w.Index.ExpectCall()
 	w.Index.Send("called HIT %d\r\n%s\r\n", len(reply), reply)
 	w.Runtime.Until("give", "called")
 	notice++
@@ -112,7 +112,7 @@
 }
 
 // filled fails unless the idle clients hold what stubs may hold.
-func filled(t *testing.T, w *testutil.World) {
+func filled(t *testing.T, w *testutil.Environment) {
 	t.Helper()
 	places := stubParts * ((fewSockets - own) / 8)
 	open := w.Program.Descriptors()
--- a/cmd/thymechute/drain_test.go
+++ b/cmd/thymechute/drain_test.go
@@ -15,8 +15,8 @@
 )
 
 func TestDrainBeforeTheRuntimeIsUp(t *testing.T) {
-	w := testutil.NewWorld(t, nil)
-	w.Program = testutil.Start(t, w.Given)
+	w := testutil.NewEnvironment(t, nil)
+	w.Program = testutil.Start(t, w.Config)
 	w.Runtime.Accept()
 	s := w.Stub()
 	s.Ask(1, "trace", "aa01", body, "")
@@ -65,8 +65,8 @@
 func (s *slowFile) fill(f *os.File) { _, _ = f.Write(s.text) }
 
 func TestDrainInTheMiddleOfAReload(t *testing.T) {
-	w := testutil.NewWorld(t, nil)
-	file := newSlowFile(t, w.Given)
+	w := testutil.NewEnvironment(t, nil)
+	file := newSlowFile(t, w.Config)
 	go func() {
 		f := file.open()
 		file.fill(f)
@@ -76,7 +76,7 @@
 	w.Runtime.Sync(0, "new", 0)
 	s := w.Stub()
 	s.Ask(1, "trace", "aa01", body, "")
-	w.Runtime.Command("start")
+	w.Runtime.ExpectCommand("start")
 	_ = w.Program.Cmd.Process.Signal(syscall.SIGHUP)
 	f := file.open() // the program reads, and there is no end yet
 	defer f.Close()
@@ -95,7 +95,7 @@
 	})
 	s, other := w.Stub(), w.Stub()
 	s.Ask(1, "seal", "aa01", body, "")
-	w.Runtime.Command("start")
+	w.Runtime.ExpectCommand("start")
 	other.Send(`{"jsonrpc":"2.0","id":1,"method":"check"}`)
 	other.Read()
 	w.Program.Term()
@@ -128,7 +128,7 @@
 	}
 	started := map[string]bool{}
 	for n := 1; len(started) < 30; n++ {
-		task, _ := w.Runtime.Command("start")
+		task, _ := w.Runtime.ExpectCommand("start")
 		started[task] = true
 		w.Runtime.End(n, task, "good", large)
 	}
@@ -155,7 +155,7 @@
 	w := testutil.Serve(t, nil)
 	s := w.Stub()
 	s.Ask(1, "seal", "aa01", body, "")
-	w.Runtime.Command("start") // and never ends
+	w.Runtime.ExpectCommand("start") // and never ends
 	w.Program.Term()
 	s.Closing()
 	flood := bytes.Repeat([]byte(`{"jsonrpc":"2.0","method":"note"}`+"\n"), 1000)
@@ -171,8 +171,8 @@
 }
 
 func TestDrainWhileStarting(t *testing.T) {
-	w := testutil.NewWorld(t, nil)
-	file := newSlowFile(t, w.Given)
+	w := testutil.NewEnvironment(t, nil)
+	file := newSlowFile(t, w.Config)
 	w.Program = testutil.StartFrom(t, file.path)
 	f := file.open() // the program has opened it, and waits
 	w.Program.Term()
--- a/cmd/thymechute/ends_test.go
+++ b/cmd/thymechute/ends_test.go
@@ -19,11 +19,11 @@
 	w := testutil.Serve(t, nil)
 	s := w.Stub()
 	s.Ask(1, "trace", "aa01", body, "")
-	w.Runtime.Command("start")
+	w.Runtime.ExpectCommand("start")
 	s.Send(`{"jsonrpc":"2.0","method":"interrupt","params":{"id":7}}`)
 	s.Send(`{"jsonrpc":"2.0","method":"progress"}`)
 	s.Ask(2, "trace", "aa02", body, "") // proves that the notifications were read and the connection stands
-	w.Runtime.Command("start")
+	w.Runtime.ExpectCommand("start")
 	w.Runtime.End(1, "aa01", "good", result)
 	s.Wants(1, 0, result)
 	w.Runtime.End(2, "aa02", "good", result)
@@ -39,12 +39,12 @@
 		rid := fmt.Sprintf("aa%d", n)
 		s := w.Stub()
 		s.Ask(1, "seal", rid, body, "")
-		w.Runtime.Command("start")
+		w.Runtime.ExpectCommand("start")
 		s.Send("%s", fault)
 		s.Ask(2, "seal", rid+"b", body, "")
 		other := w.Stub()
 		other.Ask(1, "trace", rid+"c", body, "")
-		if task, _ := w.Runtime.Command("start"); task != rid+"c" {
+		if task, _ := w.Runtime.ExpectCommand("start"); task != rid+"c" {
 			t.Errorf("behind %.30s %s was started", fault, task)
 		}
 		w.Runtime.End(2*n+1, rid, "good", result)
@@ -65,7 +65,7 @@
 	w := testutil.Serve(t, nil)
 	s := w.Stub()
 	s.Ask(1, "seal", "aa01", body, "")
-	w.Runtime.Command("start")
+	w.Runtime.ExpectCommand("start")
 	line := fmt.Sprintf(`{"jsonrpc":"2.0","id":2,"method":"seal","params":{"rid":"aa02","t0":%d,"peer":1,"acct":"acme","mem":10,"prio":0.5,"doc":"AA=="}}`+"\n", time.Now().UnixMilli())
 	if _, err := s.Conn.Write([]byte(line[:40])); err != nil {
 		t.Fatal(err)
@@ -82,7 +82,7 @@
 	s.Ends()
 	other := w.Stub()
 	other.Ask(1, "trace", "bb01", body, "")
-	if task, _ := w.Runtime.Command("start"); task != "bb01" {
+	if task, _ := w.Runtime.ExpectCommand("start"); task != "bb01" {
 		t.Errorf("%s was started", task)
 	}
 }
@@ -100,7 +100,7 @@
 			s.Closing()
 		}
 	}
-	w.Runtime.Command("start")
+	w.Runtime.ExpectCommand("start")
 	w.Runtime.End(1, "aa01", "good", result)
 	s.Wants(1, 0, result)
 	s.Ends()
@@ -121,7 +121,7 @@
 	s := stubs[0]
 	s.Closing()
 	s.Ask(2, "seal", "aa01", body, "")
-	w.Runtime.Command("start")
+	w.Runtime.ExpectCommand("start")
 	w.Runtime.End(1, "aa01", "good", result)
 	s.Wants(2, 0, result)
 	s.Ends()
@@ -143,7 +143,7 @@
 	s.Read()
 	s.Closing()
 	s.Ask(2, "trace", "aa01", body, "")
-	w.Runtime.Command("start")
+	w.Runtime.ExpectCommand("start")
 	w.Runtime.End(1, "aa01", "good", result)
 	s.Wants(2, 0, result)
 	s.Ends()
@@ -161,12 +161,12 @@
 // again beside a runtime at work.
 func TestReadySoonAfterExec(t *testing.T) {
 	testutil.Built(t)
-	w := testutil.NewWorld(t, nil)
+	w := testutil.NewEnvironment(t, nil)
 	for life, state := range []string{"new", "old"} {
 		began := time.Now()
-		w.Program = testutil.Start(t, w.Given)
+		w.Program = testutil.Start(t, w.Config)
 		w.Runtime.Sync(0, state, life*100000)
-		testutil.Until(t, w.Words, "a good report", func(word string) bool { return word == "alive n3 passing" })
+		testutil.Until(t, w.CatalogReports, "a good report", func(word string) bool { return word == "alive n3 passing" })
 		listed := time.Since(began)
 		s := w.Stub()
 		s.Send(`{"jsonrpc":"2.0","id":1,"method":"check"}`)
@@ -179,8 +179,8 @@
 		}
 		_ = w.Program.Cmd.Process.Kill()
 		w.Program.Exit()
-		for len(w.Words) > 0 {
-			<-w.Words
+		for len(w.CatalogReports) > 0 {
+			<-w.CatalogReports
 		}
 	}
 }
@@ -195,7 +195,7 @@
 		s.Ask(id, "excursion", fmt.Sprintf("aa%d", id), body, fmt.Sprintf(`,"token":"k%d"`, id))
 	}
 	for n := 1; n <= 30; n++ {
-		task, _ := w.Runtime.Command("start")
+		task, _ := w.Runtime.ExpectCommand("start")
 		w.Runtime.End(n, task, "good", large)
 	}
 	part := make([]byte, 1000)
@@ -209,7 +209,7 @@
 		other.Wants(id, 0, large)
 	}
 	other.Ask(31, "trace", "cc01", body, "")
-	if task, _ := w.Runtime.Command("start"); task != "cc01" {
+	if task, _ := w.Runtime.ExpectCommand("start"); task != "cc01" {
 		t.Errorf("%s was started", task)
 	}
 }
@@ -217,7 +217,7 @@
 // A catalog that is away for a while hears the next report after it is back, on the same address.
 func TestCatalogThatComesBackHearsReports(t *testing.T) {
 	w := testutil.Serve(t, nil)
-	testutil.Next(t, w.Words, "a report")
+	testutil.Next(t, w.CatalogReports, "a report")
 	address := w.Catalog.LocalAddr().String()
 	w.Catalog.Close()
 	s := w.Stub()
@@ -249,12 +249,12 @@
 	const token = `,"token":"5c0f"`
 	asked := time.Now()
 	s.Ask(1, "excursion", "aa01", body, token)
-	w.Runtime.Command("start")
+	w.Runtime.ExpectCommand("start")
 	s.Ask(2, "excursion", "aa02", body, token+`,"again":1`) // while the first still runs
 	w.Runtime.End(1, "aa01", "good", "one")
 	s.Wants(1, 0, "one")
 	s.Wants(2, 0, "one")
-	go w.Runtime.Obey(2, "two")
+	go w.Runtime.ServeAll(2, "two")
 	served, sent := 2, time.Now()
 	for id, doc := 3, "one"; doc == "one"; id++ { // up to the end and past it, as often as this goes
 		s.Ask(id, "excursion", fmt.Sprintf("aa%d", id), body, token+`,"again":1`)
@@ -311,7 +311,7 @@
 	w := testutil.Serve(t, nil)
 	s := w.Stub()
 	s.Ask(1, "seal", "aa01", body, "")
-	w.Runtime.Command("start")
+	w.Runtime.ExpectCommand("start")
 	w.Runtime.Mute()
 	w.Runtime.Sync(0, "new", 3000, testutil.EndLine(1, "aa01", "good", result))
 	s.Wants(1, 0, result)
@@ -348,7 +348,7 @@
 		t.Run(what, func(t *testing.T) {
 			w := testutil.Serve(t, func(given map[string]any) { given["settings"] = settings })
 			s := w.Stub()
-			go w.Runtime.Obey(1, result)
+			go w.Runtime.ServeAll(1, result)
 			for n, c := range settings["classes"].([]any) {
 				name := c.(map[string]any)["name"].(string)
 				if name == "" {
--- a/cmd/thymechute/main_test.go
+++ b/cmd/thymechute/main_test.go
@@ -20,21 +20,21 @@
 	w := testutil.Serve(t, nil)
 	s := w.Stub()
 	s.Ask(1, "trace", "aa01", body, "")
-	if task, got := w.Runtime.Command("start"); task != "aa01" || got != body {
+	if task, got := w.Runtime.ExpectCommand("start"); task != "aa01" || got != body {
 		t.Errorf("started %s with %q", task, got)
 	}
-	w.Runtime.Wants(1, "aa01", "call \r\n")
+	w.Runtime.RequestCall(1, "aa01", "call \r\n")
 	w.Index.Accept()
-	if rid, got := w.Index.Get(); rid != "aa01" || got != "call \r\n" {
+	if rid, got := w.Index.ExpectCall(); rid != "aa01" || got != "call \r\n" {
 		t.Errorf("called for %s with %q", rid, got)
 	}
 	w.Index.Send("aa01 HIT %d\r\n%s\r\n", len(reply), reply)
-	if task, got := w.Runtime.Command("give"); task != "aa01" || got != reply {
+	if task, got := w.Runtime.ExpectCommand("give"); task != "aa01" || got != reply {
 		t.Errorf("gave %s %q", task, got)
 	}
 	w.Runtime.End(2, "aa01", "good", result)
 	s.Wants(1, 0, result)
-	if word := testutil.Next(t, w.Words, "a report"); !strings.HasPrefix(word, "alive n3 ") {
+	if word := testutil.Next(t, w.CatalogReports, "a report"); !strings.HasPrefix(word, "alive n3 ") {
 		t.Errorf("reported %q", word)
 	}
 }
@@ -44,7 +44,7 @@
 	s := w.Stub()
 	for id := 1; id <= 3; id++ {
 		s.Ask(id, "trace", fmt.Sprintf("aa%d", id), body, "")
-		w.Runtime.Command("start")
+		w.Runtime.ExpectCommand("start")
 	}
 	for n, id := range []int{3, 1, 2} {
 		w.Runtime.End(n+1, fmt.Sprintf("aa%d", id), "good", result)
@@ -73,10 +73,10 @@
 	s, other := w.Stub(), w.Stub()
 	const token = `,"token":"5c0f"`
 	s.Ask(1, "excursion", "aa01", body, token)
-	w.Runtime.Command("start")
+	w.Runtime.ExpectCommand("start")
 	other.Ask(1, "excursion", "aa02", body, token+`,"again":1`)
 	s.Ask(2, "excursion", "bb01", body, `,"token":"77"`) // proves that the repeat before it was not started
-	if task, _ := w.Runtime.Command("start"); task != "bb01" {
+	if task, _ := w.Runtime.ExpectCommand("start"); task != "bb01" {
 		t.Errorf("%s was started", task)
 	}
 	s.Conn.Close() // the first try's caller goes: its run counts all the same
@@ -90,7 +90,7 @@
 	w := testutil.Serve(t, nil)
 	s := w.Stub()
 	s.Ask(1, "excursion", "aa01", body, `,"token":"5c0f"`)
-	w.Runtime.Command("start")
+	w.Runtime.ExpectCommand("start")
 	w.Runtime.End(1, "aa01", "bad", "")
 	s.Wants(1, -32000, "")
 	s.Ask(2, "excursion", "aa02", body, `,"token":"5c0f","again":1`)
@@ -102,7 +102,7 @@
 	s := w.Stub()
 	for id := 1; id <= 3; id++ {
 		s.Ask(id, "seal", fmt.Sprintf("aa%d", id), body, "")
-		w.Runtime.Command("start")
+		w.Runtime.ExpectCommand("start")
 	}
 	w.Runtime.End(1, "aa1", "good", "one")
 	s.Wants(1, 0, "one")
@@ -111,7 +111,7 @@
 	// What ended meanwhile is not started again; what is not known of is, as its start may not have come.
 	w.Runtime.Sync(1, "new", 50, testutil.EndLine(1, "aa1", "good", "one"), testutil.EndLine(2, "aa2", "good", "two"))
 	s.Wants(2, 0, "two")
-	if task, _ := w.Runtime.Command("start"); task != "aa3" {
+	if task, _ := w.Runtime.ExpectCommand("start"); task != "aa3" {
 		t.Errorf("%s was started again", task)
 	}
 	w.Runtime.End(3, "aa3", "good", "three")
@@ -122,11 +122,11 @@
 	w := testutil.Serve(t, nil)
 	s := w.AtCall("aa01", body)
 	w.Index.Send("aa01 HIT 1\r\nx\r\n")
-	w.Runtime.Command("give")
+	w.Runtime.ExpectCommand("give")
 	w.Runtime.Break()
 	w.Runtime.Sync(1, "new", 50)
 	s.Ask(2, "seal", "bb01", body, "")
-	if task, _ := w.Runtime.Command("start"); task != "bb01" { // neither start nor give of the first
+	if task, _ := w.Runtime.ExpectCommand("start"); task != "bb01" { // neither start nor give of the first
 		t.Errorf("%s was started", task)
 	}
 }
@@ -135,26 +135,26 @@
 	w := testutil.Serve(t, nil)
 	s := w.Stub()
 	s.Ask(1, "excursion", "aa01", body, `,"token":"5c0f"`)
-	w.Runtime.Command("start")
-	good, _ := json.Marshal(w.Given)
+	w.Runtime.ExpectCommand("start")
+	good, _ := json.Marshal(w.Config)
 	w.Program.Reload(good[:len(good)/2], "configuration not taken")
 	w.Program.Reload([]byte(strings.Replace(string(good), w.Runtime.Address, "nowhere", 1)), `runtime: found \"nowhere\"`)
 	old, oldIndex := w.Runtime, w.Index
-	w.Runtime, w.Index = testutil.NewParty(t), testutil.NewParty(t)
-	w.Given["runtime"], w.Given["index"], w.Given["listen"] = w.Runtime.Address, w.Index.Address, testutil.FreeAddress(t)
-	again, _ := json.Marshal(w.Given)
+	w.Runtime, w.Index = testutil.NewFakePeer(t), testutil.NewFakePeer(t)
+	w.Config["runtime"], w.Config["index"], w.Config["listen"] = w.Runtime.Address, w.Index.Address, testutil.FreeAddress(t)
+	again, _ := json.Marshal(w.Config)
 	w.Program.Reload(again, `"not changed while running": ["listen"]`)
 	w.Runtime.Sync(0, "new", 50)
-	if task, _ := w.Runtime.Command("start"); task != "aa01" { // it may not have come
+	if task, _ := w.Runtime.ExpectCommand("start"); task != "aa01" { // it may not have come
 		t.Errorf("%s was started", task)
 	}
 	old.Down()
 	oldIndex.Down()
-	w.Runtime.Wants(1, "aa01", "call")
+	w.Runtime.RequestCall(1, "aa01", "call")
 	w.Index.Accept()
-	w.Index.Get()
+	w.Index.ExpectCall()
 	w.Index.Send("aa01 HIT 1\r\nx\r\n")
-	w.Runtime.Command("give")
+	w.Runtime.ExpectCommand("give")
 	w.Runtime.End(2, "aa01", "good", result)
 	s.Wants(1, 0, result)
 	s.Ask(2, "excursion", "aa02", body, `,"token":"5c0f","again":1`)
@@ -162,20 +162,20 @@
 }
 
 func TestRuntimeStartedAnewHasLostItsRuns(t *testing.T) {
-	w := testutil.NewWorld(t, nil)
-	w.Program = testutil.Start(t, w.Given)
+	w := testutil.NewEnvironment(t, nil)
+	w.Program = testutil.Start(t, w.Config)
 	w.Runtime.Sync(0, "new", 5000)
 	s := w.Stub()
 	s.Ask(1, "trace", "aa01", body, "")
-	w.Runtime.Command("start")
+	w.Runtime.ExpectCommand("start")
 	w.Runtime.Break()
 	w.Runtime.Sync(0, "new", 0)
 	s.Wants(1, -32000, "") // scrapped: it may have run
 }
 
 func TestRuntimeThatComesUpLate(t *testing.T) {
-	w := testutil.NewWorld(t, nil)
-	w.Program = testutil.Start(t, w.Given)
+	w := testutil.NewEnvironment(t, nil)
+	w.Program = testutil.Start(t, w.Config)
 	s := w.Stub()
 	s.Send(`{"jsonrpc":"2.0","id":1,"method":"check"}`)
 	if r, _ := s.Read(); r.Code() != 0 || r.Result.Serving {
@@ -185,23 +185,23 @@
 	s.Wants(2, -32001, "")
 	w.Runtime.Sync(0, "old", 1000)
 	s.Ask(3, "trace", "aa02", body, "")
-	w.Runtime.Command("start")
+	w.Runtime.ExpectCommand("start")
 }
 
 func TestRestartBesideARuntimeAtWorkDoesNotRunRepeats(t *testing.T) {
 	w := testutil.Serve(t, nil)
 	s := w.Stub()
 	s.Ask(1, "excursion", "aa01", body, `,"token":"5c0f"`)
-	w.Runtime.Command("start")
+	w.Runtime.ExpectCommand("start")
 	_ = w.Program.Cmd.Process.Kill()
 	w.Program.Exit()
-	w.Program = testutil.Start(t, w.Given)
+	w.Program = testutil.Start(t, w.Config)
 	w.Runtime.Sync(0, "old", 5000, testutil.EndLine(1, "aa01", "good", result)) // of the life before
 	s = w.Stub()
 	s.Ask(1, "excursion", "aa02", body, `,"token":"5c0f","again":1`)
 	s.Wants(1, -32000, "")
 	s.Ask(2, "excursion", "bb01", body, `,"token":"77"`)
-	if task, _ := w.Runtime.Command("start"); task != "bb01" {
+	if task, _ := w.Runtime.ExpectCommand("start"); task != "bb01" {
 		t.Errorf("%s was started", task)
 	}
 }
@@ -212,15 +212,15 @@
 	address := w.Index.Address
 	w.Index.Down() // refused: nothing ran
 	s.Ask(1, "seal", "aa01", body, "")
-	w.Runtime.Command("start")
-	w.Runtime.Wants(1, "aa01", "call")
+	w.Runtime.ExpectCommand("start")
+	w.Runtime.RequestCall(1, "aa01", "call")
 	w.Index.Listen(address)
 	w.Index.Accept()
-	w.Index.Get()
+	w.Index.ExpectCall()
 	for _, word := range []string{"SHED", "NOBODY"} {
 		w.Index.Send("aa01 %s\r\n", word)
 		w.Index.Accept() // never on the same connection again
-		if _, got := w.Index.Get(); got != "call" {
+		if _, got := w.Index.ExpectCall(); got != "call" {
 			t.Errorf("after %s called with %q", word, got)
 		}
 	}
@@ -241,8 +241,8 @@
 	s := w.Stub()
 	s.Ask(1, "trace", "aa01", body, "")
 	s.Ask(2, "trace", "aa02", body, "")
-	w.Runtime.Command("start")
-	w.Runtime.Command("start")
+	w.Runtime.ExpectCommand("start")
+	w.Runtime.ExpectCommand("start")
 	w.Program.Term()
 	if r, _ := s.Read(); r.Method != "closing" {
 		t.Errorf("got %+v, want closing", r)
@@ -255,14 +255,14 @@
 		c.Close()
 		t.Error("still listening")
 	}
-	testutil.Until(t, w.Words, "a report that it leaves", func(word string) bool { return word == "alive n3 critical" })
+	testutil.Until(t, w.CatalogReports, "a report that it leaves", func(word string) bool { return word == "alive n3 critical" })
 }
 
 func TestBadInputFromAStub(t *testing.T) {
 	w := testutil.Serve(t, nil)
 	other := w.Stub()
 	other.Ask(1, "excursion", "cc01", body, `,"token":"5c0f"`)
-	w.Runtime.Command("start")
+	w.Runtime.ExpectCommand("start")
 	params := fmt.Sprintf(`"params":{"rid":"aa01","t0":%d,"peer":1,"acct":"acme","mem":10,"prio":0.5,"doc":"AA=="`, time.Now().UnixMilli())
 	ask := `{"jsonrpc":"2.0","id":1,"method":"trace",` + params + `}}`
 	for line, code := range map[string]int{ // by id: the connection stays, unless it brings too many
@@ -301,13 +301,13 @@
 	}
 	s := w.Stub()
 	s.Ask(2, "trace", "aa02", body, "")
-	w.Runtime.Command("start")
+	w.Runtime.ExpectCommand("start")
 	s.Ask(3, "trace", "aa02", body, "")
 	s.Wants(3, -32600, "")
 	w.Runtime.End(1, "aa02", "good", result)
 	s.Wants(2, 0, result)
 	s.Ask(4, "trace", "aa04", body, "")
-	w.Runtime.Command("start")
+	w.Runtime.ExpectCommand("start")
 	s.Ask(4, "trace", "aa05", body, "") // its id is open: this connection ends behind the answer to the first, and no other
 	s.Ask(5, "trace", "aa05", body, "") // comes after the end: not read
 	w.Runtime.End(2, "aa04", "good", result)
@@ -330,29 +330,29 @@
 	w := testutil.Serve(t, nil)
 	s := w.Stub()
 	s.Ask(1, "seal", "aa01", body, "")
-	w.Runtime.Command("start")
+	w.Runtime.ExpectCommand("start")
 	w.Runtime.Send(`{"verb":"hum"}` + "\n" + `{"verb":"end","index":1,"task":"zz","outcome":"good"}` + "\n")
-	w.Runtime.Wants(2, "aa01", "call")
-	w.Runtime.Wants(2, "aa01", "another") // repeated: ignored
+	w.Runtime.RequestCall(2, "aa01", "call")
+	w.Runtime.RequestCall(2, "aa01", "another") // repeated: ignored
 	w.Index.Accept()
-	if _, got := w.Index.Get(); got != "call" {
+	if _, got := w.Index.ExpectCall(); got != "call" {
 		t.Errorf("called with %q", got)
 	}
 	w.Index.Send("zz HIT 1\r\nx\r\naa01 WHAT\r\nno reply at all\n")
-	w.Index.Gone()
+	w.Index.AwaitClose()
 	s.Wants(1, -32000, "")
 	w.Runtime.Send("no notice\n")
-	w.Runtime.Gone()
+	w.Runtime.AwaitClose()
 	w.Runtime.Sync(2, "new", 50)
 	s.Ask(2, "seal", "aa02", body, "")
-	w.Runtime.Command("start")
+	w.Runtime.ExpectCommand("start")
 }
 
 func TestAtTheLimitWhoBroughtNothingMakesRoom(t *testing.T) {
 	w := testutil.Serve(t, func(given map[string]any) { given["limits"].(map[string]any)["sockets"] = 64 })
 	busy := w.Stub()
 	busy.Ask(1, "trace", "aa01", body, "")
-	w.Runtime.Command("start")
+	w.Runtime.ExpectCommand("start")
 	for range 3 * 64 {
 		w.Stub() // says nothing
 	}
@@ -394,19 +394,19 @@
 		t.Fatal(err)
 	}
 	reader.Close()
-	w := testutil.NewWorld(t, nil)
-	w.Program = testutil.StartWith(t, w.Given, log)
+	w := testutil.NewEnvironment(t, nil)
+	w.Program = testutil.StartWith(t, w.Config, log)
 	w.Runtime.Sync(0, "new", 0)
 	w.Runtime.Break() // this and the sync are worth a line each
 	w.Runtime.Sync(0, "new", 50)
 	s := w.Stub()
 	s.Ask(1, "trace", "aa01", body, "")
-	w.Runtime.Command("start")
+	w.Runtime.ExpectCommand("start")
 }
 
 func TestFaultyConfigurationEndsWithTheKey(t *testing.T) {
-	w := testutil.NewWorld(t, func(given map[string]any) { given["stop_ms"] = "soon" })
-	p := testutil.Start(t, w.Given)
+	w := testutil.NewEnvironment(t, func(given map[string]any) { given["stop_ms"] = "soon" })
+	p := testutil.Start(t, w.Config)
 	if code := p.Exit(); code != 2 || strings.Count(p.Log(), "\n") != 1 || !strings.Contains(p.Log(), `stop_ms: found "soon"`) {
 		t.Errorf("exit code %d, %q", code, p.Log())
 	}
--- a/cmd/thymechute/reload_test.go
+++ b/cmd/thymechute/reload_test.go
@@ -52,7 +52,7 @@
 
 // asks tells whether a request of this tenant is taken. It has a connection of its own, as one may bring only a few that
 // are not.
-func asks(w *testutil.World, tenant string) bool {
+func asks(w *testutil.Environment, tenant string) bool {
 	w.T.Helper()
 	s := w.Stub()
 	defer s.Conn.Close()
@@ -104,7 +104,7 @@
 		given["settings"].(map[string]any)["tenants"] = tenantList(planned, -1, 0)
 	})
 	up := time.Since(began)
-	go w.Runtime.Obey(1, result)
+	go w.Runtime.ServeAll(1, result)
 	pid := w.Program.Cmd.Process.Pid
 	before := residentMB(t, pid, "VmRSS")
 	calm := w.Probe(2500 * time.Microsecond)
@@ -114,7 +114,7 @@
 	probe, last, longest := w.Probe(2500*time.Microsecond), "", time.Duration(0)
 	for round := range rounds {
 		name := fmt.Sprint("new-", round)
-		text := withTenants(t, w.Given, tenantList(planned, 30_000+round, 5, name))
+		text := withTenants(t, w.Config, tenantList(planned, 30_000+round, 5, name))
 		if asks(w, name) {
 			t.Fatalf("%s is known before its reload", name)
 		}
@@ -146,21 +146,21 @@
 	w := testutil.Serve(t, func(given map[string]any) {
 		given["settings"].(map[string]any)["tenants"] = tenantList(1001, -1, 0) // more than once could be read again
 	})
-	w.Program.Reload(withTenants(t, w.Given, tenantList(1001, 1000, 5)), `"settings": true, "version": 2`)
-	w.Program.Reload(withTenants(t, w.Given, tenantList(settings.MaxTenants+1, -1, 0)), "configuration not taken")
+	w.Program.Reload(withTenants(t, w.Config, tenantList(1001, 1000, 5)), `"settings": true, "version": 2`)
+	w.Program.Reload(withTenants(t, w.Config, tenantList(settings.MaxTenants+1, -1, 0)), "configuration not taken")
 	for _, words := range []string{`settings.tenants: found more than 100000, expected at most 100000`, `"version in force": 2`} {
 		if !strings.Contains(w.Program.Log(), words) {
 			t.Errorf("the log does not say %s:\n%s", words, w.Program.Log())
 		}
 	}
-	go w.Runtime.Obey(1, result)
+	go w.Runtime.ServeAll(1, result)
 	if !asks(w, "tenant-001000") || asks(w, "tenant-001001") {
 		t.Error("half of a refused file is in force")
 	}
-	other := testutil.NewWorld(t, func(given map[string]any) {
+	other := testutil.NewEnvironment(t, func(given map[string]any) {
 		given["settings"].(map[string]any)["tenants"] = tenantList(settings.MaxTenants+1, -1, 0)
 	})
-	other.Program = testutil.Start(t, other.Given)
+	other.Program = testutil.Start(t, other.Config)
 	if code := other.Program.Exit(); code != 2 || !strings.Contains(other.Program.Log(), "settings.tenants: found more than 100000") {
 		t.Errorf("ended with %d: %s", code, other.Program.Log())
 	}
@@ -169,21 +169,21 @@
 // A tenant that was removed is refused, what it has in hand is answered, and it may come back.
 func TestRemovedTenantEndsItsWork(t *testing.T) {
 	w := testutil.Serve(t, nil)
-	here, err := json.Marshal(w.Given)
+	here, err := json.Marshal(w.Config)
 	if err != nil {
 		t.Fatal(err)
 	}
 	s := w.Stub()
 	s.Ask(1, "trace", "aa01", body, "")
-	w.Runtime.Command("start")
-	w.Program.Reload(withTenants(t, w.Given, json.RawMessage(`[{"name":"other"}]`)), `"tenants set": 1, "tenants removed": 1`)
+	w.Runtime.ExpectCommand("start")
+	w.Program.Reload(withTenants(t, w.Config, json.RawMessage(`[{"name":"other"}]`)), `"tenants set": 1, "tenants removed": 1`)
 	s.Ask(2, "trace", "aa02", body, "")
 	s.Wants(2, -32602, "")
 	w.Runtime.End(1, "aa01", "good", "one")
 	s.Wants(1, 0, "one")
 	w.Program.Reload(here, `"version": 3`)
 	s.Ask(3, "trace", "aa03", body, "")
-	w.Runtime.Command("start")
+	w.Runtime.ExpectCommand("start")
 	w.Runtime.End(2, "aa03", "good", "three")
 	s.Wants(3, 0, "three")
 }
--- a/cmd/thymechute/restarts_test.go
+++ b/cmd/thymechute/restarts_test.go
@@ -23,7 +23,7 @@
 
 // work is a runtime that goes on beside the program's lives: it runs what is started, but for runs that are held.
 type work struct {
-	w    *testutil.World
+	w    *testutil.Environment
 	held chan string
 	over chan struct{} // closed once the link of the life that runs now has broken
 }
@@ -34,7 +34,7 @@
 	k.over = over
 	go func() {
 		defer close(over)
-		k.w.Runtime.ObeyBut(missed+1, result, func(task string) bool {
+		k.w.Runtime.ServeAllExcept(missed+1, result, func(task string) bool {
 			held := strings.HasPrefix(task, "held")
 			if held {
 				k.held <- task
@@ -45,7 +45,7 @@
 }
 
 // press keeps clients at it for as long as the test goes, whatever becomes of the program.
-func press(w *testutil.World, clients int) {
+func press(w *testutil.Environment, clients int) {
 	over := make(chan struct{})
 	w.T.Cleanup(func() { close(over) })
 	for client := range clients {
@@ -96,14 +96,14 @@
 // in the file, and clients that ask all the while. Ready: a health check says serving, and a first request is served.
 func TestTenRestartsBesideARuntimeAtWorkAreReadyInTime(t *testing.T) {
 	testutil.Built(t)
-	w := testutil.NewWorld(t, func(given map[string]any) {
+	w := testutil.NewEnvironment(t, func(given map[string]any) {
 		tenants := []any{map[string]any{"name": "acme", "quota_per_s": 1000}}
 		for n := range manyTenants - 1 {
 			tenants = append(tenants, map[string]any{"name": fmt.Sprintf("tenant-%05d", n), "quota_per_s": 5})
 		}
 		given["settings"].(map[string]any)["tenants"] = tenants
 	})
-	text, err := json.Marshal(w.Given)
+	text, err := json.Marshal(w.Config)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/cmd/thymechute/serve.go
+++ b/cmd/thymechute/serve.go
@@ -83,7 +83,7 @@
 		reports := catalog.New(g.Name, dial("udp", &g.Catalog))
 		fronts := []node.Front{front}
 		if o.AMQP != nil {
-			fronts = append(fronts, amqp.New(inst, timed{l, after}, o.AMQP, g.Name, g.Seed, inst.Kind, log))
+			fronts = append(fronts, amqp.New(inst, timed{l, after}, o.AMQP, g.Name, g.Seed, inst.Idempotency, log))
 		}
 		inst.Connect(cores, calls, reports, fronts...)
 		cores.Open()
--- a/cmd/thymechute/switch_test.go
+++ b/cmd/thymechute/switch_test.go
@@ -11,10 +11,10 @@
 
 // elsewhere are the settings of a deployment that is put together differently: another band, a longer window, the
 // other forms of what the module reads.
-func elsewhere(t *testing.T, w *testutil.World, change func(settings map[string]any)) []byte {
+func elsewhere(t *testing.T, w *testutil.Environment, change func(settings map[string]any)) []byte {
 	t.Helper()
 	given := map[string]any{}
-	for k, v := range w.Given {
+	for k, v := range w.Config {
 		given[k] = v
 	}
 	s := testutil.Settings()
@@ -38,7 +38,7 @@
 // its place; a command or an answer too many would be taken for the next.
 func TestSwitchThereAndBackAndThereAgain(t *testing.T) {
 	w := testutil.Serve(t, nil)
-	here, err := json.Marshal(w.Given)
+	here, err := json.Marshal(w.Config)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -47,7 +47,7 @@
 	start := func(id int, band, rid, more string) {
 		t.Helper()
 		s.Ask(id, band, rid, body, more)
-		if task, _ := w.Runtime.Command("start"); task != rid {
+		if task, _ := w.Runtime.ExpectCommand("start"); task != rid {
 			t.Fatalf("%s was started, want %s", task, rid)
 		}
 	}
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -36,8 +36,8 @@
 		g.Stop != 3200*time.Millisecond || g.Cores != 0.5 || g.Memory != 64<<20 || g.Sockets != defaultSockets {
 		t.Errorf("%v: %+v", err, g)
 	}
-	if s := g.Settings; s.Classes[1].Name != "excursion" || s.Classes[1].Kind != settings.Keyed || s.Server.Cores != settings.Of(4) ||
-		s.Classes[2].Calls != settings.True || s.Tenants[0].Name != "acme" || s.Server.RunnableGauge != 2 {
+	if s := g.Settings; s.Classes[1].Name != "excursion" || s.Classes[1].Idempotency != settings.Idempotent || s.Server.Cores != settings.NumberOf(4) ||
+		s.Classes[2].MakesCalls != settings.True || s.Tenants[0].Name != "acme" || s.Server.RunnableGauge != 2 {
 		t.Errorf("%+v", s)
 	}
 }
--- a/internal/front/amqp/fields.go
+++ b/internal/front/amqp/fields.go
@@ -30,8 +30,8 @@
 
 // Decode makes a work item of a message that was read just now. kind tells that of a class: safe, keyed, or any
 // other for unsafe. An error says what can't be read.
-func Decode(d *amqp.Delivery, f *operator.Fields, q *operator.Queue, now time.Time, kind func(class string) settings.Kind) (ask node.Ask, err error) {
-	ask = node.Ask{Came: now, Body: d.Body, KB: max(float64(len(d.Body))/1024, 0.1)}
+func Decode(d *amqp.Delivery, f *operator.Fields, q *operator.Queue, now time.Time, kind func(class string) settings.Idempotency) (ask node.Request, err error) {
+	ask = node.Request{ReceivedAt: now, Body: d.Body, MemoryKB: max(float64(len(d.Body))/1024, 0.1)}
 	for _, w := range []struct {
 		into  *string
 		field string
@@ -44,15 +44,15 @@
 		return ask, fmt.Errorf("%s: found nothing, expected a band", f.Band)
 	}
 	switch kind := kind(ask.Class); {
-	case kind == settings.Keyed && ask.Key == "":
+	case kind == settings.Idempotent && ask.Key == "":
 		return ask, fmt.Errorf("%s: found nothing, expected a key, as band %s must not run twice", f.Key, ask.Class)
-	case kind == settings.Keyed:
-		ask.Elsewhere = d.Redelivered && q.Redelivered != "run"
+	case kind == settings.Idempotent:
+		ask.MayHaveRunElsewhere = d.Redelivered && q.Redelivered != "run"
 	case kind != settings.Safe: // no key tells a repeat, so nothing but the first delivery proves that it did not run
-		ask.Elsewhere = d.Redelivered
+		ask.MayHaveRunElsewhere = d.Redelivered
 	}
-	ask.Rank, _, err = number(d, f.Rank)
-	if err != nil || ask.Rank < 0 || ask.Rank >= 1 || math.IsNaN(ask.Rank) {
+	ask.Priority, _, err = number(d, f.Rank)
+	if err != nil || ask.Priority < 0 || ask.Priority >= 1 || math.IsNaN(ask.Priority) {
 		return ask, fmt.Errorf("%s: expected a number from 0 to under 1", f.Rank)
 	}
 	ask.CallerTimeout, err = patience(d, f, now)
--- a/internal/front/amqp/fields_test.go
+++ b/internal/front/amqp/fields_test.go
@@ -15,8 +15,8 @@
 var usual = &operator.Fields{Band: "type", Customer: "header:customer", Key: "message-id", Subject: "header:subject",
 	Rank: "header:rank", Origin: "timestamp", Patience: "expiration"}
 
-func kindOf(class string) settings.Kind {
-	return map[string]settings.Kind{"trace": settings.Safe, "excursion": settings.Keyed, "seal": settings.Unsafe}[class]
+func kindOf(class string) settings.Idempotency {
+	return map[string]settings.Idempotency{"trace": settings.Safe, "excursion": settings.Idempotent, "seal": settings.NonIdempotent}[class]
 }
 
 func TestFieldsOfAMessage(t *testing.T) {
@@ -25,7 +25,7 @@
 		Headers: amqp.Table{"customer": "acme", "subject": "s1", "rank": float32(0.5)}}
 	ask, err := Decode(d, usual, &operator.Queue{}, now, kindOf)
 	if err != nil || ask.Class != "excursion" || ask.Key != "k" || ask.Tenant != "acme" || ask.Subject != "s1" ||
-		ask.Rank != 0.5 || ask.CallerTimeout != 3*time.Second || string(ask.Body) != "body" || !ask.Came.Equal(now) || ask.Elsewhere {
+		ask.Priority != 0.5 || ask.CallerTimeout != 3*time.Second || string(ask.Body) != "body" || !ask.ReceivedAt.Equal(now) || ask.MayHaveRunElsewhere {
 		t.Errorf("%+v, %v", ask, err)
 	}
 	other := &operator.Fields{Band: "header:b", Customer: "user-id", Key: "correlation-id", Subject: "app-id", Rank: "priority",
@@ -33,7 +33,7 @@
 	d = &amqp.Delivery{UserId: "acme", CorrelationId: "k", AppId: "s1", Priority: 200,
 		Headers: amqp.Table{"b": "trace", "at": now.UnixMilli() - 500, "ms": int32(1500)}}
 	ask, err = Decode(d, other, &operator.Queue{}, now, kindOf)
-	if err != nil || ask.Class != "trace" || ask.Tenant != "acme" || ask.Key != "k" || ask.Subject != "s1" || ask.Rank != 0.9 || ask.CallerTimeout != time.Second {
+	if err != nil || ask.Class != "trace" || ask.Tenant != "acme" || ask.Key != "k" || ask.Subject != "s1" || ask.Priority != 0.9 || ask.CallerTimeout != time.Second {
 		t.Errorf("%+v, %v", ask, err)
 	}
 }
@@ -63,8 +63,8 @@
 		want          bool
 	}{{"trace", "dead-letter", false}, {"excursion", "dead-letter", true}, {"excursion", "run", false}, {"seal", "run", true}, {"unknown", "run", true}} {
 		ask, err := Decode(&amqp.Delivery{Type: c.band, MessageId: "k", Redelivered: true}, usual, &operator.Queue{Redelivered: c.setting}, time.Now(), kindOf)
-		if err != nil || ask.Elsewhere != c.want {
-			t.Errorf("%s, %s: %v, want %v (%v)", c.band, c.setting, ask.Elsewhere, c.want, err)
+		if err != nil || ask.MayHaveRunElsewhere != c.want {
+			t.Errorf("%s, %s: %v, want %v (%v)", c.band, c.setting, ask.MayHaveRunElsewhere, c.want, err)
 		}
 	}
 }
@@ -107,8 +107,8 @@
 			return
 		}
 		if ask.Class == "" || len(ask.Key) > longestWord || len(ask.Tenant) > longestWord || strings.ContainsAny(ask.Tenant, "\r\n\x00") ||
-			!(ask.Rank >= 0 && ask.Rank < 1) || ask.CallerTimeout < 0 || ask.CallerTimeout > longestSpan || !ask.Elsewhere && kindOf(band) != settings.Safe ||
-			kindOf(band) == settings.Keyed && ask.Key == "" {
+			!(ask.Priority >= 0 && ask.Priority < 1) || ask.CallerTimeout < 0 || ask.CallerTimeout > longestSpan || !ask.MayHaveRunElsewhere && kindOf(band) != settings.Safe ||
+			kindOf(band) == settings.Idempotent && ask.Key == "" {
 			t.Errorf("%+v", ask)
 		}
 	})
--- a/internal/front/amqp/front.go
+++ b/internal/front/amqp/front.go
@@ -25,10 +25,10 @@
 	slack     = 64                     // orders and messages beyond the credits
 )
 
-// Door is where work items go.
-type Door interface {
-	Arrive(asker node.Asker, tag string, ask node.Ask) error
-	Gone(asker node.Asker)
+// Admission is where work items go.
+type Admission interface {
+	Admit(asker node.Responder, tag string, ask node.Request) error
+	CallerGone(asker node.Responder)
 	Load() node.Load
 }
 
@@ -45,11 +45,11 @@
 
 // Front owns the connection to the brokers.
 type Front struct {
-	door    Door
+	door    Admission
 	loop    Loop
 	told    *operator.AMQP
 	name    string
-	kind    func(class string) settings.Kind
+	kind    func(class string) settings.Idempotency
 	log     *zap.Logger
 	in      *intake.Intake
 	start   time.Time
@@ -83,7 +83,7 @@
 }
 
 // New makes the front of what the operator set; kind tells that of a band. It connects once the instance can work.
-func New(door Door, loop Loop, told *operator.AMQP, name string, seed uint64, kind func(class string) settings.Kind, log *zap.Logger) *Front {
+func New(door Admission, loop Loop, told *operator.AMQP, name string, seed uint64, kind func(class string) settings.Idempotency, log *zap.Logger) *Front {
 	f := &Front{door: door, loop: loop, told: told, name: name, kind: kind, log: log, start: time.Now(),
 		rid: "q" + strconv.FormatUint(seed&0xffffffff, 36) + "-" + strconv.FormatInt(time.Now().UnixMilli()&0xffffff, 36) + "-", waits: map[uint64]*message{}}
 	f.in = intake.New(f, seed, intake.Told{Brokers: len(told.Brokers), Least: told.LeastCredit, Most: told.MostCredit,
@@ -93,8 +93,8 @@
 
 func (f *Front) time() time.Duration { return time.Since(f.start) }
 
-// Idle is for callers' connections; a broker's stays.
-func (f *Front) Idle(time.Duration) {}
+// SetIdleTimeout is for callers' connections; a broker's stays.
+func (f *Front) SetIdleTimeout(time.Duration) {}
 
 // Drain ends consuming at once; what is read is settled, then the connection closed.
 func (f *Front) Drain() {
@@ -106,8 +106,8 @@
 	f.finish()
 }
 
-// Owes tells whether something is still to be settled.
-func (f *Front) Owes() bool { return f.now != nil && f.leaving }
+// HasPending tells whether something is still to be settled.
+func (f *Front) HasPending() bool { return f.now != nil && f.leaving }
 
 // Sweep looks at the instance's load.
 func (f *Front) Sweep(now time.Time) {
@@ -116,7 +116,7 @@
 	}
 	f.looked = now
 	l := f.door.Load()
-	f.in.Ready(f.time(), l.Up, l.Items, l.Room)
+	f.in.Ready(f.time(), l.Ready, l.Requests, l.Capacity)
 }
 
 // Dial opens a session with that broker.
@@ -139,7 +139,7 @@
 	f.counts.CallerGone += uint64(len(f.open))
 	f.open, f.late = nil, nil
 	clear(f.waits)
-	f.door.Gone(s)
+	f.door.CallerGone(s)
 	if f.leaving {
 		f.Log("left: %+v", f.counts)
 	}
@@ -239,8 +239,8 @@
 		if ask.CallerTimeout > 0 {
 			m.until = m.came.Add(ask.CallerTimeout)
 		}
-		ask.Rid = f.rid + strconv.Itoa(f.serial) + "-" + strconv.FormatUint(m.tag, 36)
-		err = f.door.Arrive(s, strconv.FormatUint(m.tag, 10), ask)
+		ask.ID = f.rid + strconv.Itoa(f.serial) + "-" + strconv.FormatUint(m.tag, 36)
+		err = f.door.Admit(s, strconv.FormatUint(m.tag, 10), ask)
 	}
 	if err != nil {
 		f.counts.Unreadable++
@@ -256,7 +256,7 @@
 	if err != nil || f.now != s || m == nil {
 		return
 	}
-	switch a.Kind {
+	switch a.Status {
 	case node.Served:
 		f.counts.Fulfilled++
 		if m.d.ReplyTo == "" {
@@ -284,8 +284,8 @@
 	case node.Failed:
 		f.counts.Scrapped++
 		why := "failed"
-		switch a.Why {
-		case node.Conflict:
+		switch a.Cause {
+		case node.KeyConflict:
 			why = "another message stands under the same key"
 		case node.MayHaveRun:
 			why = "may have run already"
@@ -364,5 +364,5 @@
 // Answer is a work item's end.
 func (s *session) Answer(tag string, a node.Answer) { s.answered(s, tag, a) }
 
-// Checked: no health check comes by this way.
-func (s *session) Checked(string, bool, float64) {}
+// HealthChecked: no health check comes by this way.
+func (s *session) HealthChecked(string, bool, float64) {}
--- a/internal/index/index.go
+++ b/internal/index/index.go
@@ -31,7 +31,7 @@
 
 // Sink is told how calls end.
 type Sink interface {
-	Returned(rid string, o policy.Outcome, took time.Duration, reply []byte)
+	CallReturned(rid string, o policy.Outcome, took time.Duration, reply []byte)
 }
 
 // Reply is one message from the index.
@@ -77,7 +77,7 @@
 }
 
 var outcomes = map[string]policy.Outcome{
-	"HIT": policy.OK, "SHED": policy.Full, "BROKEN": policy.Failed, "SLOW": policy.TimedOut, "NOBODY": policy.Moot,
+	"HIT": policy.OK, "SHED": policy.Rejected, "BROKEN": policy.Failed, "SLOW": policy.TimedOut, "NOBODY": policy.NotStarted,
 }
 
 type call struct {
@@ -187,8 +187,8 @@
 	p.fill()
 }
 
-// GiveUp ends a call without a reply; closing its connection gives it up below too.
-func (p *Pool) GiveUp(rid string) {
+// Abandon ends a call without a reply; closing its connection gives it up below too.
+func (p *Pool) Abandon(rid string) {
 	c := p.calls[rid]
 	if c == nil {
 		return
@@ -215,8 +215,8 @@
 		if c.sent {
 			o = policy.TimedOut
 		}
-		p.GiveUp(rid)
-		p.sink.Returned(rid, o, now.Sub(c.began), nil)
+		p.Abandon(rid)
+		p.sink.CallReturned(rid, o, now.Sub(c.began), nil)
 	}
 	for len(p.idle) > 0 && now.Sub(p.idle[0].used) > idleAfter {
 		p.drop(p.idle[0])
@@ -264,7 +264,7 @@
 		}
 		k.call = nil
 		delete(p.calls, c.rid)
-		p.sink.Returned(c.rid, o, time.Since(c.began), nil)
+		p.sink.CallReturned(c.rid, o, time.Since(c.began), nil)
 	}
 	k.wire = nil
 	p.drop(k)
@@ -300,7 +300,7 @@
 		return
 	}
 	delete(p.calls, c.rid)
-	p.sink.Returned(c.rid, o, time.Since(c.began), bytes.Clone(r.Body))
+	p.sink.CallReturned(c.rid, o, time.Since(c.began), bytes.Clone(r.Body))
 	if _, ok := p.conns[k]; ok {
 		k.release()
 	} else { // the address has changed meanwhile
--- a/internal/index/index_test.go
+++ b/internal/index/index_test.go
@@ -16,7 +16,7 @@
 
 type sink struct{ got []string }
 
-func (s *sink) Returned(rid string, o policy.Outcome, _ time.Duration, reply []byte) {
+func (s *sink) CallReturned(rid string, o policy.Outcome, _ time.Duration, reply []byte) {
 	s.got = append(s.got, fmt.Sprintf("%s %d %s", rid, o, reply))
 }
 
@@ -100,7 +100,7 @@
 	if len(s.got) != 0 || second == first {
 		t.Errorf("%q was taken", s.got)
 	}
-	p.GiveUp("a")
+	p.Abandon("a")
 	p.Call("b", time.Second, nil)
 	if first.call == nil || first.call.rid != "b" {
 		t.Error("a good connection is not used again")
--- a/internal/node/acts.go
+++ b/internal/node/acts.go
@@ -7,18 +7,20 @@
 	"slices"
 	"time"
 
+	"go.uber.org/zap"
+
 	"thymechute/policy"
 )
 
-func (n *Instance) answer(w int, a Answer) {
+func (n *Instance) answer(w policy.RequestID, a Answer) {
 	it := &n.items[w]
 	if it.answered {
 		return
 	}
 	it.answered = true
 	if it.asker != nil {
-		if a.Hint = n.free; a.Kind == Failed {
-			a.Why = it.why
+		if a.Advertised = n.free; a.Status == Failed {
+			a.Cause = it.why
 		}
 		it.asker.Answer(it.tag, a)
 	}
@@ -27,12 +29,12 @@
 func (n *Instance) giveUp(it *item) {
 	if it.calling {
 		it.calling = false
-		n.below.GiveUp(it.rid)
+		n.below.Abandon(it.rid)
 	}
 }
 
 // Start puts a request on the cores.
-func (n *Instance) Start(w int) {
+func (n *Instance) Start(w policy.RequestID) {
 	it := &n.items[w]
 	it.started = true
 	if n.runtime.Up() {
@@ -42,7 +44,7 @@
 }
 
 // Stop takes it off.
-func (n *Instance) Stop(w int) {
+func (n *Instance) Stop(w policy.RequestID) {
 	it := &n.items[w]
 	it.stopped = true
 	if n.runtime.Up() {
@@ -51,32 +53,32 @@
 }
 
 // Reject answers what has not run.
-func (n *Instance) Reject(w int, comeBack time.Duration, no bool) {
-	n.answer(w, Answer{Kind: Rejected, RetryAfter: comeBack, Final: no})
+func (n *Instance) Reject(w policy.RequestID, r policy.Rejection) {
+	n.answer(w, Answer{Status: Rejected, RetryAfter: r.RetryAfter, NoRetryElsewhere: r.NoRetryElsewhere})
 }
 
-// Scrap answers with an error; a call that is out for it is given up.
-func (n *Instance) Scrap(w int) {
-	n.answer(w, Answer{Kind: Failed})
+// Fail answers with an error; a call that is out for it is given up.
+func (n *Instance) Fail(w policy.RequestID) {
+	n.answer(w, Answer{Status: Failed})
 	n.giveUp(&n.items[w])
 }
 
 // Call issues the call.
-func (n *Instance) Call(w int, patience time.Duration) {
+func (n *Instance) Call(w policy.RequestID, patience time.Duration) {
 	it := &n.items[w]
 	it.calling = true
 	n.below.Call(it.rid, patience, it.call)
 }
 
-// LeaveOut is never called: no class has a value for an answer without its call (withRuntime).
-func (n *Instance) LeaveOut(w int) {
+// SkipCall is never called: no class has a value for an answer without its call (withRuntime).
+func (n *Instance) SkipCall(w policy.RequestID) {
 	panic("node: the runtime has no command to go on without a call")
 }
 
 func (n *Instance) digest(body []byte) uint64 { return maphash.Bytes(n.digests, body) }
 
-// Record enters the key, or moves it to this try.
-func (n *Instance) Record(w int, life time.Duration) {
+// RecordKey enters the key, or moves it to this try.
+func (n *Instance) RecordKey(w policy.RequestID, life time.Duration) {
 	key := n.items[w].key
 	if key == "" {
 		return
@@ -93,15 +95,15 @@
 	r.w, r.end, r.body, r.class, r.window = w, n.now+life, n.digest(it.body), it.class, n.window(it.class)
 }
 
-// Forget takes the key out.
-func (n *Instance) Forget(w int) {
+// ForgetKey takes the key out.
+func (n *Instance) ForgetKey(w policy.RequestID) {
 	if key := n.items[w].key; n.keys[key] != nil && n.keys[key].w == w {
 		n.discard(key)
 	}
 }
 
-// Join waits for the forerunner's result.
-func (n *Instance) Join(w int) {
+// Coalesce waits for the forerunner's result.
+func (n *Instance) Coalesce(w policy.RequestID) {
 	it := &n.items[w]
 	r := n.keys[it.key]
 	if r == nil {
@@ -115,33 +117,33 @@
 	r.coalesced = append(r.coalesced, w)
 }
 
-// Health is how checks are answered.
-func (n *Instance) Health(good, stored bool) { n.good, n.stored = good, stored }
+// SetHealth is how checks are answered.
+func (n *Instance) SetHealth(h policy.Health) { n.good, n.stored = h.Healthy, h.Cached }
 
-// Idle closes connections idle for so long.
-func (n *Instance) Idle(after time.Duration) {
+// SetIdleTimeout closes connections idle for so long.
+func (n *Instance) SetIdleTimeout(after time.Duration) {
 	for _, f := range n.fronts {
-		f.Idle(after)
+		f.SetIdleTimeout(after)
 	}
 }
 
-// Free is the value that rides on all answers.
-func (n *Instance) Free(value float64) { n.free = value }
+// Advertise is the value that rides on all answers.
+func (n *Instance) Advertise(value float64) { n.free = value }
 
 // Wake asks for a Tick.
 func (n *Instance) Wake(at time.Duration) { n.wake = at }
 
 // Release is the module's last word on an index.
-func (n *Instance) Release(w int) {
+func (n *Instance) Release(w policy.RequestID) {
 	it := &n.items[w]
 	if r := n.keys[it.key]; r != nil && r.w == w {
-		r.w = policy.GoneForerunner
+		r.w = policy.OriginalGone
 		if !r.over {
 			n.conclude(r, false, nil)
 		}
 	}
 	if r := it.waitsFor; r != nil {
-		r.coalesced = slices.DeleteFunc(r.coalesced, func(x int) bool { return x == w })
+		r.coalesced = slices.DeleteFunc(r.coalesced, func(x policy.RequestID) bool { return x == w })
 	}
 	n.giveUp(it)
 	delete(n.byRid, it.rid)
@@ -152,4 +154,4 @@
 }
 
 // Log is one line to the operators.
-func (n *Instance) Log(format string, args ...any) { n.log.Sugar().Infof(format, args...) }
+func (n *Instance) Log(message string, fields ...zap.Field) { n.log.Info(message, fields...) }
--- a/internal/node/drain.go
+++ b/internal/node/drain.go
@@ -9,6 +9,7 @@
 	"go.uber.org/zap"
 
 	"thymechute/internal/loop"
+	"thymechute/policy"
 )
 
 // Drain is the notice that this instance will be killed after its stop time. A second one changes nothing.
@@ -20,8 +21,8 @@
 		n.draining = true
 		n.killAt, n.graceEnd, n.lastRead = n.now+n.stop, n.now, n.now // what crosses the notice is on its way
 		if n.mod != nil {
-			n.graceEnd += n.server.Grace.Seconds(0)
-			n.mod.Leave(n.now, n.stop)
+			n.graceEnd += n.server.DrainGrace.Seconds(0)
+			n.mod.Drain(n.now, n.stop)
 		}
 		n.endChecks(func(check) bool { return true }) // nothing is healthy here any more
 		for _, f := range n.fronts {
@@ -61,21 +62,23 @@
 // brought about and is not handed on yet, and what a front has not delivered. What the sockets owe loop knows.
 func (n *Instance) owes() bool {
 	return len(n.inbox) > 0 || len(n.later) > 0 || len(n.checks) > 0 ||
-		slices.ContainsFunc(n.items, func(it item) bool { return it.owed() }) || slices.ContainsFunc(n.fronts, Front.Owes)
+		slices.ContainsFunc(n.items, func(it item) bool { return it.owed() }) || slices.ContainsFunc(n.fronts, Front.HasPending)
 }
 
 // answerRest answers all that is owed when the kill is near: what never ran is refused first, the rest failed.
 func (n *Instance) answerRest() {
 	refused, failed := 0, 0
-	for w := range n.items {
+	for index := range n.items {
+		w := policy.RequestID(index)
 		if it := &n.items[w]; it.owed() && !it.started && it.waitsFor == nil {
-			n.answer(w, Answer{Kind: Rejected, RetryAfter: n.pause()})
+			n.answer(w, Answer{Status: Rejected, RetryAfter: n.pause()})
 			refused++
 		}
 	}
-	for w := range n.items {
+	for index := range n.items {
+		w := policy.RequestID(index)
 		if n.items[w].owed() {
-			n.answer(w, Answer{Kind: Failed})
+			n.answer(w, Answer{Status: Failed})
 			failed++
 		}
 	}
--- a/internal/node/ends.go
+++ b/internal/node/ends.go
@@ -11,9 +11,9 @@
 	"thymechute/policy"
 )
 
-// Ready: the runtime answers a sync that was sent at the time asked. It began so long ago, and is old where it has
+// RuntimeReady: the runtime answers a sync that was sent at the time asked. It began so long ago, and is old where it has
 // worked before this life of the instance; a day starts with one that is.
-func (n *Instance) Ready(old bool, ago time.Duration, asked time.Time) {
+func (n *Instance) RuntimeReady(old bool, ago time.Duration, asked time.Time) {
 	earliest, latest := asked.Add(-ago), time.Now().Add(-ago)
 	n.put(func() {
 		if n.mod == nil && n.draining { // what comes is refused up to the end
@@ -30,7 +30,8 @@
 		if earliest.After(n.began.Add(ageSlack)) {
 			n.log.Warn("runtime started anew: its runs are lost")
 			n.began = latest
-			for w := range n.items {
+			for index := range n.items {
+				w := policy.RequestID(index)
 				if it := &n.items[w]; it.live && it.sent {
 					n.ended(w, policy.Cancelled, 0, nil)
 				}
@@ -39,18 +40,19 @@
 	})
 }
 
-// CaughtUp: a new link has told all that was missed. What may not have reached the runtime is said again: a start
+// RuntimeResynced: a new link has told all that was missed. What may not have reached the runtime is said again: a start
 // of what runs is nothing, while a reply that may have been taken is not given twice, as the run may stand at its
 // next call by then.
-func (n *Instance) CaughtUp() {
+func (n *Instance) RuntimeResynced() {
 	n.put(func() {
-		for w := range n.items {
+		for index := range n.items {
+			w := policy.RequestID(index)
 			it := &n.items[w]
 			switch {
 			case !it.live:
 				continue
 			case it.started && !it.sent && it.answered:
-				n.ended(w, policy.Moot, 0, nil)
+				n.ended(w, policy.NotStarted, 0, nil)
 				continue
 			case it.started && !it.confirmed:
 				it.sent = true
@@ -60,15 +62,15 @@
 				n.runtime.Stop(it.rid)
 			}
 			if it.give != nil {
-				n.runtime.Give(it.rid, it.give)
+				n.runtime.DeliverReply(it.rid, it.give)
 				it.give = nil
 			}
 		}
 	})
 }
 
-// End is the end of a run.
-func (n *Instance) End(rid string, o policy.Outcome, took time.Duration, result []byte) {
+// RunEnded is the end of a run.
+func (n *Instance) RunEnded(rid string, o policy.Outcome, took time.Duration, result []byte) {
 	n.put(func() {
 		if w, ok := n.known(rid); ok {
 			n.ended(w, o, took, result)
@@ -78,7 +80,7 @@
 
 // known finds a run. A runtime that worked before and names one that was never here is at work for an earlier
 // life of this instance, beside which this one was started.
-func (n *Instance) known(rid string) (int, bool) {
+func (n *Instance) known(rid string) (policy.RequestID, bool) {
 	w, ok := n.byRid[rid]
 	if !ok && n.old && !n.before {
 		n.before = true
@@ -87,20 +89,20 @@
 	return w, ok && n.items[w].started
 }
 
-func (n *Instance) ended(w int, o policy.Outcome, took time.Duration, result []byte) {
+func (n *Instance) ended(w policy.RequestID, o policy.Outcome, took time.Duration, result []byte) {
 	it := &n.items[w]
 	n.giveUp(it)
 	switch o {
 	case policy.OK:
-		n.answer(w, Answer{Kind: Served, Result: result})
+		n.answer(w, Answer{Status: Served, Result: result})
 	case policy.Cancelled: // the module answers
 	default:
-		n.answer(w, Answer{Kind: Failed})
+		n.answer(w, Answer{Status: Failed})
 	}
 	if r := n.keys[it.key]; r != nil && r.w == w {
 		n.conclude(r, o == policy.OK, result)
 	}
-	n.mod.Ended(n.now, w, o, took)
+	n.mod.RunEnded(n.now, w, o, took)
 }
 
 // conclude gives a result to who waits for it, and keeps it for as long as the key stands.
@@ -124,7 +126,7 @@
 	}
 }
 
-func (n *Instance) settleJoin(w int, good bool, result []byte) {
+func (n *Instance) settleJoin(w policy.RequestID, good bool, result []byte) {
 	rid := n.items[w].rid
 	n.later = append(n.later, func() {
 		if at, ok := n.byRid[rid]; !ok || at != w {
@@ -139,19 +141,19 @@
 	})
 }
 
-// Wants: a run stands at a call.
-func (n *Instance) Wants(rid string, body []byte) {
+// CallRequested: a run stands at a call.
+func (n *Instance) CallRequested(rid string, body []byte) {
 	n.put(func() {
 		if w, ok := n.known(rid); ok {
 			it := &n.items[w]
 			it.confirmed, it.call, it.give = true, body, nil
-			n.mod.AtCall(n.now, w)
+			n.mod.CallRequested(n.now, w)
 		}
 	})
 }
 
-// Returned is the end of a call.
-func (n *Instance) Returned(rid string, o policy.Outcome, took time.Duration, reply []byte) {
+// CallReturned is the end of a call.
+func (n *Instance) CallReturned(rid string, o policy.Outcome, took time.Duration, reply []byte) {
 	n.put(func() {
 		w, ok := n.byRid[rid]
 		if !ok || !n.items[w].calling {
@@ -161,16 +163,16 @@
 		it.calling = false
 		if o == policy.OK {
 			if n.runtime.Up() {
-				n.runtime.Give(rid, reply)
+				n.runtime.DeliverReply(rid, reply)
 			} else {
 				it.give = reply
 			}
 		}
-		n.mod.Returned(n.now, w, o, took)
+		n.mod.CallReturned(n.now, w, o, took)
 	})
 }
 
-// Readings are the gauges, in the settings' order.
-func (n *Instance) Readings(row []float64) {
+// GaugesRead are the gauges, in the settings' order.
+func (n *Instance) GaugesRead(row []float64) {
 	n.gauges, n.gaugesAt = n.readings(row), time.Since(n.start)
 }
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -44,13 +44,13 @@
 
 // Errors of admission; nothing was taken in.
 var (
-	ErrClass  = errors.New("unknown class")
-	ErrTenant = errors.New("unknown tenant")
-	ErrTwice  = errors.New("id is in use")
+	ErrUnknownClass  = errors.New("unknown class")
+	ErrUnknownTenant = errors.New("unknown tenant")
+	ErrDuplicateID   = errors.New("id is in use")
 )
 
 type item struct {
-	asker     Asker // nil: nobody waits
+	asker     Responder // nil: nobody waits
 	tag, rid  string
 	class     int
 	tenant    int // noTenant: of nobody
@@ -66,12 +66,12 @@
 	stopped   bool
 	calling   bool
 	answered  bool
-	why       Why // it failed, if it did
+	why       Cause // it failed, if it did
 }
 
 // keyEntry is what is known of a key. It stands until its end, whether or not its try is still here.
 type keyEntry struct {
-	w         int // of the try that has the entry; policy.GoneForerunner once that is released
+	w         policy.RequestID // of the try that has the entry; policy.GoneForerunner once that is released
 	class     int
 	end       time.Duration
 	window    time.Duration // by which its end counts
@@ -79,7 +79,7 @@
 	ok        bool
 	body      uint64 // digest: all tries of one request carry the same body
 	result    []byte
-	coalesced []int
+	coalesced []policy.RequestID
 }
 
 // Instance is one server.
@@ -94,17 +94,17 @@
 	classes *table[settings.Class]
 	tenants *table[settings.Tenant]
 	runtime Runtime
-	below   Below
+	below   Dependency
 	fronts  []Front
-	reports Reports
+	reports HealthReporter
 
 	mod     *policy.Instance // none before the runtime was up once
 	start   time.Time
 	now     time.Duration // of the round
 	items   []item
-	spare   []int
+	spare   []policy.RequestID
 	live    int
-	byRid   map[string]int
+	byRid   map[string]policy.RequestID
 	keys    map[string]*keyEntry
 	inbox   []func() // what came since the last round, in order
 	later   []func() // what the module must hear after what it is at
@@ -127,7 +127,7 @@
 }
 
 type check struct {
-	asker Asker
+	asker Responder
 	tag   string
 	until time.Duration
 }
@@ -139,12 +139,12 @@
 		classes = append(classes, withRuntime(class))
 	}
 	n := &Instance{log: log, server: s.Server, version: firstVersion, seed: seed, stop: stop, room: int(memory / 4), free: -1, start: time.Now(),
-		classes: newTable(classes), tenants: newTable(s.Tenants), byRid: map[string]int{},
+		classes: newTable(classes), tenants: newTable(s.Tenants), byRid: map[string]policy.RequestID{},
 		keys: map[string]*keyEntry{}, digests: maphash.MakeSeed(), checks: map[string]check{}, gauges: noReadings}
 	return n
 }
 
 // Connect joins the instance to its sides.
-func (n *Instance) Connect(r Runtime, b Below, c Reports, fronts ...Front) {
+func (n *Instance) Connect(r Runtime, b Dependency, c HealthReporter, fronts ...Front) {
 	n.runtime, n.below, n.reports, n.fronts = r, b, c, fronts
 }
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -24,22 +24,22 @@
 func (s *sides) put(format string, args ...any) {
 	s.lines = append(s.lines, fmt.Sprintf(format, args...))
 }
-func (s *sides) Up() bool                             { return !s.down }
-func (s *sides) Start(rid, class string, body []byte) { s.put("start %s %s %s", rid, class, body) }
-func (s *sides) Stop(rid string)                      { s.put("stop %s", rid) }
-func (s *sides) Give(rid string, reply []byte)        { s.put("give %s %s", rid, reply) }
-func (s *sides) Gauges()                              { s.put("gauges") }
-func (s *sides) SelfTest(tag string)                  { s.put("test") }
+func (s *sides) Up() bool                              { return !s.down }
+func (s *sides) Start(rid, class string, body []byte)  { s.put("start %s %s %s", rid, class, body) }
+func (s *sides) Stop(rid string)                       { s.put("stop %s", rid) }
+func (s *sides) DeliverReply(rid string, reply []byte) { s.put("give %s %s", rid, reply) }
+func (s *sides) RequestGauges()                        { s.put("gauges") }
+func (s *sides) SelfTest(tag string)                   { s.put("test") }
 func (s *sides) Call(rid string, _ time.Duration, b []byte) {
 	s.put("call %s %s", rid, b)
 }
-func (s *sides) GiveUp(rid string)                      { s.put("give up %s", rid) }
-func (s *sides) Idle(time.Duration)                     {}
-func (s *sides) Drain()                                 { s.put("drain") }
-func (s *sides) Sweep(time.Time) (next time.Time)       { return }
-func (s *sides) Checked(tag string, ok bool, _ float64) { s.put("checked %s %v", tag, ok) }
+func (s *sides) Abandon(rid string)                           { s.put("give up %s", rid) }
+func (s *sides) SetIdleTimeout(time.Duration)                 {}
+func (s *sides) Drain()                                       { s.put("drain") }
+func (s *sides) Sweep(time.Time) (next time.Time)             { return }
+func (s *sides) HealthChecked(tag string, ok bool, _ float64) { s.put("checked %s %v", tag, ok) }
 func (s *sides) Answer(tag string, a Answer) {
-	s.put("answer %s %d %s", tag, a.Kind, a.Result)
+	s.put("answer %s %d %s", tag, a.Status, a.Result)
 }
 
 func (s *sides) wants(t *testing.T, n int, text string) {
@@ -51,8 +51,8 @@
 
 type front struct{ *sides }
 
-func (front) Sweep(time.Time) {}
-func (f front) Owes() bool    { return f.owes }
+func (front) Sweep(time.Time)    {}
+func (f front) HasPending() bool { return f.owes }
 
 type reports struct{}
 
@@ -63,7 +63,7 @@
 	s := &sides{}
 	n := New(testutil.TypedSettings(change), 7, 3*time.Second, 192<<20, zap.NewNop())
 	n.Connect(s, s, reports{}, front{s}, front{s})
-	n.Ready(false, 0, time.Now())
+	n.RuntimeReady(false, 0, time.Now())
 	n.Round()
 	return n, s
 }
@@ -81,16 +81,16 @@
 }
 
 // ask reads a request that came to the machine so long ago.
-func (n *Instance) ask(s Asker, rid, class, key string, ago time.Duration) {
-	if err := n.Arrive(s, rid, Ask{Rid: rid, Class: class, Key: key, KB: 1, Came: time.Now().Add(-ago), Body: []byte("x")}); err != nil {
+func (n *Instance) ask(s Responder, rid, class, key string, ago time.Duration) {
+	if err := n.Admit(s, rid, Request{ID: rid, Class: class, Key: key, MemoryKB: 1, ReceivedAt: time.Now().Add(-ago), Body: []byte("x")}); err != nil {
 		panic(err)
 	}
 	n.Round()
 }
 
 // again reads a request that may have run elsewhere.
-func (n *Instance) again(s Asker, rid, class, key, body string) {
-	if err := n.Arrive(s, rid, Ask{Rid: rid, Class: class, Key: key, KB: 1, Elsewhere: true, Came: time.Now(), Body: []byte(body)}); err != nil {
+func (n *Instance) again(s Responder, rid, class, key, body string) {
+	if err := n.Admit(s, rid, Request{ID: rid, Class: class, Key: key, MemoryKB: 1, MayHaveRunElsewhere: true, ReceivedAt: time.Now(), Body: []byte(body)}); err != nil {
 		panic(err)
 	}
 	n.Round()
@@ -118,11 +118,11 @@
 func TestRuntimeIsAnewOnlyIfItIsMuchYounger(t *testing.T) {
 	n, s := up(nil)
 	n.ask(s, "a", "safe", "", 0)
-	n.Ready(true, time.Since(n.began)-2*time.Millisecond, time.Now())
+	n.RuntimeReady(true, time.Since(n.began)-2*time.Millisecond, time.Now())
 	n.Round()
 	s.wants(t, 0, "answer")
 	n.began = n.began.Add(-time.Second)
-	n.Ready(true, 0, time.Now())
+	n.RuntimeReady(true, 0, time.Now())
 	n.Round()
 	s.wants(t, 1, "answer a 2")
 }
@@ -132,7 +132,7 @@
 	n.kept = n.room - entryBytes - 4
 	n.ask(s, "a", "keyed", "one", 0)
 	n.ask(s, "b", "keyed", "one", 0) // joins
-	n.End("a", policy.OK, 0, []byte("five!"))
+	n.RunEnded("a", policy.OK, 0, []byte("five!"))
 	n.Round()
 	s.wants(t, 1, "answer b 0 five!") // though it isn't kept
 	n.ask(s, "c", "keyed", "one", 0)
@@ -140,7 +140,7 @@
 	n.kept -= entryBytes
 	others := n.kept - entryBytes
 	n.ask(s, "d", "keyed", "two", 0)
-	n.End("d", policy.OK, 0, []byte("four"))
+	n.RunEnded("d", policy.OK, 0, []byte("four"))
 	n.Round()
 	n.ask(s, "e", "keyed", "two", 0)
 	s.wants(t, 1, "answer e 0 four")
@@ -160,9 +160,9 @@
 }
 
 func TestRepeatReadLateStillMeetsItsKey(t *testing.T) {
-	n, s := up(func(s *settings.Settings) { s.Classes[1].KeyWindow = settings.Of(0.05) })
+	n, s := up(func(s *settings.Settings) { s.Classes[1].KeyWindow = settings.NumberOf(0.05) })
 	n.ask(s, "a", "keyed", "key", 0)
-	n.End("a", policy.OK, 0, []byte("one"))
+	n.RunEnded("a", policy.OK, 0, []byte("one"))
 	n.Round()
 	r := n.keys["keyed key"]
 	r.end = n.now - 50*time.Millisecond // over when the repeat is read, not when it came
@@ -182,13 +182,13 @@
 	n.swept = 0
 	n.Round()
 	n.ask(s, "c", "keyed", "key", 0)
-	if err := n.Arrive(s, "d", Ask{Rid: "d", Class: "keyed", Key: "key", KB: 1, Came: time.Now(), Body: []byte("another")}); err != nil {
+	if err := n.Admit(s, "d", Request{ID: "d", Class: "keyed", Key: "key", MemoryKB: 1, ReceivedAt: time.Now(), Body: []byte("another")}); err != nil {
 		t.Fatal(err)
 	}
 	n.Round()
 	s.wants(t, 1, "answer d 2")
 	s.wants(t, 1, "start")
-	n.End("a", policy.OK, 0, []byte("one"))
+	n.RunEnded("a", policy.OK, 0, []byte("one"))
 	n.Round()
 	for _, rid := range []string{"a", "b", "c"} {
 		s.wants(t, 1, "answer "+rid+" 0 one")
@@ -202,11 +202,11 @@
 	for _, later := range []float64{90, 1} {
 		n, s := up(nil) // with windows of 10 s
 		n.ask(s, "a", "keyed", "k", 0)
-		n.End("a", policy.OK, time.Millisecond, []byte("r"))
+		n.RunEnded("a", policy.OK, time.Millisecond, []byte("r"))
 		n.Round()
 		here, end := testutil.TypedSettings(nil), time.Duration(0)
 		there := testutil.TypedSettings(func(s *settings.Settings) {
-			s.Classes[1].KeyWindow, s.Server.Fleet = settings.Of(later), settings.Of(2)
+			s.Classes[1].KeyWindow, s.Server.FleetSize = settings.NumberOf(later), settings.NumberOf(2)
 		})
 		n.free = 0.5
 		for range 3 { // there, back, and there again
@@ -236,14 +236,14 @@
 func TestResultOfAnOldWindowIsNotLentToTheNext(t *testing.T) {
 	n, s := up(nil)
 	n.ask(s, "a", "keyed", "key", 0)
-	n.End("a", policy.OK, 0, []byte("old"))
+	n.RunEnded("a", policy.OK, 0, []byte("old"))
 	n.Round()
 	n.keys["keyed key"].end = n.now - time.Second
 	n.ask(s, "b", "keyed", "key", 0)
 	n.ask(s, "c", "keyed", "key", 0)
 	s.wants(t, 1, "start b")
 	s.wants(t, 0, "answer c")
-	n.End("b", policy.OK, 0, []byte("new"))
+	n.RunEnded("b", policy.OK, 0, []byte("new"))
 	n.Round()
 	s.wants(t, 1, "answer c 0 new")
 }
@@ -251,7 +251,7 @@
 func TestKeysAreEmptiedByTime(t *testing.T) {
 	n, s := up(nil)
 	n.ask(s, "a", "keyed", "key", 0)
-	n.End("a", policy.OK, 0, nil)
+	n.RunEnded("a", policy.OK, 0, nil)
 	n.Round()
 	n.keys["keyed key"].end, n.swept = n.now-2*afterEnd, 0
 	n.Round()
@@ -265,7 +265,7 @@
 	n.ask(s, "b", "keyed", "other", 0)
 	n.mod.Tick(n.now+3*time.Second, policy.Gauges{Busy: -1, Runnable: -1}) // b runs past its due time
 	s.wants(t, 1, "answer b 2")
-	n.End("b", policy.OK, 0, []byte("late"))
+	n.RunEnded("b", policy.OK, 0, []byte("late"))
 	n.ask(s, "c", "keyed", "other", 0)
 	s.wants(t, 1, "answer c 0 late")
 	s.wants(t, 1, "answer b")
@@ -278,21 +278,21 @@
 	n.ask(s, "a", "unsafe", "", 0)
 	n.ask(s, "b", "unsafe", "", 0)
 	s.wants(t, 0, "start")
-	n.Scrap(n.byRid["b"]) // answered before it could start: nothing is left to run
+	n.Fail(n.byRid["b"]) // answered before it could start: nothing is left to run
 	s.down = false
-	n.CaughtUp()
+	n.RuntimeResynced()
 	n.Round()
 	s.wants(t, 1, "start a unsafe x")
 	s.wants(t, 0, "start b")
-	n.Wants("a", []byte("call"))
+	n.CallRequested("a", []byte("call"))
 	n.Round()
 	s.wants(t, 1, "call a call")
 	s.down = true
-	n.Returned("a", policy.OK, 0, []byte("reply"))
+	n.CallReturned("a", policy.OK, 0, []byte("reply"))
 	n.Round()
 	s.down = false
-	n.CaughtUp()
-	n.CaughtUp()
+	n.RuntimeResynced()
+	n.RuntimeResynced()
 	n.Round()
 	s.wants(t, 1, "start a")
 	s.wants(t, 1, "give a reply")
@@ -303,10 +303,10 @@
 	n, s := up(nil)
 	n.ask(s, "a", "safe", "", 0)
 	n.began = n.began.Add(-5 * time.Second)
-	n.Ready(false, 3*time.Second, time.Now().Add(-3*time.Second))
+	n.RuntimeReady(false, 3*time.Second, time.Now().Add(-3*time.Second))
 	n.Round()
 	s.wants(t, 0, "answer a")
-	n.Ready(false, 3*time.Second, time.Now())
+	n.RuntimeReady(false, 3*time.Second, time.Now())
 	n.Round()
 	s.wants(t, 1, "answer a 2")
 }
@@ -317,9 +317,9 @@
 	for _, rid := range []string{"a", "b", "c"} {
 		n.ask(other, rid, "unsafe", "", 0)
 	}
-	n.Gone(other)
+	n.CallerGone(other)
 	n.Round()
-	n.End("a", policy.OK, 0, nil)
+	n.RunEnded("a", policy.OK, 0, nil)
 	n.ask(s, "d", "unsafe", "", 0)
 	s.wants(t, 1, "start d") // on the core that c, still held, was given up for
 	s.wants(t, 0, "start c")
@@ -339,12 +339,12 @@
 func TestDrainAnswersTheDeepChecks(t *testing.T) {
 	n, s := up(nil)
 	n.stored = false
-	n.Check(s, "1", true)
+	n.CheckHealth(s, "1", true)
 	s.wants(t, 1, "test")
 	n.Drain()
 	n.Round()
 	s.wants(t, 1, "checked 1 false")
-	n.Verdict("check1", true)
+	n.SelfTestEnded("check1", true)
 	s.wants(t, 1, "checked")
 }
 
@@ -382,7 +382,7 @@
 	n.again(s, "c", "safe", "", "x")
 	s.wants(t, 1, "start c")
 	n.ask(s, "d", "keyed", "key", 0)
-	n.End("d", policy.OK, 0, []byte("kept"))
+	n.RunEnded("d", policy.OK, 0, []byte("kept"))
 	n.Round()
 	n.again(s, "e", "keyed", "key", "x")
 	s.wants(t, 1, "answer e 0 kept")
@@ -393,7 +393,7 @@
 func TestHandedOutAgainAfterItsWindow(t *testing.T) {
 	n, s := up(nil)
 	n.ask(s, "a", "keyed", "key", 0)
-	n.End("a", policy.OK, 0, []byte("kept"))
+	n.RunEnded("a", policy.OK, 0, []byte("kept"))
 	n.Round()
 	n.keys["keyed key"].end = n.now - time.Millisecond
 	n.again(s, "b", "keyed", "key", "x")
@@ -409,7 +409,7 @@
 func TestPatienceThatIsOverIsNotTakenForNone(t *testing.T) {
 	n, s := up(nil)
 	for rid, patience := range map[string]time.Duration{"a": time.Millisecond, "b": time.Minute} {
-		if err := n.Arrive(s, rid, Ask{Rid: rid, Class: "safe", KB: 1, Came: time.Now().Add(-10 * time.Millisecond), CallerTimeout: patience}); err != nil {
+		if err := n.Admit(s, rid, Request{ID: rid, Class: "safe", MemoryKB: 1, ReceivedAt: time.Now().Add(-10 * time.Millisecond), CallerTimeout: patience}); err != nil {
 			t.Fatal(err)
 		}
 	}
--- a/internal/node/rounds.go
+++ b/internal/node/rounds.go
@@ -34,14 +34,14 @@
 			at = n.wake
 		}
 	}
-	n.mod.Settle(n.now)
+	n.mod.Dispatch(n.now)
 	for len(n.later) > 0 {
 		later := n.later
 		n.later = nil
 		for _, f := range later {
 			loop.Guard(n.log, "join", f)
 		}
-		n.mod.Settle(n.now)
+		n.mod.Dispatch(n.now)
 	}
 	if n.now >= n.swept {
 		n.sweep()
@@ -71,7 +71,7 @@
 		if n.asked <= n.gaugesAt {
 			n.asked = n.now
 		}
-		n.runtime.Gauges() // for the next one: nothing waits for readings
+		n.runtime.RequestGauges() // for the next one: nothing waits for readings
 	}
 }
 
@@ -100,7 +100,7 @@
 	for tag, c := range n.checks {
 		if over(c) {
 			delete(n.checks, tag)
-			c.asker.Checked(c.tag, false, n.free)
+			c.asker.HealthChecked(c.tag, false, n.free)
 		}
 	}
 }
--- a/internal/node/settings.go
+++ b/internal/node/settings.go
@@ -66,7 +66,7 @@
 	}
 	for _, now := range d.Classes.Set { // also one that was removed, while something of it is in hand
 		if was := n.classes.known(now.Name); was != nil {
-			if err := settings.CheckKind(*was, now); err != nil {
+			if err := settings.CheckIdempotency(*was, now); err != nil {
 				return err
 			}
 		}
@@ -117,7 +117,7 @@
 // withRuntime is a class as the module may take it beside the runtime. The runtime's protocol has no command by which a run
 // goes on without the call that it stands at, so no answer is made without one, whatever the settings would pay for it.
 func withRuntime(class settings.Class) settings.Class {
-	class.DegradedValue = settings.Number{}
+	class.DegradedWeight = settings.Number{}
 	return class
 }
 
@@ -152,14 +152,14 @@
 }
 
 // kind of a class by its index.
-func (n *Instance) kind(class int) settings.Kind { return n.classes.at(class).Kind }
+func (n *Instance) kind(class int) settings.Idempotency { return n.classes.at(class).Idempotency }
 
 // window for which a key of a class is known.
 func (n *Instance) window(class int) time.Duration { return n.classes.at(class).KeyWindow.Seconds(0) }
 
 // readings is a row of gauges as the module takes it.
 func (n *Instance) readings(row []float64) policy.Gauges {
-	busy, runnable := n.server.Readings(row)
+	busy, runnable := n.server.Gauges(row)
 	return policy.Gauges{Busy: busy, Runnable: runnable}
 }
 
--- a/internal/node/settings_test.go
+++ b/internal/node/settings_test.go
@@ -21,10 +21,10 @@
 	return testutil.TypedSettings(func(s *settings.Settings) {
 		s.Classes = nil
 		for n := 0; n < len(classes); n += 2 {
-			s.Classes = append(s.Classes, settings.Class{Name: classes[n], Kind: settings.Kind(classes[n+1]), Value: settings.Of(float64(n/2 + 1)),
-				Deadline: settings.Of(20), CallerTimeout: settings.Of(30), KeyWindow: settings.Of(10)})
+			s.Classes = append(s.Classes, settings.Class{Name: classes[n], Idempotency: settings.Idempotency(classes[n+1]), Weight: settings.NumberOf(float64(n/2 + 1)),
+				LatencyObjective: settings.NumberOf(20), CallerTimeout: settings.NumberOf(30), KeyWindow: settings.NumberOf(10)})
 		}
-		s.Tenants = []settings.Tenant{{Name: "acme", Quota: settings.Of(5)}}
+		s.Tenants = []settings.Tenant{{Name: "acme", Quota: settings.NumberOf(5)}}
 	})
 }
 
@@ -33,7 +33,7 @@
 	out := &sides{}
 	n := New(s, 7, 3*time.Second, 192<<20, zap.NewNop())
 	n.Connect(out, out, reports{}, front{out})
-	n.Ready(false, 0, time.Now())
+	n.RuntimeReady(false, 0, time.Now())
 	n.Round()
 	return n, out
 }
@@ -46,28 +46,28 @@
 	trace, _ := n.classes.find("trace")
 	excursion, _ := n.classes.find("excursion")
 	n.apply(t, here, there)
-	if n.Takes("trace") || !n.Takes("issue") || !n.Takes("lookup") || n.Version() != firstVersion+1 {
+	if n.HasClass("trace") || !n.HasClass("issue") || !n.HasClass("lookup") || n.Version() != firstVersion+1 {
 		t.Errorf("%v", n.classes.inForce)
 	}
-	if at, _ := n.classes.find("excursion"); at != excursion || n.classes.at(at).Value != settings.Of(2) {
+	if at, _ := n.classes.find("excursion"); at != excursion || n.classes.at(at).Weight != settings.NumberOf(2) {
 		t.Errorf("excursion at %d, was at %d: %+v", at, excursion, n.classes.at(at))
 	}
-	if issue, _ := n.classes.find("issue"); issue == trace || n.kind(issue) != settings.Keyed || n.kind(trace) != settings.Safe {
+	if issue, _ := n.classes.find("issue"); issue == trace || n.kind(issue) != settings.Idempotent || n.kind(trace) != settings.Safe {
 		t.Error("a class that is in hand lost its index or its kind")
 	}
 	n.apply(t, there, here)
-	if at, ok := n.classes.find("trace"); !ok || at != trace || n.classes.at(at).Value != settings.Of(1) || n.Takes("issue") {
+	if at, ok := n.classes.find("trace"); !ok || at != trace || n.classes.at(at).Weight != settings.NumberOf(1) || n.HasClass("issue") {
 		t.Errorf("trace at %d, was at %d", at, trace)
 	}
-	n.End("a", policy.OK, 0, nil)
+	n.RunEnded("a", policy.OK, 0, nil)
 	n.Round()
 	s.wants(t, 1, "answer a 0")
 	d, err := settings.Compare(n.Version(), here, with("excursion", "repeatable"), func() {})
-	var kind *settings.KindChanged
+	var kind *settings.IdempotencyChangedError
 	if !errors.As(err, &kind) {
 		t.Errorf("a class changed its kind: %v", err)
 	}
-	if err := n.Apply(d); !errors.As(err, &kind) || kind.Class != "excursion" || !n.Takes("trace") {
+	if err := n.Apply(d); !errors.As(err, &kind) || kind.Class != "excursion" || !n.HasClass("trace") {
 		t.Errorf("a class changed its kind: %v", err)
 	}
 }
@@ -82,11 +82,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	var kind *settings.KindChanged
+	var kind *settings.IdempotencyChangedError
 	if err := n.Apply(other); !errors.As(err, &kind) {
 		t.Errorf("with a run in hand: %v", err)
 	}
-	n.End("a", policy.OK, 0, nil)
+	n.RunEnded("a", policy.OK, 0, nil)
 	n.Round()
 	if err := n.Apply(other); !errors.As(err, &kind) {
 		t.Errorf("with a key in hand: %v", err)
@@ -108,19 +108,19 @@
 	for at := range settings.MaxTenants {
 		long.Set = append(long.Set, settings.Tenant{Name: fmt.Sprint("t", at)})
 	}
-	server := settings.Server{Fleet: settings.Of(99)}
+	server := settings.Server{FleetSize: settings.NumberOf(99)}
 	fits := settings.Changes[settings.Class]{Set: many.Set, Removed: []string{"trace", "nobody"}}
 	for what, d := range map[string]settings.Delta{
 		"version": {From: n.Version() + 1, To: n.Version() + 2, Server: &server, Tenants: long},
 		"classes": {From: n.Version(), To: n.Version() + 1, Server: &server, Classes: many},
 		"tenants": {From: n.Version(), To: n.Version() + 1, Server: &server, Classes: fits, Tenants: long},
 		"kind": {From: n.Version(), To: n.Version() + 1, Server: &server, Tenants: settings.Changes[settings.Tenant]{Removed: []string{"acme"}},
-			Classes: settings.Changes[settings.Class]{Set: []settings.Class{{Name: "new"}, {Name: "trace", Kind: settings.Unsafe}}}},
+			Classes: settings.Changes[settings.Class]{Set: []settings.Class{{Name: "new"}, {Name: "trace", Idempotency: settings.NonIdempotent}}}},
 	} {
 		if err := n.Apply(d); err == nil {
 			t.Errorf("%s: taken", what)
 		}
-		if n.Version() != firstVersion || len(n.classes.inForce) != 1 || len(n.tenants.inForce) != 1 || n.server.Fleet == server.Fleet {
+		if n.Version() != firstVersion || len(n.classes.inForce) != 1 || len(n.tenants.inForce) != 1 || n.server.FleetSize == server.FleetSize {
 			t.Fatalf("%s: half of it is in force", what)
 		}
 	}
@@ -138,11 +138,11 @@
 	n := New(here, 7, 3*time.Second, 192<<20, zap.NewNop())
 	n.Connect(s, s, reports{}, front{s})
 	n.apply(t, here, there)
-	n.Ready(false, 0, time.Now())
+	n.RuntimeReady(false, 0, time.Now())
 	n.Round()
 	n.ask(s, "a", "seal", "", 0)
 	s.wants(t, 1, "start a seal x")
-	if err := n.Arrive(s, "b", Ask{Rid: "b", Class: "trace"}); !errors.Is(err, ErrClass) {
+	if err := n.Admit(s, "b", Request{ID: "b", Class: "trace"}); !errors.Is(err, ErrUnknownClass) {
 		t.Errorf("%v", err)
 	}
 	n.apply(t, there, here)
@@ -153,21 +153,21 @@
 // An index that goes to another tenant brings nothing along: the first one's empty bucket does not hold up the second.
 func TestAFreedIndexLeavesNoBucket(t *testing.T) {
 	here := testutil.TypedSettings(func(s *settings.Settings) {
-		s.Tenants = []settings.Tenant{{Name: "a", Quota: settings.Of(0.001)}, {Name: "other"}}
-		s.Server.OverQuotaValue = settings.Of(0.001)
+		s.Tenants = []settings.Tenant{{Name: "a", Quota: settings.NumberOf(0.001)}, {Name: "other"}}
+		s.Server.OverQuotaWeight = settings.NumberOf(0.001)
 	})
 	there := here
-	there.Tenants = []settings.Tenant{{Name: "b", Quota: settings.Of(0.001)}, {Name: "other"}}
+	there.Tenants = []settings.Tenant{{Name: "b", Quota: settings.NumberOf(0.001)}, {Name: "other"}}
 	n, s := serving(here)
 	of := func(rid, class, tenant string) {
 		t.Helper()
-		if err := n.Arrive(s, rid, Ask{Rid: rid, Class: class, Tenant: tenant, KB: 1, Came: time.Now(), Body: []byte("x")}); err != nil {
+		if err := n.Admit(s, rid, Request{ID: rid, Class: class, Tenant: tenant, MemoryKB: 1, ReceivedAt: time.Now(), Body: []byte("x")}); err != nil {
 			t.Fatal(err)
 		}
 		n.Round()
 	}
 	end := func(rid string) {
-		n.End(rid, policy.OK, time.Millisecond, nil)
+		n.RunEnded(rid, policy.OK, time.Millisecond, nil)
 		n.Round()
 	}
 	for at := range 10 { // more than may come at once
@@ -180,7 +180,7 @@
 	if now, ok := n.tenants.find("b"); !ok || now != was {
 		t.Fatalf("b at %d, want %d", now, was)
 	}
-	if err := n.Arrive(s, "z", Ask{Rid: "z", Class: "safe", Tenant: "a"}); !errors.Is(err, ErrTenant) {
+	if err := n.Admit(s, "z", Request{ID: "z", Class: "safe", Tenant: "a"}); !errors.Is(err, ErrUnknownTenant) {
 		t.Errorf("a removed tenant: %v", err)
 	}
 	of("x1", "safe", "other")
@@ -205,15 +205,15 @@
 
 func (m *machine) draw(t *rapid.T) settings.Settings {
 	return testutil.TypedSettings(func(s *settings.Settings) {
-		s.Server.Fleet = settings.Of(float64(rapid.IntRange(1, 2).Draw(t, "fleet")))
-		s.Server.MemoryKB = settings.Of(1e6)
-		s.Classes = []settings.Class{{Name: "trace", Kind: settings.Safe, Deadline: settings.Of(1e4), CallerTimeout: settings.Of(1e4)}}
+		s.Server.FleetSize = settings.NumberOf(float64(rapid.IntRange(1, 2).Draw(t, "fleet")))
+		s.Server.MemoryKB = settings.NumberOf(1e6)
+		s.Classes = []settings.Class{{Name: "trace", Idempotency: settings.Safe, LatencyObjective: settings.NumberOf(1e4), CallerTimeout: settings.NumberOf(1e4)}}
 		for _, name := range rapid.SliceOfDistinct(rapid.SampledFrom([]string{"p", "q", "r"}), rapid.ID[string]).Draw(t, "classes") {
-			s.Classes = append(s.Classes, settings.Class{Name: name, Kind: settings.Keyed, Deadline: settings.Of(1e4),
-				CallerTimeout: settings.Of(1e4), KeyWindow: settings.Of(float64(rapid.IntRange(1, 3).Draw(t, "window")))})
+			s.Classes = append(s.Classes, settings.Class{Name: name, Idempotency: settings.Idempotent, LatencyObjective: settings.NumberOf(1e4),
+				CallerTimeout: settings.NumberOf(1e4), KeyWindow: settings.NumberOf(float64(rapid.IntRange(1, 3).Draw(t, "window")))})
 		}
 		for _, name := range rapid.SliceOfDistinct(rapid.SampledFrom([]string{"a", "b", "c", "d", "e"}), rapid.ID[string]).Draw(t, "tenants") {
-			s.Tenants = append(s.Tenants, settings.Tenant{Name: name, Quota: settings.Of(float64(rapid.IntRange(0, 2).Draw(t, "quota")))})
+			s.Tenants = append(s.Tenants, settings.Tenant{Name: name, Quota: settings.NumberOf(float64(rapid.IntRange(0, 2).Draw(t, "quota")))})
 		}
 	})
 }
@@ -243,10 +243,10 @@
 		tenant: rapid.SampledFrom([]string{"", "a", "b", "c", "d", "e"}).Draw(t, "tenant"), key: rapid.SampledFrom([]string{"", "k", "l"}).Draw(t, "key")}
 	m.next++
 	rid := fmt.Sprint("i", m.next)
-	err := m.n.Arrive(m.s, rid, Ask{Rid: rid, Class: r.class, Tenant: r.tenant, Key: r.key, KB: 1, Came: time.Now(), Body: []byte("x")})
+	err := m.n.Admit(m.s, rid, Request{ID: rid, Class: r.class, Tenant: r.tenant, Key: r.key, MemoryKB: 1, ReceivedAt: time.Now(), Body: []byte("x")})
 	known := slices.ContainsFunc(m.inForce.Classes, func(c settings.Class) bool { return c.Name == r.class })
 	mine := r.tenant == "" || slices.ContainsFunc(m.inForce.Tenants, func(c settings.Tenant) bool { return c.Name == r.tenant })
-	if errors.Is(err, ErrClass) == known || known && errors.Is(err, ErrTenant) == mine || known && mine && err != nil {
+	if errors.Is(err, ErrUnknownClass) == known || known && errors.Is(err, ErrUnknownTenant) == mine || known && mine && err != nil {
 		t.Fatalf("%+v: %v, class known %v, tenant %v", r, err, known, mine)
 	}
 	if err == nil {
@@ -257,7 +257,7 @@
 
 func (m *machine) end(t *rapid.T) {
 	if rids := slices.Sorted(maps.Keys(m.n.byRid)); len(rids) > 0 {
-		m.n.End(rapid.SampledFrom(rids).Draw(t, "rid"), policy.OK, time.Millisecond, []byte("r"))
+		m.n.RunEnded(rapid.SampledFrom(rids).Draw(t, "rid"), policy.OK, time.Millisecond, []byte("r"))
 		m.n.Round()
 	}
 }
@@ -337,7 +337,7 @@
 		t.Repeat(map[string]func(*rapid.T){"change": m.change, "stale": m.stale, "ask": m.ask, "end": m.end, "forget": m.forget, "": m.check})
 		for len(m.n.byRid) > 0 {
 			for _, rid := range slices.Sorted(maps.Keys(m.n.byRid)) {
-				m.n.End(rid, policy.OK, time.Millisecond, nil)
+				m.n.RunEnded(rid, policy.OK, time.Millisecond, nil)
 			}
 			m.n.Round()
 		}
@@ -367,7 +367,7 @@
 func tenantsOf(n int) []settings.Tenant {
 	list := make([]settings.Tenant, n)
 	for at := range list {
-		list[at] = settings.Tenant{Name: fmt.Sprint("tenant-", at), Quota: settings.Of(1000)}
+		list[at] = settings.Tenant{Name: fmt.Sprint("tenant-", at), Quota: settings.NumberOf(1000)}
 	}
 	return list
 }
@@ -379,7 +379,7 @@
 			n, _ := serving(testutil.TypedSettings(func(s *settings.Settings) { s.Tenants = tenantsOf(size) }))
 			for at := 0; b.Loop(); at++ {
 				d := settings.Delta{From: n.Version(), To: n.Version() + 1, Tenants: settings.Changes[settings.Tenant]{
-					Set: []settings.Tenant{{Name: "tenant-7", Quota: settings.Of(float64(at))}, {Name: []string{"x", "y"}[at%2]}}, Removed: []string{[]string{"y", "x"}[at%2]}}}
+					Set: []settings.Tenant{{Name: "tenant-7", Quota: settings.NumberOf(float64(at))}, {Name: []string{"x", "y"}[at%2]}}, Removed: []string{[]string{"y", "x"}[at%2]}}}
 				if err := n.Apply(d); err != nil {
 					b.Fatal(err)
 				}
@@ -412,7 +412,7 @@
 func TestNoCallIsLeftOutBesideTheRuntime(t *testing.T) {
 	pays := func(s *settings.Settings) {
 		for k := range s.Classes {
-			s.Classes[k].DegradedValue = settings.Of(0.6)
+			s.Classes[k].DegradedWeight = settings.NumberOf(0.6)
 		}
 	}
 	without := testutil.TypedSettings(nil)
@@ -427,16 +427,16 @@
 		t.Run(name, func(t *testing.T) {
 			n, s := start()
 			n.ask(s, "a", "safe", "", 0)
-			n.Wants("a", []byte("below"))
+			n.CallRequested("a", []byte("below"))
 			n.Round()
 			s.wants(t, 1, "call a below")
-			n.Returned("a", policy.Failed, 10*time.Millisecond, nil) // where it pays, the module leaves the call out now
+			n.CallReturned("a", policy.Failed, 10*time.Millisecond, nil) // where it pays, the module leaves the call out now
 			n.Round()
 			s.wants(t, 2, "call a below")
-			n.Returned("a", policy.OK, 10*time.Millisecond, []byte("reply"))
+			n.CallReturned("a", policy.OK, 10*time.Millisecond, []byte("reply"))
 			n.Round()
 			s.wants(t, 1, "give a reply")
-			n.End("a", policy.OK, 20*time.Millisecond, []byte("done"))
+			n.RunEnded("a", policy.OK, 20*time.Millisecond, []byte("done"))
 			n.Round()
 			s.wants(t, 1, "answer a 0 done")
 		})
--- a/internal/node/types.go
+++ b/internal/node/types.go
@@ -9,52 +9,52 @@
 	"thymechute/policy/settings"
 )
 
-// Ask is a request as a protocol hands it in.
-type Ask struct {
-	Rid, Class, Tenant, Key, Subject string
-	Came                             time.Time     // to this machine
-	CallerTimeout                    time.Duration // what its caller still waits from then on; 0: not told
-	From                             int
-	Again                            bool
-	Elsewhere                        bool // an earlier try may have run where nothing of it is known here
-	KB, Rank                         float64
-	Body                             []byte
+// Request is a request as a protocol hands it in.
+type Request struct {
+	ID, Class, Tenant, Key, Subject string
+	ReceivedAt                      time.Time     // to this machine
+	CallerTimeout                   time.Duration // what its caller still waits from then on; 0: not told
+	Caller                          int
+	Retry                           bool
+	MayHaveRunElsewhere             bool // an earlier try may have run where nothing of it is known here
+	MemoryKB, Priority              float64
+	Body                            []byte
 }
 
-// Kind is what became of a request.
-type Kind int
+// Status is what became of a request.
+type Status int
 
 // The final answers.
 const (
-	Served Kind = iota
+	Served Status = iota
 	Rejected
 	Failed
 )
 
-// Why is the cause of an answer where the instance itself, not the module, knows it.
-type Why int
+// Cause is the cause of an answer where the instance itself, not the module, knows it.
+type Cause int
 
 // The causes.
 const (
-	Unsaid     Why = iota
-	Conflict       // another request stands under the same key
-	MayHaveRun     // an earlier try may have run, and nothing of it is known here
+	CauseUnknown Cause = iota
+	KeyConflict        // another request stands under the same key
+	MayHaveRun         // an earlier try may have run, and nothing of it is known here
 )
 
 // Answer is final.
 type Answer struct {
-	Kind       Kind
-	Why        Why
-	Result     []byte
-	RetryAfter time.Duration
-	Final      bool    // no other server helps
-	Hint       float64 // the free value; negative: none
+	Status           Status
+	Cause            Cause
+	Result           []byte
+	RetryAfter       time.Duration
+	NoRetryElsewhere bool    // no other server helps
+	Advertised       float64 // the free value; negative: none
 }
 
-// Asker takes answers for what came on one connection, by the tags it gave.
-type Asker interface {
+// Responder takes answers for what came on one connection, by the tags it gave.
+type Responder interface {
 	Answer(tag string, a Answer)
-	Checked(tag string, good bool, free float64)
+	HealthChecked(tag string, good bool, free float64)
 }
 
 // Runtime does the work; commands given while it is not Up are given again by the node once it is.
@@ -62,39 +62,39 @@
 	Up() bool
 	Start(rid, class string, body []byte)
 	Stop(rid string)
-	Give(rid string, reply []byte)
-	Gauges()
+	DeliverReply(rid string, reply []byte)
+	RequestGauges()
 	SelfTest(tag string)
 }
 
-// Below takes the calls.
-type Below interface {
+// Dependency takes the calls.
+type Dependency interface {
 	Call(rid string, patience time.Duration, body []byte)
-	GiveUp(rid string)
+	Abandon(rid string)
 	Sweep(now time.Time) time.Time // ends what is over its time; when to come again
 }
 
 // Front is what a protocol's connections are told. Several stand behind one admission.
 type Front interface {
-	Idle(after time.Duration)
+	SetIdleTimeout(after time.Duration)
 	Drain()
 	Sweep(now time.Time)
-	Owes() bool // answers that are given and not yet delivered; a draining instance waits for them, up to the kill
+	HasPending() bool // answers that are given and not yet delivered; a draining instance waits for them, up to the kill
 }
 
 // Load is how much of the instance is taken, for a front that may leave work where it is.
 type Load struct {
-	Up          bool // the module is at work and the runtime's link stands
-	Items, Room int  // requests here, and how many may be
+	Ready              bool // the module is at work and the runtime's link stands
+	Requests, Capacity int  // requests here, and how many may be
 }
 
-// Reports go to the catalog.
-type Reports interface {
+// HealthReporter go to the catalog.
+type HealthReporter interface {
 	Sweep(now time.Time, good bool)
 }
 
-// Kind of a class by its name, by the settings in force; empty: no such class, or it is not said.
-func (n *Instance) Kind(class string) settings.Kind {
+// Idempotency of a class by its name, by the settings in force; empty: no such class, or it is not said.
+func (n *Instance) Idempotency(class string) settings.Idempotency {
 	if index, ok := n.classes.find(class); ok {
 		return n.kind(index)
 	}
--- a/internal/rpc/answer.go
+++ b/internal/rpc/answer.go
@@ -22,24 +22,24 @@
 
 // AppendAnswer writes the final answer to the request of that id.
 func AppendAnswer(out []byte, id string, a node.Answer) []byte {
-	if a.Kind == node.Served {
+	if a.Status == node.Served {
 		out = append(append(append(out, `{"jsonrpc":"2.0","id":`...), id...), `,"result":{"doc":`...)
 		out = jsonline.AppendBytes(out, a.Result)
-		return append(appendFree(out, a.Hint), "}}\n"...)
+		return append(appendFree(out, a.Advertised), "}}\n"...)
 	}
 	code, text := codeFailed, "failed"
-	if a.Kind == node.Rejected {
+	if a.Status == node.Rejected {
 		code, text = codeRefused, "overloaded"
 	}
 	out = appendError(out, id, code, text)
 	var data []byte
-	if back := math.Ceil(float64(a.RetryAfter) / 1e6); a.Kind == node.Rejected && back > 0 {
+	if back := math.Ceil(float64(a.RetryAfter) / 1e6); a.Status == node.Rejected && back > 0 {
 		data = strconv.AppendFloat(append(data, `,"backoff":`...), back, 'f', -1, 64)
 	}
-	if a.Kind == node.Rejected && a.Final {
+	if a.Status == node.Rejected && a.NoRetryElsewhere {
 		data = append(data, `,"final":1`...)
 	}
-	if data = appendFree(data, a.Hint); len(data) > 0 {
+	if data = appendFree(data, a.Advertised); len(data) > 0 {
 		out = append(append(append(out, `,"data":{`...), data[1:]...), '}')
 	}
 	return append(out, "}}\n"...)
--- a/internal/rpc/conn.go
+++ b/internal/rpc/conn.go
@@ -45,7 +45,7 @@
 func (c *conn) Closed(error) {
 	c.forget()
 	if c.Owes() {
-		c.front.admission.Gone(c)
+		c.front.admission.CallerGone(c)
 	}
 }
 
@@ -122,8 +122,8 @@
 }
 
 func (c *conn) take(q Request) error {
-	if q.Note { // nothing is answered to one, and none has a meaning here; but a class or a check wants an answer
-		if q.Ask.Class == methodCheck || c.front.admission.Takes(q.Ask.Class) {
+	if q.Notification { // nothing is answered to one, and none has a meaning here; but a class or a check wants an answer
+		if q.Work.Class == methodCheck || c.front.admission.HasClass(q.Work.Class) {
 			return &Fault{codeRequest, errors.New("expected an id")}
 		}
 		return nil
@@ -137,18 +137,18 @@
 	c.asked, c.last = true, time.Now()
 	c.open[q.ID] = struct{}{}
 	if q.Check {
-		c.front.admission.Check(c, q.ID, q.Full)
+		c.front.admission.CheckHealth(c, q.ID, q.Full)
 		return nil
 	}
-	err := c.front.admission.Arrive(c, q.ID, q.Ask)
+	err := c.front.admission.Admit(c, q.ID, q.Work)
 	if err == nil {
 		return nil
 	}
 	delete(c.open, q.ID)
 	switch {
-	case errors.Is(err, node.ErrClass):
+	case errors.Is(err, node.ErrUnknownClass):
 		return &Fault{codeMethod, err}
-	case errors.Is(err, node.ErrTenant):
+	case errors.Is(err, node.ErrUnknownTenant):
 		return &Fault{codeParams, err}
 	}
 	return &Fault{codeRequest, err}
@@ -160,8 +160,8 @@
 	c.wire.Write(AppendAnswer(nil, tag, a))
 }
 
-// Checked answers a health check.
-func (c *conn) Checked(tag string, good bool, free float64) {
+// HealthChecked answers a health check.
+func (c *conn) HealthChecked(tag string, good bool, free float64) {
 	c.done(tag)
 	c.wire.Write(AppendChecked(nil, tag, good, free))
 }
--- a/internal/rpc/decode.go
+++ b/internal/rpc/decode.go
@@ -18,11 +18,11 @@
 
 // Request is a message from a stub.
 type Request struct {
-	ID    string // as it stands in the line
-	Note  bool   // a notification: the line has no id, and wants no answer
-	Check bool   // a health check; Full: a deep one
-	Full  bool
-	Ask   node.Ask
+	ID           string // as it stands in the line
+	Notification bool   // a notification: the line has no id, and wants no answer
+	Check        bool   // a health check; Full: a deep one
+	Full         bool
+	Work         node.Request
 }
 
 // Fault is what is wrong with a message, by JSON-RPC's code.
@@ -73,7 +73,7 @@
 	case err != nil:
 		return q, &Fault{codeRequest, err}
 	case version == "2.0" && method != "" && !named: // what it wants to say is read by its method alone
-		q.Note, q.Ask.Class = true, method
+		q.Notification, q.Work.Class = true, method
 		return q, nil
 	case version != "2.0" || method == "" || q.ID == "":
 		return q, &Fault{codeRequest, errors.New("expected jsonrpc 2.0, a method and an id")}
@@ -81,7 +81,7 @@
 	if q.Check = method == methodCheck; q.Check && params == nil {
 		return q, nil
 	}
-	q.Ask.Class = method
+	q.Work.Class = method
 	if err := q.params(params); err != nil {
 		return q, &Fault{codeParams, err}
 	}
@@ -89,7 +89,7 @@
 }
 
 func (q *Request) params(text []byte) error {
-	r, a := jsonline.New(text), &q.Ask
+	r, a := jsonline.New(text), &q.Work
 	seen := map[string]bool{}
 	err := r.Object(func(name []byte) (err error) {
 		var x float64
@@ -101,30 +101,30 @@
 		}
 		switch string(name) {
 		case "rid":
-			err = word(r, &a.Rid)
+			err = word(r, &a.ID)
 		case "t0":
 			if x, err = r.Number(); err == nil && (x < 0 || x > 1e14) {
 				err = errors.New("expected Unix milliseconds")
 			}
-			a.Came = time.UnixMicro(int64(x * 1e3))
-			if ago := time.Since(a.Came); err == nil && (ago > oldest || ago < -ahead) {
+			a.ReceivedAt = time.UnixMicro(int64(x * 1e3))
+			if ago := time.Since(a.ReceivedAt); err == nil && (ago > oldest || ago < -ahead) {
 				err = errors.New("expected a time just now")
 			}
 		case "peer":
 			if x, err = r.Number(); err == nil && (x != math.Trunc(x) || x < 0 || x > 1e9) {
 				err = errors.New("expected the number of a stub")
 			}
-			a.From = int(x)
+			a.Caller = int(x)
 		case "acct":
 			err = word(r, &a.Tenant)
 		case "again":
-			a.Again, err = r.Flag()
+			a.Retry, err = r.Flag()
 		case "mem":
-			if a.KB, err = r.Number(); err == nil && (a.KB <= 0 || a.KB >= mostKB) {
+			if a.MemoryKB, err = r.Number(); err == nil && (a.MemoryKB <= 0 || a.MemoryKB >= mostKB) {
 				err = fmt.Errorf("expected over 0 and under %d", mostKB)
 			}
 		case "prio":
-			if a.Rank, err = r.Number(); err == nil && (a.Rank < 0 || a.Rank >= 1) {
+			if a.Priority, err = r.Number(); err == nil && (a.Priority < 0 || a.Priority >= 1) {
 				err = errors.New("expected 0 to under 1")
 			}
 		case "token":
@@ -151,7 +151,7 @@
 			return fmt.Errorf("%s: missing", name)
 		}
 	}
-	if !plain(a.Rid) {
+	if !plain(a.ID) {
 		return errors.New("rid: expected 1 to 64 letters or digits")
 	}
 	return nil
--- a/internal/rpc/front.go
+++ b/internal/rpc/front.go
@@ -34,10 +34,10 @@
 
 // Admission is where requests go.
 type Admission interface {
-	Takes(class string) bool // such a class is known
-	Arrive(asker node.Asker, tag string, ask node.Ask) error
-	Gone(asker node.Asker)
-	Check(asker node.Asker, tag string, full bool)
+	HasClass(class string) bool // such a class is known
+	Admit(asker node.Responder, tag string, ask node.Request) error
+	CallerGone(asker node.Responder)
+	CheckHealth(asker node.Responder, tag string, full bool)
 }
 
 // Front owns the stubs' connections.
@@ -94,8 +94,10 @@
 // full tells whether the places of those without a notice are taken.
 func (f *Front) full() bool { return len(f.conns)-f.noticed >= f.most }
 
-// Idle closes connections with nothing open after so long.
-func (f *Front) Idle(after time.Duration) { f.idle = min(max(after, 10*time.Millisecond), silent) }
+// SetIdleTimeout closes connections with nothing open after so long.
+func (f *Front) SetIdleTimeout(after time.Duration) {
+	f.idle = min(max(after, 10*time.Millisecond), silent)
+}
 
 // Drain tells all stubs to send no more here.
 func (f *Front) Drain() {
@@ -105,8 +107,8 @@
 	}
 }
 
-// Owes: what is written leaves with the round.
-func (f *Front) Owes() bool { return false }
+// HasPending: what is written leaves with the round.
+func (f *Front) HasPending() bool { return false }
 
 // Sweep gives what has been idle, or at half a message, for too long its notice, and ends it once nothing can cross that
 // any more. A draining instance ends only what brings nothing whole: the others end it themselves.
--- a/internal/rpc/rpc_test.go
+++ b/internal/rpc/rpc_test.go
@@ -22,17 +22,17 @@
 )
 
 func TestDecodeTakesAllFieldsInAnyOrder(t *testing.T) {
-	want := node.Ask{Rid: "9b1f", Class: "excursion", Tenant: "acme", Key: "5c0f", Subject: "7f3a",
-		Came: time.UnixMilli(came), From: 4, Again: true, KB: 24.5, Rank: 0.625, Body: []byte{0, 255}}
+	want := node.Request{ID: "9b1f", Class: "excursion", Tenant: "acme", Key: "5c0f", Subject: "7f3a",
+		ReceivedAt: time.UnixMilli(came), Caller: 4, Retry: true, MemoryKB: 24.5, Priority: 0.625, Body: []byte{0, 255}}
 	turned := `{"params":{"doc":"AP8=","x":[{}],"obj":"7f3a","token":"5c0f","prio":0.6250,"mem":24.5,"again":true,` +
 		`"acct":"ac\u006de","peer":4,"t0":` + fmt.Sprint(came) + `,"rid":"9b1f"},"method":"excursion","more":null,"id":7,"jsonrpc":"2.0"}`
 	for _, ask := range []string{text, turned} {
 		q, err := Decode([]byte(ask))
-		got, body := q.Ask, string(q.Ask.Body)
+		got, body := q.Work, string(q.Work.Body)
 		got.Body = nil
-		if err != nil || q.ID != "7" || q.Check || body != string(want.Body) || !got.Came.Equal(want.Came) ||
-			got.Rid != want.Rid || got.Class != want.Class || got.Tenant != want.Tenant || got.Key != want.Key ||
-			got.Subject != want.Subject || got.From != 4 || !got.Again || got.KB != 24.5 || got.Rank != 0.625 {
+		if err != nil || q.ID != "7" || q.Check || body != string(want.Body) || !got.ReceivedAt.Equal(want.ReceivedAt) ||
+			got.ID != want.ID || got.Class != want.Class || got.Tenant != want.Tenant || got.Key != want.Key ||
+			got.Subject != want.Subject || got.Caller != 4 || !got.Retry || got.MemoryKB != 24.5 || got.Priority != 0.625 {
 			t.Errorf("%v: %+v", err, q)
 		}
 	}
@@ -40,12 +40,12 @@
 
 func TestAnswersSayWhatTheModuleDecided(t *testing.T) {
 	for want, a := range map[string]node.Answer{
-		`{"jsonrpc":"2.0","id":7,"result":{"doc":"AP8=","hint":0.25}}`: {Kind: node.Served, Result: []byte{0, 255}, Hint: 0.25},
-		`{"jsonrpc":"2.0","id":7,"result":{"doc":""}}`:                 {Kind: node.Served, Hint: -1},
+		`{"jsonrpc":"2.0","id":7,"result":{"doc":"AP8=","hint":0.25}}`: {Status: node.Served, Result: []byte{0, 255}, Advertised: 0.25},
+		`{"jsonrpc":"2.0","id":7,"result":{"doc":""}}`:                 {Status: node.Served, Advertised: -1},
 		`{"jsonrpc":"2.0","id":7,"error":{"code":-32001,"message":"overloaded","data":{"backoff":251,"final":1,"hint":0}}}`: {
-			Kind: node.Rejected, RetryAfter: 250*time.Millisecond + 1, Final: true},
+			Status: node.Rejected, RetryAfter: 250*time.Millisecond + 1, NoRetryElsewhere: true},
 		`{"jsonrpc":"2.0","id":7,"error":{"code":-32000,"message":"failed"}}`: {
-			Kind: node.Failed, RetryAfter: time.Second, Final: true, Hint: -1},
+			Status: node.Failed, RetryAfter: time.Second, NoRetryElsewhere: true, Advertised: -1},
 	} {
 		got := string(AppendAnswer(nil, "7", a))
 		if got != want+"\n" || !json.Valid([]byte(got)) {
@@ -56,10 +56,10 @@
 
 type admission struct{ asked, gone int }
 
-func (d *admission) Takes(class string) bool                   { return class == "excursion" }
-func (d *admission) Arrive(node.Asker, string, node.Ask) error { d.asked++; return nil }
-func (d *admission) Gone(node.Asker)                           { d.gone++ }
-func (d *admission) Check(node.Asker, string, bool)            {}
+func (d *admission) HasClass(class string) bool                       { return class == "excursion" }
+func (d *admission) Admit(node.Responder, string, node.Request) error { d.asked++; return nil }
+func (d *admission) CallerGone(node.Responder)                        { d.gone++ }
+func (d *admission) CheckHealth(node.Responder, string, bool)         {}
 
 func TestOnlyConnectionsWithNothingOpenAreClosedAsIdle(t *testing.T) {
 	d := &admission{}
@@ -71,7 +71,7 @@
 	if err := one.Read([]byte(text + "\n")); err != nil || d.asked != 1 {
 		t.Fatalf("%v, %d asked", err, d.asked)
 	}
-	f.Idle(time.Second)
+	f.SetIdleTimeout(time.Second)
 	f.Sweep(time.Now().Add(2 * time.Second))
 	if idle.Closed || idle.Out != string(closing) || busy.Out != "" {
 		t.Errorf("idle closed %v without time for what crosses its notice %q; busy was told %q", idle.Closed, idle.Out, busy.Out)
@@ -194,7 +194,7 @@
 	}
 	f.Fuzz(func(t *testing.T, text []byte) {
 		q, err := Decode(text)
-		if err == nil && !q.Check && (!plain(q.Ask.Rid) || len(q.Ask.Body) > mostBody || q.ID == "") {
+		if err == nil && !q.Check && (!plain(q.Work.ID) || len(q.Work.Body) > mostBody || q.ID == "") {
 			t.Errorf("%q was taken as %+v", text, q)
 		}
 		if out := AppendFault(nil, q.ID, &Fault{codeParse, errors.New(string(text))}); err != nil && !json.Valid(out) {
--- a/internal/runtime/runtime.go
+++ b/internal/runtime/runtime.go
@@ -108,16 +108,16 @@
 
 // Sink is told what the runtime says.
 type Sink interface {
-	Ready(old bool, ago time.Duration, asked time.Time)
-	CaughtUp()
-	End(task string, o policy.Outcome, took time.Duration, result []byte)
-	Wants(task string, body []byte)
-	Readings(row []float64)
-	Verdict(tag string, good bool)
+	RuntimeReady(old bool, ago time.Duration, asked time.Time)
+	RuntimeResynced()
+	RunEnded(task string, o policy.Outcome, took time.Duration, result []byte)
+	CallRequested(task string, body []byte)
+	GaugesRead(row []float64)
+	SelfTestEnded(tag string, good bool)
 }
 
 var ends = map[string]policy.Outcome{
-	"good": policy.OK, "bad": policy.Failed, "cut": policy.Cancelled, "gone": policy.Moot,
+	"good": policy.OK, "bad": policy.Failed, "cut": policy.Cancelled, "gone": policy.NotStarted,
 }
 
 // Link is the one connection to the runtime.
@@ -225,29 +225,29 @@
 	case "ready":
 		l.wait = leastWait
 		l.log.Info("runtime link", zap.String("outcome", n.Outcome), zap.Duration("spent", n.Spent))
-		l.sink.Ready(n.Outcome == "old", n.Spent, l.opened)
+		l.sink.RuntimeReady(n.Outcome == "old", n.Spent, l.opened)
 		l.send("gauges", "", "", nil, l.tag) // its answer comes behind the notices that were missed
 	case "end":
 		if o, ok := ends[n.Outcome]; ok {
-			l.sink.End(n.Task, o, n.Spent, n.Bytes)
+			l.sink.RunEnded(n.Task, o, n.Spent, n.Bytes)
 			return
 		}
 		l.remark("unknown end", n)
-		l.sink.End(n.Task, policy.Unclear, n.Spent, nil)
+		l.sink.RunEnded(n.Task, policy.Unknown, n.Spent, nil)
 	case "wants":
-		l.sink.Wants(n.Task, n.Bytes)
+		l.sink.CallRequested(n.Task, n.Bytes)
 	case "load":
 		if n.Nonce == l.tag && !l.caught {
 			l.caught = true
-			l.sink.CaughtUp()
+			l.sink.RuntimeResynced()
 		}
-		l.sink.Readings(n.Readings)
+		l.sink.GaugesRead(n.Readings)
 	case "verdict":
-		l.sink.Verdict(n.Nonce, n.Outcome == "good")
+		l.sink.SelfTestEnded(n.Nonce, n.Outcome == "good")
 	case "nack":
 		l.remark("command not carried out", n)
 		if n.Outcome == "start" {
-			l.sink.End(n.Task, policy.Moot, 0, nil)
+			l.sink.RunEnded(n.Task, policy.NotStarted, 0, nil)
 		}
 	case "info":
 	default:
@@ -279,17 +279,17 @@
 // Stop stops a run.
 func (l *Link) Stop(task string) { l.send("stop", task, "", nil, "") }
 
-// Give hands a run the reply to its call.
-func (l *Link) Give(task string, reply []byte) {
+// DeliverReply hands a run the reply to its call.
+func (l *Link) DeliverReply(task string, reply []byte) {
 	if reply == nil {
 		reply = []byte{}
 	}
 	l.send("give", task, "", reply, "")
 }
 
-// Gauges asks for a reading. A runtime that owes readings for long may not be at the other end of this link any more,
+// RequestGauges asks for a reading. A runtime that owes readings for long may not be at the other end of this link any more,
 // though nobody closed it: another is opened, and takes its place once it stands.
-func (l *Link) Gauges() {
+func (l *Link) RequestGauges() {
 	if now := time.Now(); l.owed.IsZero() {
 		l.owed = now
 	} else if now.Sub(l.owed) > silence {
--- a/internal/runtime/runtime_test.go
+++ b/internal/runtime/runtime_test.go
@@ -16,16 +16,16 @@
 type sink struct{ got []string }
 
 func (s *sink) put(format string, args ...any) { s.got = append(s.got, fmt.Sprintf(format, args...)) }
-func (s *sink) Ready(old bool, ago time.Duration, _ time.Time) {
+func (s *sink) RuntimeReady(old bool, ago time.Duration, _ time.Time) {
 	s.put("ready %v %v", old, ago)
 }
-func (s *sink) CaughtUp() { s.put("caught up") }
-func (s *sink) End(task string, o policy.Outcome, _ time.Duration, result []byte) {
+func (s *sink) RuntimeResynced() { s.put("caught up") }
+func (s *sink) RunEnded(task string, o policy.Outcome, _ time.Duration, result []byte) {
 	s.put("end %s %d %s", task, o, result)
 }
-func (s *sink) Wants(task string, body []byte) { s.put("wants %s %s", task, body) }
-func (s *sink) Readings(row []float64)         { s.put("readings %v", row) }
-func (s *sink) Verdict(tag string, good bool)  { s.put("verdict %s %v", tag, good) }
+func (s *sink) CallRequested(task string, body []byte) { s.put("wants %s %s", task, body) }
+func (s *sink) GaugesRead(row []float64)               { s.put("readings %v", row) }
+func (s *sink) SelfTestEnded(tag string, good bool)    { s.put("verdict %s %v", tag, good) }
 
 func link() (*Link, *sink, *[]time.Duration) {
 	s, waits := &sink{}, &[]time.Duration{}
@@ -106,7 +106,7 @@
 	l, s, _ := link()
 	open(l, &testutil.Wire{})
 	_ = l.now.Read([]byte(`{"verb":"nack","outcome":"start","task":"a"}` + "\n" + `{"verb":"nack","outcome":"give","task":"b"}` + "\n"))
-	if len(s.got) != 1 || s.got[0] != fmt.Sprintf("end a %d ", policy.Moot) {
+	if len(s.got) != 1 || s.got[0] != fmt.Sprintf("end a %d ", policy.NotStarted) {
 		t.Errorf("%q", s.got)
 	}
 }
--- a/internal/settingsjson/leaf.go
+++ b/internal/settingsjson/leaf.go
@@ -36,7 +36,7 @@
 		n.found = compact(raw)
 		return nil
 	}
-	n.value = settings.Of(x)
+	n.value = settings.NumberOf(x)
 	return nil
 }
 
--- a/internal/settingsjson/read.go
+++ b/internal/settingsjson/read.go
@@ -218,24 +218,24 @@
 	calls := each(r, domain, "calls_by_class", r.flag)
 	degraded := each(r, domain, "degraded_worth", r.number)
 	for place := range min(len(calls), len(s.Classes)) {
-		s.Classes[place].Calls = calls[place]
+		s.Classes[place].MakesCalls = calls[place]
 	}
 	for place := range min(len(degraded), len(s.Classes)) {
-		s.Classes[place].DegradedValue = degraded[place]
+		s.Classes[place].DegradedWeight = degraded[place]
 	}
 	return s
 }
 
 func (r *reader) class(at string, from section) settings.Class {
 	c := settings.Class{
-		Name:          r.text(at, "name", from),
-		Kind:          settings.Kind(r.word(at, "repeat", from, "repeatable", "by_key", "once")),
-		Value:         r.number(at, "worth", from),
-		Deadline:      r.number(at, "aim_s", from),
-		CallerTimeout: r.number(at, "deadline_s", from),
-		KeyWindow:     r.number(at, "window_s", from),
+		Name:             r.text(at, "name", from),
+		Idempotency:      settings.Idempotency(r.word(at, "repeat", from, "repeatable", "by_key", "once")),
+		Weight:           r.number(at, "worth", from),
+		LatencyObjective: r.number(at, "aim_s", from),
+		CallerTimeout:    r.number(at, "deadline_s", from),
+		KeyWindow:        r.number(at, "window_s", from),
 	}
-	if latest := c.CallerTimeout.Or(c.Deadline.Or(0)); c.Deadline.Or(0) > latest {
+	if latest := c.CallerTimeout.Or(c.LatencyObjective.Or(0)); c.LatencyObjective.Or(0) > latest {
 		r.fail(at+".aim_s", compact(from["aim_s"]), fmt.Sprintf("at most its deadline_s, %g", latest))
 	}
 	return c
@@ -244,31 +244,31 @@
 func (r *reader) server() settings.Server {
 	domain, rules, limits := r.section("domain"), r.section("rules"), r.section("policy_limits")
 	s := settings.Server{
-		Cores:          r.number("domain", "cores", domain),
-		MemoryKB:       r.number("domain", "ram_kb", domain),
-		RunMemory:      r.number("domain", "blowup", domain),
-		KeyEntryKB:     r.number("domain", "entry_kb", domain),
-		Stop:           settings.Stop(r.word("domain", "halt", domain, "off", "abort", "suspend")),
-		Below:          settings.Below(r.word("domain", "depends_on", domain, "off", "shared", "tier")),
-		Calls:          r.number("domain", "dep_share", domain),
-		CallsLinger:    r.number("domain", "linger_s", domain),
-		CallsWindow:    r.number("domain", "dep_window_s", domain),
-		Advertise:      settings.Advertise(r.word("domain", "say", domain, "off", "threshold", "window", "share_of")),
-		Callers:        r.number("domain", "clients_total", domain),
-		CallerIdle:     r.number("domain", "caller_idle_s", domain),
-		ListFollows:    r.flag("domain", "readiness", domain),
-		Cold:           r.flag("domain", "cold", domain),
-		Fleet:          r.number("", "fleet_size", r.top),
-		OverQuotaValue: r.number("", "over_share_worth", r.top),
-		RetryAfter:     r.flag("policy_limits", "retry_after", limits),
-		MaxRetryAfter:  r.number("policy_limits", "max_retry_after_s", limits),
-		ColdCrowd:      r.number("rules", "cold_from", rules),
-		WarmAfter:      r.number("rules", "warm_after_s", rules),
-		Grace:          r.number("rules", "drain_grace_s", rules),
-		Crowd:          r.number("rules", "fall_multiple", rules),
+		Cores:                 r.number("domain", "cores", domain),
+		MemoryKB:              r.number("domain", "ram_kb", domain),
+		RunMemoryFactor:       r.number("domain", "blowup", domain),
+		KeyEntryKB:            r.number("domain", "entry_kb", domain),
+		StopMode:              settings.StopMode(r.word("domain", "halt", domain, "off", "abort", "suspend")),
+		Dependency:            settings.Dependency(r.word("domain", "depends_on", domain, "off", "shared", "tier")),
+		CallQuota:             r.number("domain", "dep_share", domain),
+		CallLinger:            r.number("domain", "linger_s", domain),
+		CallQuotaWindow:       r.number("domain", "dep_window_s", domain),
+		AdvertiseMode:         settings.AdvertiseMode(r.word("domain", "say", domain, "off", "threshold", "window", "share_of")),
+		CallerCount:           r.number("domain", "clients_total", domain),
+		CallerIdleTimeout:     r.number("domain", "caller_idle_s", domain),
+		EndpointsFollowHealth: r.flag("domain", "readiness", domain),
+		SlowStart:             r.flag("domain", "cold", domain),
+		FleetSize:             r.number("", "fleet_size", r.top),
+		OverQuotaWeight:       r.number("", "over_share_worth", r.top),
+		RetryAfter:            r.flag("policy_limits", "retry_after", limits),
+		MaxRetryAfter:         r.number("policy_limits", "max_retry_after_s", limits),
+		SlowStartFraction:     r.number("rules", "cold_from", rules),
+		WarmUpTime:            r.number("rules", "warm_after_s", rules),
+		DrainGrace:            r.number("rules", "drain_grace_s", rules),
+		MaxConcurrencyPerCore: r.number("rules", "fall_multiple", rules),
 	}
 	if by := r.word("", "worth_by", r.top, "request", "work"); by != "" {
-		s.ValueByWork = settings.FlagOf(by == "work")
+		s.WeightPerWork = settings.FlagOf(by == "work")
 	}
 	for place, raw := range r.entries(domain, "gauges") {
 		switch strings.Trim(string(raw), `"`) {
--- a/internal/settingsjson/read_test.go
+++ b/internal/settingsjson/read_test.go
@@ -44,20 +44,20 @@
 	if fault != nil || err != nil {
 		t.Fatal(fault, err)
 	}
-	want := settings.Server{Cores: settings.Of(4), MemoryKB: settings.Of(100000), RunMemory: settings.Of(2), KeyEntryKB: settings.Of(1),
-		Stop: settings.StopAbort, Below: settings.BelowShared, Calls: settings.Of(50), CallsLinger: settings.Of(0.2),
-		CallsWindow: settings.Of(5), Advertise: settings.AdvertiseThreshold, Callers: settings.Of(3), CallerIdle: settings.Of(30),
-		Fleet: settings.Of(1), RetryAfter: settings.True, MaxRetryAfter: settings.Of(1), Grace: settings.Of(0.3),
-		Crowd: settings.Of(8), BusyGauge: 1, RunnableGauge: 2}
+	want := settings.Server{Cores: settings.NumberOf(4), MemoryKB: settings.NumberOf(100000), RunMemoryFactor: settings.NumberOf(2), KeyEntryKB: settings.NumberOf(1),
+		StopMode: settings.StopAbort, Dependency: settings.DependencyShared, CallQuota: settings.NumberOf(50), CallLinger: settings.NumberOf(0.2),
+		CallQuotaWindow: settings.NumberOf(5), AdvertiseMode: settings.AdvertiseThreshold, CallerCount: settings.NumberOf(3), CallerIdleTimeout: settings.NumberOf(30),
+		FleetSize: settings.NumberOf(1), RetryAfter: settings.True, MaxRetryAfter: settings.NumberOf(1), DrainGrace: settings.NumberOf(0.3),
+		MaxConcurrencyPerCore: settings.NumberOf(8), BusyGauge: 1, RunnableGauge: 2}
 	if s.Server != want {
 		t.Errorf("%+v, want %+v", s.Server, want)
 	}
-	seal := settings.Class{Name: "seal", Kind: settings.Unsafe, Value: settings.Of(3), DegradedValue: settings.Of(0), Calls: settings.True,
-		Deadline: settings.Of(20), CallerTimeout: settings.Of(30), KeyWindow: settings.Of(60)}
+	seal := settings.Class{Name: "seal", Idempotency: settings.NonIdempotent, Weight: settings.NumberOf(3), DegradedWeight: settings.NumberOf(0), MakesCalls: settings.True,
+		LatencyObjective: settings.NumberOf(20), CallerTimeout: settings.NumberOf(30), KeyWindow: settings.NumberOf(60)}
 	if len(s.Classes) != 3 || s.Classes[2] != seal {
 		t.Errorf("%+v", s.Classes)
 	}
-	if len(s.Tenants) != 1 || s.Tenants[0] != (settings.Tenant{Name: "acme", Quota: settings.Of(1000)}) {
+	if len(s.Tenants) != 1 || s.Tenants[0] != (settings.Tenant{Name: "acme", Quota: settings.NumberOf(1000)}) {
 		t.Errorf("%+v", s.Tenants)
 	}
 }
@@ -67,8 +67,8 @@
 	const domain, classes = `"domain":{"calls_by_class":[false,true],"degraded_worth":[null,0.5]}`, `"classes":[{"name":"a"},{"name":"b"}]`
 	for _, text := range []string{"{" + domain + "," + classes + "}", "{" + classes + "," + domain + "}"} {
 		s, fault, err := Parse(text)
-		if fault != nil || err != nil || s.Classes[0] != (settings.Class{Name: "a", Calls: settings.False}) ||
-			s.Classes[1] != (settings.Class{Name: "b", Calls: settings.True, DegradedValue: settings.Of(0.5)}) {
+		if fault != nil || err != nil || s.Classes[0] != (settings.Class{Name: "a", MakesCalls: settings.False}) ||
+			s.Classes[1] != (settings.Class{Name: "b", MakesCalls: settings.True, DegradedWeight: settings.NumberOf(0.5)}) {
 			t.Errorf("%s: %+v, %v, %v", text, s, fault, err)
 		}
 	}
@@ -103,8 +103,8 @@
 // A fault leaves the rest as it stands: the simulator's settings are taken without it.
 func TestWhatCannotBeMeantIsMissing(t *testing.T) {
 	s, fault, err := Parse(`{"domain":{"cores":"many","ram_kb":5},"tenants":[{"quota_per_s":-1},{"name":7,"quota_per_s":2}]}`)
-	if err != nil || fault == nil || s.Server != (settings.Server{MemoryKB: settings.Of(5)}) || len(s.Tenants) != 2 ||
-		s.Tenants[0] != (settings.Tenant{}) || s.Tenants[1] != (settings.Tenant{Quota: settings.Of(2)}) {
+	if err != nil || fault == nil || s.Server != (settings.Server{MemoryKB: settings.NumberOf(5)}) || len(s.Tenants) != 2 ||
+		s.Tenants[0] != (settings.Tenant{}) || s.Tenants[1] != (settings.Tenant{Quota: settings.NumberOf(2)}) {
 		t.Errorf("%+v, %v, %v", s, fault, err)
 	}
 }
@@ -121,7 +121,7 @@
 		}
 	}
 	s, fault, err := parse(t, map[string]any{"tenants": tenants(settings.MaxTenants)})
-	if err != nil || fault != nil || s.Tenants[settings.MaxTenants-1].Quota != settings.Of(settings.MaxTenants-1) {
+	if err != nil || fault != nil || s.Tenants[settings.MaxTenants-1].Quota != settings.NumberOf(settings.MaxTenants-1) {
 		t.Errorf("%d tenants, %v, %v", len(s.Tenants), fault, err)
 	}
 }
--- a/internal/simhost/link.go
+++ b/internal/simhost/link.go
@@ -1,4 +1,4 @@
-// Package link hosts many instances of the decision module on the bench's wire: it decodes
+// Package simhost hosts many instances of the decision module on the bench's wire: it decodes
 // events into calls of the module, maps ids to small indices and encodes what the module does.
 package simhost
 
@@ -9,6 +9,9 @@
 	"io"
 	"time"
 
+	"go.uber.org/zap"
+	"go.uber.org/zap/zapcore"
+
 	"thymechute/internal/settingsjson"
 	"thymechute/internal/wire"
 	"thymechute/policy"
@@ -100,7 +103,7 @@
 			continue
 		}
 		h.now = moment
-		h.mod.Settle(moment - h.start)
+		h.mod.Dispatch(moment - h.start)
 		if len(h.out) > 0 {
 			s.out.Write(wire.Line(nil, "ON_BEHALF", "instance", h.id))
 			s.out.Write(h.out)
@@ -128,9 +131,9 @@
 	start, now time.Duration
 	touched    bool
 	out        []byte
-	index      map[uint64]int // ticket to index; emptied by Release
-	ticket     []uint64       // index to ticket
-	spare      []int          // indices free for use
+	index      map[uint64]policy.RequestID // ticket to index; emptied by Release
+	ticket     []uint64                    // index to ticket
+	spare      []policy.RequestID          // indices free for use
 	server     settings.Server
 }
 
@@ -154,14 +157,14 @@
 		if err != nil {
 			return err
 		}
-		busy, runnable := h.server.Readings(row)
+		busy, runnable := h.server.Gauges(row)
 		h.mod.Tick(now, policy.Gauges{Busy: busy, Runnable: runnable})
 	case "LAME_DUCK":
 		left, err := m.Seconds("budget_s", false)
 		if err != nil {
 			return err
 		}
-		h.mod.Leave(now, left)
+		h.mod.Drain(now, left)
 	case "WOUND_UP", "AWAITING", "RETURNED", "LAPSED":
 		id, err := m.Int("ticket", true)
 		if err != nil {
@@ -178,11 +181,11 @@
 		word, _ := m.Field("disposition")
 		switch m.Name {
 		case "WOUND_UP":
-			h.mod.Ended(now, w, outcomes[word], took)
+			h.mod.RunEnded(now, w, outcomes[word], took)
 		case "AWAITING":
-			h.mod.AtCall(now, w)
+			h.mod.CallRequested(now, w)
 		case "RETURNED":
-			h.mod.Returned(now, w, outcomes[word], took)
+			h.mod.CallReturned(now, w, outcomes[word], took)
 		case "LAPSED":
 			h.mod.CallerGone(now, w)
 		}
@@ -191,9 +194,9 @@
 }
 
 var outcomes = map[string]policy.Outcome{
-	"ok": policy.OK, "error": policy.Failed, "full": policy.Full, "timeout": policy.TimedOut,
+	"ok": policy.OK, "error": policy.Failed, "full": policy.Rejected, "timeout": policy.TimedOut,
 	"connect_failed": policy.ConnectFailed, "reset": policy.Reset,
-	"cancelled": policy.Cancelled, "moot": policy.Moot,
+	"cancelled": policy.Cancelled, "moot": policy.NotStarted,
 }
 
 func (h *host) read(m wire.Message, now time.Duration) error {
@@ -208,38 +211,38 @@
 	n[1], errs[1] = m.Int("org", false)
 	n[2], errs[2] = m.Int("src", false)
 	n[3], errs[3] = m.Int("dup_of", false)
-	w.Waited, errs[4] = m.Seconds("waited_s", false)
-	w.Patience, errs[5] = m.Seconds("budget_s", false)
-	w.Hint, errs[6] = m.Seconds("cost_s", false)
-	w.Rank, errs[7] = m.Number("prio")
-	w.KB, errs[8] = m.Number("size_kb")
+	w.ReadDelay, errs[4] = m.Seconds("waited_s", false)
+	w.CallerTimeout, errs[5] = m.Seconds("budget_s", false)
+	w.CostHint, errs[6] = m.Seconds("cost_s", false)
+	w.Priority, errs[7] = m.Number("prio")
+	w.MemoryKB, errs[8] = m.Number("size_kb")
 	if err := errors.Join(errs[:]...); err != nil {
 		return err
 	}
-	if w.Repeat, err = m.Bool("repeat"); err != nil {
+	if w.Retry, err = m.Bool("repeat"); err != nil {
 		return err
 	}
-	w.Class, w.Tenant, w.From = int(n[0]), int(n[1]), int(n[2])
-	w.Forerunner = policy.NoForerunner
+	w.Class, w.Tenant, w.Caller = int(n[0]), int(n[1]), int(n[2])
+	w.Original = policy.NoOriginal
 	if n[3] != 0 {
-		w.Forerunner = policy.GoneForerunner
+		w.Original = policy.OriginalGone
 		if first, ok := h.index[n[3]]; ok {
-			w.Forerunner = first
+			w.Original = first
 		}
 	}
 	if _, twice := h.index[id]; twice {
 		return nil
 	}
-	var at int
+	var at policy.RequestID
 	if k := len(h.spare); k > 0 {
 		at, h.spare = h.spare[k-1], h.spare[:k-1]
 		h.ticket[at] = id
 	} else {
-		at = len(h.ticket)
+		at = policy.RequestID(len(h.ticket))
 		h.ticket = append(h.ticket, id)
 	}
 	h.index[id] = at
-	h.mod.Arrived(now, at, w)
+	h.mod.Admit(now, at, w)
 	return nil
 }
 
@@ -254,37 +257,47 @@
 		return m.Bad("info", "a JSON object: "+err.Error())
 	}
 	h.server = info.Server
-	h.start, h.out, h.index, h.ticket, h.spare = h.now, h.out[:0], map[uint64]int{}, nil, nil
+	h.start, h.out, h.index, h.ticket, h.spare = h.now, h.out[:0], map[uint64]policy.RequestID{}, nil, nil
 	h.mod = policy.New(h, seed, info)
 	return nil
 }
 
 func (h *host) say(name string, pairs ...any) { h.out = wire.Line(h.out, name, pairs...) }
 
-func (h *host) Start(w int)    { h.say("RUN", "ticket", h.ticket[w]) }
-func (h *host) Stop(w int)     { h.say("TAKE_OFF", "ticket", h.ticket[w]) }
-func (h *host) Scrap(w int)    { h.say("ERROR", "ticket", h.ticket[w]) }
-func (h *host) LeaveOut(w int) { h.say("OMIT", "ticket", h.ticket[w]) }
-func (h *host) Forget(w int)   { h.say("RELEASE_KEY", "ticket", h.ticket[w]) }
-func (h *host) Join(w int)     { h.say("ATTACH", "ticket", h.ticket[w]) }
-func (h *host) Reject(w int, comeBack time.Duration, no bool) {
-	h.say("NOT_NOW", "ticket", h.ticket[w], "pause_s", comeBack, "final", no)
+func (h *host) Start(w policy.RequestID)     { h.say("RUN", "ticket", h.ticket[w]) }
+func (h *host) Stop(w policy.RequestID)      { h.say("TAKE_OFF", "ticket", h.ticket[w]) }
+func (h *host) Fail(w policy.RequestID)      { h.say("ERROR", "ticket", h.ticket[w]) }
+func (h *host) SkipCall(w policy.RequestID)  { h.say("OMIT", "ticket", h.ticket[w]) }
+func (h *host) ForgetKey(w policy.RequestID) { h.say("RELEASE_KEY", "ticket", h.ticket[w]) }
+func (h *host) Coalesce(w policy.RequestID)  { h.say("ATTACH", "ticket", h.ticket[w]) }
+func (h *host) Reject(w policy.RequestID, r policy.Rejection) {
+	h.say("NOT_NOW", "ticket", h.ticket[w], "pause_s", r.RetryAfter, "final", r.NoRetryElsewhere)
 }
-func (h *host) Call(w int, patience time.Duration) {
+func (h *host) Call(w policy.RequestID, patience time.Duration) {
 	h.say("CALL_DEP", "ticket", h.ticket[w], "patience_s", patience)
 }
-func (h *host) Record(w int, life time.Duration) {
+func (h *host) RecordKey(w policy.RequestID, life time.Duration) {
 	h.say("RECORD_KEY", "ticket", h.ticket[w], "for_time_s", life)
 }
-func (h *host) Health(good, stored bool) { h.say("FITNESS", "stored", stored, "on", good) }
-func (h *host) Idle(after time.Duration) { h.say("IDLE", "for_time_s", after) }
-func (h *host) Free(value float64)       { h.say("SIGNAL", "value", value) }
+func (h *host) SetHealth(v policy.Health)          { h.say("FITNESS", "stored", v.Cached, "on", v.Healthy) }
+func (h *host) SetIdleTimeout(after time.Duration) { h.say("IDLE", "for_time_s", after) }
+func (h *host) Advertise(value float64)            { h.say("SIGNAL", "value", value) }
 func (h *host) Wake(at time.Duration) {
 	h.say("NOTIFY_ME", "alarm_time_s", h.start+at, "ref", uint64(1))
 }
-func (h *host) Log(format string, args ...any) { h.say("DEBUG", "text", fmt.Sprintf(format, args...)) }
 
-func (h *host) Release(w int) {
+// Log sends the line as text: the message, then each field as key=value.
+func (h *host) Log(message string, fields ...zap.Field) {
+	text := message
+	for _, field := range fields {
+		values := zapcore.NewMapObjectEncoder()
+		field.AddTo(values)
+		text += fmt.Sprintf(" %s=%v", field.Key, values.Fields[field.Key])
+	}
+	h.say("DEBUG", "text", text)
+}
+
+func (h *host) Release(w policy.RequestID) {
 	delete(h.index, h.ticket[w])
 	h.spare = append(h.spare, w)
 }
--- a/internal/testutil/testkit.go
+++ b/internal/testutil/environment.go
@@ -1,4 +1,4 @@
-// Package testkit is what all tests share: a host that writes down what the module does, the program as a process, and
+// Package testutil is what all tests share: a host that writes down what the module does, the program as a process, and
 // stand-ins for the parties it talks to, written from the protocol's page. They wait on events, never on time
 // alone; the patience below only ends a test that is stuck. Nothing but tests imports it.
 package testutil
@@ -13,22 +13,22 @@
 
 const patience = 20 * time.Second
 
-// World is the program with its stand-ins.
-type World struct {
-	T       *testing.T
-	Given   map[string]any
-	Program *Program
-	Listen  string
-	Runtime *Party
-	Index   *Party
-	Catalog net.PacketConn
-	Words   chan string // the catalog's
+// Environment is the program with its stand-ins.
+type Environment struct {
+	T              *testing.T
+	Config         map[string]any
+	Program        *Program
+	Listen         string
+	Runtime        *FakePeer
+	Index          *FakePeer
+	Catalog        net.PacketConn
+	CatalogReports chan string // the catalog's
 }
 
-// NewWorld makes the stand-ins and the configuration, changed as asked; nothing is started.
-func NewWorld(t *testing.T, change func(given map[string]any)) *World {
+// NewEnvironment makes the stand-ins and the configuration, changed as asked; nothing is started.
+func NewEnvironment(t *testing.T, change func(given map[string]any)) *Environment {
 	t.Helper()
-	w := &World{T: t, Listen: FreeAddress(t), Runtime: NewParty(t), Index: NewParty(t), Words: make(chan string, 1000)}
+	w := &Environment{T: t, Listen: FreeAddress(t), Runtime: NewFakePeer(t), Index: NewFakePeer(t), CatalogReports: make(chan string, 1000)}
 	var err error
 	if w.Catalog, err = net.ListenPacket("udp", "127.0.0.1:0"); err != nil {
 		t.Fatal(err)
@@ -42,38 +42,38 @@
 				return
 			}
 			select {
-			case w.Words <- string(b[:n]):
+			case w.CatalogReports <- string(b[:n]):
 			default:
 			}
 		}
 	}()
-	w.Given = map[string]any{"name": "n3", "listen": w.Listen, "runtime": w.Runtime.Address, "index": w.Index.Address,
+	w.Config = map[string]any{"name": "n3", "listen": w.Listen, "runtime": w.Runtime.Address, "index": w.Index.Address,
 		"directory": w.Catalog.LocalAddr().String(), "seed": "8c1f30d27a5be964", "stop_ms": 3000,
 		"limits": map[string]any{"cores": 1.0, "memory_mb": 192, "sockets": 256}, "settings": Settings()}
 	if change != nil {
-		change(w.Given)
+		change(w.Config)
 	}
 	return w
 }
 
 // Serve starts the program and its runtime, and waits until it is up.
-func Serve(t *testing.T, change func(given map[string]any)) *World {
+func Serve(t *testing.T, change func(given map[string]any)) *Environment {
 	t.Helper()
-	w := NewWorld(t, change)
-	w.Program = Start(t, w.Given)
+	w := NewEnvironment(t, change)
+	w.Program = Start(t, w.Config)
 	w.Runtime.Sync(0, "new", 0)
 	return w
 }
 
 // AtCall brings a request of the class seal to its call, which the index has read, and returns its stub.
-func (w *World) AtCall(rid, body string) *Stub {
+func (w *Environment) AtCall(rid, body string) *Stub {
 	w.T.Helper()
 	s := w.Stub()
 	s.Ask(1, "seal", rid, body, "")
-	w.Runtime.Command("start")
-	w.Runtime.Wants(1, rid, "call")
+	w.Runtime.ExpectCommand("start")
+	w.Runtime.RequestCall(1, rid, "call")
 	w.Index.Accept()
-	w.Index.Get()
+	w.Index.ExpectCall()
 	return s
 }
 
--- a/internal/testutil/party.go
+++ b/internal/testutil/peer.go
@@ -17,8 +17,8 @@
 	"time"
 )
 
-// Party is a stand-in that the program connects to: the runtime or the index.
-type Party struct {
+// FakePeer is a stand-in that the program connects to: the runtime or the index.
+type FakePeer struct {
 	t       *testing.T
 	listen  net.Listener
 	Address string
@@ -30,17 +30,17 @@
 	busy    atomic.Bool // its readings are those of a runtime with all cores at work
 }
 
-// NewParty listens.
-func NewParty(t *testing.T) *Party {
+// NewFakePeer listens.
+func NewFakePeer(t *testing.T) *FakePeer {
 	t.Helper()
-	p := &Party{t: t}
+	p := &FakePeer{t: t}
 	p.Listen("127.0.0.1:0")
 	t.Cleanup(p.Down)
 	return p
 }
 
 // Listen takes connections at the address; Down refuses them from now on.
-func (p *Party) Listen(address string) {
+func (p *FakePeer) Listen(address string) {
 	p.t.Helper()
 	var err error
 	if p.listen, err = net.Listen("tcp", address); err != nil {
@@ -59,7 +59,7 @@
 }
 
 // Down stops listening and ends the connection.
-func (p *Party) Down() {
+func (p *FakePeer) Down() {
 	p.listen.Close()
 	if p.conn != nil {
 		p.conn.Close()
@@ -67,17 +67,17 @@
 }
 
 // Accept waits for the next connection, which takes the place of the one before.
-func (p *Party) Accept() {
+func (p *FakePeer) Accept() {
 	p.t.Helper()
 	p.conn = Next(p.t, p.conns, "a connection to a stand-in")
 	p.in, p.lines, p.mute = bufio.NewReader(p.conn), nil, &atomic.Bool{}
 }
 
 // Break ends the connection.
-func (p *Party) Break() { p.conn.Close() }
+func (p *FakePeer) Break() { p.conn.Close() }
 
 // Send writes text as it is.
-func (p *Party) Send(format string, args ...any) {
+func (p *FakePeer) Send(format string, args ...any) {
 	p.t.Helper()
 	if _, err := fmt.Fprintf(p.conn, format, args...); err != nil {
 		p.t.Fatal(err)
@@ -85,13 +85,13 @@
 }
 
 // Mute lets gauges go unanswered on this link from now on.
-func (p *Party) Mute() { p.mute.Store(true) }
+func (p *FakePeer) Mute() { p.mute.Store(true) }
 
 // Busy lets the readings be those of a runtime with all its cores at work, from now on.
-func (p *Party) Busy() { p.busy.Store(true) }
+func (p *FakePeer) Busy() { p.busy.Store(true) }
 
 // pump answers the gauges of a link and hands on all else.
-func (p *Party) pump(c net.Conn, in *bufio.Reader, mute *atomic.Bool, to chan<- string) {
+func (p *FakePeer) pump(c net.Conn, in *bufio.Reader, mute *atomic.Bool, to chan<- string) {
 	defer close(to)
 	for {
 		line, err := in.ReadString('\n')
@@ -107,7 +107,7 @@
 	}
 }
 
-func (p *Party) answerGauges(c net.Conn, nonce string) {
+func (p *FakePeer) answerGauges(c net.Conn, nonce string) {
 	readings := "0.1,0"
 	if p.busy.Load() {
 		readings = "1,2"
@@ -115,7 +115,7 @@
 	_, _ = fmt.Fprintf(c, `{"verb":"load","nonce":%q,"readings":[%s]}`+"\n", nonce, readings)
 }
 
-func (p *Party) line() (string, error) {
+func (p *FakePeer) line() (string, error) {
 	if p.lines != nil {
 		select {
 		case line, ok := <-p.lines:
@@ -131,8 +131,8 @@
 	return p.in.ReadString('\n')
 }
 
-// Gone waits until the program has closed the connection.
-func (p *Party) Gone() {
+// AwaitClose waits until the program has closed the connection.
+func (p *FakePeer) AwaitClose() {
 	p.t.Helper()
 	for {
 		if _, err := p.line(); err == io.EOF {
@@ -144,7 +144,7 @@
 }
 
 // Sync takes a link of the program, whose sync must name that notice, and waits until the program is up.
-func (p *Party) Sync(want int, state string, ago int, missed ...string) {
+func (p *FakePeer) Sync(want int, state string, ago int, missed ...string) {
 	p.t.Helper()
 	p.Accept()
 	if m := p.command("sync"); m["index"] != float64(want) {
@@ -160,8 +160,8 @@
 	go p.pump(p.conn, p.in, p.mute, p.lines)
 }
 
-// Command waits for a command of that verb, and answers the gauges asked for meanwhile.
-func (p *Party) Command(verb string) (task, body string) {
+// ExpectCommand waits for a command of that verb, and answers the gauges asked for meanwhile.
+func (p *FakePeer) ExpectCommand(verb string) (task, body string) {
 	p.t.Helper()
 	m := p.command(verb)
 	text, _ := m["bytes"].(string)
@@ -174,7 +174,7 @@
 }
 
 // Until waits for that command for that task, whatever comes before.
-func (p *Party) Until(verb, task string) {
+func (p *FakePeer) Until(verb, task string) {
 	p.t.Helper()
 	for {
 		line, err := p.line()
@@ -187,7 +187,7 @@
 	}
 }
 
-func (p *Party) command(verb string) map[string]any {
+func (p *FakePeer) command(verb string) map[string]any {
 	p.t.Helper()
 	for end := time.Now().Add(patience); ; {
 		line, err := p.line()
@@ -212,7 +212,7 @@
 }
 
 // End tells the end of a run.
-func (p *Party) End(index int, task, how, result string) {
+func (p *FakePeer) End(index int, task, how, result string) {
 	p.t.Helper()
 	p.Send("%s\n", EndLine(index, task, how, result))
 }
@@ -223,14 +223,14 @@
 		index, task, how, base64.StdEncoding.EncodeToString([]byte(result)))
 }
 
-// Wants tells that a run stands at a call.
-func (p *Party) Wants(index int, task, body string) {
+// RequestCall tells that a run stands at a call.
+func (p *FakePeer) RequestCall(index int, task, body string) {
 	p.t.Helper()
 	p.Send(`{"verb":"wants","index":%d,"task":%q,"bytes":%q}`+"\n", index, task, base64.StdEncoding.EncodeToString([]byte(body)))
 }
 
-// Get waits for a call at the index.
-func (p *Party) Get() (rid, body string) {
+// ExpectCall waits for a call at the index.
+func (p *FakePeer) ExpectCall() (rid, body string) {
 	p.t.Helper()
 	line, err := p.line()
 	var ms, size int
@@ -244,13 +244,13 @@
 	return rid, string(b[:size])
 }
 
-// Obey runs all that is started, with this result, until the link breaks; its first notice has that number.
-func (p *Party) Obey(first int, result string) {
-	p.ObeyBut(first, result, func(string) bool { return false })
+// ServeAll runs all that is started, with this result, until the link breaks; its first notice has that number.
+func (p *FakePeer) ServeAll(first int, result string) {
+	p.ServeAllExcept(first, result, func(string) bool { return false })
 }
 
-// ObeyBut is Obey that lets those tasks run on without an end of which leave says so.
-func (p *Party) ObeyBut(first int, result string, leave func(task string) bool) {
+// ServeAllExcept is Obey that lets those tasks run on without an end of which leave says so.
+func (p *FakePeer) ServeAllExcept(first int, result string, leave func(task string) bool) {
 	for n := first; ; {
 		line, err := p.line()
 		if err != nil {
--- a/internal/testutil/probe.go
+++ b/internal/testutil/probe.go
@@ -32,7 +32,7 @@
 }
 
 // Probe begins to send checks, one each so often.
-func (w *World) Probe(every time.Duration) *Probe {
+func (w *Environment) Probe(every time.Duration) *Probe {
 	w.T.Helper()
 	p := &Probe{t: w.T, every: every, stop: make(chan struct{}), sent: make(chan int, 1)}
 	for range probeConns {
--- a/internal/testutil/stub.go
+++ b/internal/testutil/stub.go
@@ -24,7 +24,7 @@
 }
 
 // Stub connects to the program, and asks again while it does not listen yet.
-func (w *World) Stub() *Stub {
+func (w *Environment) Stub() *Stub {
 	w.T.Helper()
 	for end := time.Now().Add(patience); ; time.Sleep(time.Millisecond) {
 		c, err := net.Dial("tcp", w.Listen)
@@ -39,7 +39,7 @@
 }
 
 // SlowStub is one whose connection takes little: what it does not read piles up in the program, not in the system.
-func (w *World) SlowStub() *Stub {
+func (w *Environment) SlowStub() *Stub {
 	w.T.Helper()
 	d := net.Dialer{Control: func(_, _ string, c syscall.RawConn) error {
 		return c.Control(func(fd uintptr) {
--- a/policy/advice.go
+++ b/policy/advice.go
@@ -6,6 +6,8 @@
 	"math"
 	"time"
 
+	"go.uber.org/zap"
+
 	"thymechute/policy/settings"
 )
 
@@ -27,20 +29,20 @@
 // may come. The change is slow: a connection keeps the time under which it fell idle, and a table let go at
 // once fills at once.
 func (i *Instance) doors() {
-	whole := i.server.CallerIdle.Seconds(0)
+	whole := i.server.CallerIdleTimeout.Seconds(0)
 	if i.ticks == 0 || whole <= 0 {
 		return
 	}
 	spare := min(max(1-i.intake/i.ticks/(intakePart*float64(i.cores)), -1), 1)
 	i.open = min(max(i.open*(1-doorGain*spare), leastIdle), 1)
 	part := i.open
-	if learn(&i.sends, float64(i.read), 15); i.sends*whole.Seconds() > i.server.Callers.Or(0)*period.Seconds() {
+	if learn(&i.sends, float64(i.read), 15); i.sends*whole.Seconds() > i.server.CallerCount.Or(0)*period.Seconds() {
 		part = 1 // a caller mostly comes again before its connection would close: closing it gains nothing
 	}
 	i.intake, i.ticks = 0, 0
 	if after := time.Duration(part * float64(whole)).Round(100 * ms); after != i.idle {
 		i.idle = after
-		i.host.Idle(after)
+		i.host.SetIdleTimeout(after)
 	}
 }
 
@@ -48,14 +50,14 @@
 // this server too seldom to remember what it said still stays away. Dampened like the flag, both ways.
 func (i *Instance) health() {
 	jam := i.jam()
-	bad := i.server.ListFollows.On() && (jam == 1 || jam > 0 && (i.unfit || i.repeats < repeatsElse))
+	bad := i.server.EndpointsFollowHealth.On() && (jam == 1 || jam > 0 && (i.unfit || i.repeats < repeatsElse))
 	if i.jams++; bad == i.unfit {
 		i.jams = 0
 	}
 	if i.jams >= dampening && i.grace == math.MaxInt64 {
 		i.jams, i.unfit = 0, !i.unfit
-		i.host.Health(!i.unfit, true)
-		i.host.Log("unfit %v: %.2f s unread, %.2f of the read are repeats", i.unfit, i.unread, i.repeats)
+		i.host.SetHealth(Health{Healthy: !i.unfit, Cached: true})
+		i.host.Log("health changed", zap.Bool("healthy", !i.unfit), zap.Float64("read_delay_s", i.unread), zap.Float64("retry_share", i.repeats))
 	}
 }
 
@@ -68,7 +70,7 @@
 func (i *Instance) say(now time.Duration) {
 	if full := i.jam() > jamTold; full != i.jammed {
 		i.jammed = full
-		i.host.Log("jam %v: %.2f s unread", full, i.unread)
+		i.host.Log("read congestion changed", zap.Bool("congested", full), zap.Float64("read_delay_s", i.unread))
 	}
 	value := max(i.shed, i.jam())
 	if now > i.grace-period {
@@ -77,16 +79,16 @@
 	if math.Abs(value-i.said) < leastSaid {
 		return
 	}
-	switch i.said = value; i.server.Advertise {
+	switch i.said = value; i.server.AdvertiseMode {
 	case settings.AdvertiseThreshold:
-		i.host.Free(value)
+		i.host.Advertise(value)
 	case settings.AdvertiseShare:
-		i.host.Free(1 - value)
+		i.host.Advertise(1 - value)
 	case settings.AdvertiseWindow:
 		window := 2 * i.width // a calm server leaves all of it to any caller
 		if value >= leastSaid {
 			window = max(window*(1-value)/float64(max(len(i.from), 1)), leastWindow)
 		}
-		i.host.Free(window)
+		i.host.Advertise(window)
 	}
 }
--- a/policy/calls.go
+++ b/policy/calls.go
@@ -7,11 +7,13 @@
 	"slices"
 	"time"
 
+	"go.uber.org/zap"
+
 	"thymechute/policy/settings"
 )
 
-// AtCall: a run stands at a call.
-func (i *Instance) AtCall(now time.Duration, w int) {
+// CallRequested: a run stands at a call.
+func (i *Instance) CallRequested(now time.Duration, w RequestID) {
 	if it := &i.items[w]; it.state == running {
 		i.onCores--
 		it.state, it.since = atCall, now
@@ -23,13 +25,13 @@
 // stand, classes that can do without leave them out, but for a trial, so that the rest finds room below.
 func (i *Instance) serveCalls(now time.Duration) {
 	down, trial := i.fails >= failures, i.calls == 0 && now >= i.nextTrial
-	spare := (down || i.server.Below == settings.BelowShared && i.slowBelow()) && !trial
+	spare := (down || i.server.Dependency == settings.DependencyShared && i.slowBelow()) && !trial
 	for _, w := range slices.Clone(i.standing) {
 		b, it := &i.classes[i.items[w].Class], &i.items[w]
 		long := (now-it.since).Seconds() > standPart*b.due.Seconds() || (it.use-now).Seconds() < i.callTook
 		if b.poorer > 0 && (spare || long) {
 			i.resume(now, w)
-			i.host.LeaveOut(w)
+			i.host.SkipCall(w)
 		}
 	}
 	for len(i.standing) > 0 {
@@ -42,8 +44,8 @@
 		}
 		patience := min(it.use, it.due-margin) - now
 		if out+1 > share {
-			window := partCall * min(i.callShare-out, 1) * i.server.CallsWindow.Seconds(1).Seconds()
-			patience = min(patience, time.Duration(window*1e9)-i.server.CallsLinger.Seconds(0))
+			window := partCall * min(i.callShare-out, 1) * i.server.CallQuotaWindow.Seconds(1).Seconds()
+			patience = min(patience, time.Duration(window*1e9)-i.server.CallLinger.Seconds(0))
 		}
 		i.standing = without(i.standing, w)
 		it.state, i.calls = calling, i.calls+1
@@ -51,7 +53,7 @@
 	}
 }
 
-func (i *Instance) resume(now time.Duration, w int) { // from a call, back on the cores
+func (i *Instance) resume(now time.Duration, w RequestID) { // from a call, back on the cores
 	it := &i.items[w]
 	i.standing = without(i.standing, w)
 	it.callTime, it.state = it.callTime+now-it.since, running
@@ -63,7 +65,7 @@
 	i.meter(now)
 	i.calls--
 	if given {
-		i.lingering = append(i.lingering, now+i.server.CallsLinger.Seconds(0))
+		i.lingering = append(i.lingering, now+i.server.CallLinger.Seconds(0))
 	}
 }
 
@@ -74,19 +76,19 @@
 	out, share = float64(i.calls+len(i.lingering)), i.callShare*i.callUse
 	whole, part := math.Modf(i.callShare)
 	spent := i.overCalled + (out-min(meanCalls*share, whole+partUse*part))*(now-i.metered).Seconds()
-	i.overCalled, i.metered = max(spent, -savedCalls*part*i.server.CallsWindow.Seconds(1).Seconds()), now
+	i.overCalled, i.metered = max(spent, -savedCalls*part*i.server.CallQuotaWindow.Seconds(1).Seconds()), now
 	return out, share
 }
 
 func (i *Instance) slowBelow() bool { return i.callTook > callSlow*i.firstClass().due.Seconds() }
 
-// Returned is the end of a call.
-func (i *Instance) Returned(now time.Duration, w int, o Outcome, took time.Duration) {
+// CallReturned is the end of a call.
+func (i *Instance) CallReturned(now time.Duration, w RequestID, o Outcome, took time.Duration) {
 	it := &i.items[w]
 	if it.state != calling {
 		return
 	}
-	i.callOver(now, o == TimedOut || o == Reset || o == Unclear)
+	i.callOver(now, o == TimedOut || o == Reset || o == Unknown)
 	i.resume(now, w)
 	cut := o == TimedOut && took.Seconds() < i.callTook // had less time than calls take
 	if o == OK || o == TimedOut && !cut {               // what is turned away tells nothing of a call's time
@@ -94,7 +96,7 @@
 	}
 	if o == OK {
 		if i.fails >= failures {
-			i.host.Log("calls back after a trial of %v", took)
+			i.host.Log("dependency calls resumed", zap.Duration("probe_took", took))
 		}
 		i.fails = 0
 		return
@@ -102,15 +104,15 @@
 	if !cut { // it must not stop calls, nor be the trial that keeps them stopped
 		i.nextTrial = now + trialGap
 		if i.fails++; i.fails == failures {
-			i.host.Log("calls stopped: %d failed in a row", i.fails)
+			i.host.Log("dependency calls suspended", zap.Int("consecutive_failures", i.fails))
 		}
 	}
 	b := &i.classes[it.Class]
 	if !it.answered && b.poorer > 0 {
-		i.host.LeaveOut(w)
+		i.host.SkipCall(w)
 		return
 	}
-	i.AtCall(now, w)
+	i.CallRequested(now, w)
 	if it.answered {
 		i.halt(it, w)
 	} else if !b.safe && !o.NeverRan() || now >= it.use {
--- a/policy/ends.go
+++ b/policy/ends.go
@@ -5,10 +5,12 @@
 import (
 	"slices"
 	"time"
+
+	"go.uber.org/zap"
 )
 
 // scrap answers a request that has run; what is on the cores goes on unless it can be stopped.
-func (i *Instance) scrap(now time.Duration, w int) {
+func (i *Instance) scrap(now time.Duration, w RequestID) {
 	it, b := &i.items[w], &i.classes[i.items[w].Class]
 	i.sample(now, it)
 	if took := (now - it.began).Seconds(); took > b.span {
@@ -16,11 +18,11 @@
 		learn(&b.span, took, 16)
 	}
 	it.answered = true
-	i.host.Scrap(w)
+	i.host.Fail(w)
 	i.halt(it, w)
 }
 
-func (i *Instance) halt(it *item, w int) {
+func (i *Instance) halt(it *item, w RequestID) {
 	i.standing = without(i.standing, w)
 	if it.state == running && i.stops {
 		i.host.Stop(w)
@@ -28,7 +30,7 @@
 }
 
 // CallerGone: nobody waits for this request any more, so no answer is owed.
-func (i *Instance) CallerGone(now time.Duration, w int) {
+func (i *Instance) CallerGone(now time.Duration, w RequestID) {
 	it := &i.items[w]
 	if it.state == held || it.state == joined {
 		i.drop(w)
@@ -37,16 +39,16 @@
 	}
 }
 
-// Leave: this server stops after left; all that it has read must be answered before.
-func (i *Instance) Leave(now, left time.Duration) {
+// Drain: this server stops after left; all that it has read must be answered before.
+func (i *Instance) Drain(now, left time.Duration) {
 	i.stopAt = now + left - 3*sweepGap - margin
-	i.grace = now + i.server.Grace.Seconds(0) - margin
+	i.grace = now + i.server.DrainGrace.Seconds(0) - margin
 	for w := range i.items {
 		it := &i.items[w]
 		it.due, it.use = min(it.due, i.stopAt), min(it.use, i.stopAt)
 	}
-	i.host.Health(false, true)
-	i.host.Log("leaving: %d held, %d on cores, %v left", len(i.held), i.onCores, left)
+	i.host.SetHealth(Health{Healthy: false, Cached: true})
+	i.host.Log("draining", zap.Int("queued", len(i.held)), zap.Int("running", i.onCores), zap.Duration("time_left", left))
 }
 
 // Tick comes every sweepGap: due times, and the sample of lag once a period.
@@ -63,7 +65,8 @@
 	kept := len(i.entries)
 	i.entries, i.lingering = slices.DeleteFunc(i.entries, past), slices.DeleteFunc(i.lingering, past)
 	i.memory -= float64(kept-len(i.entries)) * i.server.KeyEntryKB.Or(0)
-	for w := range i.items {
+	for n := range i.items {
+		w := RequestID(n)
 		it := &i.items[w]
 		if it.state == absent || it.answered {
 			continue
@@ -75,7 +78,7 @@
 				i.reject(now, w, true)
 			}
 		case it.state == joined && late:
-			i.host.Scrap(w)
+			i.host.Fail(w)
 			i.drop(w)
 		case it.state != joined && (late || worthless && i.stops):
 			i.scrap(now, w)
--- a/policy/instance.go
+++ b/policy/instance.go
@@ -80,8 +80,8 @@
 	classes   []class
 	tenants   []share.Bucket
 	items     []item          // by index; as long as the most live at one time
-	held      []int           // emptied by a start, a rejection or the caller's leaving
-	standing  []int           // at a call not out; emptied by the call or an answer
+	held      []RequestID     // emptied by a start, a rejection or the caller's leaving
+	standing  []RequestID     // at a call not out; emptied by the call or an answer
 	entries   []time.Duration // ends of those in the key table; emptied by time and by Forget
 	lingering []time.Duration // ends of calls given up; emptied by time
 	from      map[int]bool    // callers read in this period; emptied each period
@@ -122,7 +122,7 @@
 		i.SetTenant(n, tenant)
 	}
 	i.width = float64(i.cores)
-	h.Health(true, true)
+	h.SetHealth(Health{Healthy: true, Cached: true})
 	h.Wake(i.wanted)
 	return i
 }
--- a/policy/keys.go
+++ b/policy/keys.go
@@ -8,7 +8,7 @@
 )
 
 // record enters a key entry before the run, so that a repeat of a held one is known too.
-func (i *Instance) record(now time.Duration, it *item, w int) {
+func (i *Instance) record(now time.Duration, it *item, w RequestID) {
 	b := &i.classes[it.Class]
 	life := it.arrived + b.window + 2*margin - now
 	if i.entryKB(it) == 0 || life <= 0 {
@@ -18,7 +18,7 @@
 	it.entryEnds = now + life
 	i.entries = append(i.entries, it.entryEnds)
 	i.memory += i.server.KeyEntryKB.Or(0)
-	i.host.Record(w, life)
+	i.host.RecordKey(w, life)
 }
 
 func (i *Instance) entryKB(it *item) float64 {
--- a/policy/lag.go
+++ b/policy/lag.go
@@ -4,6 +4,8 @@
 
 import (
 	"time"
+
+	"go.uber.org/zap"
 )
 
 func learn(mean *float64, x, seen float64) { *mean += (x - *mean) / min(seen+1, 16) }
@@ -53,8 +55,9 @@
 		i.crossings = 0
 	}
 	if i.flag = i.crossings >= dampening; i.flag != was {
-		i.host.Log("shedding %v: lag %.2f, %d held, %d on cores, width %.0f, shed %.2f",
-			i.flag, i.lag, len(i.held), i.onCores, i.width, i.shed)
+		i.host.Log("load shedding changed", zap.Bool("shedding", i.flag), zap.Float64("lag", i.lag),
+			zap.Float64("lag_threshold", i.limit), zap.Int("queued", len(i.held)), zap.Int("running", i.onCores),
+			zap.Float64("concurrency_limit", i.width), zap.Float64("advertised_shed", i.shed))
 	}
 	i.adjust()
 	i.health()
--- a/policy/settings.go
+++ b/policy/settings.go
@@ -15,9 +15,9 @@
 	i.memory = float64(len(i.entries)) * s.KeyEntryKB.Or(0)
 	for w := range i.items {
 		if it := &i.items[w]; it.state != absent {
-			i.memory += it.KB
+			i.memory += it.MemoryKB
 			if it.state != held && it.state != joined {
-				i.memory += i.runKB(it.KB)
+				i.memory += i.runKB(it.MemoryKB)
 			}
 		}
 	}
@@ -25,14 +25,14 @@
 }
 
 func (i *Instance) takeServer(s settings.Server) {
-	i.server, i.stops = s, s.Stop == settings.StopAbort || s.Stop == settings.StopSuspend
+	i.server, i.stops = s, s.StopMode == settings.StopAbort || s.StopMode == settings.StopSuspend
 	i.cores = int(min(max(s.Cores.Or(1), 1), 4096))
 	i.ram = max(s.MemoryKB.Or(1e6), 1)
-	switch i.callShare = 1e6; s.Below {
-	case settings.BelowShared:
-		i.callShare = max(s.Calls.Or(1), leastShare)
-	case settings.BelowTier:
-		i.callShare = max(math.Floor(s.Crowd.Or(2)*float64(i.cores)*crowdPart), 1)
+	switch i.callShare = 1e6; s.Dependency {
+	case settings.DependencyShared:
+		i.callShare = max(s.CallQuota.Or(1), leastShare)
+	case settings.DependencyTier:
+		i.callShare = max(math.Floor(s.MaxConcurrencyPerCore.Or(2)*float64(i.cores)*crowdPart), 1)
 	}
 }
 
@@ -42,9 +42,9 @@
 		i.classes = append(i.classes, class{free: true})
 	}
 	b := &i.classes[n]
-	b.safe, b.keyed, b.calls = c.Kind == settings.Safe, c.Kind == settings.Keyed, c.Calls.On()
-	b.value, b.poorer = c.Value.Or(1), c.DegradedValue.Or(0)
-	b.due, b.patience, b.window = c.Deadline.Seconds(1), c.CallerTimeout.Seconds(2), c.KeyWindow.Seconds(10)
+	b.safe, b.keyed, b.calls = c.Idempotency == settings.Safe, c.Idempotency == settings.Idempotent, c.MakesCalls.On()
+	b.value, b.poorer = c.Weight.Or(1), c.DegradedWeight.Or(0)
+	b.due, b.patience, b.window = c.LatencyObjective.Seconds(1), c.CallerTimeout.Seconds(2), c.KeyWindow.Seconds(10)
 	if b.free {
 		first := max(b.due.Seconds()/4, 1e-3) // until some have ended
 		b.latency, b.base, b.span, b.perHint, b.ended, b.free = first, first, first, 0, 0, false
--- a/policy/settings/delta.go
+++ b/policy/settings/delta.go
@@ -24,21 +24,21 @@
 	return d.Server == nil && len(d.Classes.Set)+len(d.Classes.Removed)+len(d.Tenants.Set)+len(d.Tenants.Removed) == 0
 }
 
-// KindChanged is the error of a class that can't be another kind of itself: what is known of its keys was recorded under
+// IdempotencyChangedError is the error of a class that can't be another kind of itself: what is known of its keys was recorded under
 // the old one.
-type KindChanged struct {
+type IdempotencyChangedError struct {
 	Class    string
-	Was, Now Kind
+	Was, Now Idempotency
 }
 
-func (e *KindChanged) Error() string {
+func (e *IdempotencyChangedError) Error() string {
 	return fmt.Sprintf("settings.classes: found %s as %q, expected %q while running", e.Class, e.Now, e.Was)
 }
 
-// CheckKind is the error of putting the later class in the place of the earlier; a kind that was missing may come.
-func CheckKind(was, now Class) error {
-	if was.Kind != "" && was.Kind != now.Kind {
-		return &KindChanged{was.Name, was.Kind, now.Kind}
+// CheckIdempotency is the error of putting the later class in the place of the earlier; a kind that was missing may come.
+func CheckIdempotency(was, now Class) error {
+	if was.Idempotency != "" && was.Idempotency != now.Idempotency {
+		return &IdempotencyChangedError{was.Name, was.Idempotency, now.Idempotency}
 	}
 	return nil
 }
@@ -56,7 +56,7 @@
 	}
 	var err error
 	d.Classes = changes(was.Classes, now.Classes, pause, func(was, now Class) {
-		if fault := CheckKind(was, now); fault != nil && err == nil {
+		if fault := CheckIdempotency(was, now); fault != nil && err == nil {
 			err = fault
 		}
 	})
--- a/policy/settings/delta_test.go
+++ b/policy/settings/delta_test.go
@@ -13,7 +13,7 @@
 	names := rapid.SliceOfNDistinct(rapid.StringMatching("[a-f]{0,2}"), 0, 12, rapid.ID[string]).Draw(t, label)
 	list := make([]Tenant, len(names))
 	for n, name := range names {
-		list[n] = Tenant{name, Of(float64(rapid.IntRange(0, 2).Draw(t, "quota")))}
+		list[n] = Tenant{name, NumberOf(float64(rapid.IntRange(0, 2).Draw(t, "quota")))}
 	}
 	return list
 }
@@ -58,7 +58,7 @@
 }
 
 func TestServerIsNamedOnlyWhereItDiffers(t *testing.T) {
-	a, b := Settings{Server: Server{Cores: Of(1)}}, Settings{Server: Server{Cores: Of(2)}}
+	a, b := Settings{Server: Server{Cores: NumberOf(1)}}, Settings{Server: Server{Cores: NumberOf(2)}}
 	if d, err := Compare(1, a, a, func() {}); err != nil || !d.Empty() {
 		t.Errorf("%+v, %v", d, err)
 	}
@@ -68,10 +68,12 @@
 }
 
 func TestAClassKeepsItsKind(t *testing.T) {
-	of := func(kind Kind) Settings { return Settings{Classes: []Class{{Name: "a"}, {Name: "seal", Kind: kind}}} }
-	_, err := Compare(1, of(Unsafe), of(Safe), func() {})
-	var changed *KindChanged
-	if !errors.As(err, &changed) || *changed != (KindChanged{"seal", Unsafe, Safe}) {
+	of := func(kind Idempotency) Settings {
+		return Settings{Classes: []Class{{Name: "a"}, {Name: "seal", Idempotency: kind}}}
+	}
+	_, err := Compare(1, of(NonIdempotent), of(Safe), func() {})
+	var changed *IdempotencyChangedError
+	if !errors.As(err, &changed) || *changed != (IdempotencyChangedError{"seal", NonIdempotent, Safe}) {
 		t.Errorf("%v", err)
 	}
 	if _, err := Compare(1, of(""), of(Safe), func() {}); err != nil {
@@ -86,7 +88,7 @@
 		was[n] = Tenant{Name: fmt.Sprint("t", n)}
 	}
 	now := slices.Clone(was)
-	now[30_000].Quota = Of(1)
+	now[30_000].Quota = NumberOf(1)
 	pauses := 0
 	d, err := Compare(1, Settings{Tenants: was}, Settings{Tenants: now}, func() { pauses++ })
 	if err != nil || len(d.Tenants.Set) != 1 || pauses < len(was)/pauseEvery {
@@ -100,11 +102,11 @@
 
 func TestNumbersThatCannotBeMeantAreMissing(t *testing.T) {
 	for x, want := range map[float64]float64{-1: 7, 0: 0, 2.5: 2.5} {
-		if got := Of(x).Or(7); got != want {
+		if got := NumberOf(x).Or(7); got != want {
 			t.Errorf("%v: %v, want %v", x, got, want)
 		}
 	}
-	if got := Of(1e300).Seconds(1); got <= 0 {
+	if got := NumberOf(1e300).Seconds(1); got <= 0 {
 		t.Errorf("%v", got)
 	}
 }
--- a/policy/settings/settings.go
+++ b/policy/settings/settings.go
@@ -23,8 +23,8 @@
 	set   bool
 }
 
-// Of makes a Number; what can't be meant (negative, infinite, not a number) counts as missing.
-func Of(x float64) Number {
+// NumberOf makes a Number; what can't be meant (negative, infinite, not a number) counts as missing.
+func NumberOf(x float64) Number {
 	if x >= 0 && !math.IsInf(x, 0) {
 		return Number{x, true}
 	}
@@ -68,76 +68,76 @@
 	return False
 }
 
-// Kind is what a second run of a request would do.
-type Kind string
+// Idempotency is what a second run of a request would do.
+type Idempotency string
 
-// The kinds, by the deployment's words. Whoever reads one takes what is none of them, and a missing one, for Unsafe.
+// The kinds, by the deployment's words. Whoever reads one takes what is none of them, and a missing one, for NonIdempotent.
 const (
-	Safe   Kind = "repeatable" // nothing more
-	Keyed  Kind = "by_key"     // nothing more, by its idempotency key
-	Unsafe Kind = "once"       // its effect a second time
+	Safe          Idempotency = "repeatable" // nothing more
+	Idempotent    Idempotency = "by_key"     // nothing more, by its idempotency key
+	NonIdempotent Idempotency = "once"       // its effect a second time
 )
 
-// Stop is what taking a run off the cores does to it.
-type Stop string
+// StopMode is what taking a run off the cores does to it.
+type StopMode string
 
 // The ways to stop a run; a missing one is as good as StopOff.
 const (
-	StopOff     Stop = "off"
-	StopAbort   Stop = "abort"
-	StopSuspend Stop = "suspend"
+	StopOff     StopMode = "off"
+	StopAbort   StopMode = "abort"
+	StopSuspend StopMode = "suspend"
 )
 
-// Below is what stands behind the calls.
-type Below string
+// Dependency is what stands behind the calls.
+type Dependency string
 
-// What stands below; a missing one is as good as BelowOff.
+// What stands below; a missing one is as good as DependencyOff.
 const (
-	BelowOff    Below = "off"
-	BelowShared Below = "shared" // something that survives a share of calls for each instance
-	BelowTier   Below = "tier"   // servers that guard themselves
+	DependencyOff    Dependency = "off"
+	DependencyShared Dependency = "shared" // something that survives a share of calls for each instance
+	DependencyTier   Dependency = "tier"   // servers that guard themselves
 )
 
-// Advertise is the form of the value that rides on all answers.
-type Advertise string
+// AdvertiseMode is the form of the value that rides on all answers.
+type AdvertiseMode string
 
 // The forms; a missing one is as good as AdvertiseOff.
 const (
-	AdvertiseOff       Advertise = "off"
-	AdvertiseThreshold Advertise = "threshold" // the rank under which requests are better kept at home
-	AdvertiseWindow    Advertise = "window"    // requests that one caller may have open
-	AdvertiseShare     Advertise = "share_of"  // the share of requests that is welcome
+	AdvertiseOff       AdvertiseMode = "off"
+	AdvertiseThreshold AdvertiseMode = "threshold" // the rank under which requests are better kept at home
+	AdvertiseWindow    AdvertiseMode = "window"    // requests that one caller may have open
+	AdvertiseShare     AdvertiseMode = "share_of"  // the share of requests that is welcome
 )
 
 // Server is all that is neither a class's nor a tenant's. Two of them are compared by ==.
 type Server struct {
 	Cores, MemoryKB          Number
-	RunMemory                Number // of a running request, in what it takes while held
+	RunMemoryFactor          Number // of a running request, in what it takes while held
 	KeyEntryKB               Number // of an entry for an idempotency key
-	Stop                     Stop
-	Below                    Below
-	Calls                    Number // share of calls below that the instance may have out
-	CallsLinger              Number // seconds for which a call given up still counts
-	CallsWindow              Number // seconds over which the share is meant
-	Advertise                Advertise
-	Callers                  Number // of the whole deployment
-	CallerIdle               Number // seconds after which callers close an idle connection
-	ListFollows              Flag   // the list of servers follows health
-	Fleet                    Number // instances
-	OverQuotaValue           Number // what is left of the value beyond a tenant's quota, as a part
-	ValueByWork              Flag   // a class's value is paid for each unit of work, not for each request
+	StopMode                 StopMode
+	Dependency               Dependency
+	CallQuota                Number // share of calls below that the instance may have out
+	CallLinger               Number // seconds for which a call given up still counts
+	CallQuotaWindow          Number // seconds over which the share is meant
+	AdvertiseMode            AdvertiseMode
+	CallerCount              Number // of the whole deployment
+	CallerIdleTimeout        Number // seconds after which callers close an idle connection
+	EndpointsFollowHealth    Flag   // the list of servers follows health
+	FleetSize                Number // instances
+	OverQuotaWeight          Number // what is left of the value beyond a tenant's quota, as a part
+	WeightPerWork            Flag   // a class's value is paid for each unit of work, not for each request
 	RetryAfter               Flag   // rejections say when to come back
 	MaxRetryAfter            Number // seconds
-	Cold                     Flag
-	ColdCrowd                Number // what a cold server survives of its crowd, as a part
-	WarmAfter                Number // seconds
-	Grace                    Number // seconds from the notice to drain in which requests still come
-	Crowd                    Number // runs a core that are survived
+	SlowStart                Flag
+	SlowStartFraction        Number // what a cold server survives of its crowd, as a part
+	WarmUpTime               Number // seconds
+	DrainGrace               Number // seconds from the notice to drain in which requests still come
+	MaxConcurrencyPerCore    Number // runs a core that are survived
 	BusyGauge, RunnableGauge int    // place of the reading in a row of gauges, from 1; 0: not offered
 }
 
-// Readings are those of a row of gauges; negative where one is not offered.
-func (s Server) Readings(row []float64) (busy, runnable float64) {
+// Gauges are those of a row of gauges; negative where one is not offered.
+func (s Server) Gauges(row []float64) (busy, runnable float64) {
 	reading := func(place int) float64 {
 		if place == 0 || place > len(row) {
 			return -1
@@ -149,14 +149,14 @@
 
 // Class is what is alike for many requests.
 type Class struct {
-	Name          string
-	Kind          Kind
-	Value         Number // of a request answered in time
-	DegradedValue Number // the part of it paid for an answer without its call
-	Calls         Flag   // its requests make calls below
-	Deadline      Number // seconds; an answer after it is worthless
-	CallerTimeout Number // seconds; the caller gives up then
-	KeyWindow     Number // seconds for which a key is known
+	Name             string
+	Idempotency      Idempotency
+	Weight           Number // of a request answered in time
+	DegradedWeight   Number // the part of it paid for an answer without its call
+	MakesCalls       Flag   // its requests make calls below
+	LatencyObjective Number // seconds; an answer after it is worthless
+	CallerTimeout    Number // seconds; the caller gives up then
+	KeyWindow        Number // seconds for which a key is known
 }
 
 // ResourceName is its name.
--- a/policy/settings_test.go
+++ b/policy/settings_test.go
@@ -12,34 +12,34 @@
 	for _, last := range []int{0, 10_000, 60_000, settings.MaxTenants - 1} { // by place: the first is 0
 		i, b := fresh(func(s *settings.Settings) {
 			s.Tenants = make([]settings.Tenant, last+1)
-			s.Tenants[last].Quota = settings.Of(0.001)
-			s.Server.OverQuotaValue = settings.Of(0.05)
+			s.Tenants[last].Quota = settings.NumberOf(0.001)
+			s.Server.OverQuotaWeight = settings.NumberOf(0.05)
 		})
 		beyond := 0
-		for w := range 10 { // eight may come at once
+		for w := range RequestID(10) { // eight may come at once
 			work := of(0)
 			work.Tenant = last
-			i.Arrived(0, w, work)
+			i.Admit(0, w, work)
 			if i.items[w].beyond {
 				beyond++
 			}
 		}
 		if beyond != 2 {
-			t.Errorf("tenant %d: %d of 10 beyond its limit, want 2: %q", last, beyond, b.Lines)
+			t.Errorf("tenant %d: %d of 10 beyond its limit, want 2: %q", last, beyond, b.calls)
 		}
 	}
 }
 
 func TestAFreedIndexKeepsNothingOfItsTenant(t *testing.T) {
-	i, _ := fresh(func(s *settings.Settings) { s.Tenants = []settings.Tenant{{Quota: settings.Of(0.001)}} })
+	i, _ := fresh(func(s *settings.Settings) { s.Tenants = []settings.Tenant{{Quota: settings.NumberOf(0.001)}} })
 	for i.tenants[0].Beyond(0, 1) == false {
 	}
-	i.SetTenant(0, settings.Tenant{Quota: settings.Of(0.002)})
+	i.SetTenant(0, settings.Tenant{Quota: settings.NumberOf(0.002)})
 	if !i.tenants[0].Beyond(0, 1) {
 		t.Error("a changed quota filled the bucket")
 	}
 	i.FreeTenant(0)
-	i.SetTenant(0, settings.Tenant{Quota: settings.Of(0.001)})
+	i.SetTenant(0, settings.Tenant{Quota: settings.NumberOf(0.001)})
 	if i.tenants[0].Beyond(0, 1) {
 		t.Error("the next tenant found the bucket empty")
 	}
@@ -47,11 +47,11 @@
 
 func TestAFreedIndexKeepsNothingOfItsClass(t *testing.T) {
 	i, _ := fresh(nil)
-	class := settings.Class{Kind: settings.Safe, Deadline: settings.Of(1), Value: settings.Of(3)}
+	class := settings.Class{Idempotency: settings.Safe, LatencyObjective: settings.NumberOf(1), Weight: settings.NumberOf(3)}
 	untouched := i.classes[0]
 	b := &i.classes[0]
 	b.latency, b.base, b.span, b.perHint, b.ended = 7, 6, 5, 4, 3
-	i.SetClass(0, settings.Class{Kind: settings.Safe, Deadline: settings.Of(2)})
+	i.SetClass(0, settings.Class{Idempotency: settings.Safe, LatencyObjective: settings.NumberOf(2)})
 	if b.latency != 7 || b.base != 6 || b.span != 5 || b.perHint != 4 || b.ended != 3 {
 		t.Errorf("a changed class lost what was learned: %+v", b)
 	}
@@ -66,7 +66,7 @@
 func TestAFreedClassCountsInNothing(t *testing.T) {
 	i, _ := fresh(func(s *settings.Settings) {
 		for n, deadline := range []float64{1, 2, 8} {
-			s.Classes[n].Deadline = settings.Of(deadline)
+			s.Classes[n].LatencyObjective = settings.NumberOf(deadline)
 		}
 	})
 	limit := func() float64 {
@@ -83,9 +83,9 @@
 		{func() {}, 1, 0.4*(10+20+80)/3 - 1},
 		{func() { i.FreeClass(0) }, 2, 0.4*(20+80)/2 - 1},
 		{func() { i.FreeClass(1) }, 8, 0.4*80 - 1},
-		{func() { i.SetClass(0, settings.Class{Deadline: settings.Of(4)}) }, 4, 0.4*(40+80)/2 - 1},
+		{func() { i.SetClass(0, settings.Class{LatencyObjective: settings.NumberOf(4)}) }, 4, 0.4*(40+80)/2 - 1},
 		{func() { i.FreeClass(0); i.FreeClass(2) }, 8, leastLimit}, // of none in force the last is the measure
-		{func() { i.SetClass(1, settings.Class{Deadline: settings.Of(3)}) }, 3, 0.4*30 - 1},
+		{func() { i.SetClass(1, settings.Class{LatencyObjective: settings.NumberOf(3)}) }, 3, 0.4*30 - 1},
 	} {
 		step.what()
 		if got := limit(); got < step.limit-1e-6 || got > step.limit+1e-6 || i.firstClass().due != time.Duration(step.first*1e9) {
