--- a/cmd/testbed/emulated.go
+++ b/cmd/testbed/emulated.go
@@ -86,24 +86,24 @@
 			if t.size > 60 {
 				slots, keys = 1<<16, 1_000_000
 			}
-			f, err := emulator.Ring(t.size, slots, keys, t.seed)
+			f, err := emulator.CompareRing(emulator.RingScenario{Backends: t.size, Slots: slots, Keys: keys, Seed: t.seed})
 			if err != nil {
 				return nil, err
 			}
 			r := &lab.Report{}
-			r.Put("moved_over_least", f.SlotsMoved)
-			r.Put("max_over_fair", f.SlotsFair)
-			r.Put("table_bytes", float64(f.Bytes))
-			r.Put("plan_ms_most", float64(f.Plan.Microseconds())/1000)
+			r.Put("moved_over_least", f.MigrationsOverMinimum)
+			r.Put("max_over_fair", f.SlotsOverFair)
+			r.Put("table_bytes", float64(f.TableBytes))
+			r.Put("plan_ms_most", float64(f.SlowestPlan.Microseconds())/1000)
 			r.Put("slots", float64(slots))
 			r.Put("keys", float64(keys))
-			for _, w := range f.Ways {
-				r.Put(w.Way+"_keys_moved_over_least", w.MovedOverLeast)
-				r.Put(w.Way+"_keys_max_over_fair", w.MaxOverFair)
+			for _, w := range f.Algorithms {
+				r.Put(w.Algorithm+"_keys_moved_over_least", w.MovedOverMinimum)
+				r.Put(w.Algorithm+"_keys_max_over_fair", w.MaxOverFair)
 			}
-			if f.SlotsMoved > mostMoved || f.SlotsFair > mostOverFair {
+			if f.MigrationsOverMinimum > mostMoved || f.SlotsOverFair > mostOverFair {
 				r.Fault("%.3f times the least moves, %.3f times the fair part; expected %d and %.2f at most",
-					f.SlotsMoved, f.SlotsFair, mostMoved, mostOverFair)
+					f.MigrationsOverMinimum, f.SlotsOverFair, mostMoved, mostOverFair)
 			}
 			return r, nil
 		})
@@ -118,39 +118,41 @@
 			if t.size >= 300 {
 				zones = 6
 			}
-			calm, err := emulator.Roll(t.size, zones, t.seed, false)
+			scenario := emulator.RolloutScenario{Instances: t.size, Zones: zones, Seed: t.seed}
+			calm, err := emulator.Rollout(scenario)
 			if err != nil {
 				return nil, err
 			}
-			f, err := emulator.Roll(t.size, zones, t.seed, true)
+			scenario.WithFaults = true
+			f, err := emulator.Rollout(scenario)
 			if err != nil {
 				return nil, err
 			}
-			waves := float64(f.Waves) / float64(f.Bound)
+			waves := float64(f.Waves) / float64(f.MinWaves)
 			r := &lab.Report{}
-			r.Put("zone_capacity_over_floor_min", f.OverFloorMin)
-			r.Put("undisturbed_capacity_over_floor_min", calm.OverFloorMin)
-			r.Put("capacity_over_load_min", f.OverLoadMin)
+			r.Put("zone_capacity_over_floor_min", f.MinCapacityOverRequired)
+			r.Put("undisturbed_capacity_over_floor_min", calm.MinCapacityOverRequired)
+			r.Put("capacity_over_load_min", f.MinCapacityOverLoad)
 			r.Put("waves", float64(f.Waves))
 			r.Put("waves_over_bound", waves)
-			r.Zero("drained_twice", f.DrainedTwice)
-			r.Put("voters_away_most", float64(f.VotersAtOnce))
-			r.Put("rolled", f.Rolled)
-			r.Put("took_s", f.Took.Seconds())
-			r.Put("undisturbed_took_s", calm.Took.Seconds())
-			if f.OverFloorMin < 1 || calm.OverFloorMin < 1 {
-				r.Fault("a zone's capacity was %.3f times its floor, %.3f undisturbed; expected 1 at least", f.OverFloorMin, calm.OverFloorMin)
+			r.Zero("drained_twice", f.DuplicateDrains)
+			r.Put("voters_away_most", float64(f.MaxVotersDraining))
+			r.Put("rolled", f.CompletedFraction)
+			r.Put("took_s", f.Duration.Seconds())
+			r.Put("undisturbed_took_s", calm.Duration.Seconds())
+			if f.MinCapacityOverRequired < 1 || calm.MinCapacityOverRequired < 1 {
+				r.Fault("a zone's capacity was %.3f times its floor, %.3f undisturbed; expected 1 at least", f.MinCapacityOverRequired, calm.MinCapacityOverRequired)
 			}
 			if waves > mostWaves {
 				r.Fault("%.3f times the bound on waves, expected %.2f at most", waves, mostWaves)
 			}
-			if f.VotersAtOnce > 1 {
-				r.Fault("%d voters away at once, expected 1 at most", f.VotersAtOnce)
+			if f.MaxVotersDraining > 1 {
+				r.Fault("%d voters away at once, expected 1 at most", f.MaxVotersDraining)
 			}
-			if f.Rolled < 1-1e-9 || calm.Rolled < 1-1e-9 {
-				r.Fault("%.3f of the instances rolled, %.3f undisturbed; expected all", f.Rolled, calm.Rolled)
+			if f.CompletedFraction < 1-1e-9 || calm.CompletedFraction < 1-1e-9 {
+				r.Fault("%.3f of the instances rolled, %.3f undisturbed; expected all", f.CompletedFraction, calm.CompletedFraction)
 			}
-			if !f.RefusedSpoken {
+			if !f.IsInfeasibleRejected {
 				r.Fault("a floor that can't be kept was not refused")
 			}
 			return r, nil
--- a/internal/decide/ring/plan.go
+++ b/internal/decide/ring/plan.go
@@ -89,12 +89,13 @@
 
 // keepOwners assigns each slot to its previous owner where that remains, and collects the others as orphans.
 func (p *planner) keepOwners() {
+	slots := p.next.slots
 	for slot, previousOwner := range p.previous.slots {
 		owner := unassigned
 		if previousOwner != unassigned {
 			owner = p.newIndex[previousOwner]
 		}
-		p.next.slots[slot] = owner
+		slots[slot] = owner
 		if owner == unassigned {
 			p.orphans = append(p.orphans, slot)
 			continue
--- /dev/null
+++ b/internal/decide/rollout/codec_test.go
@@ -0,0 +1,36 @@
+package rollout
+
+import (
+	"bytes"
+	"os"
+	"testing"
+	"time"
+)
+
+// A snapshot written by an older build (commit d489d24) must be read, and the same rollout must be written as the same
+// bytes.
+func TestSnapshotOfOlderBuildIsReadAndWrittenAlike(t *testing.T) {
+	stored, err := os.ReadFile("testdata/rollout.json")
+	if err != nil {
+		t.Fatal(err)
+	}
+	const incarnation = 0x18f3a2b4c5000000
+	built := New("2026.12.01-1")
+	built.RecordDrain(3*time.Second, "m1", incarnation+1)
+	built.RecordDrain(2*time.Second, "m0", incarnation+2)
+	built.RecordDrain(5*time.Second, "m0", incarnation+3)
+	encoded, err := built.Encode()
+	if err != nil || !bytes.Equal(encoded, stored) {
+		t.Errorf("%v\nfound    %s\nexpected %s", err, encoded, stored)
+	}
+	decoded := New("")
+	if err := decoded.Decode(time.Minute, stored); err != nil {
+		t.Fatal(err)
+	}
+	if decoded.Release != "2026.12.01-1" || len(decoded.drained) != 3 || decoded.attempts["m0"] != 2 || decoded.attempts["m1"] != 1 {
+		t.Errorf("found %+v", decoded)
+	}
+	if at, isDrained := decoded.drained[process{"m0", incarnation + 3}]; !isDrained || at != time.Minute {
+		t.Errorf("m0's second incarnation was drained at %v, %v; expected at the time of decoding", at, isDrained)
+	}
+}
--- a/internal/decide/rollout/plan.go
+++ b/internal/decide/rollout/plan.go
@@ -1,6 +1,3 @@
-// This file owns the order: waves of instances that may be away at once. It must never put two voters, or a zone's last
-// instance at work, into one wave.
-
 package rollout
 
 import (
@@ -8,80 +5,105 @@
 	"slices"
 )
 
-// Wave is what goes together, and the capacity that each zone has while it is away.
+// roundingTolerance keeps a sum that is a whole number but for rounding from counting as more.
+const roundingTolerance = 1e-9
+
+// Wave is a set of instances that are drained together, and the capacity left in each zone meanwhile.
 type Wave struct {
-	Names []string
-	Have  map[string]float64
+	Names    []string
+	Capacity map[string]float64 // by zone
+}
+
+// Plan returns the waves in which all instances of another release would be drained if nothing else happened, each
+// back and warmed up before the next. minWaves is a lower bound for any order. It fails with an
+// *InsufficientCapacityError if a zone can't spare one of its instances.
+func Plan(fleet []Instance, load map[string]float64, release string, limits Limits) (waves []Wave, minWaves int, err error) {
+	state, remaining := limits.plannedState(fleet, release)
+	zones := limits.zones(state, load)
+	if minWaves, err = limits.minWaves(remaining, zones); err != nil {
+		return nil, 0, err
+	}
+	queue := newDrainQueue(remaining, zones)
+	for len(queue.remaining) > 0 {
+		chosen := queue.nextWave(limits.MaxUnavailable, false)
+		waves = append(waves, newWave(chosen, zones))
+	}
+	return waves, minWaves, nil
 }
 
-// Plan is the order in which all that run another release than want would be drained, were nothing to happen
-// meanwhile: each wave back and warm before the next. Bound is a number of waves that no order can do with less.
-// Errors: *Refusal where a zone can't spare even its smallest.
-func Plan(fleet []Instance, load map[string]float64, want string, b Bounds) (waves []Wave, bound int, err error) {
-	now := slices.Clone(fleet)
-	var todo []Instance
-	for n, i := range now {
-		if i.Silent || i.Leaving {
+// plannedState is the fleet once everyone is warmed up and every migration has ended, and the instances to be drained.
+func (l Limits) plannedState(fleet []Instance, release string) (state, remaining []Instance) {
+	state = slices.Clone(fleet)
+	for n := range state {
+		i := &state[n]
+		if i.IsUnreachable || i.IsDraining {
 			continue
 		}
-		now[n].Age, now[n].Busy = b.WarmAfter, false // as it will be when its turn comes
-		if i.Release != want {
-			todo = append(todo, now[n])
+		i.Age, i.BlocksMigration = l.WarmUpTime, false
+		if i.Release != release {
+			remaining = append(remaining, *i)
 		}
 	}
-	zones := b.zones(now, load)
-	if bound, err = b.bound(todo, zones); err != nil {
-		return nil, 0, err
+	return state, remaining
+}
+
+func newWave(chosen []*candidate, zones map[string]*zone) Wave {
+	wave := Wave{Names: make([]string, len(chosen)), Capacity: make(map[string]float64, len(zones))}
+	for n, c := range chosen {
+		wave.Names[n] = c.Name
 	}
-	order := newOrder(todo, zones)
-	for len(order.todo) > 0 {
-		chosen := order.choose(b.AtOnce, false)
-		wave := Wave{Names: make([]string, len(chosen)), Have: make(map[string]float64, len(zones))}
-		for n, w := range chosen {
-			wave.Names[n] = w.Name
-		}
-		for name, z := range zones {
-			wave.Have[name] = z.have
-		}
-		slices.SortFunc(chosen, func(x, y *waiting) int { return x.place - y.place })
-		for _, w := range chosen {
-			wave.Have[w.Zone] -= w.Capacity
-		}
-		waves = append(waves, wave)
+	for name, z := range zones {
+		wave.Capacity[name] = z.available
+	}
+	for _, c := range inGivenOrder(chosen) {
+		wave.Capacity[c.Zone] -= c.Capacity
 	}
-	return waves, bound, nil
+	return wave
 }
 
-// bound is the most of: instances by those at once, voters by one at once, and each zone's work by what it can spare.
-func (b Bounds) bound(todo []Instance, zones map[string]*zone) (int, error) {
-	voters, sum, count, least := 0, map[string]float64{}, map[string]int{}, map[string]float64{}
-	for _, i := range todo {
-		if i.Voter {
+// minWaves is the maximum of three lower bounds: all instances by MaxUnavailable, voters one at a time, and each zone by
+// what it can spare at the same time.
+func (l Limits) minWaves(remaining []Instance, zones map[string]*zone) (int, error) {
+	voters, drains := 0, map[string]*zoneDrains{}
+	for _, i := range remaining {
+		z := zones[i.Zone]
+		if !z.canSpare(i.Capacity, 0, 0) {
+			return 0, &InsufficientCapacityError{Zone: z.name, Available: z.available, Required: z.required + z.largest, DrainCapacity: i.Capacity}
+		}
+		if i.IsVoter {
 			voters++
 		}
-		sum[i.Zone] += i.Capacity
-		count[i.Zone]++
-		if least[i.Zone] == 0 || i.Capacity < least[i.Zone] {
-			least[i.Zone] = i.Capacity
+		if drains[i.Zone] == nil {
+			drains[i.Zone] = &zoneDrains{}
 		}
+		drains[i.Zone].add(i.Capacity)
 	}
-	most := max(voters, (len(todo)+b.AtOnce-1)/b.AtOnce)
-	for _, i := range todo {
-		z := zones[i.Zone]
-		if !z.spares(i.Capacity, 0, 0) {
-			return 0, &Refusal{Zone: z.name, Has: z.have, Needs: z.floor + z.largest, Away: i.Capacity}
-		}
+	waves := max(voters, ceilDivide(len(remaining), l.MaxUnavailable))
+	for name, d := range drains {
+		waves = max(waves, d.minWaves(zones[name]))
 	}
-	for name, whole := range sum {
-		z := zones[name]
-		most = max(most, int(math.Ceil(whole/z.spare()-1e-9)))
-		fit := min(int(z.spare()/least[name]+1e-9), z.up-1) // of the smallest, as many as fit at once
-		most = max(most, (count[name]+fit-1)/fit)
+	return waves, nil
+}
+
+// zoneDrains sums up the instances of one zone that are to be drained.
+type zoneDrains struct {
+	capacity float64
+	count    int
+	smallest float64
+}
+
+func (d *zoneDrains) add(capacity float64) {
+	d.capacity += capacity
+	d.count++
+	if d.smallest == 0 || capacity < d.smallest {
+		d.smallest = capacity
 	}
-	return most, nil
 }
 
-// spares tells whether one of this capacity may go, when so much and so many of the zone are chosen already.
-func (z *zone) spares(capacity, away float64, gone int) bool {
-	return away+capacity <= z.spare()*(1+1e-12) && z.up-gone > 1
+func (d *zoneDrains) minWaves(z *zone) int {
+	byCapacity := int(math.Ceil(d.capacity/z.spare() - roundingTolerance))
+	atOnce := min(int(z.spare()/d.smallest+roundingTolerance), z.upCount-1) // if all were as small as the smallest
+	return max(byCapacity, ceilDivide(d.count, atOnce))
 }
+
+func ceilDivide(n, by int) int { return (n + by - 1) / by }
--- /dev/null
+++ b/internal/decide/rollout/queue_test.go
@@ -0,0 +1,157 @@
+package rollout
+
+import (
+	"cmp"
+	"fmt"
+	"runtime"
+	"slices"
+	"testing"
+	"time"
+
+	"pgregory.net/rapid"
+)
+
+// waveBySorting is the rule as it was first written: all that remain are sorted anew for each wave.
+func waveBySorting(todo []Instance, zones map[string]*zone, most int, voting bool) (names []string) {
+	wavesNeeded, chosenCapacity, chosenCount := map[string]float64{}, map[string]float64{}, map[string]int{}
+	for _, i := range todo {
+		wavesNeeded[i.Zone] += i.Capacity / max(zones[i.Zone].spare(), 1e-9)
+	}
+	order := slices.SortedFunc(slices.Values(todo), func(x, y Instance) int {
+		return cmp.Or(-cmp.Compare(wavesNeeded[x.Zone], wavesNeeded[y.Zone]), -cmp.Compare(x.Capacity, y.Capacity), cmp.Compare(x.Name, y.Name))
+	})
+	slices.SortStableFunc(order, func(x, y Instance) int {
+		switch {
+		case x.IsVoter == y.IsVoter:
+			return 0
+		case x.IsVoter:
+			return -1
+		}
+		return 1
+	})
+	for _, i := range order {
+		if len(names) == most || i.IsLeader && len(todo) > 1 || i.IsVoter && voting || i.BlocksMigration {
+			continue
+		}
+		if z := zones[i.Zone]; z.canSpare(i.Capacity, chosenCapacity[i.Zone], chosenCount[i.Zone]) {
+			chosenCapacity[i.Zone] += i.Capacity
+			chosenCount[i.Zone]++
+			voting = voting || i.IsVoter
+			names = append(names, i.Name)
+		}
+	}
+	return names
+}
+
+func drawFleet(t *rapid.T) []Instance {
+	zones := rapid.IntRange(1, 6).Draw(t, "zones")
+	sizes := rapid.SampledFrom([]int{1, 3}).Draw(t, "sizes")
+	fleet := make([]Instance, rapid.IntRange(1, 60).Draw(t, "size"))
+	for n := range fleet {
+		fleet[n] = Instance{Name: fmt.Sprintf("m%03d", (n*37)%len(fleet)*1000+n), Zone: fmt.Sprint("z", rapid.IntRange(0, zones-1).Draw(t, "zone")),
+			Capacity: float64(rapid.IntRange(1, sizes).Draw(t, "capacity")) / 3, Age: time.Hour, IsVoter: n%7 == 0, IsLeader: n == 3,
+			BlocksMigration: rapid.IntRange(0, 9).Draw(t, "busy") == 0, Release: "old", Incarnation: 1}
+	}
+	return fleet
+}
+
+var testLimits = Limits{MinCapacityFraction: 0.4, LoadHeadroom: 1.1, MaxUnavailable: 5, ReplaceTimeout: time.Minute, InitialCapacityFraction: 0.2, WarmUpTime: time.Second}
+
+// Wave by wave the queue chooses what sorting all that remain anew chooses.
+func TestDrainQueueMatchesFullSort(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) {
+		todo := drawFleet(t)
+		zones := testLimits.zones(todo, nil)
+		order := newDrainQueue(todo, zones)
+		most, voting := rapid.IntRange(1, 20).Draw(t, "most"), rapid.Bool().Draw(t, "voting")
+		for {
+			want := waveBySorting(todo, zones, most, voting)
+			var got []string
+			for _, w := range order.nextWave(most, voting) {
+				got = append(got, w.Name)
+			}
+			if !slices.Equal(got, want) {
+				t.Fatalf("chosen %q, by sorting anew %q", got, want)
+			}
+			if len(want) == 0 {
+				return
+			}
+			todo = slices.DeleteFunc(todo, func(i Instance) bool { return slices.Contains(want, i.Name) })
+		}
+	})
+}
+
+// More are being replaced than allowed (the limit was lowered meanwhile, or another leader had a higher one): nobody is drained.
+func TestLoweredMaxUnavailableDrainsNobody(t *testing.T) {
+	fleet := largeFleet(60, 3)
+	r := New("new")
+	for _, i := range fleet[:4] {
+		r.RecordDrain(0, i.Name, i.Incarnation)
+	}
+	b := testLimits
+	for b.MaxUnavailable = 1; b.MaxUnavailable <= 4; b.MaxUnavailable++ {
+		if s := r.Next(0, fleet, nil, b); len(s.Drain) > 0 || s.BlockedReason == "" {
+			t.Errorf("at most %d with 4 being replaced: %d drained, blocked for %q", b.MaxUnavailable, len(s.Drain), s.BlockedReason)
+		}
+	}
+	if b.MaxUnavailable = 6; len(r.Next(0, fleet, nil, b).Drain) != 2 {
+		t.Errorf("at most 6 with 4 being replaced: expected 2 drained")
+	}
+}
+
+// An instance that a slot migration waits for drains in its turn, once the migration is over: the plan counts it and ends.
+func TestPlanCompletesDespitePendingMigrations(t *testing.T) {
+	fleet := largeFleet(60, 3)
+	for n := range fleet {
+		fleet[n].BlocksMigration = n%10 == 0
+	}
+	waves, _, err := Plan(fleet, nil, "new", testLimits)
+	planned := 0
+	for _, w := range waves {
+		planned += len(w.Names)
+	}
+	if err != nil || planned != len(fleet) {
+		t.Fatalf("%d of %d planned, %v", planned, len(fleet), err)
+	}
+}
+
+func largeFleet(size, zones int) (out []Instance) {
+	for n := range size {
+		out = append(out, Instance{Name: fmt.Sprintf("instance-%04d", n), Zone: fmt.Sprintf("z%02d", n*zones/size), Release: "old", Incarnation: 1,
+			Capacity: 100, Age: time.Hour, IsVoter: n%(size/5) == 0})
+	}
+	return out
+}
+
+// A plan of 1,200 one by one is 1,200 waves: what it allocates follows what it returns, not waves times instances.
+func TestPlanAllocationIsIndependentOfWaveCount(t *testing.T) {
+	fleet := largeFleet(1200, 40)
+	b := testLimits
+	b.MaxUnavailable = 1
+	var before, after runtime.MemStats
+	runtime.ReadMemStats(&before)
+	waves, _, err := Plan(fleet, nil, "new", b)
+	runtime.ReadMemStats(&after)
+	if err != nil || len(waves) != 1200 {
+		t.Fatalf("%d waves, %v", len(waves), err)
+	}
+	if used := after.TotalAlloc - before.TotalAlloc; used > 16<<20 {
+		t.Errorf("%d MB allocated, expected 16 at most", used>>20)
+	}
+}
+
+func BenchmarkPlan(b *testing.B) {
+	for _, size := range []int{150, 300, 600, 1200} {
+		for _, atOnce := range []int{1, 6, size / 8} {
+			b.Run(fmt.Sprintf("%d members, %d at once", size, atOnce), func(b *testing.B) {
+				fleet, bounds := largeFleet(size, size/30), testLimits
+				bounds.MaxUnavailable = atOnce
+				for b.Loop() {
+					if _, _, err := Plan(fleet, nil, "new", bounds); err != nil {
+						b.Fatal(err)
+					}
+				}
+			})
+		}
+	}
+}
--- /dev/null
+++ b/internal/decide/rollout/rollout.go
@@ -0,0 +1,143 @@
+// Package rollout decides in which order instances are drained for a new release, such that no zone's capacity drops
+// below its required minimum, and releases each drain only on the fleet's state at that time.
+//
+// The package is pure: it does no I/O, reads no clock, starts no goroutine and draws no random number. The leader of the
+// rollout runs it; each drain is an entry of the replicated log, so the next leader continues where the last one stopped.
+// A Rollout holds one entry a drained process, at most MaxInstances, cleared when another release is wanted. It is not
+// safe for concurrent use.
+package rollout
+
+import (
+	"fmt"
+	"time"
+)
+
+// MaxInstances bounds the instances that a Rollout drains.
+const MaxInstances = 10000
+
+// maxAttempts is how often a name is drained for one release: an instance that restarts with the old release is stuck.
+const maxAttempts = 1
+
+// Rollout is the replicated state of the rollout in progress.
+type Rollout struct {
+	Release  string                    // that all instances should run; "" for none
+	drained  map[process]time.Duration // when, by the local clock
+	attempts map[string]int            // by name, for this release
+}
+
+// process is one incarnation of a named instance.
+type process struct {
+	name        string
+	incarnation uint64
+}
+
+// New returns a rollout of a release; "" wants nothing.
+func New(release string) *Rollout {
+	return &Rollout{Release: release, drained: map[process]time.Duration{}, attempts: map[string]int{}}
+}
+
+// SetRelease changes the wanted release, for example back to the old one. Drained processes stay drained; whoever runs
+// another release than this one is to be drained.
+func (r *Rollout) SetRelease(release string) {
+	if release != r.Release {
+		*r = *New(release)
+	}
+}
+
+// RecordDrain applies the log entry that drains a process. It returns false if this or a previous leader has drained it
+// already, or if too many are drained.
+func (r *Rollout) RecordDrain(now time.Duration, name string, incarnation uint64) bool {
+	p := process{name, incarnation}
+	if _, isDuplicate := r.drained[p]; isDuplicate || len(r.drained) >= MaxInstances {
+		return false
+	}
+	r.drained[p] = now
+	r.attempts[name]++
+	return true
+}
+
+// Step is what the leader does now.
+type Step struct {
+	Drain         []Instance // to be proposed to the log, one entry each
+	BlockedReason string     // why no more are drained now; "" if some are, or if IsDone
+	Stuck         []string   // drained longer than ReplaceTimeout ago, or restarted with the old release
+	// TransferLeadership says that only the leader itself is left: it resigns, and its successor drains it.
+	TransferLeadership bool
+	IsDone             bool // no instance is left to drain or being replaced
+}
+
+// Next judges the fleet as it is now. A drained process counts as unavailable until it is back in another incarnation.
+func (r *Rollout) Next(now time.Duration, fleet []Instance, load map[string]float64, limits Limits) Step {
+	var step Step
+	state := r.judge(now, fleet, limits, &step)
+	switch {
+	case len(state.remaining) == 0:
+		step.IsDone = state.draining == 0
+		if !step.IsDone {
+			step.BlockedReason = fmt.Sprintf("%d being replaced", state.draining)
+		}
+		return step
+	case len(state.remaining) == 1 && state.remaining[0].IsLeader:
+		step.TransferLeadership = state.draining == 0
+		if !step.TransferLeadership {
+			step.BlockedReason = fmt.Sprintf("%d being replaced before the leader resigns", state.draining)
+		}
+		return step
+	case state.draining >= limits.MaxUnavailable:
+		step.BlockedReason = fmt.Sprintf("%d being replaced, at most %d", state.draining, limits.MaxUnavailable)
+		return step
+	}
+	zones := limits.zones(state.fleet, load)
+	wave := newDrainQueue(state.remaining, zones).nextWave(limits.MaxUnavailable-state.draining, state.isVoterUnavailable)
+	for _, c := range inGivenOrder(wave) {
+		step.Drain = append(step.Drain, c.Instance)
+	}
+	if len(wave) == 0 {
+		step.BlockedReason = blockedReason(state.remaining, zones)
+	}
+	return step
+}
+
+// fleetState is a fleet judged by what has been drained.
+type fleetState struct {
+	fleet              []Instance
+	remaining          []Instance // to be drained
+	draining           int        // drained and not back
+	isVoterUnavailable bool
+}
+
+// judge finds who is left to drain, and adds the stuck ones to the step.
+func (r *Rollout) judge(now time.Duration, fleet []Instance, limits Limits, step *Step) fleetState {
+	state := fleetState{fleet: make([]Instance, len(fleet))}
+	copy(state.fleet, fleet)
+	for n := range state.fleet {
+		i := &state.fleet[n]
+		drainedAt, isDrained := r.drained[process{i.Name, i.Incarnation}]
+		switch {
+		case isDrained:
+			i.IsDraining = true
+			if now-drainedAt > limits.ReplaceTimeout {
+				step.Stuck = append(step.Stuck, i.Name)
+			}
+			state.draining++
+			state.isVoterUnavailable = state.isVoterUnavailable || i.IsVoter
+		case i.IsUnreachable || i.IsDraining: // for another reason than this rollout
+			state.isVoterUnavailable = state.isVoterUnavailable || i.IsVoter
+		case r.Release == "" || i.Release == r.Release:
+		case r.attempts[i.Name] >= maxAttempts:
+			step.Stuck = append(step.Stuck, i.Name)
+		default:
+			state.remaining = append(state.remaining, *i)
+		}
+	}
+	return state
+}
+
+// blockedReason says in one line why none of the remaining may be drained now.
+func blockedReason(remaining []Instance, zones map[string]*zone) string {
+	first := remaining[0]
+	if z := zones[first.Zone]; !z.canSpare(first.Capacity, 0, 0) {
+		return fmt.Sprintf("zone %s has %.6g of capacity, expected %.6g and %.6g for %s", z.name, z.available, z.required+z.largest, first.Capacity, first.Name)
+	}
+	return fmt.Sprintf("%s waits: another voter is unavailable, a migration waits for it, or it leads the rollout", first.Name)
+}
--- a/internal/fleet/rolling/rolls.go
+++ b/internal/fleet/rolling/rolls.go
@@ -31,7 +31,7 @@
 type Config struct {
 	Name   string
 	Life   uint64
-	Bounds rollout.Bounds
+	Bounds rollout.Limits
 	// Fleet is the fleet as this member has it now, and each zone's load.
 	Fleet func() ([]rollout.Instance, map[string]float64)
 	// Absent are the processes that vote in the log and are not heard of, dead lives of names that are back among them:
@@ -48,7 +48,7 @@
 	c       Config
 	mu      sync.Mutex // guards want
 	want    string
-	roll    *rollout.Roll
+	roll    *rollout.Rollout
 	owns    bool
 	next    time.Duration
 	planned string // the release whose plan was found to be possible
@@ -86,12 +86,12 @@
 }
 
 // apply is the same in every member; true where a process was told for the first time.
-func apply(r *rollout.Roll, now time.Duration, w word) bool {
+func apply(r *rollout.Rollout, now time.Duration, w word) bool {
 	if w.Want != nil {
-		r.Wanted(*w.Want)
+		r.SetRelease(*w.Want)
 		return false
 	}
-	return w.Drain != "" && r.Drained(now, w.Drain, w.Life)
+	return w.Drain != "" && r.RecordDrain(now, w.Drain, w.Life)
 }
 
 // Restored takes a snapshot's state.
@@ -110,13 +110,13 @@
 	k.mu.Lock()
 	want := k.want
 	k.mu.Unlock()
-	if want != k.roll.Want {
+	if want != k.roll.Release {
 		k.say(word{Want: &want})
 		return
 	}
 	fleet, load := k.c.Fleet()
 	for _, process := range k.c.Absent() {
-		fleet = append(fleet, rollout.Instance{Name: process, Silent: true, Voter: true})
+		fleet = append(fleet, rollout.Instance{Name: process, IsUnreachable: true, IsVoter: true})
 	}
 	if want != "" && k.planned != want { // refused before anybody is drained, or not at all
 		waves, bound, err := rollout.Plan(fleet, load, want, k.c.Bounds)
@@ -129,15 +129,15 @@
 	}
 	s := k.roll.Next(now, fleet, load, k.c.Bounds)
 	switch {
-	case s.HandOn:
+	case s.TransferLeadership:
 		k.line("roll: only the owner is left; it hands on")
 		k.c.HandOn()
-	case s.Hold != "":
-		k.line("roll held: " + s.Hold)
+	case s.BlockedReason != "":
+		k.line("roll held: " + s.BlockedReason)
 	}
 	for _, i := range s.Drain {
 		k.line("roll: " + i.Name + " drains")
-		k.say(word{Drain: i.Name, Life: i.Life})
+		k.say(word{Drain: i.Name, Life: i.Incarnation})
 	}
 }
 
@@ -159,7 +159,7 @@
 }
 
 // State is the same roll on raft's goroutine, for snapshots alone.
-type State struct{ roll *rollout.Roll }
+type State struct{ roll *rollout.Rollout }
 
 // NewState goes with a Keeper, as one of the log's Machines.
 func NewState() *State { return &State{rollout.New("")} }
--- a/internal/fleet/rolling/rolls_test.go
+++ b/internal/fleet/rolling/rolls_test.go
@@ -26,7 +26,7 @@
 var (
 	leaseTerms = lease.Lease{Length: time.Second, Drift: 0.01, Margin: 20 * time.Millisecond}
 	votes      = quorum.Bounds{Most: 5, Settle: 300 * time.Millisecond, HoldDown: 2 * time.Second}
-	bounds     = rollout.Bounds{Keep: 0.3, AtOnce: 2, Longest: 20 * time.Second, ColdFrom: 0.2, WarmAfter: time.Second}
+	bounds     = rollout.Limits{MinCapacityFraction: 0.3, MaxUnavailable: 2, ReplaceTimeout: 20 * time.Second, InitialCapacityFraction: 0.2, WarmUpTime: time.Second}
 )
 
 // line is what a child tells.
@@ -106,13 +106,13 @@
 			d := h.driver.Load()
 			voting, view := d.Log.Voters(), m.View()
 			for n, r := range view {
-				known[n] = rollout.Instance{Name: n, Zone: r.Zone, Release: r.Release, Life: r.Epoch, Capacity: r.Capacity,
-					Age: time.Duration(time.Now().UnixMilli()-int64(r.Epoch)) * time.Millisecond, Leaving: r.Flag == "leaving",
-					Voter: slices.Contains(voting, r.Process), Owner: n == name}
+				known[n] = rollout.Instance{Name: n, Zone: r.Zone, Release: r.Release, Incarnation: r.Epoch, Capacity: r.Capacity,
+					Age: time.Duration(time.Now().UnixMilli()-int64(r.Epoch)) * time.Millisecond, IsDraining: r.Flag == "leaving",
+					IsVoter: slices.Contains(voting, r.Process), IsLeader: n == name}
 			}
 			for n, i := range known {
 				_, heard := view[n]
-				i.Silent = !heard
+				i.IsUnreachable = !heard
 				out = append(out, i)
 			}
 			slices.SortFunc(out, func(x, y rollout.Instance) int { return strings.Compare(x.Name, y.Name) })
--- a/internal/lab/emulator/baselines.go
+++ b/internal/lab/emulator/baselines.go
@@ -1,136 +1,154 @@
-// This file owns the published ways of spreading keys that the ring is measured beside: a ring with virtual nodes
-// (Karger), rendezvous, jump, Maglev's table, and a ring with bounded loads. Each maps all keys at once for a set of
-// equal backends. They are for comparison only, and must never be linked by cmd/thymechute.
-
 package emulator
 
 import (
+	"cmp"
 	"slices"
 	"sort"
 
 	"github.com/cespare/xxhash/v2"
 )
 
-// spread maps keys (by hash) to places among names, which are sorted.
-type spread func(keys []uint64, names []string) []int
+// assigner maps keys, by hash, to indices of sorted names. All backends are equal.
+type assigner func(keys []uint64, names []string) []int
+
+// baselineAlgorithms are the published algorithms that the ring is compared with, and used for nothing else.
+var baselineAlgorithms = []struct {
+	name   string
+	assign assigner
+}{
+	{"karger", consistentHashing},
+	{"rendezvous", rendezvousHashing},
+	{"jump", jumpHashing},
+	{"maglev", maglevHashing},
+	{"bounded_loads", boundedLoadHashing},
+}
 
 const (
-	virtual     = 100   // points of a backend on Karger's ring
-	maglevTable = 65537 // prime, as published
-	loadBound   = 1.05  // of the mean, for bounded loads
+	virtualNodes    = 100   // of a backend on the hash ring
+	maglevTableSize = 65537 // prime, as published
+	loadBound       = 1.05  // of the mean, for bounded loads
 )
 
-func mix(a, b uint64) uint64 {
+// mixHashes combines two hashes with the finalizer of MurmurHash3.
+func mixHashes(a, b uint64) uint64 {
 	h := a ^ b*0x9e3779b97f4a7c15
 	h = (h ^ h>>33) * 0xff51afd7ed558ccd
 	return h ^ h>>33
 }
 
-type point struct {
-	at  uint64
-	who int
+// virtualNode is a backend's point on the hash ring.
+type virtualNode struct {
+	hash    uint64
+	backend int
 }
 
-func circle(names []string) []point {
-	points := make([]point, 0, len(names)*virtual)
+// hashRing returns the virtual nodes of all backends, sorted by hash.
+func hashRing(names []string) []virtualNode {
+	nodes := make([]virtualNode, 0, len(names)*virtualNodes)
 	for n, name := range names {
 		h := xxhash.Sum64String(name)
-		for v := range virtual {
-			points = append(points, point{mix(h, uint64(v)+1), n})
+		for v := range virtualNodes {
+			nodes = append(nodes, virtualNode{mixHashes(h, uint64(v)+1), n})
 		}
 	}
-	slices.SortFunc(points, func(a, b point) int {
-		if a.at < b.at {
-			return -1
-		}
-		return 1
-	})
-	return points
+	slices.SortFunc(nodes, func(a, b virtualNode) int { return cmp.Compare(a.hash, b.hash) })
+	return nodes
 }
 
-func after(points []point, key uint64) int {
-	return sort.Search(len(points), func(n int) bool { return points[n].at >= key }) % len(points)
+// successor is the index of the first node at or after a key.
+func successor(nodes []virtualNode, key uint64) int {
+	return sort.Search(len(nodes), func(n int) bool { return nodes[n].hash >= key }) % len(nodes)
 }
 
-func karger(keys []uint64, names []string) []int {
-	points, out := circle(names), make([]int, len(keys))
+// consistentHashing is Karger's hash ring with virtual nodes.
+func consistentHashing(keys []uint64, names []string) []int {
+	nodes, assigned := hashRing(names), make([]int, len(keys))
 	for k, key := range keys {
-		out[k] = points[after(points, key)].who
+		assigned[k] = nodes[successor(nodes, key)].backend
 	}
-	return out
+	return assigned
 }
 
-func bounded(keys []uint64, names []string) []int {
-	points, out := circle(names), make([]int, len(keys))
-	most := int(loadBound*float64(len(keys))/float64(len(names))) + 1
+// boundedLoadHashing is a hash ring on which a key passes over full backends.
+func boundedLoadHashing(keys []uint64, names []string) []int {
+	nodes, assigned := hashRing(names), make([]int, len(keys))
+	maxLoad := int(loadBound*float64(len(keys))/float64(len(names))) + 1
 	load := make([]int, len(names))
 	for k, key := range keys {
-		n := after(points, key)
-		for load[points[n].who] >= most {
-			n = (n + 1) % len(points)
+		n := successor(nodes, key)
+		for load[nodes[n].backend] >= maxLoad {
+			n = (n + 1) % len(nodes)
 		}
-		out[k] = points[n].who
-		load[out[k]]++
+		assigned[k] = nodes[n].backend
+		load[assigned[k]]++
 	}
-	return out
+	return assigned
 }
 
-func rendezvous(keys []uint64, names []string) []int {
-	hashes, out := make([]uint64, len(names)), make([]int, len(keys))
+// rendezvousHashing assigns a key to the backend with the highest score.
+func rendezvousHashing(keys []uint64, names []string) []int {
+	hashes, assigned := make([]uint64, len(names)), make([]int, len(keys))
 	for n, name := range names {
 		hashes[n] = xxhash.Sum64String(name)
 	}
 	for k, key := range keys {
-		most := uint64(0)
+		highest := uint64(0)
 		for n, h := range hashes {
-			if score := mix(h, key); score >= most {
-				most, out[k] = score, n
+			if score := mixHashes(h, key); score >= highest {
+				highest, assigned[k] = score, n
 			}
 		}
 	}
-	return out
+	return assigned
 }
 
-// jump knows backends by number alone: one that leaves gives its number to all behind it.
-func jump(keys []uint64, names []string) []int {
-	out := make([]int, len(keys))
+// jumpHashing knows backends by number alone: one that leaves gives its number to all behind it.
+func jumpHashing(keys []uint64, names []string) []int {
+	assigned := make([]int, len(keys))
 	for k, key := range keys {
-		b, j := int64(-1), int64(0)
-		for j < int64(len(names)) {
-			b = j
+		bucket, next := int64(-1), int64(0)
+		for next < int64(len(names)) {
+			bucket = next
 			key = key*2862933555777941757 + 1
-			j = int64(float64(b+1) * (float64(int64(1)<<31) / float64((key>>33)+1)))
+			next = int64(float64(bucket+1) * (float64(int64(1)<<31) / float64((key>>33)+1)))
 		}
-		out[k] = int(b)
+		assigned[k] = int(bucket)
+	}
+	return assigned
+}
+
+// maglevHashing looks keys up in Maglev's table.
+func maglevHashing(keys []uint64, names []string) []int {
+	table, assigned := maglevTable(names), make([]int, len(keys))
+	for k, key := range keys {
+		assigned[k] = table[key%maglevTableSize]
 	}
-	return out
+	return assigned
 }
 
-func maglev(keys []uint64, names []string) []int {
-	table, next := make([]int, maglevTable), make([]uint64, len(names))
+// maglevTable lets the backends take turns, each taking the next free entry of its own permutation.
+func maglevTable(names []string) []int {
+	const free = -1
+	table, next := make([]int, maglevTableSize), make([]uint64, len(names))
 	offset, skip := make([]uint64, len(names)), make([]uint64, len(names))
 	for n, name := range names {
 		h := xxhash.Sum64String(name)
-		offset[n], skip[n] = h%maglevTable, mix(h, 7)%(maglevTable-1)+1
+		offset[n], skip[n] = h%maglevTableSize, mixHashes(h, 7)%(maglevTableSize-1)+1
 	}
-	for s := range table {
-		table[s] = -1
+	for slot := range table {
+		table[slot] = free
 	}
 	for filled := 0; ; {
 		for n := range names {
-			at := (offset[n] + next[n]*skip[n]) % maglevTable
-			for table[at] >= 0 {
+			at := (offset[n] + next[n]*skip[n]) % maglevTableSize
+			for table[at] != free {
 				next[n]++
-				at = (offset[n] + next[n]*skip[n]) % maglevTable
+				at = (offset[n] + next[n]*skip[n]) % maglevTableSize
 			}
 			table[at] = n
 			next[n]++
-			if filled++; filled == maglevTable {
-				out := make([]int, len(keys))
-				for k, key := range keys {
-					out[k] = table[key%maglevTable]
-				}
-				return out
+			if filled++; filled == maglevTableSize {
+				return table
 			}
 		}
 	}
--- a/internal/lab/emulator/ring.go
+++ b/internal/lab/emulator/ring.go
@@ -1,6 +1,3 @@
-// This file owns the script on which the ring's plans are measured beside the published ways: backends that join and
-// leave, keys counted. It must never count a key as moved that only its slot's number changed for.
-
 package emulator
 
 import (
@@ -11,141 +8,192 @@
 	"thymechute/internal/decide/ring"
 )
 
-// RingFigures are one way's, worst over the script's steps.
+const (
+	ringRandomStream  = 0x41a6
+	ringZones         = 3
+	maxSingleSteps    = 40 // backends up to which the script joins and removes them one by one
+	bytesPerSlot      = 2
+	bytesPerBackend   = 56 // a record without its strings
+	slotAlgorithmName = "slots"
+)
+
+// RingScenario is a script of backends that join and leave, on keys drawn by the seed.
+type RingScenario struct {
+	Backends int // at the start
+	Slots    int
+	Keys     int
+	Seed     uint64
+}
+
+// RingFigures are the results of one algorithm, worst over the script's steps.
 type RingFigures struct {
-	Way            string
-	MovedOverLeast float64 // keys that changed their backend over those that had to, by the step's worst
-	MaxOverFair    float64 // keys of the busiest backend over the mean
+	Algorithm        string
+	MovedOverMinimum float64 // keys that changed their backend over those that had to
+	MaxOverFair      float64 // keys of the busiest backend over the mean
 }
 
-// RingResult is a run's.
+// RingResult compares the ring's plans with published algorithms.
 type RingResult struct {
-	Ways       []RingFigures
-	SlotsMoved float64       // of the ring's plans: moves over the least that any plan must make, worst
-	SlotsFair  float64       // slots of the busiest backend over its fair part
-	Plan       time.Duration // real time of the slowest plan
-	Bytes      int           // of the table's slots and backends' records
+	Algorithms            []RingFigures
+	MigrationsOverMinimum float64       // of the ring's plans: migrations over the fewest of any plan, worst
+	SlotsOverFair         float64       // slots of the busiest backend over its fair share
+	SlowestPlan           time.Duration // real time
+	TableBytes            int           // of the table's slots and backends
 }
 
-// Ring plays: size backends, half as many join one by one (ten at a time past 40), then they shrink by a third, at last one
-// dies and comes back. keys are drawn by the seed.
-func Ring(size, slots, keys int, seed uint64) (RingResult, error) {
-	r := rand.New(rand.NewPCG(seed, 0x41a6))
-	hashes := make([]uint64, keys)
-	for k := range hashes {
-		hashes[k] = r.Uint64()
-	}
-	var sets [][]string
-	names := func(from, to int) (out []string) {
-		for n := from; n < to; n++ {
-			out = append(out, fmt.Sprintf("b%05d", n))
-		}
-		return out
+// CompareRing runs the script: half as many backends join one by one (a quarter at a time past 40), then the fleet shrinks by
+// a third, at last one fails and comes back. It fails if a plan does.
+func CompareRing(scenario RingScenario) (RingResult, error) {
+	random := rand.New(rand.NewPCG(scenario.Seed, ringRandomStream))
+	keys := make([]uint64, scenario.Keys)
+	for k := range keys {
+		keys[k] = random.Uint64()
 	}
+	steps := membershipScript(scenario.Backends)
+	var baselines []RingFigures
+	for _, a := range baselineAlgorithms {
+		baselines = append(baselines, measureAlgorithm(a.name, a.assign, keys, steps))
+	}
+	slots, err := newSlotAssigner(scenario.Slots)
+	if err != nil {
+		return RingResult{}, err
+	}
+	slotFigures := measureAlgorithm(slotAlgorithmName, slots.assign, keys, steps) // after the baselines: plans are timed warm
+	result := slots.result
+	result.Algorithms = append([]RingFigures{slotFigures}, baselines...)
+	result.TableBytes = bytesPerSlot*scenario.Slots + len(steps[len(steps)-1])*bytesPerBackend
+	return result, slots.err
+}
+
+// membershipScript returns the names of the present backends, step by step.
+func membershipScript(backends int) (steps [][]string) {
 	step := 1
-	if size > 40 {
-		step = size / 4
+	if backends > maxSingleSteps {
+		step = backends / 4
 	}
-	grown := size + size/2
-	for n := size; n <= grown; n += step {
-		sets = append(sets, names(0, n))
+	for n := backends; n <= backends+backends/2; n += step {
+		steps = append(steps, backendNames(0, n))
 	}
-	last := len(sets[len(sets)-1])
-	for n := step; n <= last/3; n += step { // those in front leave: the worst case for ways that know numbers
-		sets = append(sets, names(n, last))
+	last := len(steps[len(steps)-1])
+	for n := step; n <= last/3; n += step { // the first ones leave: the worst case for algorithms that only know numbers
+		steps = append(steps, backendNames(n, last))
 	}
-	end := sets[len(sets)-1]
-	dead := append(append([]string{}, end[:len(end)/2]...), end[len(end)/2+1:]...)
-	sets = append(sets, dead, end)
+	end := steps[len(steps)-1]
+	middle := len(end) / 2
+	withoutMiddle := append(append([]string{}, end[:middle]...), end[middle+1:]...)
+	return append(steps, withoutMiddle, end)
+}
 
-	result := RingResult{}
-	for _, w := range []struct {
-		name string
-		f    spread
-	}{{"karger", karger}, {"rendezvous", rendezvous}, {"jump", jump}, {"maglev", maglev}, {"bounded_loads", bounded}} {
-		result.Ways = append(result.Ways, measure(w.name, w.f, hashes, sets))
+func backendNames(from, to int) (names []string) {
+	for n := from; n < to; n++ {
+		names = append(names, fmt.Sprintf("b%05d", n))
 	}
+	return names
+}
+
+// slotAssigner assigns keys by the ring's plans, each from the table of the one before.
+type slotAssigner struct {
+	table  *ring.Table
+	result RingResult
+	err    error // of the first plan that failed
+}
+
+func newSlotAssigner(slots int) (*slotAssigner, error) {
 	table, err := ring.New(slots)
 	if err != nil {
-		return result, err
+		return nil, err
 	}
-	result.SlotsMoved = 1
-	own := func(keys []uint64, names []string) []int {
-		var backends []ring.Backend
-		for n, name := range names {
-			backends = append(backends, ring.Backend{Name: name, Zone: fmt.Sprint(n % 3), Weight: 1})
-		}
-		start := time.Now() // a measurement of the plan's cost, on which nothing depends
-		next, moves, least, e := table.Plan(backends, ring.BalanceBound{}, nil)
-		result.Plan = max(result.Plan, time.Since(start))
-		if e != nil {
-			err = e
-			return make([]int, len(keys))
-		}
-		if least > 0 {
-			result.SlotsMoved = max(result.SlotsMoved, float64(len(moves))/float64(least))
-		}
-		held, _ := next.SlotCounts()
-		for _, c := range held {
-			result.SlotsFair = max(result.SlotsFair, float64(c)*float64(len(names))/float64(slots))
-		}
-		table = next
-		place := map[string]int{}
-		for n, name := range names {
-			place[name] = n
-		}
-		of := make([]int, slots)
-		for s := range of {
-			b, _ := table.Owner(s)
-			of[s] = place[b.Name]
-		}
-		out := make([]int, len(keys))
-		for k, key := range keys {
-			out[k] = of[key&uint64(slots-1)]
-		}
-		return out
+	return &slotAssigner{table: table, result: RingResult{MigrationsOverMinimum: 1}}, nil
+}
+
+// assign implements assigner.
+func (s *slotAssigner) assign(keys []uint64, names []string) []int {
+	backends := make([]ring.Backend, len(names))
+	index := map[string]int{}
+	for n, name := range names {
+		backends[n] = ring.Backend{Name: name, Zone: fmt.Sprint(n % ringZones), Weight: 1}
+		index[name] = n
+	}
+	assigned := make([]int, len(keys))
+	if err := s.plan(backends); err != nil {
+		s.err = err
+		return assigned
+	}
+	ownerOf := make([]int, s.table.Slots())
+	for slot := range ownerOf {
+		owner, _ := s.table.Owner(slot)
+		ownerOf[slot] = index[owner.Name]
 	}
-	result.Ways = append([]RingFigures{measure("slots", own, hashes, sets)}, result.Ways...)
-	result.Bytes = 2*slots + len(end)*56
-	return result, err
+	for k, key := range keys {
+		assigned[k] = ownerOf[key&uint64(len(ownerOf)-1)]
+	}
+	return assigned
 }
 
-// measure counts, step by step, the keys that changed their backend against those that had to: what the gone ones
-// held, or the fair part of the new ones.
-func measure(name string, f spread, keys []uint64, sets [][]string) RingFigures {
-	figures := RingFigures{Way: name, MovedOverLeast: 1}
-	var before []int
-	for n, set := range sets {
-		now := f(keys, set)
-		count := make([]int, len(set))
-		for _, b := range now {
-			count[b]++
-		}
-		for _, c := range count {
-			figures.MaxOverFair = max(figures.MaxOverFair, float64(c)*float64(len(set))/float64(len(keys)))
-		}
+// plan makes and measures the next table. Nothing depends on the measured time.
+func (s *slotAssigner) plan(backends []ring.Backend) error {
+	start := time.Now()
+	next, migrations, minimum, err := s.table.Plan(backends, ring.BalanceBound{}, nil)
+	s.result.SlowestPlan = max(s.result.SlowestPlan, time.Since(start))
+	if err != nil {
+		return err
+	}
+	if minimum > 0 {
+		s.result.MigrationsOverMinimum = max(s.result.MigrationsOverMinimum, float64(len(migrations))/float64(minimum))
+	}
+	owned, _ := next.SlotCounts()
+	for _, count := range owned {
+		s.result.SlotsOverFair = max(s.result.SlotsOverFair, float64(count)*float64(len(backends))/float64(next.Slots()))
+	}
+	s.table = next
+	return nil
+}
+
+// measureAlgorithm counts, step by step, the keys that changed their backend against those that had to: the keys of removed
+// backends, and the fair share of added ones.
+func measureAlgorithm(name string, assign assigner, keys []uint64, steps [][]string) RingFigures {
+	figures := RingFigures{Algorithm: name, MovedOverMinimum: 1}
+	var previous []int
+	for n, names := range steps {
+		assigned := assign(keys, names)
+		figures.MaxOverFair = max(figures.MaxOverFair, maxOverFair(assigned, len(names)))
 		if n > 0 {
-			had := map[string]bool{}
-			for _, b := range set {
-				had[b] = true
-			}
-			moved, lost := 0, 0
-			for k := range keys {
-				was := sets[n-1][before[k]]
-				if was != set[now[k]] {
-					moved++
-				}
-				if !had[was] {
-					lost++
-				}
-			}
-			least := float64(lost)
-			if more := len(set) - len(sets[n-1]); more > 0 {
-				least += float64(len(keys)) * float64(more) / float64(len(set))
-			}
-			figures.MovedOverLeast = max(figures.MovedOverLeast, float64(moved)/least)
+			moved, minimum := countMoved(previous, assigned, steps[n-1], names)
+			figures.MovedOverMinimum = max(figures.MovedOverMinimum, float64(moved)/minimum)
 		}
-		before = now
+		previous = assigned
 	}
 	return figures
 }
+
+func maxOverFair(assigned []int, backends int) (worst float64) {
+	counts := make([]int, backends)
+	for _, b := range assigned {
+		counts[b]++
+	}
+	for _, count := range counts {
+		worst = max(worst, float64(count)*float64(backends)/float64(len(assigned)))
+	}
+	return worst
+}
+
+// countMoved returns the keys that changed their backend, by name, and how many had to.
+func countMoved(before, after []int, namesBefore, namesAfter []string) (moved int, minimum float64) {
+	remains := map[string]bool{}
+	for _, name := range namesAfter {
+		remains[name] = true
+	}
+	for k := range after {
+		was := namesBefore[before[k]]
+		if was != namesAfter[after[k]] {
+			moved++
+		}
+		if !remains[was] {
+			minimum++
+		}
+	}
+	if added := len(namesAfter) - len(namesBefore); added > 0 {
+		minimum += float64(len(after)) * float64(added) / float64(len(namesAfter))
+	}
+	return moved, minimum
+}
--- a/internal/lab/scale/decisions/ring.go
+++ b/internal/lab/scale/decisions/ring.go
@@ -186,8 +186,8 @@
 	return nil
 }
 
-// loseRing takes backends away at once and back: moves over the least, and the slowest plan.
-func loseRing(c *collector, l Layout) error {
+// measureRingLosses takes backends away at once and back: moves over the least, and the slowest plan.
+func measureRingLosses(c *collector, l Layout) error {
 	table, err := l.table()
 	if err != nil {
 		return err
--- a/internal/lab/scale/decisions/roll.go
+++ b/internal/lab/scale/decisions/roll.go
@@ -1,6 +1,3 @@
-// This file owns the roll: its plan and its steps timed, its words as internal/fleet/rolling encodes them, and a release
-// that replaces half in an hour through each loss.
-
 package decisions
 
 import (
@@ -13,72 +10,75 @@
 )
 
 const (
-	rollDrain   = 30 * time.Second // from a drain to the return
-	rollLossAt  = 10 * time.Minute
-	rollLossFor = 10 * time.Minute
-	rollMost    = 3 * time.Hour
-	rollLoad    = 0.7                // of a zone's capacity: with a region's load on top there is no room for a drain
-	halfInHour  = 3300 * time.Second // of the hour, for the drains; the rest is the last ones' return
+	rolloutDrainTime    = 30 * time.Second // from a drain to the restart
+	rolloutLossAt       = 10 * time.Minute
+	rolloutLossDuration = 10 * time.Minute
+	rolloutMaxDuration  = 3 * time.Hour
+	rolloutLoad         = 0.7                // of a zone's capacity: with a region's load on top none is left for a drain
+	halfDrainTime       = 3300 * time.Second // for the drains of half the members; the rest of the hour is the last ones' restart
+	memberCapacity      = 100                // work items a second
+	memberLoad          = 60                 // work items a second
+	installedRelease    = "2026.11.30-1"
+	wantedRelease       = "2026.12.01-1"
 )
 
-// atOnce is how many are on their way, if half the members are to be replaced within an hour.
-func (l Layout) atOnce() int {
-	return int(float64(l.Size/2)*(rollDrain+time.Second).Seconds()/halfInHour.Seconds()) + 1
+// maxUnavailable is how many are being replaced at the same time, if half the members are to be replaced within an hour.
+func (l Layout) maxUnavailable() int {
+	return int(float64(l.Size/2)*(rolloutDrainTime+time.Second).Seconds()/halfDrainTime.Seconds()) + 1
 }
 
-func (l Layout) rollBounds() rollout.Bounds {
-	return rollout.Bounds{Keep: 0.6, OverLoad: 1.05, AtOnce: l.atOnce(), Longest: 2 * time.Minute, ColdFrom: 0.2, WarmAfter: 16 * time.Second}
+func (l Layout) rolloutLimits() rollout.Limits {
+	return rollout.Limits{MinCapacityFraction: 0.6, LoadHeadroom: 1.05, MaxUnavailable: l.maxUnavailable(), ReplaceTimeout: 2 * time.Minute,
+		InitialCapacityFraction: 0.2, WarmUpTime: 16 * time.Second}
 }
 
-// places are the members, half of which run the release already.
-func (l Layout) places(loss Loss, cold bool) []emulator.RollPlace {
-	out := make([]emulator.RollPlace, l.Size)
-	for n := range out {
-		out[n] = emulator.RollPlace{Zone: l.zoneName(n), Runs: n%2 == 1, Lost: loss.takes(n), ComesBackCold: cold}
+// rolloutMembers are the members, half of which run the release already. All but those of a lost region restart with it.
+func (l Layout) rolloutMembers(loss Loss) []emulator.RolloutMember {
+	members := make([]emulator.RolloutMember, l.Size)
+	for n := range members {
+		members[n] = emulator.RolloutMember{Zone: l.zoneName(n), IsUpdated: n%2 == 1, IsLost: loss.takes(n), IsUpdatedByLoss: loss.Kind != "region"}
 	}
-	emulator.EveryNth(out, wantedVoters)
-	return out
+	emulator.SpreadVoters(members, wantedVoters)
+	return members
 }
 
-// instances are the members as the roll's owner sees them, all at the old release, and their zones' loads.
+// instances are the members as the rollout's leader sees them, all at the old release, and their zones' loads.
 func (l Layout) instances() (fleet []rollout.Instance, load map[string]float64) {
 	load = map[string]float64{}
-	for n, p := range l.places(Loss{}, false) {
-		fleet = append(fleet, rollout.Instance{Name: processName(n, 0), Zone: p.Zone, Release: "2026.11.30-1", Life: 0x18f3a2b4c5000000 + uint64(n),
-			Capacity: 100, Age: time.Hour, Voter: p.Voter, Owner: p.Owner})
-		load[p.Zone] += 60
+	for n, m := range l.rolloutMembers(Loss{}) {
+		fleet = append(fleet, rollout.Instance{Name: processName(n, 0), Zone: m.Zone, Release: installedRelease, Incarnation: 0x18f3a2b4c5000000 + uint64(n),
+			Capacity: memberCapacity, Age: time.Hour, IsVoter: m.IsVoter, IsLeader: m.IsLeader})
+		load[m.Zone] += memberLoad
 	}
 	return fleet, load
 }
 
-const wantedRelease = "2026.12.01-1"
-
-func measureRoll(c *collector, l Layout) error {
+func measureRollout(c *collector, l Layout) error {
 	fleet, load := l.instances()
 	var err error
-	plan := func(b rollout.Bounds) func(int) {
-		return func(int) { _, _, err = rollout.Plan(fleet, load, wantedRelease, b) }
+	plan := func(limits rollout.Limits) func(int) {
+		return func(int) { _, _, err = rollout.Plan(fleet, load, wantedRelease, limits) }
 	}
-	paced := l.rollBounds()
+	paced := l.rolloutLimits()
 	c.timing("roll_plan_paced", "owner_of_roll", l.Size, plan(paced))
 	fast := paced
-	fast.AtOnce = l.Size / 8
+	fast.MaxUnavailable = l.Size / 8
 	c.timing("roll_plan_eighth", "owner_of_roll", l.Size, plan(fast))
 	single := paced
-	single.AtOnce = 1
+	single.MaxUnavailable = 1
 	c.timing("roll_plan_one_by_one", "owner_of_roll", l.Size, plan(single))
 	agreed := rollout.New(wantedRelease)
 	c.timing("roll_step", "owner_of_roll", l.Size, func(int) { agreed.Next(0, fleet, load, fast) })
 	if err != nil {
 		return err
 	}
-	return measureRollTables(c, l, fleet, load)
+	return measureRolloutSizes(c, l, fleet, load)
 }
 
-// measureRollTables drains all, and sizes entries, table and snapshot.
-func measureRollTables(c *collector, l Layout, fleet []rollout.Instance, load map[string]float64) error {
+// measureRolloutSizes drains all, and sizes entries, table and snapshot.
+func measureRolloutSizes(c *collector, l Layout, fleet []rollout.Instance, load map[string]float64) error {
 	bodies := []string{}
-	k := rolling.New(rolling.Config{Name: "x", Bounds: l.rollBounds(), Fleet: func() ([]rollout.Instance, map[string]float64) { return fleet, load },
+	k := rolling.New(rolling.Config{Name: "x", Bounds: l.rolloutLimits(), Fleet: func() ([]rollout.Instance, map[string]float64) { return fleet, load },
 		Absent: func() []string { return nil }, Decide: func(body string) bool { bodies = append(bodies, body); return true },
 		HandOn: func() {}, Drain: func() {}, Say: func(string) {}})
 	k.Want(wantedRelease)
@@ -99,44 +99,44 @@
 	drained := func() any {
 		r := rollout.New(wantedRelease)
 		for _, i := range fleet {
-			r.Drained(time.Hour, i.Name, i.Life)
+			r.RecordDrain(time.Hour, i.Name, i.Incarnation)
 		}
 		return r
 	}
-	encoded, err := drained().(*rollout.Roll).Encode()
+	encoded, err := drained().(*rollout.Rollout).Encode()
 	c.point("roll_snapshot_bytes", "member", 0, l.Size, float64(len(encoded)))
 	c.point("roll_heap_bytes", "member", 0, l.Size, heapOf(drained))
 	return err
 }
 
-// loseRoll rolls half in an hour through each loss; the others' load rises by what the lost part carried. A region is cut
-// and comes back as it was; the rest comes back cold.
-func loseRoll(c *collector, l Layout) error {
+// measureRolloutLosses replaces half the members in an hour through each loss; the others' load rises by what the lost part carried. A
+// region is cut off and comes back as it was; the rest is restarted.
+func measureRolloutLosses(c *collector, l Layout) error {
 	r := chance(c.seed, 0x6011)
 	for _, kind := range append([]string{"none"}, lossKinds...) {
 		loss := Loss{Kind: kind}
 		if kind != "none" {
 			loss = l.drawn(kind, r)
 		}
-		script := emulator.RollLoss{Places: l.places(loss, kind != "region"), Bounds: l.rollBounds(), Drain: rollDrain, At: rollLossAt, For: rollLossFor,
-			Load: rollLoad, Shift: float64(l.Size) / float64(l.Size-(loss.To-loss.From)), Most: rollMost}
-		f, err := emulator.RollThrough(script)
+		scenario := emulator.RolloutLoss{Members: l.rolloutMembers(loss), Limits: l.rolloutLimits(), DrainTime: rolloutDrainTime, LossAt: rolloutLossAt, LossDuration: rolloutLossDuration,
+			Load: rolloutLoad, LoadShift: float64(l.Size) / float64(l.Size-(loss.To-loss.From)), MaxDuration: rolloutMaxDuration}
+		f, err := emulator.RunRolloutLoss(scenario)
 		if err != nil {
 			return err
 		}
-		c.rolled("roll_"+l.label()+"_"+kind, f)
+		c.putRollout("roll_"+l.label()+"_"+kind, f)
 	}
 	return nil
 }
 
-func (c *collector) rolled(name string, f emulator.RollLossFigures) {
-	for figure, value := range map[string]float64{"took_s": f.Took.Seconds(), "held_s": f.Held.Seconds(), "drains": float64(f.Drains),
-		"drains_in_loss": float64(f.DrainsInLoss), "resumed_s": f.ResumedWithin.Seconds(), "over_floor_min": f.OverFloorMin,
-		"stuck_most": float64(f.Stuck)} {
+func (c *collector) putRollout(name string, f emulator.RolloutLossFigures) {
+	for figure, value := range map[string]float64{"took_s": f.Duration.Seconds(), "held_s": f.BlockedTime.Seconds(), "drains": float64(f.Drains),
+		"drains_in_loss": float64(f.DrainsDuringLoss), "resumed_s": f.ResumeDelay.Seconds(), "over_floor_min": f.MinCapacityOverRequired,
+		"stuck_most": float64(f.MaxStuck)} {
 		c.result.Put(name+"_"+figure, value)
 	}
-	if f.UnderFloor > 0 || f.DrainedTwice > 0 || f.VotersAtOnce > 1 || f.Rolled < 1-1e-9 || f.Took == 0 {
-		c.result.Fault("%s: %d drains under a floor, %d twice, %d voters at once, %.3f rolled, took %v", name, f.UnderFloor, f.DrainedTwice,
-			f.VotersAtOnce, f.Rolled, f.Took)
+	if f.DrainsBelowRequired > 0 || f.DuplicateDrains > 0 || f.MaxVotersDraining > 1 || f.CompletedFraction < 1-1e-9 || f.Duration == 0 {
+		c.result.Fault("%s: %d drains below the required capacity, %d twice, %d voters at once, %.3f updated, took %v", name, f.DrainsBelowRequired, f.DuplicateDrains,
+			f.MaxVotersDraining, f.CompletedFraction, f.Duration)
 	}
 }
