--- a/cmd/thymechute/serve.go
+++ b/cmd/thymechute/serve.go
@@ -74,10 +74,10 @@
 	part := (sockets - own) / 8
 	front := rpc.NewFront(inst, stubParts*part, part, log)
 	return loop.Run(g.Listen, host{front, inst}, g.Memory, part, log, func(l *loop.Loop) {
-		dial := func(network string, address *string) func(loop.Peer) { // the address may change
-			return func(p loop.Peer) { l.Dial(network, *address, dialFor, p) }
+		dial := func(network string, address *string) func(loop.Handler) { // the address may change
+			return func(p loop.Handler) { l.Dial(network, *address, dialFor, p) }
 		}
-		after := func(wait time.Duration, f func()) { time.AfterFunc(wait, func() { l.Do(f) }) }
+		after := func(wait time.Duration, f func()) { time.AfterFunc(wait, func() { l.Post(f) }) }
 		cores := link.NewLink(inst, dial("tcp", &g.Runtime), after, g.Seed, log)
 		calls := index.NewPool(inst, dial("tcp", &g.Index), part, log)
 		reports := catalog.New(g.Name, dial("udp", &g.Catalog))
@@ -102,7 +102,7 @@
 			return nil
 		}
 		hups := make(chan os.Signal, 1) // one that comes while the file is read is answered by reading it once more
-		go inForce.reloads(hups, l.Do, take, log)
+		go inForce.reloads(hups, l.Post, take, log)
 		go func() {
 			for s := range signals {
 				if s == syscall.SIGHUP {
@@ -112,7 +112,7 @@
 					}
 					continue
 				}
-				l.Do(inst.Drain)
+				l.Post(inst.Drain)
 				go fl.leave(log) // off the loop: it waits up to a second for the others to hear
 			}
 		}()
--- a/internal/catalog/catalog.go
+++ b/internal/catalog/catalog.go
@@ -15,13 +15,13 @@
 // Reporter sends the reports.
 type Reporter struct {
 	name   string
-	dial   func(loop.Peer)
+	dial   func(loop.Handler)
 	socket *socket // none: the next report opens one
 	next   time.Time
 }
 
 // New makes a reporter; dial opens a socket for it.
-func New(name string, dial func(loop.Peer)) *Reporter { return &Reporter{name: name, dial: dial} }
+func New(name string, dial func(loop.Handler)) *Reporter { return &Reporter{name: name, dial: dial} }
 
 // Sweep reports if it is time to.
 func (r *Reporter) Sweep(now time.Time, good bool) {
@@ -54,17 +54,17 @@
 // socket is one of the reporter's; one that was replaced is of no use.
 type socket struct {
 	r    *Reporter
-	wire loop.Wire // none before it stands
+	wire loop.Conn // none before it stands
 }
 
-func (s *socket) Opened(w loop.Wire) {
+func (s *socket) Opened(w loop.Conn) {
 	if s.wire = w; s.r.socket != s {
 		w.Close()
 	}
 }
 
-// Read drops what comes: reports get no answer.
-func (s *socket) Read([]byte) error { return nil }
+// Received drops what comes: reports get no answer.
+func (s *socket) Received([]byte) error { return nil }
 
 // Closed lets the next report open a socket.
 func (s *socket) Closed(error) {
--- a/internal/catalog/catalog_test.go
+++ b/internal/catalog/catalog_test.go
@@ -12,7 +12,7 @@
 
 func TestSeveralReportsGoOutWhileAnEntryLasts(t *testing.T) {
 	var dialled []*socket
-	r := New("n3", func(p loop.Peer) { dialled = append(dialled, p.(*socket)) })
+	r := New("n3", func(p loop.Handler) { dialled = append(dialled, p.(*socket)) })
 	now, w := time.Now(), &testutil.Wire{}
 	r.Sweep(now, true)
 	dialled[0].Opened(w)
@@ -34,7 +34,7 @@
 // A catalog that refuses costs the report that found it away, and no later one: the socket is opened anew for the next.
 func TestSocketWithAnErrorIsReplaced(t *testing.T) {
 	var dialled []*socket
-	r := New("n3", func(p loop.Peer) { dialled = append(dialled, p.(*socket)) })
+	r := New("n3", func(p loop.Handler) { dialled = append(dialled, p.(*socket)) })
 	now := time.Now()
 	for n := range 3 {
 		r.Sweep(now, true)
@@ -46,7 +46,7 @@
 		if r.Sweep(now, true); w.Out != "alive n3 passing" {
 			t.Errorf("wrote %q after %d errors", w.Out, n)
 		}
-		dialled[n].Closed(&loop.Broken{Connected: true, Err: errors.New("connection refused")})
+		dialled[n].Closed(&loop.ConnError{Connected: true, Err: errors.New("connection refused")})
 		if n > 0 {
 			dialled[n-1].Closed(errors.New("once more")) // one that was replaced
 		}
--- a/internal/front/amqp/front.go
+++ b/internal/front/amqp/front.go
@@ -34,7 +34,7 @@
 
 // Loop is what the front needs of it.
 type Loop interface {
-	Do(f func())                           // from any goroutine
+	Post(f func())                         // from any goroutine
 	After(wait time.Duration, what func()) // on the loop, later
 }
 
@@ -125,7 +125,7 @@
 	f.open = map[uint64]*message{}
 	bound := 2*f.told.MostCredit*len(f.told.Queues) + slack
 	var s *session
-	s = open(f.told, f.name, f.told.Brokers[broker].Address, bound, f.loop.Do, func(events []event) { f.take(s, events) }, f.answer)
+	s = open(f.told, f.name, f.told.Brokers[broker].Address, bound, f.loop.Post, func(events []event) { f.take(s, events) }, f.answer)
 	f.now, f.stands, f.drained, f.left = s, false, true, false
 }
 
--- a/internal/index/index.go
+++ b/internal/index/index.go
@@ -91,7 +91,7 @@
 // Pool is the connections to the index and the calls on them.
 type Pool struct {
 	sink  Sink
-	dial  func(loop.Peer)
+	dial  func(loop.Handler)
 	log   *zap.Logger
 	most  int
 	conns map[*conn]struct{}
@@ -104,7 +104,7 @@
 // conn is one connection. Out of the pool's table it takes no further call.
 type conn struct {
 	p       *Pool
-	wire    loop.Wire // none before it stands
+	wire    loop.Conn // none before it stands
 	call    *call
 	carried map[string]struct{}
 	rest    []byte // bounded by one reply; emptied by the next
@@ -112,7 +112,7 @@
 }
 
 // NewPool makes a pool of so many connections at most; dial opens one.
-func NewPool(sink Sink, dial func(loop.Peer), most int, log *zap.Logger) *Pool {
+func NewPool(sink Sink, dial func(loop.Handler), most int, log *zap.Logger) *Pool {
 	return &Pool{sink: sink, dial: dial, most: most, log: log, calls: map[string]*call{}, conns: map[*conn]struct{}{}}
 }
 
@@ -240,7 +240,7 @@
 }
 
 // Opened writes the call that it was opened for, or one that waits.
-func (k *conn) Opened(w loop.Wire) {
+func (k *conn) Opened(w loop.Conn) {
 	k.wire, k.used = w, time.Now()
 	if _, ok := k.p.conns[k]; !ok {
 		w.Close()
@@ -270,7 +270,7 @@
 	p.drop(k)
 }
 
-func (k *conn) Read(b []byte) error {
+func (k *conn) Received(b []byte) error {
 	text := b
 	if len(k.rest) > 0 {
 		text = append(k.rest, b...)
--- a/internal/index/index_test.go
+++ b/internal/index/index_test.go
@@ -23,7 +23,7 @@
 // pool is one that notes what it dials; stand lets it stand.
 func pool(most int) (p *Pool, s *sink, dialled *[]*conn) {
 	s, dialled = &sink{}, &[]*conn{}
-	return NewPool(s, func(to loop.Peer) { *dialled = append(*dialled, to.(*conn)) }, most, zap.NewNop()), s, dialled
+	return NewPool(s, func(to loop.Handler) { *dialled = append(*dialled, to.(*conn)) }, most, zap.NewNop()), s, dialled
 }
 
 // stand lets the newest connection stand.
@@ -44,11 +44,11 @@
 func TestHowFarACallCameDecidesItsOutcome(t *testing.T) {
 	p, s, dialled := pool(1)
 	p.Call("a", time.Second, []byte("x"))
-	(*dialled)[0].Closed(&loop.Broken{Err: errors.New("refused")})
+	(*dialled)[0].Closed(&loop.ConnError{Err: errors.New("refused")})
 	wants(t, s, "a", policy.ConnectFailed, "")
 	p.Call("b", time.Second, []byte("x"))
 	k, _ := stand(dialled)
-	k.Closed(&loop.Broken{Connected: true, Err: errors.New("reset")})
+	k.Closed(&loop.ConnError{Connected: true, Err: errors.New("reset")})
 	wants(t, s, "b", policy.Reset, "")
 	p.Call("c", time.Second, []byte("x"))
 	p.Call("d", time.Second, []byte("x")) // waits for the only connection
@@ -65,7 +65,7 @@
 	if !strings.HasSuffix(w.Out, " 1\r\nx\r\n") || strings.Contains(w.Out, "GET c") || !w.Closed {
 		t.Errorf("wrote %q, closed %v", w.Out, w.Closed)
 	}
-	if k.Closed(&loop.Broken{Connected: true, Err: errors.New("closed")}); len(s.got) != 0 || len(p.conns) != 0 {
+	if k.Closed(&loop.ConnError{Connected: true, Err: errors.New("closed")}); len(s.got) != 0 || len(p.conns) != 0 {
 		t.Errorf("got %q, %d connections left", s.got, len(p.conns))
 	}
 }
@@ -77,7 +77,7 @@
 		p.Call("a", time.Second, nil)
 		k, _ := stand(dialled)
 		for _, part := range []string{text[:cut], text[cut:]} {
-			if err := k.Read([]byte(part)); err != nil {
+			if err := k.Received([]byte(part)); err != nil {
 				t.Fatal(err)
 			}
 		}
@@ -92,11 +92,11 @@
 	p, s, dialled := pool(8)
 	p.Call("a", time.Second, nil)
 	first, _ := stand(dialled)
-	_ = first.Read([]byte("a HIT 1\r\n1\r\n"))
+	_ = first.Received([]byte("a HIT 1\r\n1\r\n"))
 	wants(t, s, "a", policy.OK, "1")
 	p.Call("a", time.Second, nil) // its next call, elsewhere
 	second, _ := stand(dialled)
-	_ = first.Read([]byte("a HIT 1\r\n1\r\n"))
+	_ = first.Received([]byte("a HIT 1\r\n1\r\n"))
 	if len(s.got) != 0 || second == first {
 		t.Errorf("%q was taken", s.got)
 	}
@@ -114,14 +114,14 @@
 	p.Call("b", time.Second, nil)
 	good, _ := stand(dialled)
 	for _, noise := range []string{"no reply at all\n", "a HIT 3000000000\r\n", "a HIT -1\r\n", strings.Repeat("x", longestHead+1), "a HIT 1\r\nxyz"} {
-		if err := bad.Read([]byte(noise)); err == nil {
+		if err := bad.Received([]byte(noise)); err == nil {
 			t.Errorf("%.20q was taken", noise)
 		}
 		bad.rest = nil
 	}
-	bad.Closed(&loop.Broken{Connected: true, Err: errors.New("noise")})
+	bad.Closed(&loop.ConnError{Connected: true, Err: errors.New("noise")})
 	wants(t, s, "a", policy.Reset, "")
-	_ = good.Read([]byte("b HIT 1\r\nx\r\n"))
+	_ = good.Received([]byte("b HIT 1\r\nx\r\n"))
 	wants(t, s, "b", policy.OK, "x")
 }
 
@@ -129,7 +129,7 @@
 	p, s, dialled := pool(8)
 	p.Call("a", time.Second, nil)
 	k, w := stand(dialled)
-	_ = k.Read([]byte("a SHED\r\n"))
+	_ = k.Received([]byte("a SHED\r\n"))
 	p.Sweep(time.Now().Add(idleAfter / 2))
 	if w.Closed {
 		t.Error("closed too soon")
@@ -149,7 +149,7 @@
 		t.Errorf("old: closed %v, %q; new: %q", wWay.Closed, wWay.Out, wNow.Out)
 	}
 	s.got = nil
-	_ = out.Read([]byte("b HIT 1\r\nx\r\n")) // may still come back
+	_ = out.Received([]byte("b HIT 1\r\nx\r\n")) // may still come back
 	wants(t, s, "b", policy.OK, "x")
 	if !wOut.Closed {
 		t.Error("the old address is kept")
--- a/internal/lab/scale/instance/reports.go
+++ b/internal/lab/scale/instance/reports.go
@@ -98,7 +98,7 @@
 			return fakecatalog.Counts{}, nil, err
 		}
 		defer socket.Close()
-		reporters[n] = catalog.New(memberName(n), func(p loop.Peer) { p.Opened(hollow{socket}) })
+		reporters[n] = catalog.New(memberName(n), func(p loop.Handler) { p.Opened(hollow{socket}) })
 	}
 	begin := time.Now()
 	for now := begin; now.Sub(begin) < m.sizes.reporting && m.ctx.Err() == nil; now = time.Now() {
--- a/internal/loop/join.go
+++ b/internal/loop/accept.go
@@ -14,9 +14,9 @@
 	"golang.org/x/sys/unix"
 )
 
-const acceptGap = 5 * time.Millisecond // after a failed accept
+const acceptRetryDelay = 5 * time.Millisecond // after a failed accept
 
-type accepted struct{}
+type acceptedMarker struct{}
 
 // listen opens the address. Who supervises the instance may keep it bound between two lives, so it has to be shared.
 func listen(address string) (*net.TCPListener, error) {
@@ -31,9 +31,9 @@
 	return l.(*net.TCPListener), nil
 }
 
-// find gets hold of gnet's loop, which gnet names only through a connection on it. This datagram socket sends
+// attachEventLoop gets hold of gnet's loop, which gnet names only through a connection on it. This datagram socket sends
 // nothing and goes at once.
-func (l *Loop) find() error {
+func (l *Loop) attachEventLoop() error {
 	c, err := net.Dial("udp", l.listener.Addr().String())
 	if err != nil {
 		return err
@@ -42,41 +42,41 @@
 	if err != nil {
 		return err
 	}
-	l.el = g.EventLoop()
+	l.eventLoop = g.EventLoop()
 	return g.Close()
 }
 
-// accept brings the callers' connections into the loop. A deadline in the past is the listener's end: what the
+// acceptConns brings the callers' connections into the loop. A deadline in the past is the listener's end: what the
 // system has accepted by then joins as well, as a close would reset it, with the requests that it may hold.
-func (l *Loop) accept() {
+func (l *Loop) acceptConns() {
 	for {
 		c, err := l.listener.Accept()
 		if errors.Is(err, os.ErrDeadlineExceeded) {
-			l.acceptRest()
+			l.drainAcceptQueue()
 			l.listener.Close()
-			l.Do(func() { l.listening = false })
+			l.Post(func() { l.listening = false })
 			return
 		}
 		if err == nil {
-			_, err = l.client.EnrollContext(c, accepted{})
+			_, err = l.client.EnrollContext(c, acceptedMarker{})
 		}
 		if err != nil {
 			l.log.Warn("not accepted", zap.Error(err))
-			time.Sleep(acceptGap)
+			time.Sleep(acceptRetryDelay)
 		}
 	}
 }
 
-// acceptRest takes what stands in the listener's queue, until it is empty. One that is gone before it is taken must
+// drainAcceptQueue takes what stands in the listener's queue, until it is empty. One that is gone before it is taken must
 // not leave those behind it.
-func (l *Loop) acceptRest() {
+func (l *Loop) drainAcceptQueue() {
 	raw, err := l.listener.SyscallConn()
 	for err == nil || errors.Is(err, unix.ECONNABORTED) || errors.Is(err, unix.EINTR) {
 		var c net.Conn
 		err = nil
 		failed := raw.Control(func(fd uintptr) { c, err = acceptOne(int(fd)) })
 		if err = errors.Join(failed, err); err == nil {
-			_, err = l.client.EnrollContext(c, accepted{})
+			_, err = l.client.EnrollContext(c, acceptedMarker{})
 		}
 	}
 	if !errors.Is(err, unix.EAGAIN) {
@@ -94,24 +94,24 @@
 	return net.FileConn(f)
 }
 
-// endListening begins the listener's end; no more is listened on once l.listening is false.
-func (l *Loop) endListening() {
-	if !l.unlisting {
-		l.unlisting = true
+// closeListener begins the listener's end; no more is listened on once l.listening is false.
+func (l *Loop) closeListener() {
+	if !l.listenerClosing {
+		l.listenerClosing = true
 		l.log.Info("no longer listening")
 		_ = l.listener.SetDeadline(time.Unix(1, 0))
 	}
 }
 
 // Dial opens a connection for the peer; Opened or Closed follows on the loop.
-func (l *Loop) Dial(network, address string, patience time.Duration, p Peer) {
+func (l *Loop) Dial(network, address string, patience time.Duration, p Handler) {
 	go func() {
 		c, err := net.DialTimeout(network, address, patience)
 		if err == nil {
 			_, err = l.client.EnrollContext(c, p)
 		}
 		if err != nil {
-			l.Do(func() { p.Closed(&Broken{false, err}) })
+			l.Post(func() { p.Closed(&ConnError{false, err}) })
 		}
 	}()
 }
--- a/internal/loop/conn.go
+++ b/internal/loop/conn.go
@@ -18,58 +18,58 @@
 )
 
 const (
-	lingerFor   = time.Second // the other side has so long to read what is left and to end
-	mostDropped = 256 << 10   // bytes, before the end as well as after it, that end a half-closed connection
+	lingerTimeout = time.Second // the other side has so long to read what is left and to end
+	maxDiscarded  = 256 << 10   // bytes, before the end as well as after it, that end a half-closed connection
 )
 
-// state is how far a connection is with its life.
-type state int
+// connState is how far a connection is with its life.
+type connState int
 
 const (
-	open state = iota
-	draining
-	halfClosed
-	closed
+	stateOpen connState = iota
+	stateDraining
+	stateHalfClosed
+	stateClosed
 )
 
 type conn struct {
-	l       *Loop
-	g       gnet.Conn
-	peer    Peer
-	caller  Caller // the peer of what we accepted; none on what we dialled
-	out     []byte // emptied each round
-	dirty   bool
-	state   state
-	until   time.Time // nothing is owed: it closes then at the latest
-	dropped int
+	loop          *Loop
+	socket        gnet.Conn
+	handler       Handler
+	serverHandler ServerHandler // the peer of what we accepted; none on what we dialled
+	output        []byte        // emptied each round
+	dirty         bool
+	state         connState
+	lingerUntil   time.Time // nothing is owed: it closes then at the latest
+	discarded     int
 }
 
-// nobody sits on a connection for which there is no room.
-type nobody struct{}
+// discardHandler sits on a connection for which there is no room.
+type discardHandler struct{}
 
-func (nobody) Opened(Wire)       {}
-func (nobody) Read([]byte) error { return nil }
-func (nobody) Closed(error)      {}
-func (nobody) Owes() bool        { return false }
+func (discardHandler) Opened(Conn)           {}
+func (discardHandler) Received([]byte) error { return nil }
+func (discardHandler) Closed(error)          {}
+func (discardHandler) HasPending() bool      { return false }
 
 // OnOpen greets a connection of either kind.
 func (l *Loop) OnOpen(g gnet.Conn) (out []byte, action gnet.Action) {
-	c := &conn{l: l, g: g}
+	c := &conn{loop: l, socket: g}
 	switch of := g.Context().(type) {
-	case Peer:
-		c.peer = of
-	case accepted:
-		if c.caller = l.host.Accept(); c.caller == nil {
-			c.caller = nobody{}
+	case Handler:
+		c.handler = of
+	case acceptedMarker:
+		if c.serverHandler = l.host.Accept(); c.serverHandler == nil {
+			c.serverHandler = discardHandler{}
 			c.Close()
 		}
-		c.peer, l.callers[c], l.joined = c.caller, struct{}{}, true
+		c.handler, l.acceptedConns[c], l.hasUnreadConns = c.serverHandler, struct{}{}, true
 	default:
 		return nil, gnet.None // the socket of find
 	}
 	g.SetContext(c)
-	Guard(l.log, "open", func() { c.peer.Opened(c) })
-	l.mark()
+	WithRecover(l.log, "open", func() { c.handler.Opened(c) })
+	l.scheduleTick()
 	return nil, gnet.None
 }
 
@@ -80,22 +80,22 @@
 	if !ok {
 		return gnet.None
 	}
-	if c.state != open {
-		if c.dropped += len(data); c.dropped > mostDropped && c.state == halfClosed { // before that answers are owed
+	if c.state != stateOpen {
+		if c.discarded += len(data); c.discarded > maxDiscarded && c.state == stateHalfClosed { // before that answers are owed
 			return gnet.Close
 		}
 		return gnet.None
 	}
-	l.read = true
-	l.mark()
+	l.hasReceived = true
+	l.scheduleTick()
 	err := errors.New("peer failed")
-	Guard(l.log, "read", func() { err = c.peer.Read(data) })
+	WithRecover(l.log, "read", func() { err = c.handler.Received(data) })
 	if err == nil {
 		return gnet.None
 	}
 	l.log.Warn("connection closed", zap.Error(err), zap.Stringer("peer", g.RemoteAddr()))
 	c.Close()
-	if c.caller == nil { // its peer starts anew at once, with what was missed
+	if c.serverHandler == nil { // its peer starts anew at once, with what was missed
 		c.flush()
 	}
 	return gnet.None
@@ -103,99 +103,99 @@
 
 // OnClose tells the peer.
 func (l *Loop) OnClose(g gnet.Conn, err error) gnet.Action {
-	if c, ok := g.Context().(*conn); ok && l.phase != Ended {
-		delete(l.stuck, c)
-		delete(l.ending, c)
-		delete(l.callers, c)
+	if c, ok := g.Context().(*conn); ok && l.phase != PhaseStopped {
+		delete(l.blocked, c)
+		delete(l.lingering, c)
+		delete(l.acceptedConns, c)
 		if err == nil {
 			err = net.ErrClosed
 		}
-		c.state = closed
-		Guard(l.log, "close", func() { c.peer.Closed(&Broken{true, err}) })
-		l.mark()
+		c.state = stateClosed
+		WithRecover(l.log, "close", func() { c.handler.Closed(&ConnError{true, err}) })
+		l.scheduleTick()
 	}
 	return gnet.None
 }
 
 // Write puts bytes down for the end of the round.
 func (c *conn) Write(p []byte) {
-	if c.state < halfClosed {
-		c.out = append(c.out, p...)
-		c.touch()
+	if c.state < stateHalfClosed {
+		c.output = append(c.output, p...)
+		c.markDirty()
 	}
 }
 
 // Close ends the connection once nothing is owed on it.
 func (c *conn) Close() {
-	if c.state == open {
-		c.state = draining
-		c.touch()
+	if c.state == stateOpen {
+		c.state = stateDraining
+		c.markDirty()
 	}
 }
 
-func (c *conn) touch() {
+func (c *conn) markDirty() {
 	if !c.dirty {
 		c.dirty = true
-		c.l.dirty = append(c.l.dirty, c)
-		c.l.mark()
+		c.loop.dirty = append(c.loop.dirty, c)
+		c.loop.scheduleTick()
 	}
 }
 
 func (c *conn) flush() {
 	c.dirty = false
-	if c.state < halfClosed && len(c.out) > 0 {
-		_, _ = c.g.Write(c.out) // closes the connection itself if it fails
+	if c.state < stateHalfClosed && len(c.output) > 0 {
+		_, _ = c.socket.Write(c.output) // closes the connection itself if it fails
 	}
-	if c.out = c.out[:0]; cap(c.out) > keptBuffer {
-		c.out = nil
+	if c.output = c.output[:0]; cap(c.output) > maxRetainedBuffer {
+		c.output = nil
 	}
-	if c.state == closed {
+	if c.state == stateClosed {
 		return
 	}
-	if c.g.OutboundBuffered() > 0 {
-		c.l.stuck[c] = struct{}{}
+	if c.socket.OutboundBuffered() > 0 {
+		c.loop.blocked[c] = struct{}{}
 	}
-	if c.state == draining {
-		c.finish()
+	if c.state == stateDraining {
+		c.advanceClose()
 	}
 }
 
-// finish goes as far towards the end as what is owed and unwritten allows.
-func (c *conn) finish() {
-	if c.caller == nil {
-		_ = c.l.el.Close(c.g)
+// advanceClose goes as far towards the end as what is owed and unwritten allows.
+func (c *conn) advanceClose() {
+	if c.serverHandler == nil {
+		_ = c.loop.eventLoop.Close(c.socket)
 		return
 	}
-	if c.caller.Owes() {
+	if c.serverHandler.HasPending() {
 		return
 	}
-	if c.until.IsZero() {
-		c.until = time.Now().Add(c.l.linger)
-		c.l.ending[c] = struct{}{}
+	if c.lingerUntil.IsZero() {
+		c.lingerUntil = time.Now().Add(c.loop.lingerTimeout)
+		c.loop.lingering[c] = struct{}{}
 	}
-	if c.g.OutboundBuffered() > 0 {
+	if c.socket.OutboundBuffered() > 0 {
 		return
 	}
-	if c.state = halfClosed; unix.Shutdown(c.g.Fd(), unix.SHUT_WR) != nil {
-		_ = c.l.el.Close(c.g)
+	if c.state = stateHalfClosed; unix.Shutdown(c.socket.Fd(), unix.SHUT_WR) != nil {
+		_ = c.loop.eventLoop.Close(c.socket)
 	}
 }
 
-// sweepEnding closes what has had its time, and the oldest beyond the room for them; it tells when the next has.
-func (l *Loop) sweepEnding(now time.Time) (next time.Time) {
+// closeExpired closes what has had its time, and the oldest beyond the room for them; it tells when the next has.
+func (l *Loop) closeExpired(now time.Time) (next time.Time) {
 	for {
 		var oldest *conn
-		for c := range l.ending {
-			if oldest == nil || c.until.Before(oldest.until) {
+		for c := range l.lingering {
+			if oldest == nil || c.lingerUntil.Before(oldest.lingerUntil) {
 				oldest = c
 			}
 		}
 		if oldest == nil {
 			return time.Time{}
 		}
-		if len(l.ending) <= l.mostEnding && now.Before(oldest.until) {
-			return oldest.until
+		if len(l.lingering) <= l.maxLingering && now.Before(oldest.lingerUntil) {
+			return oldest.lingerUntil
 		}
-		_ = l.el.Close(oldest.g)
+		_ = l.eventLoop.Close(oldest.socket)
 	}
 }
--- a/internal/loop/loop.go
+++ b/internal/loop/loop.go
@@ -19,30 +19,30 @@
 )
 
 const (
-	mostUnsent  = 256 << 10             // bytes that one peer may leave unread before its connection ends
-	keptBuffer  = 16 << 10              // output buffers over it are given back when they are empty
-	lateWake    = 50 * time.Millisecond // a wake so late tells of a standstill
-	mostGathers = 64                    // rounds put off after a standstill while still more comes in
-	readBuffer  = 64 << 10              // what one connection may bring at a time
+	maxUnsentPerConn  = 256 << 10             // bytes that one peer may leave unread before its connection ends
+	maxRetainedBuffer = 16 << 10              // output buffers over it are given back when they are empty
+	stallThreshold    = 50 * time.Millisecond // a wake so late tells of a standstill
+	maxDeferrals      = 64                    // rounds put off after a standstill while still more comes in
+	readBufferSize    = 64 << 10              // what one connection may bring at a time
 )
 
-// Wire is a connection as its peer sees it. All calls are made on the loop.
-type Wire interface {
+// Conn is a connection as its peer sees it. All calls are made on the loop.
+type Conn interface {
 	Write(p []byte) // copied, and sent at the end of the round
 	Close()         // no more is read; the connection ends after what is written and owed, as conn.go says
 }
 
-// Peer is what sits on a connection. All calls are made on the loop.
-type Peer interface {
-	Opened(w Wire)
-	Read(p []byte) error // p is valid in the call only; an error closes the connection
-	Closed(err error)    // the last call; without Opened before it no connection came to be
+// Handler is what sits on a connection. All calls are made on the loop.
+type Handler interface {
+	Opened(w Conn)
+	Received(p []byte) error // p is valid in the call only; an error closes the connection
+	Closed(err error)        // the last call; without Opened before it no connection came to be
 }
 
-// Caller is what sits on a connection that we accepted.
-type Caller interface {
-	Peer
-	Owes() bool // an answer is still to be written
+// ServerHandler is what sits on a connection that we accepted.
+type ServerHandler interface {
+	Handler
+	HasPending() bool // an answer is still to be written
 }
 
 // Phase is how far a host is with its life.
@@ -50,61 +50,61 @@
 
 // The phases.
 const (
-	Serving   Phase = iota
-	Unlisting       // what is accepted by now is still taken, nothing after it
-	Ending          // the host owes nothing: once the sockets owe nothing either, Run returns
-	Ended           // Run returns, whatever is owed
+	PhaseServing         Phase = iota
+	PhaseClosingListener       // what is accepted by now is still taken, nothing after it
+	PhaseClosingConns          // the host owes nothing: once the sockets owe nothing either, Run returns
+	PhaseStopped               // Run returns, whatever is owed
 )
 
 // Host is told of the rounds.
 type Host interface {
-	Accept() Caller            // nil: no room
-	Round() (time.Time, Phase) // all that was ready has been read; when to come again at the latest
+	Accept() ServerHandler    // nil: no room
+	Tick() (time.Time, Phase) // all that was ready has been read; when to come again at the latest
 }
 
-// Broken is why a connection ended, and how far it had come.
-type Broken struct {
+// ConnError is why a connection ended, and how far it had come.
+type ConnError struct {
 	Connected bool
 	Err       error
 }
 
-func (b *Broken) Error() string {
+func (b *ConnError) Error() string {
 	if b.Connected {
 		return "connection broken: " + b.Err.Error()
 	}
 	return "no connection: " + b.Err.Error()
 }
 
-func (b *Broken) Unwrap() error { return b.Err }
+func (b *ConnError) Unwrap() error { return b.Err }
 
 // Loop is the engine; its fields belong to the loop's goroutine.
 type Loop struct {
 	gnet.BuiltinEventEngine
-	host   Host
-	log    *zap.Logger
-	client *gnet.Client // gnet's engine without a listener of its own: see docs/design.md
-	el     gnet.EventLoop
-	ended  chan struct{}
+	host      Host
+	log       *zap.Logger
+	client    *gnet.Client // gnet's engine without a listener of its own: see docs/design.md
+	eventLoop gnet.EventLoop
+	stopped   chan struct{}
 
-	listener  *net.TCPListener
-	unlisting bool // its end has begun
-	listening bool // it has not ended
-	joined    bool // a connection, since the last round that asked
+	listener        *net.TCPListener
+	listenerClosing bool // its end has begun
+	listening       bool // it has not ended
+	hasUnreadConns  bool // a connection, since the last round that asked
 
-	queued  bool // a round is
-	read    bool // something came since the last round
-	gathers int
-	wake    time.Time
-	timer   *time.Timer
-	phase   Phase
-	dirty   []*conn // have output or are to be closed
-	stuck   map[*conn]struct{}
-	unsent  int // bytes that all together may leave unread
+	tickQueued     bool // a round is
+	hasReceived    bool // something came since the last round
+	deferrals      int
+	nextTick       time.Time
+	tickTimer      *time.Timer
+	phase          Phase
+	dirty          []*conn // have output or are to be closed
+	blocked        map[*conn]struct{}
+	maxTotalUnsent int // bytes that all together may leave unread
 
-	callers    map[*conn]struct{}
-	ending     map[*conn]struct{} // of them, those on which nothing is owed any more
-	mostEnding int
-	linger     time.Duration
+	acceptedConns map[*conn]struct{}
+	lingering     map[*conn]struct{} // of them, those on which nothing is owed any more
+	maxLingering  int
+	lingerTimeout time.Duration
 }
 
 // Run serves on the address, within the memory, until the host has ended; mostEnding is how many connections may be on
@@ -114,42 +114,42 @@
 	if err != nil {
 		return err
 	}
-	l := &Loop{host: host, log: log, listener: listener, listening: true, ended: make(chan struct{}), stuck: map[*conn]struct{}{},
-		unsent: int(memory / 8), callers: map[*conn]struct{}{}, ending: map[*conn]struct{}{}, mostEnding: mostEnding, linger: lingerFor}
-	l.client, err = gnet.NewClient(l, gnet.WithNumEventLoop(1), gnet.WithReadBufferCap(readBuffer),
+	l := &Loop{host: host, log: log, listener: listener, listening: true, stopped: make(chan struct{}), blocked: map[*conn]struct{}{},
+		maxTotalUnsent: int(memory / 8), acceptedConns: map[*conn]struct{}{}, lingering: map[*conn]struct{}{}, maxLingering: mostEnding, lingerTimeout: lingerTimeout}
+	l.client, err = gnet.NewClient(l, gnet.WithNumEventLoop(1), gnet.WithReadBufferCap(readBufferSize),
 		gnet.WithLogger(log.Sugar()), gnet.WithTCPNoDelay(gnet.TCPNoDelay))
 	if err == nil {
 		err = l.client.Start()
 	}
 	if err == nil {
-		err = l.find()
+		err = l.attachEventLoop()
 	}
 	if err != nil {
 		listener.Close()
 		return err
 	}
-	l.Do(func() {
-		l.timer = time.AfterFunc(time.Hour, func() { l.Do(nil) })
+	l.Post(func() {
+		l.tickTimer = time.AfterFunc(time.Hour, func() { l.Post(nil) })
 		first(l)
 	})
-	go l.accept()
-	<-l.ended
+	go l.acceptConns()
+	<-l.stopped
 	return l.client.Stop()
 }
 
-// Do runs f on the loop, and a round after it. It may be called from any goroutine.
-func (l *Loop) Do(f func()) {
-	_ = l.el.Execute(context.Background(), gnet.RunnableFunc(func(context.Context) error {
+// Post runs f on the loop, and a round after it. It may be called from any goroutine.
+func (l *Loop) Post(f func()) {
+	_ = l.eventLoop.Execute(context.Background(), gnet.RunnableFunc(func(context.Context) error {
 		if f != nil {
-			Guard(l.log, "task", f)
+			WithRecover(l.log, "task", f)
 		}
-		l.round()
+		l.tick()
 		return nil
 	}))
 }
 
-// Guard keeps a panic from going further than the connection, task or event that it came from.
-func Guard(log *zap.Logger, what string, f func()) {
+// WithRecover keeps a panic from going further than the connection, task or event that it came from.
+func WithRecover(log *zap.Logger, what string, f func()) {
 	defer func() {
 		if p := recover(); p != nil {
 			log.Error("panic", zap.String("in", what), zap.String("cause", fmt.Sprint(p)), zap.ByteString("stack", debug.Stack()))
@@ -158,63 +158,63 @@
 	f()
 }
 
-// mark asks for a round after all that is ready now: gnet runs tasks behind the events of the poll they are in.
-func (l *Loop) mark() {
-	if !l.queued {
-		l.queued = true
-		_ = l.el.Execute(context.Background(), gnet.RunnableFunc(func(context.Context) error {
-			l.queued = false
-			l.round()
+// scheduleTick asks for a round after all that is ready now: gnet runs tasks behind the events of the poll they are in.
+func (l *Loop) scheduleTick() {
+	if !l.tickQueued {
+		l.tickQueued = true
+		_ = l.eventLoop.Execute(context.Background(), gnet.RunnableFunc(func(context.Context) error {
+			l.tickQueued = false
+			l.tick()
 			return nil
 		}))
 	}
 }
 
-func (l *Loop) round() {
-	if l.phase == Ended {
+func (l *Loop) tick() {
+	if l.phase == PhaseStopped {
 		return
 	}
-	if l.putOff(time.Now()) {
-		l.mark()
+	if l.deferTick(time.Now()) {
+		l.scheduleTick()
 		return
 	}
 	phase := l.phase
-	Guard(l.log, "round", func() { l.wake, phase = l.host.Round() })
-	if l.flush(); phase >= Unlisting {
-		l.endListening()
+	WithRecover(l.log, "round", func() { l.nextTick, phase = l.host.Tick() })
+	if l.flush(); phase >= PhaseClosingListener {
+		l.closeListener()
 	}
-	if phase >= Ending && l.settled() {
-		for c := range l.callers {
+	if phase >= PhaseClosingConns && l.allAcceptedRead() {
+		for c := range l.acceptedConns {
 			c.Close()
 		}
 		l.flush()
 	}
-	if next := l.sweepEnding(time.Now()); !next.IsZero() && next.Before(l.wake) {
-		l.wake = next
+	if next := l.closeExpired(time.Now()); !next.IsZero() && next.Before(l.nextTick) {
+		l.nextTick = next
 	}
-	if phase == Ending && !l.owes() {
-		phase = Ended
+	if phase == PhaseClosingConns && !l.hasAcceptedConns() {
+		phase = PhaseStopped
 	}
-	if l.phase = phase; phase == Ended {
-		l.log.Info("ended", zap.Int("connections left", len(l.callers)))
-		close(l.ended)
+	if l.phase = phase; phase == PhaseStopped {
+		l.log.Info("ended", zap.Int("connections left", len(l.acceptedConns)))
+		close(l.stopped)
 		return
 	}
-	l.timer.Reset(max(time.Until(l.wake), 0))
+	l.tickTimer.Reset(max(time.Until(l.nextTick), 0))
 }
 
-// settled tells whether all that joined has been read once: the poll behind its joining brings what it holds.
-func (l *Loop) settled() bool {
-	if l.joined {
-		l.joined = false
-		l.mark()
+// allAcceptedRead tells whether all that joined has been read once: the poll behind its joining brings what it holds.
+func (l *Loop) allAcceptedRead() bool {
+	if l.hasUnreadConns {
+		l.hasUnreadConns = false
+		l.scheduleTick()
 		return false
 	}
 	return !l.listening
 }
 
-// owes tells whether a connection that the system accepted has not come to its end yet.
-func (l *Loop) owes() bool { return l.listening || len(l.callers) > 0 }
+// hasAcceptedConns tells whether a connection that the system accepted has not come to its end yet.
+func (l *Loop) hasAcceptedConns() bool { return l.listening || len(l.acceptedConns) > 0 }
 
 // flush writes what was put down, and ends what is to be.
 func (l *Loop) flush() {
@@ -222,38 +222,38 @@
 		l.dirty[n].flush()
 	}
 	l.dirty = l.dirty[:0]
-	if len(l.stuck) > 0 {
-		l.unstick()
+	if len(l.blocked) > 0 {
+		l.enforceUnsentLimits()
 	}
 }
 
-// putOff tells whether more is read before this round: after a standstill all that waits is, so that the pause is
+// deferTick tells whether more is read before this round: after a standstill all that waits is, so that the pause is
 // not taken for load.
-func (l *Loop) putOff(now time.Time) bool {
-	off := l.read && l.gathers < mostGathers && !l.wake.IsZero() && now.Sub(l.wake) > lateWake
-	if l.read = false; !off {
-		l.gathers = 0
+func (l *Loop) deferTick(now time.Time) bool {
+	off := l.hasReceived && l.deferrals < maxDeferrals && !l.nextTick.IsZero() && now.Sub(l.nextTick) > stallThreshold
+	if l.hasReceived = false; !off {
+		l.deferrals = 0
 		return false
 	}
-	l.gathers++
+	l.deferrals++
 	return true
 }
 
-// unstick ends the connections that leave too much unread: nothing more is read from them, what they still owe is
+// enforceUnsentLimits ends the connections that leave too much unread: nothing more is read from them, what they still owe is
 // written, and they close by their time. While all together hold too much the worst closes at once: memory goes first.
-func (l *Loop) unstick() {
+func (l *Loop) enforceUnsentLimits() {
 	for {
 		var worst *conn
 		most, all := 0, 0
-		for c := range l.stuck {
-			n := c.g.OutboundBuffered()
+		for c := range l.blocked {
+			n := c.socket.OutboundBuffered()
 			if n == 0 {
-				if delete(l.stuck, c); c.state == draining {
-					c.finish()
+				if delete(l.blocked, c); c.state == stateDraining {
+					c.advanceClose()
 				}
 				continue
 			}
-			if n > mostUnsent && c.state == open {
+			if n > maxUnsentPerConn && c.state == stateOpen {
 				l.log.Warn("connection ends", zap.String("error", "peer does not read"), zap.Int("unsent", n))
 				c.Close()
 			}
@@ -261,11 +261,11 @@
 				worst, most = c, n
 			}
 		}
-		if all <= l.unsent {
+		if all <= l.maxTotalUnsent {
 			return
 		}
 		l.log.Warn("connection closed", zap.String("error", "peers do not read"), zap.Int("unsent", most), zap.Int("of all", all))
-		delete(l.stuck, worst)
-		_ = l.el.Close(worst.g)
+		delete(l.blocked, worst)
+		_ = l.eventLoop.Close(worst.socket)
 	}
 }
--- a/internal/node/drain.go
+++ b/internal/node/drain.go
@@ -37,22 +37,22 @@
 	owes := n.owes()
 	switch {
 	case !n.draining:
-		return loop.Serving
+		return loop.PhaseServing
 	case n.now >= n.killAt-lastBreath:
 		n.answerRest()
-		return loop.Ended
+		return loop.PhaseStopped
 	case n.now >= n.killAt-lastCall: // the connections still end as all do, behind the last answers
 		n.answerRest()
-		return loop.Ending
+		return loop.PhaseClosingConns
 	case n.closedAt == 0:
 		if n.now < n.killAt-closeBefore && (n.now < n.graceEnd || n.now-n.lastRead <= quietBefore || owes) {
-			return loop.Serving
+			return loop.PhaseServing
 		}
 		n.closedAt = n.now
 	case n.now-n.closedAt > closeFor && !owes:
-		return loop.Ending
+		return loop.PhaseClosingConns
 	}
-	return loop.Unlisting
+	return loop.PhaseClosingListener
 }
 
 // owed tells whether somebody waits for this request's answer.
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -64,7 +64,7 @@
 	n := New(testutil.TypedSettings(change), 7, 3*time.Second, 192<<20, zap.NewNop())
 	n.Connect(s, s, reports{}, front{s}, front{s})
 	n.RuntimeReady(false, 0, time.Now())
-	n.Round()
+	n.Tick()
 	return n, s
 }
 
@@ -85,7 +85,7 @@
 	if err := n.Admit(s, rid, Request{ID: rid, Class: class, Key: key, MemoryKB: 1, ReceivedAt: time.Now().Add(-ago), Body: []byte("x")}); err != nil {
 		panic(err)
 	}
-	n.Round()
+	n.Tick()
 }
 
 // again reads a request that may have run elsewhere.
@@ -93,7 +93,7 @@
 	if err := n.Admit(s, rid, Request{ID: rid, Class: class, Key: key, MemoryKB: 1, MayHaveRunElsewhere: true, ReceivedAt: time.Now(), Body: []byte(body)}); err != nil {
 		panic(err)
 	}
-	n.Round()
+	n.Tick()
 }
 
 // A machine that stands still owes its readings and is silent: that is no load, and the module must hear of it.
@@ -119,11 +119,11 @@
 	n, s := up(nil)
 	n.ask(s, "a", "safe", "", 0)
 	n.RuntimeReady(true, time.Since(n.began)-2*time.Millisecond, time.Now())
-	n.Round()
+	n.Tick()
 	s.wants(t, 0, "answer")
 	n.began = n.began.Add(-time.Second)
 	n.RuntimeReady(true, 0, time.Now())
-	n.Round()
+	n.Tick()
 	s.wants(t, 1, "answer a 2")
 }
 
@@ -133,7 +133,7 @@
 	n.ask(s, "a", "keyed", "one", 0)
 	n.ask(s, "b", "keyed", "one", 0) // joins
 	n.RunEnded("a", policy.OK, 0, []byte("five!"))
-	n.Round()
+	n.Tick()
 	s.wants(t, 1, "answer b 0 five!") // though it isn't kept
 	n.ask(s, "c", "keyed", "one", 0)
 	s.wants(t, 1, "answer c 2")
@@ -141,7 +141,7 @@
 	others := n.kept - entryBytes
 	n.ask(s, "d", "keyed", "two", 0)
 	n.RunEnded("d", policy.OK, 0, []byte("four"))
-	n.Round()
+	n.Tick()
 	n.ask(s, "e", "keyed", "two", 0)
 	s.wants(t, 1, "answer e 0 four")
 	n.ask(s, "f", "keyed", "three", 0)
@@ -163,7 +163,7 @@
 	n, s := up(func(s *settings.Settings) { s.Classes[1].KeyWindow = settings.NumberOf(0.05) })
 	n.ask(s, "a", "keyed", "key", 0)
 	n.RunEnded("a", policy.OK, 0, []byte("one"))
-	n.Round()
+	n.Tick()
 	r := n.keys["keyed key"]
 	r.end = n.now - 50*time.Millisecond // over when the repeat is read, not when it came
 	n.ask(s, "b", "keyed", "key", 100*time.Millisecond)
@@ -180,16 +180,16 @@
 	n.ask(s, "b", "keyed", "key", 0)
 	n.keys["keyed key"].end = n.now - 10*afterEnd
 	n.swept = 0
-	n.Round()
+	n.Tick()
 	n.ask(s, "c", "keyed", "key", 0)
 	if err := n.Admit(s, "d", Request{ID: "d", Class: "keyed", Key: "key", MemoryKB: 1, ReceivedAt: time.Now(), Body: []byte("another")}); err != nil {
 		t.Fatal(err)
 	}
-	n.Round()
+	n.Tick()
 	s.wants(t, 1, "answer d 2")
 	s.wants(t, 1, "start")
 	n.RunEnded("a", policy.OK, 0, []byte("one"))
-	n.Round()
+	n.Tick()
 	for _, rid := range []string{"a", "b", "c"} {
 		s.wants(t, 1, "answer "+rid+" 0 one")
 	}
@@ -203,7 +203,7 @@
 		n, s := up(nil) // with windows of 10 s
 		n.ask(s, "a", "keyed", "k", 0)
 		n.RunEnded("a", policy.OK, time.Millisecond, []byte("r"))
-		n.Round()
+		n.Tick()
 		here, end := testutil.TypedSettings(nil), time.Duration(0)
 		there := testutil.TypedSettings(func(s *settings.Settings) {
 			s.Classes[1].KeyWindow, s.Server.FleetSize = settings.NumberOf(later), settings.NumberOf(2)
@@ -211,7 +211,7 @@
 		n.free = 0.5
 		for range 3 { // there, back, and there again
 			n.apply(t, here, there)
-			n.Round()
+			n.Tick()
 			if r := n.keys["keyed k"]; end == 0 {
 				end = r.end
 			} else if r.end != end {
@@ -221,10 +221,10 @@
 				t.Errorf("%v is still sent, in the earlier form", n.free)
 			}
 			n.apply(t, there, here)
-			n.Round()
+			n.Tick()
 		}
 		n.apply(t, here, there)
-		n.Round()
+		n.Tick()
 		n.start = n.start.Add(-max(time.Duration(later)*time.Second, 10*time.Second) + time.Second)
 		n.ask(s, "b", "keyed", "k", 0)
 		s.wants(t, 1, "start a")
@@ -237,14 +237,14 @@
 	n, s := up(nil)
 	n.ask(s, "a", "keyed", "key", 0)
 	n.RunEnded("a", policy.OK, 0, []byte("old"))
-	n.Round()
+	n.Tick()
 	n.keys["keyed key"].end = n.now - time.Second
 	n.ask(s, "b", "keyed", "key", 0)
 	n.ask(s, "c", "keyed", "key", 0)
 	s.wants(t, 1, "start b")
 	s.wants(t, 0, "answer c")
 	n.RunEnded("b", policy.OK, 0, []byte("new"))
-	n.Round()
+	n.Tick()
 	s.wants(t, 1, "answer c 0 new")
 }
 
@@ -252,9 +252,9 @@
 	n, s := up(nil)
 	n.ask(s, "a", "keyed", "key", 0)
 	n.RunEnded("a", policy.OK, 0, nil)
-	n.Round()
+	n.Tick()
 	n.keys["keyed key"].end, n.swept = n.now-2*afterEnd, 0
-	n.Round()
+	n.Tick()
 	if len(n.keys) != 0 {
 		t.Error("the key entry stays")
 	}
@@ -281,19 +281,19 @@
 	n.Fail(n.byRid["b"]) // answered before it could start: nothing is left to run
 	s.down = false
 	n.RuntimeResynced()
-	n.Round()
+	n.Tick()
 	s.wants(t, 1, "start a unsafe x")
 	s.wants(t, 0, "start b")
 	n.CallRequested("a", []byte("call"))
-	n.Round()
+	n.Tick()
 	s.wants(t, 1, "call a call")
 	s.down = true
 	n.CallReturned("a", policy.OK, 0, []byte("reply"))
-	n.Round()
+	n.Tick()
 	s.down = false
 	n.RuntimeResynced()
 	n.RuntimeResynced()
-	n.Round()
+	n.Tick()
 	s.wants(t, 1, "start a")
 	s.wants(t, 1, "give a reply")
 }
@@ -304,10 +304,10 @@
 	n.ask(s, "a", "safe", "", 0)
 	n.began = n.began.Add(-5 * time.Second)
 	n.RuntimeReady(false, 3*time.Second, time.Now().Add(-3*time.Second))
-	n.Round()
+	n.Tick()
 	s.wants(t, 0, "answer a")
 	n.RuntimeReady(false, 3*time.Second, time.Now())
-	n.Round()
+	n.Tick()
 	s.wants(t, 1, "answer a 2")
 }
 
@@ -318,7 +318,7 @@
 		n.ask(other, rid, "unsafe", "", 0)
 	}
 	n.CallerGone(other)
-	n.Round()
+	n.Tick()
 	n.RunEnded("a", policy.OK, 0, nil)
 	n.ask(s, "d", "unsafe", "", 0)
 	s.wants(t, 1, "start d") // on the core that c, still held, was given up for
@@ -342,7 +342,7 @@
 	n.CheckHealth(s, "1", true)
 	s.wants(t, 1, "test")
 	n.Drain()
-	n.Round()
+	n.Tick()
 	s.wants(t, 1, "checked 1 false")
 	n.SelfTestEnded("check1", true)
 	s.wants(t, 1, "checked")
@@ -353,20 +353,20 @@
 	n, s := up(nil)
 	s.owes = true
 	n.Drain()
-	n.Round()
+	n.Tick()
 	s.wants(t, 2, "drain")
 	n.now, n.lastRead = n.graceEnd+time.Second, n.graceEnd
-	if n.phase() != loop.Serving {
+	if n.phase() != loop.PhaseServing {
 		t.Error("the door closes though a front owes answers")
 	}
-	if s.owes = false; n.phase() != loop.Unlisting {
+	if s.owes = false; n.phase() != loop.PhaseClosingListener {
 		t.Error("the door stays open though nothing is owed")
 	}
 	s.owes, n.now = true, n.killAt-lastCall
-	if n.phase() != loop.Ending {
+	if n.phase() != loop.PhaseClosingConns {
 		t.Error("a front that owes for good holds up the connections' ends")
 	}
-	if n.now = n.killAt - lastBreath; n.phase() != loop.Ended {
+	if n.now = n.killAt - lastBreath; n.phase() != loop.PhaseStopped {
 		t.Error("a front that owes for good outlasts the kill")
 	}
 }
@@ -383,7 +383,7 @@
 	s.wants(t, 1, "start c")
 	n.ask(s, "d", "keyed", "key", 0)
 	n.RunEnded("d", policy.OK, 0, []byte("kept"))
-	n.Round()
+	n.Tick()
 	n.again(s, "e", "keyed", "key", "x")
 	s.wants(t, 1, "answer e 0 kept")
 }
@@ -394,7 +394,7 @@
 	n, s := up(nil)
 	n.ask(s, "a", "keyed", "key", 0)
 	n.RunEnded("a", policy.OK, 0, []byte("kept"))
-	n.Round()
+	n.Tick()
 	n.keys["keyed key"].end = n.now - time.Millisecond
 	n.again(s, "b", "keyed", "key", "x")
 	s.wants(t, 1, "answer b 0 kept")
@@ -413,7 +413,7 @@
 			t.Fatal(err)
 		}
 	}
-	n.Round()
+	n.Tick()
 	s.wants(t, 1, "answer a 1")
 	s.wants(t, 1, "start b")
 }
@@ -422,14 +422,14 @@
 	n, s := up(nil)
 	n.ask(s, "a", "unsafe", "", 0)
 	n.Drain()
-	if _, phase := n.Round(); phase != loop.Serving {
+	if _, phase := n.Tick(); phase != loop.PhaseServing {
 		t.Fatalf("phase %v at the notice", phase)
 	}
 	for _, at := range []struct {
 		left time.Duration
 		want loop.Phase
-	}{{closeBefore + 100*time.Millisecond, loop.Serving}, {closeBefore - 100*time.Millisecond, loop.Unlisting},
-		{lastCall, loop.Ending}, {lastBreath, loop.Ended}} {
+	}{{closeBefore + 100*time.Millisecond, loop.PhaseServing}, {closeBefore - 100*time.Millisecond, loop.PhaseClosingListener},
+		{lastCall, loop.PhaseClosingConns}, {lastBreath, loop.PhaseStopped}} {
 		n.now, n.lastRead = n.killAt-at.left, n.killAt-at.left
 		if got := n.phase(); got != at.want {
 			t.Errorf("%v before the stop: phase %v, want %v", at.left, got, at.want)
@@ -443,13 +443,13 @@
 	n := New(testutil.TypedSettings(nil), 7, 3*time.Second, 192<<20, zap.NewNop())
 	n.Connect(s, s, reports{}, front{s})
 	n.start = n.start.Add(-time.Minute)
-	n.Round()
+	n.Tick()
 	n.Drain()
-	if _, phase := n.Round(); phase != loop.Serving {
+	if _, phase := n.Tick(); phase != loop.PhaseServing {
 		t.Errorf("phase %v at the notice", phase)
 	}
 	n.start = n.start.Add(-2 * quietBefore)
-	if _, phase := n.Round(); phase != loop.Unlisting {
+	if _, phase := n.Tick(); phase != loop.PhaseClosingListener {
 		t.Errorf("phase %v when nothing comes any more", phase)
 	}
 }
--- a/internal/node/rounds.go
+++ b/internal/node/rounds.go
@@ -10,8 +10,8 @@
 
 func (n *Instance) put(f func()) { n.inbox = append(n.inbox, f) }
 
-// Round hands all that came to the module, then lets it act. It tells when to come again, and its phase.
-func (n *Instance) Round() (time.Time, loop.Phase) {
+// Tick hands all that came to the module, then lets it act. It tells when to come again, and its phase.
+func (n *Instance) Tick() (time.Time, loop.Phase) {
 	clock := time.Now()
 	n.now = clock.Sub(n.start)
 	next := n.below.Sweep(clock)
@@ -20,7 +20,7 @@
 		n.heard = n.now
 	}
 	for _, f := range inbox {
-		loop.Guard(n.log, "event", f) // its panic must not take along those behind it
+		loop.WithRecover(n.log, "event", f) // its panic must not take along those behind it
 	}
 	if n.mod == nil {
 		n.reports.Sweep(clock, false)
@@ -39,7 +39,7 @@
 		later := n.later
 		n.later = nil
 		for _, f := range later {
-			loop.Guard(n.log, "join", f)
+			loop.WithRecover(n.log, "join", f)
 		}
 		n.mod.Dispatch(n.now)
 	}
--- a/internal/node/settings_test.go
+++ b/internal/node/settings_test.go
@@ -34,7 +34,7 @@
 	n := New(s, 7, 3*time.Second, 192<<20, zap.NewNop())
 	n.Connect(out, out, reports{}, front{out})
 	n.RuntimeReady(false, 0, time.Now())
-	n.Round()
+	n.Tick()
 	return n, out
 }
 
@@ -60,7 +60,7 @@
 		t.Errorf("trace at %d, was at %d", at, trace)
 	}
 	n.RunEnded("a", policy.OK, 0, nil)
-	n.Round()
+	n.Tick()
 	s.wants(t, 1, "answer a 0")
 	d, err := settings.Compare(n.Version(), here, with("excursion", "repeatable"), func() {})
 	var kind *settings.IdempotencyChangedError
@@ -87,12 +87,12 @@
 		t.Errorf("with a run in hand: %v", err)
 	}
 	n.RunEnded("a", policy.OK, 0, nil)
-	n.Round()
+	n.Tick()
 	if err := n.Apply(other); !errors.As(err, &kind) {
 		t.Errorf("with a key in hand: %v", err)
 	}
 	n.keys["seal k"].end, n.swept = n.now-2*afterEnd, 0
-	n.Round()
+	n.Tick()
 	if err := n.Apply(other); err != nil {
 		t.Errorf("with nothing in hand: %v", err)
 	}
@@ -139,7 +139,7 @@
 	n.Connect(s, s, reports{}, front{s})
 	n.apply(t, here, there)
 	n.RuntimeReady(false, 0, time.Now())
-	n.Round()
+	n.Tick()
 	n.ask(s, "a", "seal", "", 0)
 	s.wants(t, 1, "start a seal x")
 	if err := n.Admit(s, "b", Request{ID: "b", Class: "trace"}); !errors.Is(err, ErrUnknownClass) {
@@ -164,11 +164,11 @@
 		if err := n.Admit(s, rid, Request{ID: rid, Class: class, Tenant: tenant, MemoryKB: 1, ReceivedAt: time.Now(), Body: []byte("x")}); err != nil {
 			t.Fatal(err)
 		}
-		n.Round()
+		n.Tick()
 	}
 	end := func(rid string) {
 		n.RunEnded(rid, policy.OK, time.Millisecond, nil)
-		n.Round()
+		n.Tick()
 	}
 	for at := range 10 { // more than may come at once
 		rid := fmt.Sprint("a", at)
@@ -252,13 +252,13 @@
 	if err == nil {
 		m.rids[rid] = r
 	}
-	m.n.Round()
+	m.n.Tick()
 }
 
 func (m *machine) end(t *rapid.T) {
 	if rids := slices.Sorted(maps.Keys(m.n.byRid)); len(rids) > 0 {
 		m.n.RunEnded(rapid.SampledFrom(rids).Draw(t, "rid"), policy.OK, time.Millisecond, []byte("r"))
-		m.n.Round()
+		m.n.Tick()
 	}
 }
 
@@ -268,7 +268,7 @@
 		r.end = m.n.now - 2*afterEnd
 	}
 	m.n.swept = 0
-	m.n.Round()
+	m.n.Tick()
 }
 
 func (m *machine) check(t *rapid.T) {
@@ -339,7 +339,7 @@
 			for _, rid := range slices.Sorted(maps.Keys(m.n.byRid)) {
 				m.n.RunEnded(rid, policy.OK, time.Millisecond, nil)
 			}
-			m.n.Round()
+			m.n.Tick()
 		}
 		m.forget(t)
 		m.check(t)
@@ -428,16 +428,16 @@
 			n, s := start()
 			n.ask(s, "a", "safe", "", 0)
 			n.CallRequested("a", []byte("below"))
-			n.Round()
+			n.Tick()
 			s.wants(t, 1, "call a below")
 			n.CallReturned("a", policy.Failed, 10*time.Millisecond, nil) // where it pays, the module leaves the call out now
-			n.Round()
+			n.Tick()
 			s.wants(t, 2, "call a below")
 			n.CallReturned("a", policy.OK, 10*time.Millisecond, []byte("reply"))
-			n.Round()
+			n.Tick()
 			s.wants(t, 1, "give a reply")
 			n.RunEnded("a", policy.OK, 20*time.Millisecond, []byte("done"))
-			n.Round()
+			n.Tick()
 			s.wants(t, 1, "answer a 0 done")
 		})
 	}
--- a/internal/rpc/conn.go
+++ b/internal/rpc/conn.go
@@ -18,7 +18,7 @@
 // connection behind the last of them). A fault that can't be answered ends it without the first step.
 type conn struct {
 	front   *Front
-	wire    loop.Wire
+	wire    loop.Conn
 	in      jsonline.Lines
 	open    map[string]struct{}
 	last    time.Time // opened, a request read or answered
@@ -29,7 +29,7 @@
 	faults  int
 }
 
-func (c *conn) Opened(w loop.Wire) {
+func (c *conn) Opened(w loop.Conn) {
 	c.wire, c.last = w, time.Now()
 	full := c.front.full()
 	c.front.conns[c] = struct{}{}
@@ -38,13 +38,13 @@
 	}
 }
 
-// Owes tells whether a request that was read has no answer yet.
-func (c *conn) Owes() bool { return len(c.open) > 0 }
+// HasPending tells whether a request that was read has no answer yet.
+func (c *conn) HasPending() bool { return len(c.open) > 0 }
 
 // Closed: the other side ended the connection, or it left too much unread.
 func (c *conn) Closed(error) {
 	c.forget()
-	if c.Owes() {
+	if c.HasPending() {
 		c.front.admission.CallerGone(c)
 	}
 }
@@ -72,7 +72,7 @@
 
 // leave gives the place of an ended connection back once nothing is open on it.
 func (c *conn) leave() {
-	if c.ended && !c.Owes() {
+	if c.ended && !c.HasPending() {
 		c.forget()
 	}
 }
@@ -87,8 +87,8 @@
 	}
 }
 
-// Read takes what came. A fault is answered under its id; without one, or with too many, the connection ends.
-func (c *conn) Read(p []byte) error {
+// Received takes what came. A fault is answered under its id; without one, or with too many, the connection ends.
+func (c *conn) Received(p []byte) error {
 	whole := false
 	err := c.in.Feed(p, func(text []byte) error {
 		whole = true
--- a/internal/rpc/front.go
+++ b/internal/rpc/front.go
@@ -62,7 +62,7 @@
 // Accept makes the peer of a new connection. At the limit the one goes that is needed least: it has its notice, and a
 // request that crosses that is still served. Where all are in use the new one gets the notice, and what it brings is
 // judged like all else. With the spare places taken too one ends at once, the new one if need be.
-func (f *Front) Accept() loop.Caller {
+func (f *Front) Accept() loop.ServerHandler {
 	if f.full() {
 		f.refused++
 		if c := f.least(func(c *conn) bool { return c.noticed.IsZero() }); c != nil {
@@ -83,7 +83,7 @@
 // idle.
 func (f *Front) least(of func(*conn) bool) (least *conn) {
 	for c := range f.conns {
-		if !c.Owes() && !c.ended && of(c) &&
+		if !c.HasPending() && !c.ended && of(c) &&
 			(least == nil || c.asked == least.asked && c.last.Before(least.last) || !c.asked && least.asked) {
 			least = c
 		}
@@ -122,11 +122,11 @@
 		switch {
 		case c.ended:
 		case c.noticed.IsZero():
-			if stalled || !c.Owes() && now.Sub(c.last) > f.idle {
+			if stalled || !c.HasPending() && now.Sub(c.last) > f.idle {
 				c.notice(now)
 			}
 		case now.Sub(c.noticed) <= crossing:
-		case stalled, !f.draining && !c.Owes() && now.Sub(c.last) > crossing:
+		case stalled, !f.draining && !c.HasPending() && now.Sub(c.last) > crossing:
 			c.end()
 		}
 	}
--- a/internal/rpc/rpc_test.go
+++ b/internal/rpc/rpc_test.go
@@ -68,7 +68,7 @@
 	one, two := f.Accept(), f.Accept()
 	one.Opened(busy)
 	two.Opened(idle)
-	if err := one.Read([]byte(text + "\n")); err != nil || d.asked != 1 {
+	if err := one.Received([]byte(text + "\n")); err != nil || d.asked != 1 {
 		t.Fatalf("%v, %d asked", err, d.asked)
 	}
 	f.SetIdleTimeout(time.Second)
@@ -85,7 +85,7 @@
 	if busy.Closed || !strings.HasSuffix(busy.Out, string(closing)) {
 		t.Errorf("closed %v without a notice before: %q", busy.Closed, busy.Out)
 	}
-	if err := one.Read([]byte(text + "\n")); err != nil || d.asked != 2 { // it crosses the notice
+	if err := one.Received([]byte(text + "\n")); err != nil || d.asked != 2 { // it crosses the notice
 		t.Fatalf("%v, %d asked", err, d.asked)
 	}
 	f.Sweep(time.Now().Add(6 * time.Second))
@@ -104,7 +104,7 @@
 func TestAtTheLimitTheLeastNeededIsToldFirst(t *testing.T) {
 	d := &admission{}
 	f := NewFront(d, 2, 1, zap.NewNop())
-	open := func() (loop.Caller, *testutil.Wire) {
+	open := func() (loop.ServerHandler, *testutil.Wire) {
 		p, w := f.Accept(), &testutil.Wire{}
 		if p != nil {
 			p.Opened(w)
@@ -112,7 +112,7 @@
 		return p, w
 	}
 	used, first := open()
-	_ = used.Read([]byte(text + "\n"))
+	_ = used.Received([]byte(text + "\n"))
 	used.(*conn).Answer("7", node.Answer{})
 	first.Out = ""
 	silent, second := open()
@@ -120,15 +120,15 @@
 	if second.Out != string(closing) || second.Closed || first.Out+third.Out != "" {
 		t.Errorf("told %q, closed %v; others told %q", second.Out, second.Closed, first.Out+third.Out)
 	}
-	if err := silent.Read([]byte(text + "\n")); err != nil || d.asked != 2 { // it crosses the notice
+	if err := silent.Received([]byte(text + "\n")); err != nil || d.asked != 2 { // it crosses the notice
 		t.Fatalf("%v, %d asked", err, d.asked)
 	}
 	fourth, w := open() // the spare place is taken: of those with nothing open the one that brought nothing ends
 	if !third.Closed || second.Closed || first.Closed || fourth == nil || w.Out != "" {
 		t.Errorf("closed %v, %v and %v", first.Closed, second.Closed, third.Closed)
 	}
-	for p, id := range map[loop.Caller]string{used: "8", fourth: "8"} {
-		if err := p.Read([]byte(strings.Replace(text, `"id":7`, `"id":`+id, 1) + "\n")); err != nil {
+	for p, id := range map[loop.ServerHandler]string{used: "8", fourth: "8"} {
+		if err := p.Received([]byte(strings.Replace(text, `"id":7`, `"id":`+id, 1) + "\n")); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -148,7 +148,7 @@
 	for what, part := range map[string]string{"silent": "", "half a request": text[:50], "whole and half": text + "\n" + text[:50], "whole": text + "\n"} {
 		p, w := f.Accept(), &testutil.Wire{}
 		p.Opened(w)
-		if err := p.Read([]byte(part)); err != nil {
+		if err := p.Received([]byte(part)); err != nil {
 			t.Fatal(err)
 		}
 		if f.next = (time.Time{}); w.Closed {
@@ -156,7 +156,7 @@
 		}
 		for more := range 4 { // a byte now and then makes nothing whole
 			if what != "whole" && what != "silent" {
-				_ = p.Read([]byte(" "))
+				_ = p.Received([]byte(" "))
 			}
 			f.Sweep(now.Add(unasked*time.Duration(more+1)/2 + 10*time.Millisecond))
 			f.next = time.Time{}
@@ -175,14 +175,14 @@
 	p := NewFront(d, 2, 1, zap.NewNop()).Accept()
 	p.Opened(w)
 	for n := range mostOpen + 1 {
-		if err := p.Read([]byte(strings.Replace(text, `"id":7`, fmt.Sprintf(`"id":%d`, n), 1) + "\n")); err != nil {
+		if err := p.Received([]byte(strings.Replace(text, `"id":7`, fmt.Sprintf(`"id":%d`, n), 1) + "\n")); err != nil {
 			t.Fatal(err)
 		}
 	}
 	if d.asked != mostOpen || len(w.Out) == 0 {
 		t.Errorf("%d taken, answered %s", d.asked, w.Out)
 	}
-	p.Closed(&loop.Broken{Connected: true, Err: errors.New("reset")})
+	p.Closed(&loop.ConnError{Connected: true, Err: errors.New("reset")})
 	if d.gone != 1 {
 		t.Error("the admission was not told that the callers are gone")
 	}
--- a/internal/runtime/runtime.go
+++ b/internal/runtime/runtime.go
@@ -123,12 +123,12 @@
 // Link is the one connection to the runtime.
 type Link struct {
 	sink   Sink
-	dial   func(loop.Peer)
+	dial   func(loop.Handler)
 	after  func(time.Duration, func())
 	log    *zap.Logger
 	spread *rand.Rand
 	now    *session  // the latest connection, standing or dialled
-	wire   loop.Wire // of the session that commands go to; none while the link is broken
+	wire   loop.Conn // of the session that commands go to; none while the link is broken
 	in     jsonline.Lines
 	last   uint64 // number of the last notice read
 	caught bool   // the notices missed have been read
@@ -141,7 +141,7 @@
 }
 
 // NewLink makes a link; dial opens a connection for it, after calls back on the loop later.
-func NewLink(sink Sink, dial func(loop.Peer), after func(time.Duration, func()), seed uint64, log *zap.Logger) *Link {
+func NewLink(sink Sink, dial func(loop.Handler), after func(time.Duration, func()), seed uint64, log *zap.Logger) *Link {
 	return &Link{sink: sink, dial: dial, after: after, log: log, spread: rand.New(rand.NewPCG(seed, 1)), wait: leastWait}
 }
 
@@ -149,7 +149,7 @@
 // far its notices were read.
 type session struct {
 	l    *Link
-	wire loop.Wire
+	wire loop.Conn
 }
 
 // Open dials, also where a link stands: that one serves on until the new one is open, which takes its place.
@@ -162,7 +162,7 @@
 func (l *Link) Up() bool { return l.wire != nil && l.caught }
 
 // Opened says how far the notices were read.
-func (s *session) Opened(w loop.Wire) {
+func (s *session) Opened(w loop.Conn) {
 	l := s.l
 	if s.wire = w; l.now != s {
 		w.Close()
@@ -197,7 +197,7 @@
 	})
 }
 
-func (s *session) Read(p []byte) error {
+func (s *session) Received(p []byte) error {
 	l := s.l
 	if s.wire != l.wire {
 		return nil
--- a/internal/runtime/runtime_test.go
+++ b/internal/runtime/runtime_test.go
@@ -30,11 +30,11 @@
 func link() (*Link, *sink, *[]time.Duration) {
 	s, waits := &sink{}, &[]time.Duration{}
 	after := func(d time.Duration, _ func()) { *waits = append(*waits, d) }
-	return NewLink(s, func(loop.Peer) {}, after, 7, zap.NewNop()), s, waits
+	return NewLink(s, func(loop.Handler) {}, after, 7, zap.NewNop()), s, waits
 }
 
 // open joins the link's newest session to a wire.
-func open(l *Link, w loop.Wire) {
+func open(l *Link, w loop.Conn) {
 	l.Open()
 	l.now.Opened(w)
 }
@@ -49,21 +49,21 @@
 {"index":2,"verb":"end","task":"a","outcome":"good","bytes":"eg==","spent":3}
 `
 	for _, c := range []byte(notices) { // broken at every byte
-		if err := l.now.Read([]byte{c}); err != nil {
+		if err := l.now.Received([]byte{c}); err != nil {
 			t.Fatal(err)
 		}
 	}
 	if l.Up() {
 		t.Error("up before the notices that were missed have been read")
 	}
-	if err := l.now.Read([]byte(`{"verb":"load","nonce":"sync1","readings":[1,2]}` + "\n")); err != nil || !l.Up() {
+	if err := l.now.Received([]byte(`{"verb":"load","nonce":"sync1","readings":[1,2]}` + "\n")); err != nil || !l.Up() {
 		t.Errorf("%v, up %v", err, l.Up())
 	}
 	if got := strings.Join(s.got, "; "); got != "ready false 1.5ms; wants a x; end a 1 z; caught up; readings [1 2]" {
 		t.Error(got)
 	}
 	again := &testutil.Wire{}
-	l.now.Closed(&loop.Broken{Connected: true})
+	l.now.Closed(&loop.ConnError{Connected: true})
 	open(l, again)
 	if l.Up() || !strings.Contains(again.Out, `"index":2`) {
 		t.Errorf("up %v, synced with %q", l.Up(), again.Out)
@@ -74,7 +74,7 @@
 	l, _, waits := link()
 	for range 12 {
 		l.Open()
-		l.now.Closed(&loop.Broken{})
+		l.now.Closed(&loop.ConnError{})
 	}
 	w := *waits
 	if w[0] > 2*leastWait || w[5] < 4*leastWait || w[11] < mostWait/2 || w[11] > 2*mostWait {
@@ -93,10 +93,10 @@
 		t.Error("the old link does not serve until the new one stands")
 	}
 	l.now.Opened(w)
-	if err := first.Read([]byte(`{"verb":"wants","index":1,"task":"a","bytes":"eA=="}` + "\n")); err != nil || len(s.got) > 0 {
+	if err := first.Received([]byte(`{"verb":"wants","index":1,"task":"a","bytes":"eA=="}` + "\n")); err != nil || len(s.got) > 0 {
 		t.Errorf("%v, %q heard on the old link", err, s.got)
 	}
-	first.Closed(&loop.Broken{Connected: true})
+	first.Closed(&loop.ConnError{Connected: true})
 	if l.Stop("b"); !old.Closed || !strings.Contains(w.Out, `"b"`) {
 		t.Errorf("closed %v, wrote %q", old.Closed, w.Out)
 	}
@@ -105,7 +105,7 @@
 func TestRefusedStartIsMoot(t *testing.T) {
 	l, s, _ := link()
 	open(l, &testutil.Wire{})
-	_ = l.now.Read([]byte(`{"verb":"nack","outcome":"start","task":"a"}` + "\n" + `{"verb":"nack","outcome":"give","task":"b"}` + "\n"))
+	_ = l.now.Received([]byte(`{"verb":"nack","outcome":"start","task":"a"}` + "\n" + `{"verb":"nack","outcome":"give","task":"b"}` + "\n"))
 	if len(s.got) != 1 || s.got[0] != fmt.Sprintf("end a %d ", policy.NotStarted) {
 		t.Errorf("%q", s.got)
 	}
