--- a/cmd/testbed/configuration.go
+++ b/cmd/testbed/configuration.go
@@ -15,23 +15,23 @@
 	"thymechute/internal/lab/emulator"
 )
 
-const leastOfAZone = 6 // members, on the mean
+const minMembersPerZone = 6 // members, on the mean
 
-// runConfiguration plays a day's changes and failures, compressed, and holds the decisions to their claim.
-func runConfiguration() *cobra.Command {
+// configurationCommand plays a day's changes and failures, compressed, and holds the decisions to their claim.
+func configurationCommand() *cobra.Command {
 	var zones int
-	c := experiment("configuration", "A day's changes of configuration through the plan's failures, in the emulator",
-		sizes{usual: 1200, least: 24, most: 3000, unit: "members, in 4 regions"}, func(t trial) (*lab.Report, error) {
+	c := newExperimentCommand("configuration", "A day's changes of configuration through the plan's failures, in the emulator",
+		sizeRange{defaultSize: 1200, minSize: 24, maxSize: 3000, unit: "members, in 4 regions"}, func(t trialOptions) (*lab.Report, error) {
 			day := emulator.NewConfigurationDay(t.size)
-			if most := t.size / leastOfAZone; zones != 0 && (zones < day.Regions || zones > most) {
+			if most := t.size / minMembersPerZone; zones != 0 && (zones < day.Regions || zones > most) {
 				return nil, usageError{fmt.Errorf("--zones: found %d, expected %d to %d", zones, day.Regions, most)}
 			}
 			if zones != 0 {
 				day.Zones = zones
 			}
-			before := processorSeconds()
+			before := cpuSeconds()
 			f := emulator.Configuration(day, t.seed)
-			spent := processorSeconds() - before
+			spent := cpuSeconds() - before
 			return configurationReport(day, f, spent), nil
 		})
 	c.Flags().IntVar(&zones, "zones", 0, "zones of all regions together; 0: 40, fewer under 400 members")
@@ -61,8 +61,8 @@
 	return r
 }
 
-// processorSeconds is what this process has spent, in user and system.
-func processorSeconds() float64 {
+// cpuSeconds is what this process has spent, in user and system.
+func cpuSeconds() float64 {
 	var u syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &u); err != nil {
 		return 0
--- a/cmd/testbed/emulated.go
+++ b/cmd/testbed/emulator_experiments.go
@@ -1,6 +1,3 @@
-// This file owns the experiments that run in the emulator alone: decisions at any size, no process and no socket. It
-// must never print a figure that was not counted in its own run.
-
 package main
 
 import (
@@ -14,14 +11,14 @@
 	"thymechute/internal/lab/emulator"
 )
 
-// runSubsets plays the fleet's script of views in the emulator, every way of subsetting in turn, and holds the chosen
+// subsetsCommand plays the fleet's script of views in the emulator, every way of subsetting in turn, and holds the chosen
 // way (stable ranks) to its claim: spread at most 1.10 at stable points, churn on members at most 1.5 of the least.
-func runSubsets() *cobra.Command {
+func subsetsCommand() *cobra.Command {
 	const mostSpread, mostChurn, mostPer = 1.10, 1.5, 64
 	var per int
-	c := experiment("subsets", "Subsets of services below as members join and leave, in the emulator",
-		sizes{usual: 24, least: 6, most: 100_000, unit: "members at the most; services below are a quarter of it, at least 6"},
-		func(t trial) (*lab.Report, error) {
+	c := newExperimentCommand("subsets", "Subsets of services below as members join and leave, in the emulator",
+		sizeRange{defaultSize: 24, minSize: 6, maxSize: 100_000, unit: "members at the most; services below are a quarter of it, at least 6"},
+		func(t trialOptions) (*lab.Report, error) {
 			if per < 1 || per > mostPer {
 				return nil, usageError{fmt.Errorf("--subset: found %d, expected 1 to %d", per, mostPer)}
 			}
@@ -53,11 +50,11 @@
 	return c
 }
 
-// runOwner holds the decisions on owners to their claim; its takeover is in emulated time, with leases of 1 s.
-func runOwner() *cobra.Command {
+// ownerCommand holds the decisions on owners to their claim; its takeover is in emulated time, with leases of 1 s.
+func ownerCommand() *cobra.Command {
 	const mostTakeover = 3 * time.Second
-	return experiment("owner", "One owner a duty through pauses, cuts and cold restarts, in the emulator",
-		sizes{usual: 12, least: 2, most: 5000, unit: "members"}, func(t trial) (*lab.Report, error) {
+	return newExperimentCommand("owner", "One owner a duty through pauses, cuts and cold restarts, in the emulator",
+		sizeRange{defaultSize: 12, minSize: 2, maxSize: 5000, unit: "members"}, func(t trialOptions) (*lab.Report, error) {
 			f, err := emulator.Owner(t.size, 120, t.seed)
 			if err != nil {
 				return nil, err
@@ -77,11 +74,11 @@
 		})
 }
 
-// runRing holds the ring's plans to their claim, and prints the published ways beside it.
-func runRing() *cobra.Command {
+// ringCommand holds the ring's plans to their claim, and prints the published ways beside it.
+func ringCommand() *cobra.Command {
 	const mostMoved, mostOverFair = 1, 1.05
-	return experiment("ring", "Backends join, leave, die and come back: keys moved, by the ring and by published ways, in the emulator",
-		sizes{usual: 6, least: 2, most: 1000, unit: "backends at first"}, func(t trial) (*lab.Report, error) {
+	return newExperimentCommand("ring", "Backends join, leave, die and come back: keys moved, by the ring and by published ways, in the emulator",
+		sizeRange{defaultSize: 6, minSize: 2, maxSize: 1000, unit: "backends at first"}, func(t trialOptions) (*lab.Report, error) {
 			slots, keys := 4096, 100_000
 			if t.size > 60 {
 				slots, keys = 1<<16, 1_000_000
@@ -109,11 +106,11 @@
 		})
 }
 
-// runRoll holds the roll to its claim in the emulator, with and without faults.
-func runRoll() *cobra.Command {
+// rollCommand holds the roll to its claim in the emulator, with and without faults.
+func rollCommand() *cobra.Command {
 	const mostWaves = 1.15 // of the bound on waves
-	return experiment("roll", "A release rolled through zones while instances die, load rises and the owner changes, in the emulator",
-		sizes{usual: 24, least: 12, most: 5000, unit: "instances, in 3 zones, or 6 from 300 on"}, func(t trial) (*lab.Report, error) {
+	return newExperimentCommand("roll", "A release rolled through zones while instances die, load rises and the owner changes, in the emulator",
+		sizeRange{defaultSize: 24, minSize: 12, maxSize: 5000, unit: "instances, in 3 zones, or 6 from 300 on"}, func(t trialOptions) (*lab.Report, error) {
 			zones := 3
 			if t.size >= 300 {
 				zones = 6
--- a/cmd/testbed/experiment_test.go
+++ b/cmd/testbed/experiment_test.go
@@ -10,40 +10,40 @@
 )
 
 // A report is printed whether its claim holds or not; a claim that does not hold, a size out of bounds and a run that could
-// not be tried are told apart.
-func TestFrameOfAnExperiment(t *testing.T) {
+// not be completed give different errors.
+func TestExperimentCommandPrintsItsReport(t *testing.T) {
 	failed := errors.New("no port is free")
 	for _, c := range []struct {
 		name, args string
-		run        func(trial) (*lab.Report, error)
+		run        func(trialOptions) (*lab.Report, error)
 		out, errs  string
 		usage      bool
 		err        string
 	}{
-		{name: "holds", run: func(t trial) (*lab.Report, error) {
+		{name: "holds", run: func(t trialOptions) (*lab.Report, error) {
 			r := &lab.Report{}
 			r.Put("b_ms", float64(t.size))
 			r.Zero("a", 0)
 			t.progress("half way")
 			return r, nil
 		}, out: "b_ms 7\na    0\n", errs: "half way\n"},
-		{name: "as JSON", args: "--json --size 9 --seed 3", run: func(t trial) (*lab.Report, error) {
+		{name: "as JSON", args: "--json --size 9 --seed 3", run: func(t trialOptions) (*lab.Report, error) {
 			r := &lab.Report{}
 			r.Put("seed", float64(t.seed))
 			r.Put("b_ms", float64(t.size))
 			return r, nil
 		}, out: `{"b_ms":9,"seed":3}` + "\n"},
-		{name: "does not hold", run: func(trial) (*lab.Report, error) {
+		{name: "does not hold", run: func(trialOptions) (*lab.Report, error) {
 			r := &lab.Report{}
 			r.Zero("lost", 2)
 			return r, nil
 		}, out: "lost 2\n", errs: "lost is 2, expected 0\n", err: "try: its claim does not hold"},
-		{name: "not tried", run: func(trial) (*lab.Report, error) { return nil, failed }, err: failed.Error()},
-		{name: "too large", args: "--size 11", run: func(trial) (*lab.Report, error) { panic("it must not run") },
+		{name: "not tried", run: func(trialOptions) (*lab.Report, error) { return nil, failed }, err: failed.Error()},
+		{name: "too large", args: "--size 11", run: func(trialOptions) (*lab.Report, error) { panic("it must not run") },
 			usage: true, err: "--size: found 11, expected 5 to 10 members"},
 	} {
 		var out, errs bytes.Buffer
-		command := experiment("try", "", sizes{usual: 7, least: 5, most: 10, unit: "members"}, c.run)
+		command := newExperimentCommand("try", "", sizeRange{defaultSize: 7, minSize: 5, maxSize: 10, unit: "members"}, c.run)
 		command.SetArgs(strings.Fields(c.args))
 		command.SetOut(&out)
 		command.SetErr(&errs)
--- a/cmd/testbed/main.go
+++ b/cmd/testbed/main.go
@@ -1,6 +1,6 @@
-// Command testbed is for who builds and tries thymechute: stand-ins of outside parties and experiments with the real
-// program, on loopback only, each bounded in count and time. This file owns its command line. Exit codes: 0 the claim
-// holds, 1 it does not or could not be tried, 2 a faulty command line.
+// Command testbed is a development tool for thymechute: it starts fakes of external systems and runs experiments with the
+// real program or the emulator. Everything stays on loopback and is bounded in count and time. Exit codes: 0 when the
+// experiment's claim holds, 1 when it does not hold or could not be checked, 2 for a command-line error.
 package main
 
 import (
@@ -13,15 +13,15 @@
 
 // Exit codes.
 const (
-	exitFailed = 1
-	exitUsage  = 2
+	exitFailure = 1
+	exitUsage   = 2
 )
 
-// usageError is a fault of the command line.
+// usageError is an invalid command line; main exits with exitUsage for it.
 type usageError struct{ error }
 
 func main() {
-	err := command().Execute()
+	err := newRootCommand().Execute()
 	if err == nil {
 		return
 	}
@@ -29,17 +29,18 @@
 	if usage := (usageError{}); errors.As(err, &usage) {
 		os.Exit(exitUsage)
 	}
-	os.Exit(exitFailed)
+	os.Exit(exitFailure)
 }
 
-func command() *cobra.Command {
-	root := &cobra.Command{Use: "testbed", Short: "Stand-ins and experiments around thymechute, on loopback",
+func newRootCommand() *cobra.Command {
+	root := &cobra.Command{Use: "testbed", Short: "Fakes of external systems and experiments for thymechute, on loopback",
 		SilenceErrors: true, SilenceUsage: true, CompletionOptions: cobra.CompletionOptions{HiddenDefaultCmd: true}}
 	root.SetFlagErrorFunc(func(_ *cobra.Command, err error) error { return usageError{err} })
-	stand := &cobra.Command{Use: "stand", Short: "Start a stand-in of an outside party"}
-	stand.AddCommand(standBroker(), standRuntime())
-	run := &cobra.Command{Use: "run", Short: "Run an experiment: the real program and stand-ins, or the emulator"}
-	run.AddCommand(runAMQP(), runStorm(), runFleet(), runSubsets(), runOwner(), runRing(), runRoll(), runConfiguration(), runScale())
-	root.AddCommand(stand, run, scaleMembers(), scaleLog())
+	fake := &cobra.Command{Use: "fake", Aliases: []string{"stand"}, Short: "Start a fake of an external system"}
+	fake.AddCommand(fakeBrokerCommand(), fakeRuntimeCommand())
+	run := &cobra.Command{Use: "run", Short: "Run an experiment with the real program and fakes, or in the emulator"}
+	run.AddCommand(amqpCommand(), amqpStormCommand(), fleetCommand(), subsetsCommand(), ownerCommand(), ringCommand(), rollCommand(),
+		configurationCommand(), scaleCommand())
+	root.AddCommand(fake, run, scaleMembersCommand(), scaleLogCommand())
 	return root
 }
--- a/cmd/testbed/main_test.go
+++ b/cmd/testbed/main_test.go
@@ -60,3 +60,15 @@
 		t.Errorf("exit code %d, %q on standard output, %q on standard error; expected 1, none and one line", code, out, errs)
 	}
 }
+
+// The fakes start by "fake" and by the former "stand", which scripts and pages still use.
+func TestFakesHaveTheirFormerCommandName(t *testing.T) {
+	for _, group := range []string{"fake", "stand"} {
+		for _, name := range []string{"broker", "runtime"} {
+			command, rest, err := newRootCommand().Find([]string{group, name})
+			if err != nil || len(rest) > 0 || command.Name() != name {
+				t.Errorf("%s %s: found command %q with %q left, %v", group, name, command.Name(), rest, err)
+			}
+		}
+	}
+}
--- a/cmd/testbed/scale.go
+++ b/cmd/testbed/scale.go
@@ -1,5 +1,3 @@
-// This file owns the command of the scale measurements: their parts, and the report of each.
-
 package main
 
 import (
@@ -22,15 +20,17 @@
 // scaleParts are the measurements, in the order in which they run.
 var scaleParts = []scale.Part{members.Part{}, raftlog.Part{}, instance.New(), decisions.Part{}}
 
-const scaleTime = 15 * time.Minute // of one part, at the most
+// scalePartTimeout bounds the run of one part.
+const scalePartTimeout = 15 * time.Minute
 
-func runScale() *cobra.Command {
+// scaleCommand runs the scale measurements, all parts or one of them.
+func scaleCommand() *cobra.Command {
 	var part string
 	var seed uint64
 	var asJSON bool
-	c := &cobra.Command{Use: "scale", Short: "How each role's state, messages, time and memory grow, and what that makes at 1,200 instances",
+	c := &cobra.Command{Use: "scale", Short: "How each role's state, messages, time and memory grow, extrapolated to 1,200 instances",
 		Args: cobra.NoArgs, RunE: func(c *cobra.Command, _ []string) error {
-			parts, err := chosenParts(part)
+			parts, err := selectParts(part)
 			if err != nil {
 				return usageError{err}
 			}
@@ -41,14 +41,15 @@
 			}
 			return nil
 		}}
-	c.Flags().StringVar(&part, "part", "", "one part only: "+partNames())
-	c.Flags().Uint64Var(&seed, "seed", 1, "of the faults' places and the instances")
-	c.Flags().BoolVar(&asJSON, "json", false, "print one object a part")
+	c.Flags().StringVar(&part, "part", "", "run only this part: "+partNames())
+	c.Flags().Uint64Var(&seed, "seed", 1, "seed of the faults' positions and of the instances")
+	c.Flags().BoolVar(&asJSON, "json", false, "print one JSON object per part")
 	return c
 }
 
+// runPart runs one part in a temporary directory and prints its result.
 func runPart(c *cobra.Command, part scale.Part, seed uint64, asJSON bool) error {
-	program, err := programBeside()
+	program, err := programPath()
 	if err != nil {
 		return err
 	}
@@ -57,7 +58,7 @@
 		return err
 	}
 	defer os.RemoveAll(folder)
-	ctx, cancel := context.WithTimeout(c.Context(), scaleTime)
+	ctx, cancel := context.WithTimeout(c.Context(), scalePartTimeout)
 	defer cancel()
 	progress := func(line string) { fmt.Fprintln(c.ErrOrStderr(), line) }
 	result, err := part.Run(ctx, scale.Options{Seed: seed, Folder: folder, Program: program, Progress: progress})
@@ -78,7 +79,8 @@
 	return nil
 }
 
-func chosenParts(name string) ([]scale.Part, error) {
+// selectParts returns the part of that name, or all of them for an empty name.
+func selectParts(name string) ([]scale.Part, error) {
 	if name == "" {
 		return scaleParts, nil
 	}
--- a/cmd/testbed/scalechild.go
+++ b/cmd/testbed/scale_child.go
@@ -1,6 +1,3 @@
-// This file owns the hidden command that the scale measurements start: one trial a process, so that its memory and its
-// processor time are its own.
-
 package main
 
 import (
@@ -10,13 +7,16 @@
 	"thymechute/internal/lab/scale/raftlog"
 )
 
-func scaleLog() *cobra.Command {
+// scaleLogCommand is the hidden command that runs one trial of the agreed log: a process per trial, so that its memory and
+// its CPU time are the trial's alone.
+func scaleLogCommand() *cobra.Command {
 	return &cobra.Command{Use: raftlog.ChildCommand, Hidden: true, Args: cobra.NoArgs, RunE: func(c *cobra.Command, _ []string) error {
 		return raftlog.Child(c.Context(), c.InOrStdin(), c.OutOrStdout())
 	}}
 }
 
-func scaleMembers() *cobra.Command {
+// scaleMembersCommand is the hidden command that runs one trial of the members, likewise.
+func scaleMembersCommand() *cobra.Command {
 	return &cobra.Command{Use: members.ChildCommand, Hidden: true, Args: cobra.NoArgs, RunE: func(c *cobra.Command, _ []string) error {
 		return members.Child(c.Context(), c.InOrStdin(), c.OutOrStdout(), c.ErrOrStderr())
 	}}
--- a/cmd/thymechute/amqp_test.go
+++ b/cmd/thymechute/amqp_test.go
@@ -65,7 +65,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(b.Close)
-	if err := errors.Join(b.Depot("given-up", broker.Table{"x-dead-letter-exchange": "given-up"}), b.Declare("replies", nil)); err != nil {
+	if err := errors.Join(b.DeclareReadings("given-up", broker.Table{"x-dead-letter-exchange": "given-up"}), b.Declare("replies", nil)); err != nil {
 		t.Fatal(err)
 	}
 	f := &fed{Environment: testutil.NewEnvironment(t, change), b: b, address: address, settings: filepath.Join(t.TempDir(), "settings.xml")}
--- a/internal/fake/broker/names.go
+++ b/internal/fake/broker/names.go
@@ -44,9 +44,9 @@
 	return nil
 }
 
-// Depot makes what the rigs consume from: the queue readings, and a fanout exchange for what is given up, led to the
+// DeclareReadings makes what the rigs consume from: the queue readings, and a fanout exchange for what is given up, led to the
 // queue dead.
-func (b *Broker) Depot(exchange string, args Table) error {
+func (b *Broker) DeclareReadings(exchange string, args Table) error {
 	return errors.Join(b.Declare("readings", args), b.Declare("dead", nil), b.Exchange(exchange, "fanout"), b.Bind("dead", exchange, ""))
 }
 
--- a/internal/lab/amqpbroker.go
+++ b/internal/lab/amqpbroker.go
@@ -53,7 +53,7 @@
 		return nil, err
 	}
 	r := &recordedBroker{b: b, start: time.Now(), book: invariant.New(rig.Window), marks: map[string]invariant.How{}, ended: map[string]bool{}}
-	if err := b.Depot("given-up", nil); err != nil {
+	if err := b.DeclareReadings("given-up", nil); err != nil {
 		return nil, err
 	}
 	b.Watch(r.event)
--- a/internal/lab/lab_test.go
+++ b/internal/lab/lab_test.go
@@ -10,7 +10,7 @@
 func TestExperimentsAtASmallSize(t *testing.T) {
 	folder := t.TempDir()
 	program := testutil.Built(t)
-	for name, run := range map[string]func(program, folder string, seed uint64, size int, progress func(string)) (*Report, error){
+	for name, run := range map[string]Experiment{
 		"amqp": AMQP, "amqp-storm": AMQPStorm} {
 		r, err := run(program, folder, 1, 1500, func(string) {})
 		if err != nil {
--- a/internal/lab/report.go
+++ b/internal/lab/report.go
@@ -1,25 +1,27 @@
-// This file owns what an experiment reports: its figures, and why its claim does not hold.
-
 package lab
 
 import "fmt"
 
-// Figure is one number with its name, which ends in its unit where it has one.
+// Figure is one measured value. Its name ends in its unit where it has one, and is stable: stored results use it.
 type Figure struct {
 	Name  string
 	Value float64
 }
 
-// Report is what an experiment found, its figures in the order in which they are printed.
+// Experiment runs one experiment with the executable program and its files in folder. The report is set whenever figures
+// were measured; an error means that the claim could not be checked. progress is called with one line at a time.
+type Experiment func(program, folder string, seed uint64, size int, progress func(string)) (*Report, error)
+
+// Report is the outcome of an experiment, with the figures in the order in which they are printed.
 type Report struct {
 	Figures []Figure
-	Faults  []string // why the claim does not hold; none: it holds
+	Faults  []string // reasons why the claim does not hold; empty when it holds
 }
 
 // Put adds a figure.
 func (r *Report) Put(name string, value float64) { r.Figures = append(r.Figures, Figure{name, value}) }
 
-// Zero adds a figure that has to be 0, and a fault where it is not.
+// Zero adds a figure that must be 0, and a fault when it is not.
 func (r *Report) Zero(name string, value int) {
 	r.Put(name, float64(value))
 	if value != 0 {
