--- a/internal/fake/stub/conn.go
+++ b/internal/fake/stub/conn.go
@@ -1,5 +1,3 @@
-// This file owns one connection of a load.
-
 package stub
 
 import (
@@ -13,134 +11,140 @@
 )
 
 const (
-	mostOpen    = 32 // requests open on one connection, by the protocol
-	dialFor     = time.Second
-	longestLine = 64 << 10
-	rejected    = -32001
+	maxOpenRequests = 32 // on one connection, the protocol's limit
+	dialTimeout     = time.Second
+	maxLineBytes    = 64 << 10
+	codeRejected    = -32001
 )
 
-// conn is a connection; one that ended, or was told to close, takes no more requests.
+// conn is one connection of a load. Once it has ended, or the server has announced its end, it takes no further requests.
 type conn struct {
-	r    *running
-	net  net.Conn
-	mu   sync.Mutex
-	last int         // id
-	open map[int]int // ids to the requests' numbers
-	done bool
+	run     *loadRun
+	net     net.Conn
+	mu      sync.Mutex
+	lastID  int         // last request ID used
+	pending map[int]int // numbers of the open requests by request ID
+	closing bool
 }
 
-func (r *running) dial() (*conn, error) {
-	c, err := net.DialTimeout("tcp", r.load.Address, dialFor)
+// dial opens a connection and starts its reader.
+func (r *loadRun) dial() (*conn, error) {
+	c, err := net.DialTimeout("tcp", r.load.Address, dialTimeout)
 	if err != nil {
 		return nil, err
 	}
-	made := &conn{r: r, net: c, open: map[int]int{}}
+	opened := &conn{run: r, net: c, pending: map[int]int{}}
 	r.readers.Add(1)
-	go made.read()
-	return made, nil
+	go opened.read()
+	return opened, nil
 }
 
-// take books room for a request, and returns its id; not where there is none or the connection takes no more.
-func (c *conn) take(n int) (id int, ok bool) {
+// reserve allocates an ID for request n; ok is false when the connection is at its limit or closing.
+func (c *conn) reserve(n int) (id int, ok bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.done || len(c.open) >= mostOpen {
+	if c.closing || len(c.pending) >= maxOpenRequests {
 		return 0, false
 	}
-	c.last++
-	c.open[c.last] = n
-	return c.last, true
+	c.lastID++
+	c.pending[c.lastID] = n
+	return c.lastID, true
 }
 
-func (c *conn) ending() bool {
+// isClosing reports whether the connection takes no further requests.
+func (c *conn) isClosing() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.done
+	return c.closing
 }
 
+// send writes a request; on an error the reader fails all open requests.
 func (c *conn) send(id int, request Request, rid uint64) {
-	if _, err := c.net.Write(Line(id, rid, request)); err != nil {
-		c.net.Close() // the reader ends what is open
+	if _, err := c.net.Write(EncodeRequest(id, rid, request)); err != nil {
+		c.net.Close()
 	}
 }
 
-// Line is a request as it goes over the wire, its end included.
-func Line(id int, rid uint64, request Request) []byte {
+// EncodeRequest encodes one request as a line of JSON-RPC, newline included. id is the JSON-RPC ID, rid the platform's request ID.
+func EncodeRequest(id int, rid uint64, request Request) []byte {
 	return fmt.Appendf(nil, `{"jsonrpc":"2.0","id":%d,"method":%q,"params":{"rid":"%016x","t0":%d,"peer":1,"acct":%q,"mem":%g,"prio":0.5,"doc":%q}}`+"\n",
 		id, request.Class, rid, time.Now().UnixMilli(), request.Tenant, request.MemoryKB,
 		base64.StdEncoding.EncodeToString(request.Body))
 }
 
-// message is an answer, or the notice that the connection closes.
+// message is an answer, or the notification that the server closes the connection.
 type message struct {
 	ID     int
 	Method string
 	Error  *struct{ Code int }
 }
 
+// outcome is that of the request which the message answers.
 func (m message) outcome() Outcome {
 	switch {
 	case m.Error == nil:
 		return Served
-	case m.Error.Code == rejected:
+	case m.Error.Code == codeRejected:
 		return Rejected
 	default:
 		return Failed
 	}
 }
 
+// read handles the server's messages until the connection ends.
 func (c *conn) read() {
-	defer c.r.readers.Done()
-	defer c.lose()
+	defer c.run.readers.Done()
+	defer c.fail()
 	in := bufio.NewScanner(c.net)
-	in.Buffer(nil, longestLine)
+	in.Buffer(nil, maxLineBytes)
 	for in.Scan() {
 		var m message
 		if json.Unmarshal(in.Bytes(), &m) != nil {
 			return
 		}
 		if m.Method == "closing" {
-			c.stop()
+			c.closeWhenIdle()
 			continue
 		}
-		c.answered(m)
+		c.complete(m)
 	}
 }
 
-// stop takes no further request, and ends the connection once nothing is open.
-func (c *conn) stop() {
+// closeWhenIdle stops taking requests, and closes the connection once none is open.
+func (c *conn) closeWhenIdle() {
 	c.mu.Lock()
-	c.done = true
-	idle := len(c.open) == 0
+	c.closing = true
+	idle := len(c.pending) == 0
 	c.mu.Unlock()
 	if idle {
 		c.net.Close()
 	}
 }
 
-func (c *conn) answered(m message) {
+// complete records the outcome of the answered request.
+func (c *conn) complete(m message) {
 	c.mu.Lock()
-	n, ok := c.open[m.ID]
-	delete(c.open, m.ID)
-	last := c.done && len(c.open) == 0
+	number, ok := c.pending[m.ID]
+	delete(c.pending, m.ID)
+	last := c.closing && len(c.pending) == 0
 	c.mu.Unlock()
 	if ok {
-		c.r.ended(n, m.outcome())
+		c.run.complete(number, m.outcome())
 	}
 	if last {
 		c.net.Close()
 	}
 }
 
-// lose ends what is open: its answers can't come any more.
-func (c *conn) lose() {
+// fail closes the connection and records its open requests as lost.
+func (c *conn) fail() {
 	c.net.Close()
 	c.mu.Lock()
-	c.done = true
-	lost := c.open
-	c.open = nil
+	c.closing = true
+	lost := c.pending
+	c.pending = nil
 	c.mu.Unlock()
 	for _, n := range lost {
-		c.r.ended(n, Lost)
+		c.run.complete(n, Lost)
 	}
 }
--- a/internal/fake/stub/load_test.go
+++ b/internal/fake/stub/load_test.go
@@ -49,13 +49,13 @@
 }
 
 func load(address string) Load {
-	return Load{Address: address, Rate: 400, Span: time.Second, Wait: 5 * time.Second, Connections: 16, Seed: 1,
+	return Load{Address: address, Rate: 400, Duration: time.Second, AnswerTimeout: 5 * time.Second, Connections: 16, Seed: 1,
 		Request: func(int) Request { return Request{Class: "read", Tenant: "acme", Body: []byte("x"), MemoryKB: 1} }}
 }
 
 // A server that stands still for 300 ms keeps what was due meanwhile waiting, not one request only: of 400 a second
 // about 120, of which half waited over 150 ms. A closed loop would see one.
-func TestStallOfTheServerShowsInTheTail(t *testing.T) {
+func TestServerStallShowsInTailLatency(t *testing.T) {
 	const stall = 300 * time.Millisecond
 	address := server(t, func(n int, c net.Conn, id int) {
 		if n == 100 {
@@ -67,17 +67,17 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	expectTail(t, samples, stall)
+	expectTailLatency(t, samples, stall)
 	if served := samples.Count(Served); served != len(samples) {
 		t.Errorf("%d of %d served", served, len(samples))
 	}
 }
 
 // The same where the generator stands still: what was due counts from then, so that it can't excuse itself.
-func TestStallOfTheGeneratorShowsInTheTail(t *testing.T) {
+func TestGeneratorStallShowsInTailLatency(t *testing.T) {
 	const stall = 300 * time.Millisecond
 	l := load(server(t, func(_ int, c net.Conn, id int) { serve(c, id) }))
-	l.Delay = func(n int) time.Duration {
+	l.GeneratorDelay = func(n int) time.Duration {
 		if n == 100 {
 			return stall
 		}
@@ -87,13 +87,13 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	expectTail(t, samples, stall)
-	if late := samples.Lateness().Longest(); late < stall {
-		t.Errorf("the generator says that it was late by %v at most", late)
+	expectTailLatency(t, samples, stall)
+	if late := samples.SendDelays().Max(); late < stall {
+		t.Errorf("the generator's longest send delay is %v", late)
 	}
 }
 
-func expectTail(t *testing.T, samples Samples, stall time.Duration) {
+func expectTailLatency(t *testing.T, samples Samples, stall time.Duration) {
 	t.Helper()
 	waited := 0
 	for _, s := range samples {
@@ -104,12 +104,12 @@
 	if waited < 30 {
 		t.Errorf("%d of %d requests waited over %v, expected about 60 and 30 at least", waited, len(samples), stall/2)
 	}
-	if p99 := samples.Latencies().At(99); p99 < stall/2 {
+	if p99 := samples.Latencies().Percentile(99); p99 < stall/2 {
 		t.Errorf("p99 %v, expected over %v", p99, stall/2)
 	}
 }
 
-// Each outcome is told apart, and a request without an answer counts with its age.
+// Each answer, or its lack, has an outcome of its own, and a request without an answer counts with its age.
 func TestOutcomes(t *testing.T) {
 	address := server(t, func(n int, c net.Conn, id int) {
 		switch n % 5 {
@@ -123,7 +123,7 @@
 		}
 	})
 	l := load(address)
-	l.Span, l.Wait = 250*time.Millisecond, 250*time.Millisecond
+	l.Duration, l.AnswerTimeout = 250*time.Millisecond, 250*time.Millisecond
 	samples, err := l.Run(t.Context())
 	if err != nil {
 		t.Fatal(err)
@@ -134,37 +134,37 @@
 		}
 	}
 	for _, s := range samples {
-		if s.Outcome == Unanswered && s.Latency < l.Wait {
+		if s.Outcome == Unanswered && s.Latency < l.AnswerTimeout {
 			t.Fatalf("a request without an answer counts with %v", s.Latency)
 		}
 	}
 }
 
-// No more than 32 requests are open on a connection; what finds no room counts as not sent, with its age.
-func TestNoMoreThanTheProtocolAllowsIsOpen(t *testing.T) {
+// No more than 32 requests are open on a connection; a request beyond the limit counts as not sent, with its age.
+func TestOpenRequestsAreLimitedPerConnection(t *testing.T) {
 	l := load(server(t, func(int, net.Conn, int) {}))
-	l.Connections, l.Span, l.Wait = 2, 300*time.Millisecond, 50*time.Millisecond
+	l.Connections, l.Duration, l.AnswerTimeout = 2, 300*time.Millisecond, 50*time.Millisecond
 	samples, err := l.Run(t.Context())
 	if err != nil {
 		t.Fatal(err)
 	}
-	if open := samples.Count(Unanswered); open != 2*mostOpen {
-		t.Errorf("%d open on two connections, expected %d", open, 2*mostOpen)
+	if open := samples.Count(Unanswered); open != 2*maxOpenRequests {
+		t.Errorf("%d open on two connections, expected %d", open, 2*maxOpenRequests)
 	}
-	if unsent := samples.Count(Unsent); unsent != len(samples)-2*mostOpen || unsent == 0 {
+	if unsent := samples.Count(Unsent); unsent != len(samples)-2*maxOpenRequests || unsent == 0 {
 		t.Errorf("%d of %d not sent", unsent, len(samples))
 	}
 	for _, s := range samples {
-		if s.Latency < l.Wait {
+		if s.Latency < l.AnswerTimeout {
 			t.Fatalf("a request without an answer counts with %v", s.Latency)
 		}
 	}
 }
 
-// A connection that is told to close takes no further request and ends once it is answered; a cut one loses what is open.
+// A connection that is notified of its end takes no further request and ends once it is answered; a cut one loses what is open.
 // Others take their places, and nothing else is lost.
 func TestClosingAndCutConnectionsAreReplaced(t *testing.T) {
-	seen, told := map[net.Conn]bool{}, 0
+	seen, closings := map[net.Conn]bool{}, 0
 	address := server(t, func(n int, c net.Conn, id int) {
 		seen[c] = true
 		if n == 200 {
@@ -172,7 +172,7 @@
 			return
 		}
 		if n%50 == 0 { // before the answer: it is still owed
-			told++
+			closings++
 			fmt.Fprintln(c, `{"jsonrpc":"2.0","method":"closing"}`)
 		}
 		serve(c, id)
@@ -183,22 +183,22 @@
 		t.Fatal(err)
 	}
 	lost := samples.Count(Lost)
-	if lost < 1 || lost > mostOpen {
+	if lost < 1 || lost > maxOpenRequests {
 		t.Errorf("%d lost, expected what was open on the one connection that was cut", lost)
 	}
 	if served := samples.Count(Served); served != len(samples)-lost {
 		t.Errorf("%d of %d served, %d lost", served, len(samples), lost)
 	}
-	if len(seen) < l.Connections+told/2 {
-		t.Errorf("%d connections, %d at first, %d told to close", len(seen), l.Connections, told)
+	if len(seen) < l.Connections+closings/2 {
+		t.Errorf("%d connections, %d at first, %d told to close", len(seen), l.Connections, closings)
 	}
 }
 
 // The same seed makes the same load.
-func TestLoadsOfOneSeedAreAlike(t *testing.T) {
+func TestSeedDeterminesTheLoad(t *testing.T) {
 	count := func(seed uint64) int {
 		l := load(server(t, func(_ int, c net.Conn, id int) { serve(c, id) }))
-		l.Seed, l.Span = seed, 200*time.Millisecond
+		l.Seed, l.Duration = seed, 200*time.Millisecond
 		samples, err := l.Run(t.Context())
 		if err != nil {
 			t.Fatal(err)
@@ -219,13 +219,13 @@
 		}
 		serve(c, id)
 	}))
-	l.Span, l.Stop = time.Minute, stop
+	l.Duration, l.Stop = time.Minute, stop
 	begin := time.Now()
 	samples, err := l.Run(t.Context())
 	if err != nil {
 		t.Fatal(err)
 	}
-	if len(samples) < 20 || samples.Count(Served) != len(samples) || time.Since(begin) > l.Span/2 {
+	if len(samples) < 20 || samples.Count(Served) != len(samples) || time.Since(begin) > l.Duration/2 {
 		t.Errorf("%d requests, %d served, %v", len(samples), samples.Count(Served), time.Since(begin))
 	}
 }
--- a/internal/lab/scale/instance/connections.go
+++ b/internal/lab/scale/instance/connections.go
@@ -81,7 +81,7 @@
 	}
 	_ = c.SetDeadline(time.Now().Add(answerLimit))
 	request := stub.Request{Class: loadClass, Tenant: tenantName(0), Body: []byte{workProbe}, MemoryKB: 1}
-	if _, err = c.Write(stub.Line(1, r.nextID(), request)); err == nil {
+	if _, err = c.Write(stub.EncodeRequest(1, r.nextID(), request)); err == nil {
 		_, err = bufio.NewReader(c).ReadString('\n')
 	}
 	if err != nil {
--- a/internal/lab/scale/instance/figures.go
+++ b/internal/lab/scale/instance/figures.go
@@ -55,12 +55,12 @@
 	{"resident_mb_peak", boundPeakMB, false, func(r *row) float64 { return r.peak }},
 	{"reload_logged_ms_worst", boundReloadMillis, true, func(r *row) float64 { return worst(r.logged) }},
 	{"reload_in_force_ms_worst", boundReloadMillis, true, func(r *row) float64 { return worst(r.inForce) }},
-	{"reload_wait_p99_ms", scale.TargetAddedMillis, false, func(r *row) float64 { return r.wait(r.waits.At(99)) }},
-	{"reload_wait_longest_ms", boundLongestMillis, false, func(r *row) float64 { return r.wait(r.waits.Longest()) }},
+	{"reload_wait_p99_ms", scale.TargetAddedMillis, false, func(r *row) float64 { return r.wait(r.waits.Percentile(99)) }},
+	{"reload_wait_longest_ms", boundLongestMillis, false, func(r *row) float64 { return r.wait(r.waits.Max()) }},
 	{"reload_processor_ms", 0, true, func(r *row) float64 { return r.processor }},
 	{"same_file_ms", 0, true, func(r *row) float64 { return r.same.took() }},
 	{"faulty_file_ms", 0, true, func(r *row) float64 { return r.faulty.took() }},
-	{"odd_files_wait_longest_ms", boundLongestMillis, true, func(r *row) float64 { return milliseconds(r.oddWaits.Longest()) }},
+	{"odd_files_wait_longest_ms", boundLongestMillis, true, func(r *row) float64 { return milliseconds(r.oddWaits.Max()) }},
 }
 
 func (m *measuring) tenants() error {
@@ -126,7 +126,7 @@
 	}
 	if !r.whole() {
 		m.result.Fault("%d tenants, %d routes: %s; the longest wait %s%.0f ms", r.tenants, r.classes, r.fault, r.atLeast(),
-			milliseconds(r.waits.Longest()))
+			milliseconds(r.waits.Max()))
 	}
 	if r.unserved > 0 {
 		m.result.Fault("%d tenants, %d routes: %d of %d requests of a load without reloads not served", r.tenants, r.classes, r.unserved, r.sent)
@@ -177,7 +177,7 @@
 					Target: scale.TargetTenants, Bound: percent.bound}
 				for _, r := range rows {
 					if d := kind.of(r)[rate]; d != nil {
-						s.Points = append(s.Points, scale.Point{Size: float64(r.tenants), Value: milliseconds(d.At(percent.at))})
+						s.Points = append(s.Points, scale.Point{Size: float64(r.tenants), Value: milliseconds(d.Percentile(percent.at))})
 					}
 				}
 				if len(s.Points) < len(m.sizes.loaded) {
@@ -199,14 +199,14 @@
 
 func (m *measuring) putLoads(before string, r *row) {
 	for rate, d := range r.quiet {
-		m.result.Put(fmt.Sprintf("%sadded_ms_p99_at_%.0f_s", before, rate), milliseconds(d.At(99)))
+		m.result.Put(fmt.Sprintf("%sadded_ms_p99_at_%.0f_s", before, rate), milliseconds(d.Percentile(99)))
 	}
 	for rate, d := range r.reloading {
-		m.result.Put(fmt.Sprintf("%sadded_ms_p99_at_%.0f_s_a_reload_each_second", before, rate), milliseconds(d.At(99)))
+		m.result.Put(fmt.Sprintf("%sadded_ms_p99_at_%.0f_s_a_reload_each_second", before, rate), milliseconds(d.Percentile(99)))
 	}
 }
 
 func (m *measuring) sayRow(r *row) {
 	m.say("%d tenants, %d routes: start %.0f ms, %.1f MB, first reload %.0f ms, longest wait %.1f ms %s", r.tenants, r.classes, r.start,
-		r.residentStart, r.first.took(), milliseconds(r.waits.Longest()), r.fault)
+		r.residentStart, r.first.took(), milliseconds(r.waits.Max()), r.fault)
 }
--- a/internal/lab/scale/instance/load.go
+++ b/internal/lab/scale/instance/load.go
@@ -33,7 +33,7 @@
 	r.forget()
 	chance := rand.New(rand.NewPCG(seed, 2))
 	body := func(n int) string { return fmt.Sprintf("%c %d %d", workLoad, seed, n) }
-	samples, err := stub.Load{Address: r.deployment.listen, Rate: rate, Span: span, Wait: answersLimit, Stop: stop, Seed: seed,
+	samples, err := stub.Load{Address: r.deployment.listen, Rate: rate, Duration: span, AnswerTimeout: answersLimit, Stop: stop, Seed: seed,
 		Connections: min(max(int(rate*longestStall.Seconds())/openAConnection, 8), mostConnections),
 		Request: func(n int) stub.Request {
 			return stub.Request{Class: className(chance.IntN(r.classes)), Tenant: tenantName(chance.IntN(r.tenants - 1)),
--- a/internal/lab/scale/instance/probe.go
+++ b/internal/lab/scale/instance/probe.go
@@ -65,7 +65,7 @@
 	for range burst {
 		p.last++
 		request := stub.Request{Class: loadClass, Tenant: tenantName(p.r.tenants - 1), Body: []byte{workProbe}, MemoryKB: 1}
-		lines = append(lines, stub.Line(p.last, p.r.nextID(), request)...)
+		lines = append(lines, stub.EncodeRequest(p.last, p.r.nextID(), request)...)
 	}
 	if _, err := p.net.Write(lines); err != nil {
 		return false, err
--- a/internal/lab/scale/instance/script.go
+++ b/internal/lab/scale/instance/script.go
@@ -65,7 +65,7 @@
 		s.row.quiet[rate] = a.all()
 		s.row.unserved += a.unserved()
 		s.row.sent += len(a.samples)
-		s.row.late = max(s.row.late, a.samples.Lateness().At(99))
+		s.row.late = max(s.row.late, a.samples.SendDelays().Percentile(99))
 	}
 	return nil
 }
@@ -158,7 +158,7 @@
 		}
 		s.row.reloading[rate] = a.all()
 		s.row.waits.Merge(a.beside(reloads))
-		s.row.late = max(s.row.late, a.samples.Lateness().At(99))
+		s.row.late = max(s.row.late, a.samples.SendDelays().Percentile(99))
 	}
 	return nil
 }
