--- a/cmd/testbed/fakes.go
+++ b/cmd/testbed/fakes.go
@@ -49,7 +49,7 @@
 		return err
 	}
 	b.Watch(func(e broker.Event) {
-		fmt.Fprintf(out, "%s conn=%d peer=%q queue=%s id=%q type=%s redelivered=%v\n", e.What, e.Conn, e.Peer, e.Queue, e.ID, e.Type, e.Redelivered)
+		fmt.Fprintf(out, "%s conn=%d peer=%q queue=%s id=%q type=%s redelivered=%v\n", e.Kind, e.Conn, e.Peer, e.Queue, e.ID, e.Type, e.Redelivered)
 	})
 	address, err := b.Start(flags.listen)
 	if err != nil {
--- a/cmd/thymechute/amqp_test.go
+++ b/cmd/thymechute/amqp_test.go
@@ -65,7 +65,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(b.Close)
-	if err := errors.Join(b.DeclareReadings("given-up", broker.Table{"x-dead-letter-exchange": "given-up"}), b.Declare("replies", nil)); err != nil {
+	if err := errors.Join(b.DeclareReadings("given-up", broker.Table{"x-dead-letter-exchange": "given-up"}), b.DeclareQueue("replies", nil)); err != nil {
 		t.Fatal(err)
 	}
 	f := &fed{Environment: testutil.NewEnvironment(t, change), b: b, address: address, settings: filepath.Join(t.TempDir(), "settings.xml")}
@@ -110,18 +110,18 @@
 	f.T.Helper()
 	done := time.AfterFunc(20*time.Second, f.b.Close)
 	defer done.Stop()
-	if !f.b.Wait(queue, func(s broker.State) bool { return s.Ready == ready && s.Out == out }) {
-		f.T.Fatalf("%s holds %+v, want %d ready and %d out", queue, f.b.State(queue), ready, out)
+	if !f.b.WaitForQueue(queue, func(s broker.QueueState) bool { return s.Ready == ready && s.Unacked == out }) {
+		f.T.Fatalf("%s holds %+v, want %d ready and %d out", queue, f.b.QueueState(queue), ready, out)
 	}
 }
 
 // seen waits for so many events at the broker.
-func (f *fed) seen(what string, n int) {
+func (f *fed) seen(kind broker.EventKind, n int) {
 	f.T.Helper()
 	done := time.AfterFunc(20*time.Second, f.b.Close)
 	defer done.Stop()
-	if !f.b.Seen(what, n) {
-		f.T.Fatalf("%s: not seen %d times", what, n)
+	if !f.b.WaitForEvents(kind, n) {
+		f.T.Fatalf("%s: not seen %d times", kind, n)
 	}
 }
 
@@ -129,7 +129,7 @@
 func (f *fed) dead(key, reason string) {
 	f.T.Helper()
 	f.holds("dead", 1, 0)
-	m := f.b.Take("dead")[0]
+	m := f.b.TakeMessages("dead")[0]
 	if got, _ := m.Props.Header("x-thymechute-reason").(string); m.Props.Text(broker.MessageID) != key || !strings.Contains(got, reason) {
 		f.T.Errorf("dead letter %q because %q, want %q because %q", m.Props.Text(broker.MessageID), got, key, reason)
 	}
@@ -159,7 +159,7 @@
 	f.Runtime.End(1, f.started("body\x00\xff"), "good", "result\x00")
 	f.settled()
 	f.holds("replies", 1, 0)
-	m := f.b.Take("replies")[0]
+	m := f.b.TakeMessages("replies")[0]
 	if string(m.Body) != "result\x00" || m.Props.Text(broker.CorrelationID) != "c7" || m.Props.Header("x-thymechute-outcome") != "fulfilled" {
 		t.Errorf("%q %v", m.Body, m.Props)
 	}
@@ -182,18 +182,18 @@
 	second := f.started("b")
 	f.put("excursion", "k2", "c")
 	third := f.started("c")
-	f.b.Cut()
+	f.b.CutNewest()
 	f.seen("delivered", 6) // all three again, on another connection, where the same tags name other messages
 	f.dead("", "may have run already")
 	f.Runtime.End(1, third, "good", "")
 	f.Runtime.End(2, second, "good", "") // its caller is gone, and its message dead-lettered: nothing comes of it
 	f.Runtime.End(3, first, "good", "")
 	f.last(4)
-	if f.b.Counted("unknown-tag") != 0 {
+	if f.b.EventCount("unknown-tag") != 0 {
 		t.Error("a tag of the old connection was settled on the new one")
 	}
-	if f.b.Counted("acked") != 4 {
-		t.Errorf("%d acked, want 4", f.b.Counted("acked"))
+	if f.b.EventCount("acked") != 4 {
+		t.Errorf("%d acked, want 4", f.b.EventCount("acked"))
 	}
 }
 
@@ -202,7 +202,7 @@
 	f := feed(t, "", "", nil)
 	f.put("trace", "", "a")
 	first := f.started("a")
-	f.b.Cut()
+	f.b.CutNewest()
 	if task, _ := f.Runtime.ExpectCommand("stop"); task != first {
 		t.Errorf("stopped %s, want %s", task, first)
 	}
@@ -390,7 +390,7 @@
 	})
 	f.put("excursion", "k1", "a")
 	f.dead("k1", "turned back 3 times")
-	if n := f.b.Counted("requeued"); n != 0 {
+	if n := f.b.EventCount("requeued"); n != 0 {
 		t.Errorf("%d given back as redelivered: another instance would take them for run", n)
 	}
 	f.last(1)
@@ -404,7 +404,7 @@
 	f.with(broker.Props{broker.Type: "excursion", broker.MessageID: "k2", broker.ReplyTo: "replies"}, "b")
 	f.Runtime.End(2, f.started("b"), "good", "r")
 	f.holds("replies", 1, 0)
-	if f.b.State("readings").Out != 1 {
+	if f.b.QueueState("readings").Unacked != 1 {
 		t.Error("acked before the reply was confirmed")
 	}
 	f.b.Release()
@@ -422,7 +422,7 @@
 	f.seen("requeued", 1)
 	f.dead("m", "unknown class")
 	f.last(1)
-	if requeued, lost := f.b.Counted("requeued"), f.b.Counted("lost"); requeued != 2 || lost != 0 {
+	if requeued, lost := f.b.EventCount("requeued"), f.b.EventCount("lost"); requeued != 2 || lost != 0 {
 		t.Errorf("%d given back, %d connections lost: a closed channel must cost its publishes only", requeued, lost)
 	}
 }
@@ -437,7 +437,7 @@
 	f.Runtime.End(1, task, "good", "")
 	f.Program.EndsWith(0)
 	f.holds("readings", 1, 0)
-	if acked, back := f.b.Counted("acked"), f.b.Counted("requeued"); acked != 1 || back != 0 {
+	if acked, back := f.b.EventCount("acked"), f.b.EventCount("requeued"); acked != 1 || back != 0 {
 		t.Errorf("%d acked, %d given back", acked, back)
 	}
 }
@@ -457,7 +457,7 @@
 	}
 	f.b.Release()
 	f.Program.EndsWith(0)
-	testutil.Eventually(t, "the ack is read", func() bool { return f.b.Counted("acked") == 1 }) // the program does not wait for that
+	testutil.Eventually(t, "the ack is read", func() bool { return f.b.EventCount("acked") == 1 }) // the program does not wait for that
 }
 
 // What a broker pushes after the grace is not run, though it goes on pushing: it is the broker's again, as unrun.
@@ -474,7 +474,7 @@
 	f.seen("acked", 2) // the one that ran, and the one that was given back as a copy
 	f.Program.EndsWith(0)
 	f.holds("readings", 1, 0)
-	if n := f.b.Counted("delivered"); n != 3 {
+	if n := f.b.EventCount("delivered"); n != 3 {
 		t.Errorf("%d deliveries: it goes round and round", n)
 	}
 }
--- a/internal/fake/broker/broker_test.go
+++ b/internal/fake/broker/broker_test.go
@@ -31,12 +31,12 @@
 	}
 	t.Cleanup(b.Close)
 	for _, q := range []string{"dead", "q"} {
-		if err := b.Declare(q, Table{"x-dead-letter-exchange": "dlx", "x-queue-type": "quorum"}); err != nil {
+		if err := b.DeclareQueue(q, Table{"x-dead-letter-exchange": "dlx", "x-queue-type": "quorum"}); err != nil {
 			t.Fatal(err)
 		}
 	}
-	if err := b.Exchange("dlx", "fanout"); err != nil || b.Bind("dead", "dlx", "") != nil {
-		t.Fatal("no dead-letter exchange")
+	if err := b.DeclareExchange("dlx", "fanout"); err != nil || b.Bind("dead", "dlx", "") != nil {
+		t.Fatal("the dead-letter exchange was not declared")
 	}
 	return b, func() *peer {
 		conn, err := amqp.Dial("amqp://guest:guest@" + address)
@@ -76,14 +76,14 @@
 	return amqp.Delivery{}
 }
 
-func (b *Broker) settles(t *testing.T, name string, ready, out int) {
+func (b *Broker) expectQueue(t *testing.T, name string, ready, out int) {
 	t.Helper()
-	if !b.Wait(name, func(s State) bool { return s.Ready == ready && s.Out == out }) {
-		t.Errorf("%s: %+v, want %d ready, %d out", name, b.State(name), ready, out)
+	if !b.WaitForQueue(name, func(s QueueState) bool { return s.Ready == ready && s.Unacked == out }) {
+		t.Errorf("%s: %+v, want %d ready, %d out", name, b.QueueState(name), ready, out)
 	}
 }
 
-func TestMessageOfSeveralFramesComesAsItWent(t *testing.T) {
+func TestMultiFrameMessageRoundTrip(t *testing.T) {
 	b, dial := start(t)
 	p := dial()
 	body := bytes.Repeat([]byte("0123456789abcdef"), 1000)
@@ -105,10 +105,10 @@
 	if err := d.Ack(false); err != nil {
 		t.Fatal(err)
 	}
-	b.settles(t, "q", 0, 0)
+	b.expectQueue(t, "q", 0, 0)
 }
 
-func TestEveryWayToSettle(t *testing.T) {
+func TestSettlement(t *testing.T) {
 	b, dial := start(t)
 	for _, id := range []string{"a", "b", "c", "d", "e"} {
 		b.Publish("", "q", Props{MessageID: id}, []byte(id))
@@ -116,17 +116,17 @@
 	p := dial()
 	p.consume(3)
 	a, second, c := p.next(), p.next(), p.next()
-	b.settles(t, "q", 2, 3) // no more than the credit
-	_ = second.Ack(true)    // a as well
+	b.expectQueue(t, "q", 2, 3) // no more than the credit
+	_ = second.Ack(true)        // a as well
 	d, e := p.next(), p.next()
 	_ = c.Reject(true)
 	if back := p.next(); back.MessageId != "c" || !back.Redelivered || back.Headers["x-delivery-count"] != int64(1) {
 		t.Errorf("%+v", back)
 	}
 	_ = d.Reject(false)
-	b.settles(t, "dead", 1, 0)
+	b.expectQueue(t, "dead", 1, 0)
 	p.conn.Close()
-	b.settles(t, "q", 2, 0) // c and e are given back
+	b.expectQueue(t, "q", 2, 0) // c and e are given back
 	p = dial()
 	p.consume(0)
 	if c, again := p.next(), p.next(); c.MessageId != "c" || again.MessageId != "e" || !again.Redelivered {
@@ -138,10 +138,10 @@
 	if err := <-closed; err == nil || err.Code != 406 {
 		t.Errorf("an unknown tag: %v", err)
 	}
-	b.settles(t, "q", 2, 0)
+	b.expectQueue(t, "q", 2, 0)
 }
 
-func TestWhatReachesNoQueueComesBackAndMissingNamesCloseTheChannel(t *testing.T) {
+func TestUnroutableMessageIsReturnedAndUnknownExchangeClosesChannel(t *testing.T) {
 	_, dial := start(t)
 	p := dial()
 	_ = p.ch.Confirm(false)
@@ -157,9 +157,9 @@
 	}
 }
 
-func TestOnlyOneActiveConsumer(t *testing.T) {
+func TestSingleActiveConsumer(t *testing.T) {
 	b, dial := start(t)
-	if err := b.Declare("single", Table{"x-single-active-consumer": true}); err != nil {
+	if err := b.DeclareQueue("single", Table{"x-single-active-consumer": true}); err != nil {
 		t.Fatal(err)
 	}
 	one, two := dial(), dial()
@@ -177,24 +177,24 @@
 	}
 }
 
-func TestFaultsAreCommittedOnce(t *testing.T) {
+func TestFaultIsInjectedOnce(t *testing.T) {
 	for _, c := range []struct {
-		do          string
+		do          FaultAction
 		want        string // how the peer gets the message, and whether again
 		otherConn   bool
 		redelivered bool
 	}{
-		{"cut-before", "m", true, false}, // it never left
+		{"cut-before", "m", true, false}, // it was never sent
 		{"cut-inside", "m", true, true},
 		{"cut-after", "m", true, true},
 		{"restart", "m", true, false},
-		{"nonsense", "m", true, true}, // behind it the message was sent all the same
+		{"nonsense", "m", true, true}, // sent before the malformed bytes
 		{"huge", "m", true, true},
 		{"channel-error", "m", true, false},
 		{"cancel", "m", true, false},
 		{"reorder", "n", false, false},
 	} {
-		b, dial := start(t, Fault{On: "deliver", Nth: 1, Do: c.do})
+		b, dial := start(t, Fault{Point: "deliver", Nth: 1, Action: c.do})
 		b.Publish("", "q", Props{MessageID: "m"}, []byte("body"))
 		b.Publish("", "q", Props{MessageID: "n"}, []byte("body"))
 		p := dial()
@@ -210,7 +210,7 @@
 				t.Fatalf("%s: nothing happened", c.do)
 			}
 			p.conn.Close()
-			if !b.Seen("lost", 1) { // the peer knows of the end before the broker does
+			if !b.WaitForEvents("lost", 1) { // the peer knows of the end before the broker does
 				t.Fatalf("%s: not lost", c.do)
 			}
 			p = dial()
@@ -223,14 +223,14 @@
 }
 
 func TestLostAckIsRedelivered(t *testing.T) {
-	b, dial := start(t, Fault{On: "settle", Nth: 1, Do: "drop"}, Fault{On: "deliver", Nth: 2, Do: "twice"})
+	b, dial := start(t, Fault{Point: "settle", Nth: 1, Action: "drop"}, Fault{Point: "deliver", Nth: 2, Action: "twice"})
 	b.Publish("", "q", Props{MessageID: "m"}, nil)
 	p := dial()
 	p.consume(0)
 	_ = p.next().Ack(false)
-	b.Seen("ack-dropped", 1)
-	b.settles(t, "q", 0, 1)
-	b.Cut()
+	b.WaitForEvents("ack-dropped", 1)
+	b.expectQueue(t, "q", 0, 1)
+	b.CutNewest()
 	p = dial()
 	p.consume(0)
 	for range 2 { // and this time the broker hands it out twice
@@ -240,11 +240,11 @@
 		}
 		_ = d.Ack(false)
 	}
-	b.settles(t, "q", 0, 0)
+	b.expectQueue(t, "q", 0, 0)
 }
 
-func TestLateConfirmAndRefusedLogin(t *testing.T) {
-	b, dial := start(t, Fault{On: "publish", Nth: 1, Do: "late-confirm"}, Fault{On: "publish", Nth: 2, Do: "refuse"}, Fault{On: "login", Nth: 2, Do: "refuse"})
+func TestDelayedConfirmAndRefusedLogin(t *testing.T) {
+	b, dial := start(t, Fault{Point: "publish", Nth: 1, Action: "late-confirm"}, Fault{Point: "publish", Nth: 2, Action: "refuse"}, Fault{Point: "login", Nth: 2, Action: "refuse"})
 	p := dial()
 	_ = p.ch.Confirm(false)
 	late, _ := p.ch.PublishWithDeferredConfirm("", "q", false, false, amqp.Publishing{})
@@ -256,19 +256,19 @@
 	if !late.Wait() {
 		t.Error("never confirmed")
 	}
-	_, err := amqp.Dial("amqp://guest:guest@" + b.door.listen.Addr().String())
+	_, err := amqp.Dial("amqp://guest:guest@" + b.server.listener.Addr().String())
 	if err == nil {
-		t.Error("let in")
+		t.Error("the login was accepted")
 	}
 }
 
-// Bytes that are no AMQP end their connection, and no other.
-func TestNonsenseFromAPeer(t *testing.T) {
+// Input that is no AMQP closes its connection and no other.
+func TestMalformedInputClosesOnlyItsConnection(t *testing.T) {
 	b, dial := start(t)
 	p := dial()
 	p.consume(1)
 	for _, text := range []string{"GET / HTTP/1.1\r\n\r\n", "AMQP\x00\x00\x09\x01\x01\x00\x00\xff\xff\xff\xff", "AMQP\x00\x00\x09\x01\x01\x00\x01\x00\x00\x00\x00\xce"} {
-		c, err := net.Dial("tcp", b.door.listen.Addr().String())
+		c, err := net.Dial("tcp", b.server.listener.Addr().String())
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -282,29 +282,29 @@
 	}
 	b.Publish("", "q", Props{MessageID: "m"}, nil)
 	if p.next().MessageId != "m" {
-		t.Error("another peer was touched")
+		t.Error("another connection was affected")
 	}
 }
 
-func TestScriptIsCounted(t *testing.T) {
+func TestFaultScriptCountsEvents(t *testing.T) {
 	f, err := ParseFault("settle:3+2:drop")
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := script{[]Fault{f}, map[string]int{}}
+	s := faultScript{[]Fault{f}, map[FaultPoint]int{}}
 	got := ""
 	for range 8 {
-		got += string(append([]byte(s.hit("settle")), '.')[0])
+		got += string(append([]byte(s.next("settle")), '.')[0])
 	}
 	if got != "..d.d.d." {
 		t.Error(got)
 	}
 	for _, text := range []string{"", "settle:0:drop", "settle:1:dance", "x:1:drop", "settle:1+x:drop", "settle:drop"} {
 		if _, err := ParseFault(text); err == nil {
-			t.Errorf("taken: %q", text)
+			t.Errorf("%q: no error", text)
 		}
 	}
 	if _, err := (&Broker{}).Start("0.0.0.0:0"); err == nil {
-		t.Error("not loopback, and taken")
+		t.Error("an address outside loopback: no error")
 	}
 }
--- a/internal/fake/broker/conn.go
+++ b/internal/fake/broker/conn.go
@@ -1,203 +1,151 @@
-// Connections: this file owns what is read of a peer, frame by frame. A peer out of
-// order gets the specification's reply code and loses its channel or its connection, and nothing else is touched.
-
 package broker
 
 import (
 	"bufio"
 	"errors"
-	"fmt"
 	"io"
 	"net"
 	"sync"
 	"time"
 )
 
-type conn struct {
-	b        *Broker
-	net      net.Conn
-	number   int
-	name     string     // its own, by its properties
-	more     *sync.Cond // on the broker's lock: output, the end, reading again
-	out      []byte
-	channels map[uint16]*channel
-	frameMax uint32
-	beat     time.Duration // agreed; 0: none
-	open     bool
-	ended    bool // written out, then closed
-	muted    bool // writes nothing any more
-	deaf     bool // reads nothing any more
-}
+// protocolHeader opens an AMQP 0-9-1 connection; a broker answers with it when it is offered another version.
+const protocolHeader = "AMQP\x00\x00\x09\x01"
 
-type channel struct {
-	conn      *conn
-	id        uint16
-	next      uint64 // last delivery tag
-	out       map[uint64]unsettled
-	consumers map[string]*consumer
-	prefetch  int
-	confirm   bool
-	published uint64
-	closing   bool
-	pub       *publishing
-}
+// handshakeTimeout bounds the time until a connection has agreed on its heartbeat.
+const handshakeTimeout = 30 * time.Second
 
-type publishing struct {
-	exchange, key string
-	mandatory     bool
-	header        bool
-	size          int
-	props         Props
-	body          []byte
-}
+var errProtocolVersion = errors.New("broker: the peer offers another protocol")
 
-// fatal is an error that ends a connection, with the specification's code.
-type fatal struct {
-	code uint16
-	text string
+// conn is one connection, guarded by the broker's mutex.
+type conn struct {
+	broker      *Broker
+	net         net.Conn
+	number      int        // in order of acceptance, from 1
+	peer        string     // name in the client properties
+	wake        *sync.Cond // for the writer, and for a reader that is paused
+	output      []byte     // not written yet
+	channels    map[uint16]*channel
+	frameMax    uint32
+	heartbeat   time.Duration // as agreed; 0 for none
+	handshakes  handshakeStep
+	closed      bool // closes once its output is written
+	outputMuted bool // by a fault: discards further output
+	inputPaused bool // by a fault: reads nothing more until Release
 }
 
-func (f fatal) Error() string { return fmt.Sprintf("%d %s", f.code, f.text) }
-
-func (c *conn) reads() {
-	defer c.b.door.done.Done()
-	err := c.handle(bufio.NewReader(c.net))
-	c.b.mu.Lock()
-	defer c.b.mu.Unlock()
-	var f fatal
-	if errors.As(err, &f) {
-		c.send(0, "connection.close", f.code, f.text, uint16(0), uint16(0))
+// readLoop handles the peer's frames until the connection ends.
+func (c *conn) readLoop() {
+	defer c.broker.server.goroutines.Done()
+	err := c.serve(bufio.NewReader(c.net))
+	c.broker.mu.Lock()
+	defer c.broker.mu.Unlock()
+	var fatal connectionError
+	if errors.As(err, &fatal) {
+		c.sendMethod(0, "connection.close", fatal.code, fatal.text, uint16(0), uint16(0))
 	}
-	c.b.drop(c, "flush")
-	c.b.pump()
+	c.broker.closeConn(c, closeAfterFlush)
+	c.broker.dispatch()
 }
 
-func (c *conn) handle(r *bufio.Reader) error {
-	b := c.b
-	_ = c.net.SetReadDeadline(time.Now().Add(30 * time.Second))
-	var head [8]byte
-	if _, err := io.ReadFull(r, head[:]); err != nil {
+func (c *conn) serve(r *bufio.Reader) error {
+	_ = c.net.SetReadDeadline(time.Now().Add(handshakeTimeout))
+	if err := c.startProtocol(r); err != nil {
 		return err
 	}
-	if string(head[:]) != "AMQP\x00\x00\x09\x01" {
-		b.mu.Lock()
-		c.write([]byte("AMQP\x00\x00\x09\x01"))
-		b.mu.Unlock()
-		return errors.New("another protocol")
-	}
-	b.mu.Lock()
-	c.send(0, "connection.start", uint8(0), uint8(9), Table{"product": "stand-in", "capabilities": Table{"publisher_confirms": true,
-		"basic.nack": true, "consumer_cancel_notify": true, "connection.blocked": true}}, "PLAIN", "en_US")
-	b.mu.Unlock()
-	for step := 0; ; {
-		f, err := ReadFrame(r, c.frameMax-frameExtra)
+	for {
+		f, err := ReadFrame(r, c.frameMax-frameOverhead)
+		if errors.Is(err, ErrFrame) {
+			return errMalformedFrame
+		}
 		if err != nil {
-			if errors.Is(err, ErrFrame) {
-				return fatal{501, "FRAME_ERROR"}
-			}
 			return err
 		}
-		b.mu.Lock()
-		for c.deaf && !c.ended && !b.closed {
-			c.more.Wait()
-		}
-		if c.ended {
-			b.mu.Unlock()
-			return net.ErrClosed
-		}
-		if step < 3 {
-			err = c.greet(&step, f)
-		} else {
-			err = c.frame(f)
-		}
-		b.pump()
-		if c.beat > 0 {
-			_ = c.net.SetReadDeadline(time.Now().Add(3 * c.beat))
-		} else if step == 3 {
-			_ = c.net.SetReadDeadline(time.Time{})
-		}
-		b.mu.Unlock()
-		if err != nil {
+		if err := c.receive(f); err != nil {
 			return err
 		}
 	}
 }
 
-func (c *conn) frame(f Frame) error {
-	ch := c.channels[f.Channel]
-	switch f.Kind {
-	case frameHeartbeat:
-		return nil
-	case frameHeader, frameBody:
-		if ch == nil {
-			return fatal{504, "CHANNEL_ERROR"}
-		}
-		if ch.closing {
-			return nil
-		}
-		return c.part(ch, f)
+// startProtocol checks the protocol header and sends connection.start.
+func (c *conn) startProtocol(r *bufio.Reader) error {
+	var header [len(protocolHeader)]byte
+	if _, err := io.ReadFull(r, header[:]); err != nil {
+		return err
 	}
-	m, err := DecodeMethod(f.Payload)
-	if errors.Is(err, ErrMethod) {
-		return fatal{540, "NOT_IMPLEMENTED"}
-	} else if err != nil {
-		return fatal{502, "SYNTAX_ERROR"}
+	c.broker.mu.Lock()
+	defer c.broker.mu.Unlock()
+	if string(header[:]) != protocolHeader {
+		c.write([]byte(protocolHeader))
+		return errProtocolVersion
 	}
-	if f.Channel == 0 {
-		switch m.Name {
-		case "connection.close":
-			for _, ch := range c.channels { // what is unsettled goes back before the peer hears that it is closed
-				for _, x := range ch.consumers {
-					c.b.cancel(x)
-				}
-				c.b.back(ch)
-			}
-			c.send(0, "connection.close-ok")
-			return io.EOF
-		case "connection.close-ok":
-			return io.EOF
-		}
-		return fatal{503, "COMMAND_INVALID"}
+	capabilities := Table{"publisher_confirms": true, "basic.nack": true, "consumer_cancel_notify": true, "connection.blocked": true}
+	c.sendMethod(0, "connection.start", uint8(0), uint8(9), Table{"product": "stand-in", "capabilities": capabilities}, "PLAIN", "en_US")
+	return nil
+}
+
+// receive handles one frame and then delivers what has become deliverable.
+func (c *conn) receive(f Frame) error {
+	b := c.broker
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	for c.inputPaused && !c.closed && !b.closed {
+		c.wake.Wait()
 	}
-	if m.Name == "channel.open" {
-		if ch != nil || len(c.channels) >= mostChannels {
-			return fatal{504, "CHANNEL_ERROR"}
-		}
-		c.channels[f.Channel] = &channel{conn: c, id: f.Channel, out: map[uint64]unsettled{}, consumers: map[string]*consumer{}}
-		c.send(f.Channel, "channel.open-ok", "")
-		return nil
+	if c.closed {
+		return net.ErrClosed
 	}
-	if ch == nil {
-		return fatal{504, "CHANNEL_ERROR"}
+	var err error
+	if c.handshakes < handshakeDone {
+		err = c.handshake(f)
+	} else {
+		err = c.handleFrame(f)
 	}
-	if m.Name == "channel.close" || m.Name == "channel.close-ok" {
-		if m.Name == "channel.close" {
-			c.shut(ch)
-			c.send(ch.id, "channel.close-ok")
-		}
-		delete(c.channels, ch.id)
-		return nil
+	b.dispatch()
+	c.extendReadDeadline()
+	return err
+}
+
+// extendReadDeadline allows three heartbeats without a frame; a connection without heartbeat may be idle for good.
+func (c *conn) extendReadDeadline() {
+	switch {
+	case c.heartbeat > 0:
+		_ = c.net.SetReadDeadline(time.Now().Add(3 * c.heartbeat))
+	case c.handshakes == handshakeDone:
+		_ = c.net.SetReadDeadline(time.Time{})
 	}
-	if ch.closing {
+}
+
+func (c *conn) handleFrame(f Frame) error {
+	switch f.Kind {
+	case frameHeartbeat:
 		return nil
+	case frameHeader, frameBody:
+		return c.handleContentFrame(f)
 	}
-	if ch.pub != nil {
-		return fatal{505, "UNEXPECTED_FRAME"}
+	m, err := DecodeMethod(f.Payload)
+	switch {
+	case errors.Is(err, ErrMethod):
+		return errNotImplemented
+	case err != nil:
+		return errSyntax
+	case f.Channel == 0:
+		return c.handleConnectionMethod(m)
 	}
-	return c.method(ch, m)
+	return c.handleChannelMethod(f.Channel, m)
 }
 
-// shut ends a channel's consumers and gives back what it has out.
-func (c *conn) shut(ch *channel) {
-	ch.closing = true
-	for _, x := range ch.consumers {
-		c.b.cancel(x)
+// handleConnectionMethod handles a method on channel 0.
+func (c *conn) handleConnectionMethod(m Method) error {
+	switch m.Name {
+	case "connection.close":
+		for _, ch := range c.channels { // requeues before the peer learns that the connection is closed
+			c.broker.releaseChannel(ch)
+		}
+		c.sendMethod(0, "connection.close-ok")
+		return io.EOF
+	case "connection.close-ok":
+		return io.EOF
 	}
-	c.b.back(ch)
-}
-
-// refuse closes a channel with a code; the peer must answer before its number is free again.
-func (b *Broker) refuse(ch *channel, code uint16, text string, method uint32) {
-	ch.conn.shut(ch)
-	ch.conn.send(ch.id, "channel.close", code, text, uint16(method>>16), uint16(method))
+	return errCommandInvalid
 }
--- a/internal/fake/broker/content.go
+++ b/internal/fake/broker/content.go
@@ -1,57 +1,77 @@
-// This file owns the content of a published message: its header and its body, part by part.
-
 package broker
 
 import "io"
 
-// part takes a header or a piece of a body.
-func (c *conn) part(ch *channel, f Frame) error {
-	p := ch.pub
-	if p == nil || p.header != (f.Kind == frameBody) {
-		return fatal{505, "UNEXPECTED_FRAME"}
+// handleContentFrame handles a content header or a part of a body.
+func (c *conn) handleContentFrame(f Frame) error {
+	ch := c.channels[f.Channel]
+	if ch == nil {
+		return errChannel
+	}
+	if ch.closing {
+		return nil
+	}
+	m := ch.incoming
+	if m == nil || m.hasHeader != (f.Kind == frameBody) {
+		return errUnexpectedFrame
+	}
+	if err := m.add(f); err != nil {
+		return err
 	}
+	if len(m.body) < m.size {
+		return nil
+	}
+	ch.incoming = nil
+	return c.publish(ch, m)
+}
+
+// add adds the payload of a content frame.
+func (m *incomingMessage) add(f Frame) error {
 	if f.Kind == frameHeader {
 		size, props, err := DecodeHeader(f.Payload)
-		if err != nil || size > mostBody {
-			return fatal{502, "SYNTAX_ERROR"}
+		if err != nil || size > maxBodyBytes {
+			return errSyntax
 		}
-		p.header, p.size, p.props = true, int(size), props
-	} else if p.body = append(p.body, f.Payload...); len(p.body) > p.size {
-		return fatal{505, "UNEXPECTED_FRAME"}
+		m.hasHeader, m.size, m.props = true, int(size), props
+		return nil
 	}
-	if len(p.body) == p.size {
-		ch.pub = nil
-		return c.publish(ch, p)
+	m.body = append(m.body, f.Payload...)
+	if len(m.body) > m.size {
+		return errUnexpectedFrame
 	}
 	return nil
 }
 
-func (c *conn) publish(ch *channel, p *publishing) error {
-	b := c.b
+// publish routes a message that has come completely, and confirms it, or injects a fault.
+func (c *conn) publish(ch *channel, m *incomingMessage) error {
+	b := c.broker
 	ch.published++
 	number := ch.published
-	do := b.hit("publish")
-	switch do {
-	case "cut-before":
+	action := b.faultAt(AtPublish)
+	switch action {
+	case CutBefore:
 		return io.EOF
-	case "channel-error":
-		b.refuse(ch, 406, "PRECONDITION_FAILED - scripted", byName["basic.publish"])
+	case ChannelError:
+		b.refuse(ch, replyPreconditionFailed, "PRECONDITION_FAILED - scripted", methodIDs["basic.publish"])
 		return nil
-	case "refuse":
-		c.send(ch.id, "basic.nack", number, false, false)
+	case Refuse:
+		c.sendMethod(ch.id, "basic.nack", number, false, false)
 		return nil
 	}
-	if !b.route(c, p.exchange, p.key, p.props, p.body) && p.mandatory {
-		c.content(ch.id, AppendMethod(nil, "basic.return", uint16(312), "NO_ROUTE", p.exchange, p.key), p.props, p.body)
+	routed := b.route(c, publication{m.exchange, m.key, m.props, m.body})
+	if !routed && m.mandatory {
+		method := AppendMethod(nil, "basic.return", uint16(replyNoRoute), "NO_ROUTE", m.exchange, m.key)
+		c.sendContent(ch.id, method, m.props, m.body)
 	}
+	confirm := func() { c.sendMethod(ch.id, "basic.ack", number, false) }
 	switch {
-	case do == "cut-after":
+	case action == CutAfter:
 		return io.EOF
-	case !ch.confirm || do == "no-confirm":
-	case do == "late-confirm":
-		b.late = append(b.late, func() { c.send(ch.id, "basic.ack", number, false) })
+	case !ch.confirms || action == NoConfirm:
+	case action == LateConfirm:
+		b.delayedConfirms = append(b.delayedConfirms, confirm)
 	default:
-		c.send(ch.id, "basic.ack", number, false)
+		confirm()
 	}
 	return nil
 }
--- a/internal/fake/broker/control.go
+++ b/internal/fake/broker/control.go
@@ -1,5 +1,3 @@
-// This file owns what a rig does to the broker, and what it sees of it.
-
 package broker
 
 import (
@@ -7,66 +5,74 @@
 	"slices"
 )
 
-// peers are the connections, the oldest first.
-func (b *Broker) peers() []*conn {
+// connsByAge is the connections, the oldest first.
+func (b *Broker) connsByAge() []*conn {
 	return slices.SortedFunc(maps.Keys(b.conns), func(x, y *conn) int { return x.number - y.number })
 }
 
-func (b *Broker) restart() {
-	for _, c := range b.peers() {
-		b.drop(c, "")
+// closeAllConns closes all connections at once, as a broker that restarts.
+func (b *Broker) closeAllConns() {
+	for _, c := range b.connsByAge() {
+		b.closeConn(c, closeNow)
 	}
 }
 
-// Restart drops all connections, as a broker that goes and comes back at once; its queues are durable.
+// Restart closes all connections, as a broker with durable queues that restarts.
 func (b *Broker) Restart() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.restart()
+	b.closeAllConns()
 }
 
-// Cut drops the newest connection.
-func (b *Broker) Cut() { b.CutPeer("") }
+// CutNewest closes the newest connection.
+func (b *Broker) CutNewest() { b.CutPeer("") }
 
-// CutPeer drops the newest connection of that name, or of any where it is empty.
+// CutPeer closes the newest connection of that name, or of any name when it is empty.
 func (b *Broker) CutPeer(name string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	for _, c := range slices.Backward(b.peers()) {
-		if name == "" || c.name == name {
-			b.drop(c, "")
-			b.pump()
+	for _, c := range slices.Backward(b.connsByAge()) {
+		if name == "" || c.peer == name {
+			b.closeConn(c, closeNow)
+			b.dispatch()
 			return
 		}
 	}
 }
 
-// Release sends the confirms that were held back, and what was blocked goes on.
+// Release sends the confirms that LateConfirm delayed, reads again where StopReading paused, and sends connection.unblocked.
 func (b *Broker) Release() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	late := b.late
-	b.late = nil
-	for _, f := range late {
-		f()
+	confirms := b.delayedConfirms
+	b.delayedConfirms = nil
+	for _, confirm := range confirms {
+		confirm()
 	}
-	for _, c := range b.peers() {
-		if c.deaf = false; c.open {
-			c.send(0, "connection.unblocked")
+	for _, c := range b.connsByAge() {
+		c.inputPaused = false
+		if c.handshakes == handshakeDone {
+			c.sendMethod(0, "connection.unblocked")
 		}
-		c.more.Broadcast()
+		c.wake.Broadcast()
 	}
 }
 
-// State is what a queue holds.
-type State struct{ Ready, Out, Consumers, Credit, Conns int }
+// QueueState is the state of one queue, and the number of the broker's connections.
+type QueueState struct {
+	Ready, Unacked int // messages
+	Consumers      int
+	Prefetch       int // of all consumers together
+	Connections    int
+}
 
-// Wait returns once the queue is as wanted, or false when the broker is closed before.
-func (b *Broker) Wait(name string, wanted func(State) bool) bool {
+// WaitForQueue waits until the queue's state is wanted; it returns false when the broker is closed first. wanted must not call
+// the broker.
+func (b *Broker) WaitForQueue(name string, wanted func(QueueState) bool) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for !b.closed {
-		if wanted(b.state(name)) {
+		if wanted(b.queueState(name)) {
 			return true
 		}
 		b.changed.Wait()
@@ -74,54 +80,54 @@
 	return false
 }
 
-// Seen returns once so many events of a kind have been, or false when the broker is closed before.
-func (b *Broker) Seen(what string, n int) bool {
+// WaitForEvents waits until there were count events of a kind; it returns false when the broker is closed first.
+func (b *Broker) WaitForEvents(kind EventKind, count int) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	for !b.closed && b.told[what] < n {
+	for !b.closed && b.eventCounts[kind] < count {
 		b.changed.Wait()
 	}
-	return b.told[what] >= n
+	return b.eventCounts[kind] >= count
 }
 
-// Counted is how many events of a kind there were.
-func (b *Broker) Counted(what string) int {
+// EventCount is the number of events of a kind so far.
+func (b *Broker) EventCount(kind EventKind) int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.told[what]
+	return b.eventCounts[kind]
 }
 
-// State tells what a queue holds now.
-func (b *Broker) State(name string) State {
+// QueueState returns the state of a queue; a queue that is not declared is empty.
+func (b *Broker) QueueState(name string) QueueState {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.state(name)
+	return b.queueState(name)
 }
 
-func (b *Broker) state(name string) State {
-	s := State{Conns: len(b.conns)}
+func (b *Broker) queueState(name string) QueueState {
+	s := QueueState{Connections: len(b.conns)}
 	if q := b.queues[name]; q != nil {
-		s.Ready, s.Out, s.Consumers = q.len(), q.out, len(q.consumers)
+		s.Ready, s.Unacked, s.Consumers = q.readyCount(), q.unacked, len(q.consumers)
 		for _, c := range q.consumers {
-			s.Credit += c.credit
+			s.Prefetch += c.prefetch
 		}
 	}
 	return s
 }
 
-// Message is one that is read out of a queue.
+// Message is a message taken from a queue.
 type Message struct {
 	Props Props
 	Body  []byte
 }
 
-// Take empties a queue of what is ready.
-func (b *Broker) Take(name string) (all []Message) {
+// TakeMessages removes and returns the ready messages of a queue.
+func (b *Broker) TakeMessages(name string) (all []Message) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	for q := b.queues[name]; q != nil && q.len() > 0; {
+	for q := b.queues[name]; q != nil && q.readyCount() > 0; {
 		m := q.pop()
-		b.held--
+		b.messageCount--
 		all = append(all, Message{m.props, m.body})
 	}
 	b.changed.Broadcast()
--- a/internal/fake/broker/decode.go
+++ b/internal/fake/broker/decode.go
@@ -1,5 +1,3 @@
-// This file owns the reading of arguments and field tables.
-
 package broker
 
 import (
@@ -8,74 +6,101 @@
 	"time"
 )
 
-// Table is a field table. Its values are bool, the sized integers, float32, float64, string, []byte, time.Time (whole
+// Table is a field table. Its values are bool, the sized integers, float32, float64, string, []byte, time.Time (in whole
 // seconds), Table, []any and nil.
 type Table map[string]any
 
-type reader struct {
-	left []byte
-	err  error
+// Kinds of the values in field tables, after RabbitMQ's errata to the specification.
+const (
+	fieldBool      = 't'
+	fieldInt8      = 'b'
+	fieldUint8     = 'B'
+	fieldInt16     = 's'
+	fieldSpecInt16 = 'U' // as the specification has it; decoded only
+	fieldUint16    = 'u'
+	fieldInt32     = 'I'
+	fieldUint32    = 'i'
+	fieldInt64     = 'l'
+	fieldSpecInt64 = 'L' // as the specification has it; decoded only
+	fieldFloat32   = 'f'
+	fieldFloat64   = 'd'
+	fieldDecimal   = 'D' // decoded only
+	fieldString    = 'S'
+	fieldBytes     = 'x'
+	fieldTimestamp = 'T'
+	fieldTable     = 'F'
+	fieldVoid      = 'V'
+	fieldArray     = 'A'
+)
+
+// decoder decodes arguments. After an error, its methods return zero values.
+type decoder struct {
+	remaining []byte
+	err       error
 }
 
-func (r *reader) take(n int) []byte {
-	if r.err != nil || n < 0 || n > len(r.left) {
-		r.err = ErrSyntax
+func (d *decoder) take(n int) []byte {
+	if d.err != nil || n < 0 || n > len(d.remaining) {
+		d.err = ErrSyntax
 		return nil
 	}
-	p := r.left[:n]
-	r.left = r.left[n:]
+	p := d.remaining[:n]
+	d.remaining = d.remaining[n:]
 	return p
 }
 
-func (r *reader) end() error {
-	if r.err == nil && len(r.left) > 0 {
-		r.err = ErrSyntax
+// finish returns the first error, or ErrSyntax when bytes remain.
+func (d *decoder) finish() error {
+	if d.err == nil && len(d.remaining) > 0 {
+		d.err = ErrSyntax
 	}
-	return r.err
+	return d.err
 }
 
-func (r *reader) number(size int) (x uint64) {
-	for _, b := range r.take(size) {
+// uint decodes a big-endian unsigned integer of size bytes.
+func (d *decoder) uint(size int) (x uint64) {
+	for _, b := range d.take(size) {
 		x = x<<8 | uint64(b)
 	}
 	return x
 }
 
-func (r *reader) short() string { return string(r.take(int(r.number(1)))) }
+func (d *decoder) shortString() string { return string(d.take(int(d.uint(1)))) }
 
-func (r *reader) long() []byte {
-	n := r.number(4)
-	if n > uint64(len(r.left)) {
-		r.err = ErrSyntax
+func (d *decoder) longString() []byte {
+	n := d.uint(4)
+	if n > uint64(len(d.remaining)) {
+		d.err = ErrSyntax
 		return nil
 	}
-	return r.take(int(n))
+	return d.take(int(n))
 }
 
-func (r *reader) values(kinds string) (args []any) {
-	bits, used := uint64(0), 8
-	for _, k := range kinds {
+// arguments decodes values of the signature's kinds, see methodsByID.
+func (d *decoder) arguments(signature string) (args []any) {
+	bits, used := uint64(0), bitsPerOctet // the octet of consecutive bit arguments, and how many of its bits are used
+	for _, k := range signature {
 		if k != 'b' {
-			used = 8
+			used = bitsPerOctet
 		}
 		switch k {
 		case 'o':
-			args = append(args, uint8(r.number(1)))
+			args = append(args, uint8(d.uint(1)))
 		case 'h':
-			args = append(args, uint16(r.number(2)))
+			args = append(args, uint16(d.uint(2)))
 		case 'l':
-			args = append(args, uint32(r.number(4)))
+			args = append(args, uint32(d.uint(4)))
 		case 'q':
-			args = append(args, r.number(8))
+			args = append(args, d.uint(8))
 		case 'S':
-			args = append(args, r.short())
+			args = append(args, d.shortString())
 		case 'L':
-			args = append(args, string(r.long()))
+			args = append(args, string(d.longString()))
 		case 'T':
-			args = append(args, r.table(0))
+			args = append(args, d.table(0))
 		case 'b':
-			if used == 8 {
-				bits, used = r.number(1), 0
+			if used == bitsPerOctet {
+				bits, used = d.uint(1), 0
 			}
 			args = append(args, bits>>used&1 == 1)
 			used++
@@ -84,17 +109,18 @@
 	return args
 }
 
-func (r *reader) table(depth int) Table {
-	in := &reader{left: r.long()}
+// table decodes a field table; depth counts the tables around it.
+func (d *decoder) table(depth int) Table {
+	in := &decoder{remaining: d.longString()}
 	t := Table{}
-	for r.err == nil && len(in.left) > 0 {
-		name := in.short()
-		if len(t) >= mostEntries {
+	for d.err == nil && len(in.remaining) > 0 {
+		name := in.shortString()
+		if len(t) >= maxTableEntries {
 			in.err = ErrSyntax
 		}
 		v := in.value(depth)
 		if in.err != nil {
-			r.err = in.err
+			d.err = in.err
 			return nil
 		}
 		t[name] = v
@@ -102,59 +128,64 @@
 	return t
 }
 
-func (r *reader) value(depth int) any {
-	if depth > mostDepth {
-		r.err = ErrSyntax
+// value decodes one field value.
+func (d *decoder) value(depth int) any {
+	if depth > maxTableDepth {
+		d.err = ErrSyntax
 		return nil
 	}
-	switch kind := r.number(1); kind {
-	case 't':
-		return r.number(1) != 0
-	case 'b':
-		return int8(r.number(1))
-	case 'B':
-		return uint8(r.number(1))
-	case 's', 'U':
-		return int16(r.number(2))
-	case 'u':
-		return uint16(r.number(2))
-	case 'I':
-		return int32(r.number(4))
-	case 'i':
-		return uint32(r.number(4))
-	case 'l', 'L':
-		return int64(r.number(8))
-	case 'f':
-		return math.Float32frombits(uint32(r.number(4)))
-	case 'd':
-		return math.Float64frombits(r.number(8))
-	case 'D':
-		scale := r.number(1)
-		return float64(int32(r.number(4))) / math.Pow10(int(scale))
-	case 'S':
-		return string(r.long())
-	case 'x':
-		return slices.Clone(r.long())
-	case 'T':
-		return time.Unix(int64(r.number(8)), 0)
-	case 'F':
-		return r.table(depth + 1)
-	case 'V':
+	switch d.uint(1) {
+	case fieldBool:
+		return d.uint(1) != 0
+	case fieldInt8:
+		return int8(d.uint(1))
+	case fieldUint8:
+		return uint8(d.uint(1))
+	case fieldInt16, fieldSpecInt16:
+		return int16(d.uint(2))
+	case fieldUint16:
+		return uint16(d.uint(2))
+	case fieldInt32:
+		return int32(d.uint(4))
+	case fieldUint32:
+		return uint32(d.uint(4))
+	case fieldInt64, fieldSpecInt64:
+		return int64(d.uint(8))
+	case fieldFloat32:
+		return math.Float32frombits(uint32(d.uint(4)))
+	case fieldFloat64:
+		return math.Float64frombits(d.uint(8))
+	case fieldDecimal:
+		scale := d.uint(1)
+		return float64(int32(d.uint(4))) / math.Pow10(int(scale))
+	case fieldString:
+		return string(d.longString())
+	case fieldBytes:
+		return slices.Clone(d.longString())
+	case fieldTimestamp:
+		return time.Unix(int64(d.uint(8)), 0)
+	case fieldTable:
+		return d.table(depth + 1)
+	case fieldVoid:
 		return nil
-	case 'A':
-		in := &reader{left: r.long()}
-		var list []any
-		for r.err == nil && len(in.left) > 0 {
-			if len(list) >= mostEntries {
-				in.err = ErrSyntax
-			}
-			v := in.value(depth + 1)
-			if r.err = in.err; r.err == nil {
-				list = append(list, v)
-			}
-		}
-		return list
+	case fieldArray:
+		return d.array(depth + 1)
 	}
-	r.err = ErrSyntax
+	d.err = ErrSyntax
 	return nil
 }
+
+func (d *decoder) array(depth int) []any {
+	in := &decoder{remaining: d.longString()}
+	var list []any
+	for d.err == nil && len(in.remaining) > 0 {
+		if len(list) >= maxTableEntries {
+			in.err = ErrSyntax
+		}
+		element := in.value(depth)
+		if d.err = in.err; d.err == nil {
+			list = append(list, element)
+		}
+	}
+	return list
+}
--- a/internal/fake/broker/encode.go
+++ b/internal/fake/broker/encode.go
@@ -1,5 +1,3 @@
-// This file owns the writing of arguments and field tables.
-
 package broker
 
 import (
@@ -10,20 +8,22 @@
 	"time"
 )
 
-func appendShort(out []byte, s string) []byte {
+// appendShortString appends a short string, truncated to its maximum of 255 bytes.
+func appendShortString(out []byte, s string) []byte {
 	s = s[:min(len(s), 255)]
 	return append(append(out, byte(len(s))), s...)
 }
 
-func appendLong(out, b []byte) []byte {
+func appendLongString(out, b []byte) []byte {
 	return append(binary.BigEndian.AppendUint32(out, uint32(len(b))), b...)
 }
 
-func appendValues(out []byte, kinds string, args []any) []byte {
-	bits, used := 0, 8 // place of the octet of bits, and how many of it are used
-	for i, k := range kinds {
+// appendArguments appends values of the signature's kinds, see methodsByID.
+func appendArguments(out []byte, signature string, args []any) []byte {
+	bits, used := 0, bitsPerOctet // index of the octet of consecutive bit arguments, and how many of its bits are used
+	for i, k := range signature {
 		if k != 'b' {
-			used = 8
+			used = bitsPerOctet
 		}
 		switch k {
 		case 'o':
@@ -35,13 +35,13 @@
 		case 'q':
 			out = binary.BigEndian.AppendUint64(out, args[i].(uint64))
 		case 'S':
-			out = appendShort(out, args[i].(string))
+			out = appendShortString(out, args[i].(string))
 		case 'L':
-			out = appendLong(out, []byte(args[i].(string)))
+			out = appendLongString(out, []byte(args[i].(string)))
 		case 'T':
 			out = appendTable(out, args[i].(Table))
 		case 'b':
-			if used == 8 {
+			if used == bitsPerOctet {
 				bits, used = len(out), 0
 				out = append(out, 0)
 			}
@@ -54,63 +54,65 @@
 	return out
 }
 
+// appendTable appends a field table.
 func appendTable(out []byte, t Table) []byte {
 	var in []byte
 	names := make([]string, 0, len(t))
 	for name := range t {
 		names = append(names, name)
 	}
-	sort.Strings(names) // the same table is the same bytes
+	sort.Strings(names) // for a deterministic encoding
 	for _, name := range names {
-		in = appendValue(appendShort(in, name), t[name])
+		in = appendValue(appendShortString(in, name), t[name])
 	}
-	return appendLong(out, in)
+	return appendLongString(out, in)
 }
 
+// appendValue appends a field value with its kind; it panics for a type that Table does not allow.
 func appendValue(out []byte, v any) []byte {
 	be := binary.BigEndian
 	switch v := v.(type) {
 	case nil:
-		return append(out, 'V')
+		return append(out, fieldVoid)
 	case bool:
 		if v {
-			return append(out, 't', 1)
+			return append(out, fieldBool, 1)
 		}
-		return append(out, 't', 0)
+		return append(out, fieldBool, 0)
 	case int8:
-		return append(out, 'b', byte(v))
+		return append(out, fieldInt8, byte(v))
 	case uint8:
-		return append(out, 'B', v)
+		return append(out, fieldUint8, v)
 	case int16:
-		return be.AppendUint16(append(out, 's'), uint16(v))
+		return be.AppendUint16(append(out, fieldInt16), uint16(v))
 	case uint16:
-		return be.AppendUint16(append(out, 'u'), v)
+		return be.AppendUint16(append(out, fieldUint16), v)
 	case int32:
-		return be.AppendUint32(append(out, 'I'), uint32(v))
+		return be.AppendUint32(append(out, fieldInt32), uint32(v))
 	case uint32:
-		return be.AppendUint32(append(out, 'i'), v)
+		return be.AppendUint32(append(out, fieldUint32), v)
 	case int:
-		return be.AppendUint64(append(out, 'l'), uint64(v))
+		return be.AppendUint64(append(out, fieldInt64), uint64(v))
 	case int64:
-		return be.AppendUint64(append(out, 'l'), uint64(v))
+		return be.AppendUint64(append(out, fieldInt64), uint64(v))
 	case float32:
-		return be.AppendUint32(append(out, 'f'), math.Float32bits(v))
+		return be.AppendUint32(append(out, fieldFloat32), math.Float32bits(v))
 	case float64:
-		return be.AppendUint64(append(out, 'd'), math.Float64bits(v))
+		return be.AppendUint64(append(out, fieldFloat64), math.Float64bits(v))
 	case string:
-		return appendLong(append(out, 'S'), []byte(v))
+		return appendLongString(append(out, fieldString), []byte(v))
 	case []byte:
-		return appendLong(append(out, 'x'), v)
+		return appendLongString(append(out, fieldBytes), v)
 	case time.Time:
-		return be.AppendUint64(append(out, 'T'), uint64(v.Unix()))
+		return be.AppendUint64(append(out, fieldTimestamp), uint64(v.Unix()))
 	case Table:
-		return appendTable(append(out, 'F'), v)
+		return appendTable(append(out, fieldTable), v)
 	case []any:
 		var in []byte
-		for _, x := range v {
-			in = appendValue(in, x)
+		for _, element := range v {
+			in = appendValue(in, element)
 		}
-		return appendLong(append(out, 'A'), in)
+		return appendLongString(append(out, fieldArray), in)
 	}
 	panic(fmt.Sprintf("no field of a table: %T", v))
 }
--- a/internal/fake/broker/handshake.go
+++ b/internal/fake/broker/handshake.go
@@ -1,5 +1,3 @@
-// This file owns the start of a connection, in the strict order of the specification, and its heartbeats.
-
 package broker
 
 import (
@@ -8,65 +6,86 @@
 	"time"
 )
 
-// greet takes start-ok, tune-ok and open, in this order.
-func (c *conn) greet(step *int, f Frame) error {
+// handshakeStep counts the methods of the handshake that have come.
+type handshakeStep int
+
+// handshakeMethods are the methods of the handshake, in the order that the specification demands.
+var handshakeMethods = [...]string{"connection.start-ok", "connection.tune-ok", "connection.open"}
+
+const handshakeDone = handshakeStep(len(handshakeMethods))
+
+// handshake handles the frames of a connection that is not open yet.
+func (c *conn) handshake(f Frame) error {
 	if f.Kind == frameHeartbeat {
 		return nil
 	}
 	m, err := DecodeMethod(f.Payload)
-	if want := []string{"connection.start-ok", "connection.tune-ok", "connection.open"}[*step]; err != nil || f.Kind != frameMethod || f.Channel != 0 || m.Name != want {
-		return fatal{503, "COMMAND_INVALID"}
+	if err != nil || f.Kind != frameMethod || f.Channel != 0 || m.Name != handshakeMethods[c.handshakes] {
+		return errCommandInvalid
 	}
-	*step++
-	switch *step {
-	case 1:
-		switch c.b.hit("login") {
-		case "refuse":
-			return fatal{403, "ACCESS_REFUSED"}
-		case "cut":
-			return io.EOF
-		case "nonsense":
-			c.write([]byte("HTTP/1.1 400 Bad Request\r\n\r\n"))
-			return io.EOF
-		case "mute":
-			c.muted = true
-		}
-		if part := strings.Split(m.Args[2].(string), "\x00"); m.Args[1] != "PLAIN" || len(part) != 3 || part[1] == "" {
-			return fatal{403, "ACCESS_REFUSED"}
-		}
-		if name, ok := m.Args[0].(Table)["connection_name"].(string); ok {
-			c.name = name
-		}
-		c.send(0, "connection.tune", uint16(mostChannels), c.b.FrameMax, c.b.Heartbeat)
-	case 2:
-		if size := m.Args[1].(uint32); size != 0 && size <= c.b.FrameMax && size >= 4096 {
-			c.frameMax = size
-		} else {
-			return fatal{503, "COMMAND_INVALID"}
-		}
-		if s := m.Args[2].(uint16); s > 0 {
-			c.beat = time.Duration(s) * time.Second
-			c.beats()
-		}
-	case 3:
-		c.open = true
-		c.send(0, "connection.open-ok", "")
+	c.handshakes++
+	switch m.Name {
+	case "connection.start-ok":
+		return c.logIn(m)
+	case "connection.tune-ok":
+		return c.tune(m)
+	}
+	c.sendMethod(0, "connection.open-ok", "")
+	return nil
+}
+
+// logIn checks the peer's credentials, of which any name does, and offers the connection's limits.
+func (c *conn) logIn(startOK Method) error {
+	const propertiesArg, mechanismArg, responseArg = 0, 1, 2
+	switch c.broker.faultAt(AtLogin) {
+	case Refuse:
+		return errLoginRefused
+	case Cut:
+		return io.EOF
+	case Nonsense:
+		c.write([]byte("HTTP/1.1 400 Bad Request\r\n\r\n"))
+		return io.EOF
+	case Mute:
+		c.outputMuted = true
+	}
+	credentials := strings.Split(startOK.Args[responseArg].(string), "\x00")
+	if startOK.Args[mechanismArg] != "PLAIN" || len(credentials) != 3 || credentials[1] == "" {
+		return errLoginRefused
+	}
+	if name, ok := startOK.Args[propertiesArg].(Table)["connection_name"].(string); ok {
+		c.peer = name
+	}
+	c.sendMethod(0, "connection.tune", uint16(maxChannels), c.broker.FrameMax, c.broker.Heartbeat)
+	return nil
+}
+
+// tune takes over the limits that the peer has chosen.
+func (c *conn) tune(tuneOK Method) error {
+	const frameMaxArg, heartbeatArg = 1, 2
+	frameMax := tuneOK.Args[frameMaxArg].(uint32)
+	if frameMax < minFrameMax || frameMax > c.broker.FrameMax {
+		return errCommandInvalid
+	}
+	c.frameMax = frameMax
+	if seconds := tuneOK.Args[heartbeatArg].(uint16); seconds > 0 {
+		c.heartbeat = time.Duration(seconds) * time.Second
+		c.scheduleHeartbeat()
 	}
 	return nil
 }
 
-// beats sends a heartbeat in each half of the time agreed.
-func (c *conn) beats() {
-	time.AfterFunc(c.beat/2, func() {
-		c.b.mu.Lock()
-		defer c.b.mu.Unlock()
-		if c.ended {
+// scheduleHeartbeat sends a heartbeat each half of the agreed interval, until the connection is closed.
+func (c *conn) scheduleHeartbeat() {
+	time.AfterFunc(c.heartbeat/2, func() {
+		c.broker.mu.Lock()
+		defer c.broker.mu.Unlock()
+		if c.closed {
 			return
 		}
-		if c.b.hit("heartbeat") == "mute" {
-			c.muted = true
+		if c.broker.faultAt(AtHeartbeat) == Mute {
+			c.outputMuted = true
 		}
 		c.write(AppendFrame(nil, frameHeartbeat, 0, nil))
-		c.beats()
+		c.scheduleHeartbeat()
 	})
 }
--- a/internal/fake/broker/props.go
+++ b/internal/fake/broker/props.go
@@ -1,80 +1,90 @@
-// This file owns the properties of a message.
-
 package broker
 
-import "encoding/binary"
+import (
+	"encoding/binary"
+	"maps"
+)
 
-// Props are the properties of a message, by the places below; nil: not there.
+// Props are the properties of a message, indexed by the constants below; an absent property is nil.
 type Props [14]any
 
-// The places of the properties, in the order of the specification.
+// Indexes of the properties, in the order of the specification. A property is a string where nothing else is stated.
 const (
-	ContentType     = iota
-	ContentEncoding // string, as all that is not said otherwise
-	Headers         // Table
-	DeliveryMode    // uint8
-	Priority        // uint8
+	ContentType = iota
+	ContentEncoding
+	Headers      // Table
+	DeliveryMode // uint8
+	Priority     // uint8
 	CorrelationID
 	ReplyTo
 	Expiration
 	MessageID
-	Timestamp // uint64, seconds
+	Timestamp // uint64, Unix time in seconds
 	Type
 	UserID
 	AppID
 	ClusterID
 )
 
-const propKinds = "SSTooSSSSqSSSS"
+// propertySignature has the kinds of the properties, as in methodsByID.
+const propertySignature = "SSTooSSSSqSSSS"
 
-// Text is a property that is a text; none is empty.
-func (p *Props) Text(place int) string { s, _ := p[place].(string); return s }
+// Text is the string property at index; empty when it is absent.
+func (p *Props) Text(index int) string {
+	text, _ := p[index].(string)
+	return text
+}
 
-// Header is one of the headers; nil: none.
-func (p *Props) Header(name string) any { t, _ := p[Headers].(Table); return t[name] }
+// Header is the header of that name; nil when it is absent.
+func (p *Props) Header(name string) any {
+	headers, _ := p[Headers].(Table)
+	return headers[name]
+}
 
-// WithHeader is a copy with that header set.
-func (p Props) WithHeader(name string, v any) Props {
-	t := Table{}
+// WithHeader returns a copy with that header set.
+func (p Props) WithHeader(name string, value any) Props {
+	headers := Table{}
 	if old, ok := p[Headers].(Table); ok {
-		for k, x := range old {
-			t[k] = x
-		}
+		maps.Copy(headers, old)
 	}
-	t[name] = v
-	p[Headers] = t
+	headers[name] = value
+	p[Headers] = headers
 	return p
 }
 
-// DecodeHeader reads the payload of a content header of the class basic.
-func DecodeHeader(payload []byte) (size uint64, p Props, err error) {
-	r := &reader{left: payload}
-	class, weight := r.number(2), r.number(2)
-	size = r.number(8)
-	flags := r.number(2)
-	if class != 60 || weight != 0 || flags&3 != 0 { // a further word of flags or an unknown one
+// classBasic is the class ID of content.
+const classBasic = 60
+
+// DecodeHeader decodes the payload of a content header of class basic: the size of the body in bytes and the properties. It
+// returns ErrSyntax.
+func DecodeHeader(payload []byte) (bodySize uint64, p Props, err error) {
+	r := &decoder{remaining: payload}
+	class, weight := r.uint(2), r.uint(2)
+	bodySize = r.uint(8)
+	flags := r.uint(2)
+	if class != classBasic || weight != 0 || flags&3 != 0 { // bit 0 announces more flags, bit 1 is undefined
 		return 0, p, ErrSyntax
 	}
-	for i, kind := range propKinds {
+	for i, kind := range propertySignature {
 		if flags>>(15-i)&1 == 1 {
-			p[i] = r.values(string(kind))[0]
+			p[i] = r.arguments(string(kind))[0]
 		}
 	}
-	return size, p, r.end()
+	return bodySize, p, r.finish()
 }
 
-// AppendHeader writes it.
-func AppendHeader(out []byte, size int, p Props) []byte {
-	out = binary.BigEndian.AppendUint32(out, 60<<16)
-	out = binary.BigEndian.AppendUint64(out, uint64(size))
-	flags, at := uint16(0), len(out)
+// AppendHeader appends the payload of a content header of class basic.
+func AppendHeader(out []byte, bodySize int, p Props) []byte {
+	out = binary.BigEndian.AppendUint32(out, classBasic<<16)
+	out = binary.BigEndian.AppendUint64(out, uint64(bodySize))
+	flags, flagsAt := uint16(0), len(out)
 	out = append(out, 0, 0)
-	for i, kind := range propKinds {
+	for i, kind := range propertySignature {
 		if p[i] != nil {
 			flags |= 1 << (15 - i)
-			out = appendValues(out, string(kind), p[i:i+1])
+			out = appendArguments(out, string(kind), p[i:i+1])
 		}
 	}
-	binary.BigEndian.PutUint16(out[at:], flags)
+	binary.BigEndian.PutUint16(out[flagsAt:], flags)
 	return out
 }
--- a/internal/fake/broker/script.go
+++ b/internal/fake/broker/script.go
@@ -1,73 +1,137 @@
-// The script: which fault is committed when. Counting is per kind of event over the broker's life, so the same
-// doings of the peers meet the same faults.
-
 package broker
 
 import (
+	"errors"
 	"fmt"
+	"slices"
 	"strconv"
 	"strings"
 )
 
-// Fault is committed at the Nth event of a kind, and at each Every-th one after where that is set.
-type Fault struct {
-	On    string // deliver, settle, publish, login, consume, cancel, heartbeat
-	Nth   int    // 1: the first
-	Every int    // 0: once
-	Do    string
+// FaultPoint is an event at which a fault can be injected.
+type FaultPoint string
+
+// The points at which faults can be injected.
+const (
+	AtDeliver   FaultPoint = "deliver"
+	AtSettle    FaultPoint = "settle"
+	AtPublish   FaultPoint = "publish"
+	AtLogin     FaultPoint = "login"
+	AtConsume   FaultPoint = "consume"
+	AtCancel    FaultPoint = "cancel"
+	AtHeartbeat FaultPoint = "heartbeat"
+)
+
+// FaultAction is the fault that is injected at a point.
+type FaultAction string
+
+// The faults. Their strings are those of ParseFault.
+const (
+	CutBefore     FaultAction = "cut-before"    // close the connection before the event
+	CutInside     FaultAction = "cut-inside"    // send a truncated frame, then close the connection
+	CutAfter      FaultAction = "cut-after"     // close the connection after the event
+	Cut           FaultAction = "cut"           // close the connection
+	Twice         FaultAction = "twice"         // deliver the message twice
+	Reorder       FaultAction = "reorder"       // swap the message with the next one
+	Nonsense      FaultAction = "nonsense"      // send bytes that are no AMQP
+	Huge          FaultAction = "huge"          // send a frame header with a payload size of 2 GB
+	Endless       FaultAction = "endless"       // send a frame whose end never comes
+	Foreign       FaultAction = "foreign"       // deliver to a consumer tag that does not exist
+	SameTag       FaultAction = "same-tag"      // send two messages with one delivery tag
+	Mute          FaultAction = "mute"          // send nothing more
+	StopReading   FaultAction = "stop-reading"  // read nothing more, until Release
+	Cancel        FaultAction = "cancel"        // cancel the consumer
+	ChannelError  FaultAction = "channel-error" // close the channel with an error
+	RestartBroker FaultAction = "restart"       // close all connections
+	Block         FaultAction = "block"         // send connection.blocked
+	Drop          FaultAction = "drop"          // ignore the ack
+	DropCut       FaultAction = "drop-cut"      // ignore the ack and close the connection
+	NoConfirm     FaultAction = "no-confirm"    // never confirm the message
+	LateConfirm   FaultAction = "late-confirm"  // confirm the message at Release
+	Refuse        FaultAction = "refuse"        // nack the message, or refuse the login
+	Ignore        FaultAction = "ignore"        // neither act nor answer
+)
+
+const noFault FaultAction = ""
+
+// faultActions are the faults that are possible at each point.
+var faultActions = map[FaultPoint][]FaultAction{
+	AtDeliver: {CutBefore, CutInside, CutAfter, Twice, Reorder, Nonsense, Huge, Endless, Foreign,
+		SameTag, Mute, StopReading, Cancel, ChannelError, RestartBroker, Block},
+	AtSettle:    {Drop, DropCut, CutAfter, RestartBroker, StopReading},
+	AtPublish:   {NoConfirm, LateConfirm, Refuse, ChannelError, CutBefore, CutAfter},
+	AtLogin:     {Refuse, Cut, Nonsense, Mute},
+	AtConsume:   {ChannelError, Cut},
+	AtCancel:    {Ignore},
+	AtHeartbeat: {Mute},
 }
 
-// What can be done at which event.
-var faults = map[string][]string{
-	"deliver": {"cut-before", "cut-inside", "cut-after", "twice", "reorder", "nonsense", "huge", "endless", "foreign",
-		"same-tag", "mute", "stop-reading", "cancel", "channel-error", "restart", "block"},
-	"settle":    {"drop", "drop-cut", "cut-after", "restart", "stop-reading"},
-	"publish":   {"no-confirm", "late-confirm", "refuse", "channel-error", "cut-before", "cut-after"},
-	"login":     {"refuse", "cut", "nonsense", "mute"},
-	"consume":   {"channel-error", "cut"},
-	"cancel":    {"ignore"},
-	"heartbeat": {"mute"},
+// ErrInvalidFault is the error of a fault that cannot be injected at its point, or does not parse.
+var ErrInvalidFault = errors.New("invalid fault")
+
+// Fault is an action injected at the Nth event of a point, and at each Every-th one after it. Events are counted over the
+// broker's life.
+type Fault struct {
+	Point  FaultPoint
+	Nth    int // from 1
+	Every  int // 0 for a single injection
+	Action FaultAction
 }
 
-// Check says what is wrong with it.
+// Check returns ErrInvalidFault when the fault cannot be injected.
 func (f Fault) Check() error {
-	for _, do := range faults[f.On] {
-		if do == f.Do && f.Nth > 0 && f.Every >= 0 {
-			return nil
-		}
+	if slices.Contains(faultActions[f.Point], f.Action) && f.Nth > 0 && f.Every >= 0 {
+		return nil
 	}
-	return fmt.Errorf("fault: found %s:%d+%d:%s, expected EVENT:NTH[+EVERY]:FAULT of %v", f.On, f.Nth, f.Every, f.Do, faults)
+	return fmt.Errorf("%w: found %s:%d+%d:%s, expected EVENT:NTH[+EVERY]:FAULT of %v", ErrInvalidFault, f.Point, f.Nth, f.Every, f.Action, faultActions)
 }
 
-// ParseFault reads EVENT:NTH[+EVERY]:FAULT.
+// matches reports whether the fault is due at the n-th event of its point.
+func (f Fault) matches(point FaultPoint, n int) bool {
+	if f.Point != point {
+		return false
+	}
+	return n == f.Nth || f.Every > 0 && n > f.Nth && (n-f.Nth)%f.Every == 0
+}
+
+// ParseFault parses EVENT:NTH[+EVERY]:FAULT.
 func ParseFault(text string) (f Fault, err error) {
-	part := strings.Split(text, ":")
-	if len(part) == 3 {
-		nth, every, more := strings.Cut(part[1], "+")
-		f.On, f.Do = part[0], part[2]
-		if f.Nth, err = strconv.Atoi(nth); err == nil && more {
+	parts := strings.Split(text, ":")
+	if len(parts) == 3 {
+		nth, every, hasEvery := strings.Cut(parts[1], "+")
+		f.Point, f.Action = FaultPoint(parts[0]), FaultAction(parts[2])
+		if f.Nth, err = strconv.Atoi(nth); err == nil && hasEvery {
 			f.Every, err = strconv.Atoi(every)
 		}
 	}
 	if err != nil || f.Check() != nil {
-		return f, fmt.Errorf("fault: found %q, expected EVENT:NTH[+EVERY]:FAULT of %v", text, faults)
+		return f, fmt.Errorf("%w: found %q, expected EVENT:NTH[+EVERY]:FAULT of %v", ErrInvalidFault, text, faultActions)
 	}
 	return f, nil
 }
 
-type script struct {
-	faults []Fault
-	counts map[string]int
+// faultScript decides which fault is injected when.
+type faultScript struct {
+	faults      []Fault
+	pointCounts map[FaultPoint]int
 }
 
-// hit counts an event and tells what is to be done at it; empty: nothing.
-func (s *script) hit(on string) string {
-	s.counts[on]++
-	n := s.counts[on]
-	for _, f := range s.faults {
-		if f.On == on && (n == f.Nth || f.Every > 0 && n > f.Nth && (n-f.Nth)%f.Every == 0) {
-			return f.Do
+// next counts an event and returns the action due at it, or noFault.
+func (s *faultScript) next(point FaultPoint) FaultAction {
+	s.pointCounts[point]++
+	for _, fault := range s.faults {
+		if fault.matches(point, s.pointCounts[point]) {
+			return fault.Action
 		}
 	}
-	return ""
+	return noFault
+}
+
+// faultAt counts an event of the script, and emits EventFault when a fault is due.
+func (b *Broker) faultAt(point FaultPoint) FaultAction {
+	action := b.script.next(point)
+	if action != noFault {
+		b.emit(EventFault, nil)
+	}
+	return action
 }
--- /dev/null
+++ b/internal/fake/broker/server.go
@@ -0,0 +1,68 @@
+package broker
+
+import (
+	"fmt"
+	"net"
+	"net/netip"
+	"sync"
+)
+
+// server is the listener of a broker, and the goroutines of its connections.
+type server struct {
+	listener   net.Listener
+	goroutines sync.WaitGroup
+}
+
+// Start listens at a loopback address and returns the bound address.
+func (b *Broker) Start(address string) (string, error) {
+	if a, err := netip.ParseAddrPort(address); err != nil || !a.Addr().IsLoopback() {
+		return "", fmt.Errorf("broker: found %q, expected a loopback address and a port", address)
+	}
+	l, err := net.Listen("tcp", address)
+	if err != nil {
+		return "", err
+	}
+	b.server = &server{listener: l}
+	b.server.goroutines.Add(1)
+	go b.acceptLoop(l)
+	return l.Addr().String(), nil
+}
+
+func (b *Broker) acceptLoop(l net.Listener) {
+	defer b.server.goroutines.Done()
+	for {
+		c, err := l.Accept()
+		if err != nil {
+			return
+		}
+		b.accept(c)
+	}
+}
+
+// Close closes all connections and ends the broker; it wakes who waits in WaitForQueue or WaitForEvents.
+func (b *Broker) Close() {
+	b.mu.Lock()
+	b.closed = true
+	b.closeAllConns()
+	b.changed.Broadcast()
+	b.mu.Unlock()
+	b.server.listener.Close()
+	b.server.goroutines.Wait()
+}
+
+// accept starts a connection, or closes it when the broker is closed or has maxConns.
+func (b *Broker) accept(n net.Conn) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	if b.closed || len(b.conns) >= maxConns {
+		n.Close()
+		return
+	}
+	b.connsAccepted++
+	c := &conn{broker: b, net: n, number: b.connsAccepted, channels: map[uint16]*channel{}, frameMax: b.FrameMax}
+	c.wake = sync.NewCond(&b.mu)
+	b.conns[c] = struct{}{}
+	b.server.goroutines.Add(2)
+	go c.writeLoop()
+	go c.readLoop()
+}
--- a/internal/fake/broker/settle.go
+++ b/internal/fake/broker/settle.go
@@ -1,5 +1,3 @@
-// This file owns how deliveries end: settled by their consumer, or back at the queue as a consumer, a channel or a connection goes.
-
 package broker
 
 import (
@@ -8,108 +6,158 @@
 	"time"
 )
 
-// settle ends deliveries: acked, or requeued, or rejected for the dead-letter exchange.
-func (b *Broker) settle(ch *channel, tag uint64, multiple bool, how string) bool {
-	var tags []uint64
-	for t := range ch.out {
-		if t == tag || multiple && (t < tag || tag == 0) {
-			tags = append(tags, t)
+// flushTimeout bounds the writing of a closed connection's output to a peer that does not read.
+const flushTimeout = 2 * time.Second
+
+// tagRange is the delivery tags that a peer settles: one, or with multiple all up to it, where 0 stands for all.
+type tagRange struct {
+	tag      uint64
+	multiple bool
+}
+
+func (r tagRange) contains(tag uint64) bool {
+	return tag == r.tag || r.multiple && (tag < r.tag || r.tag == 0)
+}
+
+// settle settles unacked deliveries as acked, requeued or rejected. It returns false when the range names none, though it may
+// be empty when it stands for all.
+func (b *Broker) settle(ch *channel, tags tagRange, outcome EventKind) bool {
+	var settled []uint64
+	for tag := range ch.unacked {
+		if tags.contains(tag) {
+			settled = append(settled, tag)
 		}
 	}
-	if len(tags) == 0 && !(multiple && tag == 0) {
+	if len(settled) == 0 && !(tags.multiple && tags.tag == 0) {
 		return false
 	}
-	slices.Sort(tags)
-	for _, t := range tags {
-		switch do := b.hit("settle"); do {
-		case "drop", "drop-cut": // the ack never came here
-			b.tell("ack-dropped", ch.conn, ch.out[t].q, ch.out[t].m, t)
-			if do == "drop-cut" {
-				b.drop(ch.conn, "")
-				return true
-			}
-			continue
-		case "restart":
-			b.restart()
-			return true
-		case "stop-reading":
-			ch.conn.deaf = true
-		case "cut-after":
-			b.end(ch, t, how)
-			b.drop(ch.conn, "")
-			return true
+	slices.Sort(settled)
+	for _, tag := range settled {
+		if !b.settleOne(ch, tag, outcome) {
+			break
 		}
-		b.end(ch, t, how)
 	}
 	return true
 }
 
-// end takes one delivery out of the unsettled.
-func (b *Broker) end(ch *channel, tag uint64, how string) {
-	u := ch.out[tag]
-	delete(ch.out, tag)
-	u.c.out--
-	u.q.out--
-	if how == "requeued" || how == "gone" {
-		u.m.again = true
-		u.m.times++
-		if limit, ok := u.q.args["x-delivery-limit"].(int64); !ok || int64(u.m.times) <= limit {
-			b.tell(how, ch.conn, u.q, u.m, tag)
-			u.q.putBack(u.m)
-			return
+// settleOne settles one delivery, or injects a fault; it returns false when the connection has been closed.
+func (b *Broker) settleOne(ch *channel, tag uint64, outcome EventKind) bool {
+	switch action := b.faultAt(AtSettle); action {
+	case Drop, DropCut:
+		lost := ch.unacked[tag]
+		b.emitMessage(EventAckDropped, ch.conn, lost.queue, lost.message, tag)
+		if action == DropCut {
+			b.closeConn(ch.conn, closeNow)
 		}
-		how = "rejected"
+		return action == Drop
+	case RestartBroker:
+		b.closeAllConns()
+		return false
+	case CutAfter:
+		b.endDelivery(ch, tag, outcome)
+		b.closeConn(ch.conn, closeNow)
+		return false
+	case StopReading:
+		ch.conn.inputPaused = true
 	}
-	if how == "acked" && u.m.times < b.Again {
-		u.m.again = true
-		u.m.times++
-		b.tell("ack-dropped", ch.conn, u.q, u.m, tag)
-		u.q.putBack(u.m)
+	b.endDelivery(ch, tag, outcome)
+	return true
+}
+
+// endDelivery removes an unacked delivery, and requeues, drops or dead-letters its message.
+func (b *Broker) endDelivery(ch *channel, tag uint64, outcome EventKind) {
+	ended := ch.unacked[tag]
+	delete(ch.unacked, tag)
+	ended.consumer.unacked--
+	ended.queue.unacked--
+	requeues := outcome == EventRequeued || outcome == EventReturned
+	if requeues && !ended.nextRequeueExceedsLimit() {
+		b.requeueDelivery(ch, tag, ended, outcome)
 		return
 	}
-	b.held--
-	b.tell(how, ch.conn, u.q, u.m, tag)
-	if to, ok := u.q.args["x-dead-letter-exchange"].(string); ok && how == "rejected" {
-		key, ok := u.q.args["x-dead-letter-routing-key"].(string)
-		if !ok {
-			key = u.m.key
-		}
-		b.route(ch.conn, to, key, u.m.props.WithHeader("x-first-death-reason", "rejected"), u.m.body)
+	if requeues {
+		ended.message.redelivered = true
+		ended.message.requeues++
+		outcome = EventRejected
+	}
+	if outcome == EventAcked && ended.message.requeues < b.Redeliveries {
+		b.requeueDelivery(ch, tag, ended, EventAckDropped)
+		return
+	}
+	b.messageCount--
+	b.emitMessage(outcome, ch.conn, ended.queue, ended.message, tag)
+	if outcome == EventRejected {
+		b.deadLetter(ch, ended)
 	}
 }
 
-// back puts all that a channel has out into its queues again.
-func (b *Broker) back(ch *channel) {
-	for _, t := range slices.Backward(slices.Sorted(maps.Keys(ch.out))) {
-		b.end(ch, t, "gone")
+// nextRequeueExceedsLimit reports whether one more requeue is beyond the queue's x-delivery-limit.
+func (d delivery) nextRequeueExceedsLimit() bool {
+	limit, ok := d.queue.args["x-delivery-limit"].(int64)
+	return ok && int64(d.message.requeues)+1 > limit
+}
+
+func (b *Broker) requeueDelivery(ch *channel, tag uint64, ended delivery, event EventKind) {
+	ended.message.redelivered = true
+	ended.message.requeues++
+	b.emitMessage(event, ch.conn, ended.queue, ended.message, tag)
+	ended.queue.requeue(ended.message)
+}
+
+// deadLetter routes a rejected message to the queue's dead-letter exchange, where it has one.
+func (b *Broker) deadLetter(ch *channel, rejected delivery) {
+	exchange, ok := rejected.queue.args["x-dead-letter-exchange"].(string)
+	if !ok {
+		return
+	}
+	key, ok := rejected.queue.args["x-dead-letter-routing-key"].(string)
+	if !ok {
+		key = rejected.message.key
+	}
+	props := rejected.message.props.WithHeader("x-first-death-reason", "rejected")
+	b.route(ch.conn, publication{exchange, key, props, rejected.message.body})
+}
+
+// releaseChannel removes a channel's consumers and requeues its unacked messages.
+func (b *Broker) releaseChannel(ch *channel) {
+	for _, c := range ch.consumers {
+		b.removeConsumer(c)
+	}
+	for _, tag := range slices.Backward(slices.Sorted(maps.Keys(ch.unacked))) {
+		b.endDelivery(ch, tag, EventReturned)
 	}
 }
 
-// cancel ends a consumer; what it has out stays its channel's to settle.
-func (b *Broker) cancel(c *consumer) {
-	c.q.consumers = slices.DeleteFunc(c.q.consumers, func(x *consumer) bool { return x == c })
-	delete(c.ch.consumers, c.tag)
+// removeConsumer ends a consumer; its unacked deliveries can still be settled on the channel.
+func (b *Broker) removeConsumer(removed *consumer) {
+	removed.queue.consumers = slices.DeleteFunc(removed.queue.consumers, func(c *consumer) bool { return c == removed })
+	delete(removed.channel.consumers, removed.tag)
 }
 
-// drop ends a connection: at once, or once what was written is out.
-func (b *Broker) drop(c *conn, how string) {
+// closeMode is what happens to the output of a connection that is closed.
+type closeMode int
+
+const (
+	closeNow        closeMode = iota // discard it
+	closeAfterFlush                  // write it, within flushTimeout
+)
+
+// closeConn closes a connection and requeues its unacked messages.
+func (b *Broker) closeConn(c *conn, mode closeMode) {
 	if _, ok := b.conns[c]; !ok {
 		return
 	}
 	delete(b.conns, c)
-	b.tell("lost", c, nil, nil)
+	b.emit(EventConnLost, c)
 	for _, ch := range c.channels {
-		for _, x := range ch.consumers {
-			b.cancel(x)
-		}
-		b.back(ch)
+		b.releaseChannel(ch)
 	}
-	c.ended = true
-	if how == "" || c.muted {
-		c.out = nil
+	c.closed = true
+	if mode == closeNow || c.outputMuted {
+		c.output = nil
 		c.net.Close()
 	} else {
-		_ = c.net.SetWriteDeadline(time.Now().Add(flushFor)) // a peer that does not read must not hold the end up
+		_ = c.net.SetWriteDeadline(time.Now().Add(flushTimeout))
 	}
-	c.more.Broadcast()
+	c.wake.Broadcast()
 }
--- a/internal/fake/broker/signatures.go
+++ b/internal/fake/broker/signatures.go
@@ -1,5 +1,3 @@
-// This file owns the methods and their signatures.
-
 package broker
 
 import (
@@ -7,14 +5,18 @@
 	"fmt"
 )
 
-// Method is one with its arguments in the order of the specification.
+// Method is an AMQP method with its arguments, in the order of the specification.
 type Method struct {
 	Name string
 	Args []any
 }
 
-// The signatures: o octet, h short, l long, q longlong, S shortstr, L longstr, T table, b bit.
-var methods = map[uint32]struct{ name, args string }{
+// bitsPerOctet is how many consecutive bit arguments share an octet.
+const bitsPerOctet = 8
+
+// methodsByID is the name and signature of each method, by class ID << 16 | method ID. A signature has a letter for each
+// argument: o octet, h short, l long, q longlong, S shortstr, L longstr, T table, b bit.
+var methodsByID = map[uint32]struct{ name, args string }{
 	10<<16 | 10: {"connection.start", "ooTLL"}, 10<<16 | 11: {"connection.start-ok", "TSLS"},
 	10<<16 | 30: {"connection.tune", "hlh"}, 10<<16 | 31: {"connection.tune-ok", "hlh"},
 	10<<16 | 40: {"connection.open", "SSb"}, 10<<16 | 41: {"connection.open-ok", "S"},
@@ -42,33 +44,35 @@
 	85<<16 | 10: {"confirm.select", "b"}, 85<<16 | 11: {"confirm.select-ok", ""},
 }
 
-var byName = func() map[string]uint32 {
+// methodIDs are the keys of methodsByID by name.
+var methodIDs = func() map[string]uint32 {
 	m := map[string]uint32{}
-	for id, s := range methods {
+	for id, s := range methodsByID {
 		m[s.name] = id
 	}
 	return m
 }()
 
-// DecodeMethod reads the payload of a method's frame; all of it must be used.
+// DecodeMethod decodes the payload of a method frame. It returns ErrMethod for an unknown method, and ErrSyntax for arguments
+// that do not fill the payload exactly.
 func DecodeMethod(payload []byte) (m Method, err error) {
-	r := &reader{left: payload}
-	id := uint32(r.number(4))
-	s, ok := methods[id]
+	r := &decoder{remaining: payload}
+	id := uint32(r.uint(4))
+	s, ok := methodsByID[id]
 	if !ok || r.err != nil {
 		return m, fmt.Errorf("%w: %d.%d", ErrMethod, id>>16, id&0xffff)
 	}
 	m.Name = s.name
-	m.Args = r.values(s.args)
-	return m, r.end()
+	m.Args = r.arguments(s.args)
+	return m, r.finish()
 }
 
-// AppendMethod writes a method's payload. Arguments of a kind that the method does not take are a defect of the
-// caller, and panic.
+// AppendMethod appends the payload of a method frame. It panics for an unknown name and for arguments that do not match the
+// signature.
 func AppendMethod(out []byte, name string, args ...any) []byte {
-	id, ok := byName[name]
-	if !ok || len(args) != len(methods[id].args) {
+	id, ok := methodIDs[name]
+	if !ok || len(args) != len(methodsByID[id].args) {
 		panic("no such method: " + name)
 	}
-	return appendValues(binary.BigEndian.AppendUint32(out, id), methods[id].args, args)
+	return appendArguments(binary.BigEndian.AppendUint32(out, id), methodsByID[id].args, args)
 }
--- a/internal/lab/amqp.go
+++ b/internal/lab/amqp.go
@@ -28,8 +28,8 @@
 }
 
 func amqpFaults(r *Report, program, folder string, seed uint64, size int, progress func(string)) error {
-	recorded, err := newRecordedBroker(broker.Fault{On: "settle", Nth: 1 + int(seed%20), Every: 20, Do: "drop"},
-		broker.Fault{On: "deliver", Nth: max(size/200, 500) + int(seed%7), Every: max(size/200, 500), Do: "cut-after"})
+	recorded, err := newRecordedBroker(broker.Fault{Point: "settle", Nth: 1 + int(seed%20), Every: 20, Action: "drop"},
+		broker.Fault{Point: "deliver", Nth: max(size/200, 500) + int(seed%7), Every: max(size/200, 500), Action: "cut-after"})
 	if err != nil {
 		return err
 	}
@@ -45,7 +45,7 @@
 	handed, moved := 0, time.Now() // deliveries, and when there was the last
 	put, drained, said := 0, time.Time{}, time.Now()
 	for {
-		s := recorded.b.State("readings")
+		s := recorded.b.QueueState("readings")
 		for ; put < size && s.Ready < backlog; put++ {
 			recorded.put(put)
 			s.Ready++
@@ -54,15 +54,15 @@
 		done := recorded.book.Count(invariant.Fulfilled)
 		recorded.mu.Unlock()
 		// A consumer whose acks were lost has its credit used up for good; brokers end such a one after a while.
-		if n := recorded.b.Counted("delivered"); n != handed {
+		if n := recorded.b.EventCount("delivered"); n != handed {
 			handed, moved = n, time.Now()
-		} else if s.Consumers > 0 && s.Out > 0 && time.Since(moved) > stalled { // none that only pauses
-			recorded.b.Cut()
+		} else if s.Consumers > 0 && s.Unacked > 0 && time.Since(moved) > stalled { // none that only pauses
+			recorded.b.CutNewest()
 			moved = time.Now()
 		}
 		if time.Since(said) > 5*time.Second {
 			said = time.Now()
-			progress(fmt.Sprintf("%d fulfilled, %d connections lost, %+v", done, recorded.b.Counted("lost"), s))
+			progress(fmt.Sprintf("%d fulfilled, %d connections lost, %+v", done, recorded.b.EventCount("lost"), s))
 		}
 		if !killed && done > size/3 {
 			killed = true
@@ -79,7 +79,7 @@
 			recorded.b.Restart()
 		}
 		switch {
-		case put < size || s.Ready > 0 || s.Out > 0:
+		case put < size || s.Ready > 0 || s.Unacked > 0:
 			drained = time.Time{}
 		case drained.IsZero():
 			drained = time.Now()
--- a/internal/lab/amqpbroker.go
+++ b/internal/lab/amqpbroker.go
@@ -66,7 +66,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	at, try := time.Since(r.start), fmt.Sprintf("%d/%d", e.Conn, e.Tag)
-	switch e.What {
+	switch e.Kind {
 	case "published":
 		if e.Conn == 0 {
 			return
@@ -156,7 +156,7 @@
 
 // report says what the book has, once the instances are gone.
 func (r *recordedBroker) report(to *Report, size int, most int64) {
-	s, unknown := r.b.State("readings"), r.b.Counted("unknown-tag")
+	s, unknown := r.b.QueueState("readings"), r.b.EventCount("unknown-tag")
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	b := r.book
@@ -170,9 +170,9 @@
 	to.Put("caller_gone", float64(b.Count(invariant.Gone)))
 	to.Put("dead_lettered", float64(r.dead))
 	to.Put("ran_messages", float64(b.Ran()))
-	to.Put("acks_dropped", float64(r.b.Counted("ack-dropped")))
-	to.Put("connections_lost", float64(r.b.Counted("lost")))
-	to.Zero("unsettled_at_broker", s.Ready+s.Out)
+	to.Put("acks_dropped", float64(r.b.EventCount("ack-dropped")))
+	to.Put("connections_lost", float64(r.b.EventCount("lost")))
+	to.Zero("unsettled_at_broker", s.Ready+s.Unacked)
 	to.Zero("ended_twice", b.EndedTwice+unknown)
 	to.Zero("late", b.Late)
 	to.Zero("double_runs_one_instance", b.DoubleRunsOne)
--- a/internal/lab/amqpcost.go
+++ b/internal/lab/amqpcost.go
@@ -64,7 +64,7 @@
 		for k := range n {
 			recorded.publish(rig.Trace, k)
 		}
-		recorded.b.Wait("readings", func(s broker.State) bool { return s.Ready+s.Out == 0 })
+		recorded.b.WaitForQueue("readings", func(s broker.QueueState) bool { return s.Ready+s.Unacked == 0 })
 	}
 	stuck := time.AfterFunc(longest, recorded.b.Close)
 	defer stuck.Stop()
--- a/internal/lab/amqpstorm.go
+++ b/internal/lab/amqpstorm.go
@@ -16,11 +16,11 @@
 		return r, err
 	}
 	defer recorded.b.Close()
-	recorded.b.Again = 5
+	recorded.b.Redeliveries = 5
 	for n := range size {
 		recorded.put(n)
 	}
-	progress(fmt.Sprintf("%d messages ready, each handed out %d times", size, recorded.b.Again+1))
+	progress(fmt.Sprintf("%d messages ready, each handed out %d times", size, recorded.b.Redeliveries+1))
 	instances, _, end, err := recorded.launch(program, folder, ` least-credit="8" most-credit="16"`, seed)
 	defer end()
 	if err != nil {
@@ -29,11 +29,11 @@
 	began, early := time.Now(), int64(0)
 	memory := func() int64 { return max(instances[0].Memory(), instances[1].Memory()) }
 	for stop := began.Add(longest); ; time.Sleep(20 * time.Millisecond) {
-		s := recorded.b.State("readings")
-		if early == 0 && recorded.b.Counted("delivered") > size {
+		s := recorded.b.QueueState("readings")
+		if early == 0 && recorded.b.EventCount("delivered") > size {
 			early = memory()
 		}
-		if s.Ready+s.Out == 0 {
+		if s.Ready+s.Unacked == 0 {
 			break
 		}
 		if time.Now().After(stop) {
@@ -49,12 +49,12 @@
 		}
 	}
 	recorded.report(r, size, most)
-	handed := recorded.b.Counted("delivered")
+	handed := recorded.b.EventCount("delivered")
 	r.Put("early_memory_mb", float64(early)/(1<<20))
 	r.Put("cpu_ms_per_delivery", cpu.Seconds()*1e3/float64(max(handed, 1)))
 	r.Put("drain_s", took.Seconds())
 	// What is turned back or dead-lettered is a message anew, or ends; nothing else brings deliveries of its own.
-	if most := (recorded.b.Again + 1) * size; handed > most {
+	if most := (recorded.b.Redeliveries + 1) * size; handed > most {
 		r.Fault("%d deliveries, expected at most %d: something loops", handed, most)
 	}
 	if float64(most) > 1.3*float64(early)+(4<<20) {
