--- a/cmd/thymechute/reload.go
+++ b/cmd/thymechute/reload.go
@@ -55,7 +55,7 @@
 	if err := <-taken; err != nil {
 		return err
 	}
-	if !delta.Empty() {
+	if !delta.IsEmpty() {
 		f.settings, f.version = later.Settings, delta.To
 	}
 	return nil
@@ -63,7 +63,7 @@
 
 // changed are the fields of the log for a delta that was taken.
 func changed(d settings.Delta, version uint64) []zap.Field {
-	return []zap.Field{zap.Bool("settings", !d.Empty()), zap.Uint64("version", version),
+	return []zap.Field{zap.Bool("settings", !d.IsEmpty()), zap.Uint64("version", version),
 		zap.Int("classes set", len(d.Classes.Set)), zap.Int("classes removed", len(d.Classes.Removed)),
 		zap.Int("tenants set", len(d.Tenants.Set)), zap.Int("tenants removed", len(d.Tenants.Removed))}
 }
--- a/cmd/thymechute/serve.go
+++ b/cmd/thymechute/serve.go
@@ -88,7 +88,7 @@
 		inst.Connect(cores, calls, reports, fronts...)
 		cores.Open()
 		take := func(later config.Given, delta settings.Delta) error {
-			if !delta.Empty() {
+			if !delta.IsEmpty() {
 				if err := inst.Apply(delta); err != nil {
 					return err
 				}
--- a/internal/settingsjson/read.go
+++ b/internal/settingsjson/read.go
@@ -287,8 +287,8 @@
 		return
 	}
 	key := func() string { return fmt.Sprintf("%s.%d.name", list, place) }
-	if len(name) > settings.MaxName {
-		r.fail(key(), fmt.Sprint(len(name), " bytes"), fmt.Sprintf("at most %d", settings.MaxName))
+	if len(name) > settings.MaxNameBytes {
+		r.fail(key(), fmt.Sprint(len(name), " bytes"), fmt.Sprintf("at most %d", settings.MaxNameBytes))
 	}
 	if seen.again(name) && standing(name) {
 		r.fail(key(), fmt.Sprintf("%.60q a second time", name), "a name that stands once")
--- a/internal/settingsjson/read_test.go
+++ b/internal/settingsjson/read_test.go
@@ -89,7 +89,7 @@
 		"domain":                  {"domain": 5},
 		"classes.0.repeat":        site("trace", "sometimes"),
 		"classes.2.name":          site("trace", "once", "seal", "once", "trace", "once"),
-		"classes.0.name":          site(strings.Repeat("x", settings.MaxName+1), "once"),
+		"classes.0.name":          site(strings.Repeat("x", settings.MaxNameBytes+1), "once"),
 		"classes.1.aim_s":         {"classes": []any{map[string]any{"name": "a"}, map[string]any{"aim_s": 3.0, "deadline_s": 2.0}}},
 		"rules.warm_after_s":      {"rules": map[string]any{"warm_after_s": true}},
 	} {
--- a/policy/settings/delta_test.go
+++ b/policy/settings/delta_test.go
@@ -18,8 +18,8 @@
 	return list
 }
 
-// Whatever the two lists, the changes lead from the one to the other, and name nothing that is alike.
-func TestChangesLeadFromOneToTheOther(t *testing.T) {
+// Whatever the two lists, the changes lead from the one to the other, and name nothing that is equal.
+func TestChangesLeadFromOneVersionToTheNext(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		was, now := tenantsOf(t, "was"), tenantsOf(t, "now")
 		d, err := Compare(7, Settings{Tenants: was}, Settings{Tenants: now}, func() {})
@@ -29,7 +29,7 @@
 		byName := func(list []Tenant) map[string]Number {
 			m := map[string]Number{}
 			for _, tenant := range list {
-				if tenant.Name != "" { // can't be asked for
+				if tenant.Name != "" { // can't be referred to
 					m[tenant.Name] = tenant.Quota
 				}
 			}
@@ -38,28 +38,28 @@
 		got, want := byName(was), byName(now)
 		for _, name := range d.Tenants.Removed {
 			if _, ok := got[name]; !ok {
-				t.Fatalf("%q removed, and did not stand", name)
+				t.Fatalf("%q removed, and did not exist", name)
 			}
 			delete(got, name)
 		}
 		for _, tenant := range d.Tenants.Set {
 			if old, ok := got[tenant.Name]; ok && old == tenant.Quota {
-				t.Fatalf("%q named, and is alike", tenant.Name)
+				t.Fatalf("%q named, and is equal", tenant.Name)
 			}
 			got[tenant.Name] = tenant.Quota
 		}
 		if fmt.Sprint(got) != fmt.Sprint(want) {
 			t.Fatalf("%v, want %v", got, want)
 		}
-		if d.Empty() != (fmt.Sprint(byName(was)) == fmt.Sprint(want)) {
-			t.Fatalf("empty: %v", d.Empty())
+		if d.IsEmpty() != (fmt.Sprint(byName(was)) == fmt.Sprint(want)) {
+			t.Fatalf("empty: %v", d.IsEmpty())
 		}
 	})
 }
 
-func TestServerIsNamedOnlyWhereItDiffers(t *testing.T) {
+func TestDeltaHasTheServerOnlyWhereItDiffers(t *testing.T) {
 	a, b := Settings{Server: Server{Cores: NumberOf(1)}}, Settings{Server: Server{Cores: NumberOf(2)}}
-	if d, err := Compare(1, a, a, func() {}); err != nil || !d.Empty() {
+	if d, err := Compare(1, a, a, func() {}); err != nil || !d.IsEmpty() {
 		t.Errorf("%+v, %v", d, err)
 	}
 	if d, err := Compare(1, a, b, func() {}); err != nil || d.Server == nil || *d.Server != b.Server {
@@ -67,7 +67,7 @@
 	}
 }
 
-func TestAClassKeepsItsKind(t *testing.T) {
+func TestClassKeepsItsIdempotency(t *testing.T) {
 	of := func(kind Idempotency) Settings {
 		return Settings{Classes: []Class{{Name: "a"}, {Name: "seal", Idempotency: kind}}}
 	}
@@ -81,7 +81,7 @@
 	}
 }
 
-// Comparing long lists lets others have the core in between, and costs no table where both are nearly alike.
+// Comparing long lists yields the core in between, and makes no map of what is equal.
 func TestComparingPauses(t *testing.T) {
 	was := make([]Tenant, 60_000)
 	for n := range was {
@@ -91,22 +91,13 @@
 	now[30_000].Quota = NumberOf(1)
 	pauses := 0
 	d, err := Compare(1, Settings{Tenants: was}, Settings{Tenants: now}, func() { pauses++ })
-	if err != nil || len(d.Tenants.Set) != 1 || pauses < len(was)/pauseEvery {
+	if err != nil || len(d.Tenants.Set) != 1 || pauses < len(was)/pauseInterval {
 		t.Errorf("%d changes, %d pauses, %v", len(d.Tenants.Set), pauses, err)
 	}
-	allocations := testing.AllocsPerRun(5, func() { _, _ = Compare(1, Settings{Tenants: was}, Settings{Tenants: now}, func() {}) })
+	allocations := testing.AllocsPerRun(5, func() {
+		_, _ = Compare(1, Settings{Tenants: was}, Settings{Tenants: now}, func() {})
+	})
 	if allocations > 20 {
 		t.Errorf("%v allocations", allocations)
 	}
 }
-
-func TestNumbersThatCannotBeMeantAreMissing(t *testing.T) {
-	for x, want := range map[float64]float64{-1: 7, 0: 0, 2.5: 2.5} {
-		if got := NumberOf(x).Or(7); got != want {
-			t.Errorf("%v: %v, want %v", x, got, want)
-		}
-	}
-	if got := NumberOf(1e300).Seconds(1); got <= 0 {
-		t.Errorf("%v", got)
-	}
-}
--- a/policy/settings/settings.go
+++ b/policy/settings/settings.go
@@ -1,178 +1,135 @@
-// Package settings is what a deployment says of one instance: its figures, its classes and its tenants, as typed values
-// that nobody changes once they are made, and the difference between two of them. It owns what the words mean and the
-// bounds of the lists. It must never hold a value of its own, nor bend one: what is missing stays missing, and who reads
-// it chooses the default. Nothing here does I/O or reads a clock.
+// Package settings holds the settings of one instance as typed values: the server's own, its classes of
+// requests and its tenants, and the difference between two versions of them.
+//
+// The values are immutable once made, so that goroutines may share them. A setting that is missing stays
+// missing: its reader chooses the default. The package does no I/O and reads no clock.
 package settings
 
-import (
-	"math"
-	"time"
-)
-
-// Bounds of a deployment. A file beyond one is refused by name, at the start and while running.
+// Bounds of the lists. Settings beyond one are rejected with an error that names it, at the start and at a
+// reload.
 const (
-	MaxClasses  = 20_000  // classes in force at one time; 9,800 routes are planned for (docs/CAPACITY.md)
-	MaxTenants  = 100_000 // tenants in force at one time; 60,000 are planned for
-	MaxName     = 200     // bytes of a class's or a tenant's name
-	maxDuration = 1e9     // seconds; longer ones are cut to it, so that they fit a time.Duration
+	// MaxClasses is the number of classes in force at one time; 9,800 routes are planned for
+	// (docs/CAPACITY.md).
+	MaxClasses = 20_000
+	// MaxTenants is the number of tenants in force at one time; 60,000 are planned for.
+	MaxTenants = 100_000
+	// MaxNameBytes is the length of a class's or a tenant's name, in bytes.
+	MaxNameBytes = 200
 )
 
-// Number is a figure of 0 and more, or missing.
-type Number struct {
-	value float64
-	set   bool
-}
-
-// NumberOf makes a Number; what can't be meant (negative, infinite, not a number) counts as missing.
-func NumberOf(x float64) Number {
-	if x >= 0 && !math.IsInf(x, 0) {
-		return Number{x, true}
-	}
-	return Number{}
-}
-
-// Or is the figure, or the default where it is missing.
-func (n Number) Or(otherwise float64) float64 {
-	if n.set {
-		return n.value
-	}
-	return otherwise
-}
-
-// Seconds is the figure as a time, or that many seconds where it is missing.
-func (n Number) Seconds(otherwise float64) time.Duration {
-	return time.Duration(min(n.Or(otherwise), maxDuration) * float64(time.Second))
-}
-
-// Flag is true, false or missing.
-type Flag uint8
-
-// The flags; missing is the zero value.
-const (
-	Missing Flag = iota
-	False
-	True
-)
-
-// On tells whether it is true, Off whether it is false; a missing one is neither.
-func (f Flag) On() bool { return f == True }
-
-// Off is described at On.
-func (f Flag) Off() bool { return f == False }
-
-// FlagOf makes a Flag that is not missing.
-func FlagOf(on bool) Flag {
-	if on {
-		return True
-	}
-	return False
-}
-
-// Idempotency is what a second run of a request would do.
+// Idempotency says whether a request may run a second time.
 type Idempotency string
 
-// The kinds, by the deployment's words. Whoever reads one takes what is none of them, and a missing one, for NonIdempotent.
+// The kinds of idempotency, by their words in the settings. A reader takes any other word, and a missing
+// one, for NonIdempotent.
 const (
-	Safe          Idempotency = "repeatable" // nothing more
-	Idempotent    Idempotency = "by_key"     // nothing more, by its idempotency key
-	NonIdempotent Idempotency = "once"       // its effect a second time
+	Safe          Idempotency = "repeatable" // a second run does no harm
+	Idempotent    Idempotency = "by_key"     // an idempotency key keeps a retry from a second run
+	NonIdempotent Idempotency = "once"       // a second run has its effect again
 )
 
-// StopMode is what taking a run off the cores does to it.
+// StopMode is what stopping a run on the cores does to it.
 type StopMode string
 
-// The ways to stop a run; a missing one is as good as StopOff.
+// The ways to stop a run; a missing one counts as StopOff.
 const (
-	StopOff     StopMode = "off"
-	StopAbort   StopMode = "abort"
-	StopSuspend StopMode = "suspend"
+	StopOff     StopMode = "off"     // a run can't be stopped
+	StopAbort   StopMode = "abort"   // the run ends
+	StopSuspend StopMode = "suspend" // the run leaves the cores
 )
 
-// Dependency is what stands behind the calls.
+// Dependency is the kind of service that running requests call.
 type Dependency string
 
-// What stands below; a missing one is as good as DependencyOff.
+// The kinds of dependency; a missing one counts as DependencyOff.
 const (
 	DependencyOff    Dependency = "off"
-	DependencyShared Dependency = "shared" // something that survives a share of calls for each instance
-	DependencyTier   Dependency = "tier"   // servers that guard themselves
+	DependencyShared Dependency = "shared" // a service that survives a quota of calls from each instance
+	DependencyTier   Dependency = "tier"   // servers with overload control of their own
 )
 
-// AdvertiseMode is the form of the value that rides on all answers.
+// AdvertiseMode is the form of the load that is advertised with all answers.
 type AdvertiseMode string
 
-// The forms; a missing one is as good as AdvertiseOff.
+// The forms of the advertised load; a missing one counts as AdvertiseOff.
 const (
 	AdvertiseOff       AdvertiseMode = "off"
-	AdvertiseThreshold AdvertiseMode = "threshold" // the rank under which requests are better kept at home
-	AdvertiseWindow    AdvertiseMode = "window"    // requests that one caller may have open
-	AdvertiseShare     AdvertiseMode = "share_of"  // the share of requests that is welcome
+	AdvertiseThreshold AdvertiseMode = "threshold" // the rank under which callers should not send requests
+	AdvertiseWindow    AdvertiseMode = "window"    // the requests that one caller may have open
+	AdvertiseShare     AdvertiseMode = "share_of"  // the share of requests that callers should send
 )
 
-// Server is all that is neither a class's nor a tenant's. Two of them are compared by ==.
+// Server holds the settings that belong to neither a class nor a tenant. Two of them are compared by ==.
 type Server struct {
-	Cores, MemoryKB          Number
-	RunMemoryFactor          Number // of a running request, in what it takes while held
-	KeyEntryKB               Number // of an entry for an idempotency key
-	StopMode                 StopMode
-	Dependency               Dependency
-	CallQuota                Number // share of calls below that the instance may have out
-	CallLinger               Number // seconds for which a call given up still counts
-	CallQuotaWindow          Number // seconds over which the share is meant
-	AdvertiseMode            AdvertiseMode
-	CallerCount              Number // of the whole deployment
-	CallerIdleTimeout        Number // seconds after which callers close an idle connection
-	EndpointsFollowHealth    Flag   // the list of servers follows health
-	FleetSize                Number // instances
-	OverQuotaWeight          Number // what is left of the value beyond a tenant's quota, as a part
-	WeightPerWork            Flag   // a class's value is paid for each unit of work, not for each request
-	RetryAfter               Flag   // rejections say when to come back
-	MaxRetryAfter            Number // seconds
-	SlowStart                Flag
-	SlowStartFraction        Number // what a cold server survives of its crowd, as a part
-	WarmUpTime               Number // seconds
-	DrainGrace               Number // seconds from the notice to drain in which requests still come
-	MaxConcurrencyPerCore    Number // runs a core that are survived
-	BusyGauge, RunnableGauge int    // place of the reading in a row of gauges, from 1; 0: not offered
+	Cores           Number
+	MemoryKB        Number
+	RunMemoryFactor Number // memory of a running request, over what it takes in the queue
+	KeyEntryKB      Number // memory of an entry for an idempotency key
+	StopMode        StopMode
+
+	Dependency      Dependency
+	CallQuota       Number // calls that the instance may have in flight, in the mean; may be under 1
+	CallLinger      Number // seconds for which a call given up still counts as in flight
+	CallQuotaWindow Number // seconds over which the mean is meant
+
+	AdvertiseMode         AdvertiseMode
+	CallerCount           Number // of the whole deployment
+	CallerIdleTimeout     Number // seconds after which callers close an idle connection
+	EndpointsFollowHealth Flag   // the endpoint list leaves out unhealthy servers
+
+	FleetSize       Number // number of instances
+	OverQuotaWeight Number // part of the weight of a request beyond its tenant's quota
+	WeightPerWork   Flag   // a class's weight is for each unit of work, not for each request
+	RetryAfter      Flag   // rejections carry a Retry-After
+	MaxRetryAfter   Number // seconds
+
+	SlowStart             Flag
+	SlowStartFraction     Number // part of MaxConcurrencyPerCore that is survived at the start
+	WarmUpTime            Number // seconds until all of it is
+	DrainGrace            Number // seconds from the drain notice in which requests still come
+	MaxConcurrencyPerCore Number // running requests per core that the server survives
+
+	// Positions of the readings in a row of gauges, from 1; 0: not available.
+	BusyGauge, RunnableGauge int
 }
 
-// Gauges are those of a row of gauges; negative where one is not offered.
+// Gauges returns the readings of a row of gauges; negative where one is not available.
 func (s Server) Gauges(row []float64) (busy, runnable float64) {
-	reading := func(place int) float64 {
-		if place == 0 || place > len(row) {
+	reading := func(position int) float64 {
+		if position == 0 || position > len(row) {
 			return -1
 		}
-		return row[place-1]
+		return row[position-1]
 	}
 	return reading(s.BusyGauge), reading(s.RunnableGauge)
 }
 
-// Class is what is alike for many requests.
+// Class holds the settings of a class of requests.
 type Class struct {
 	Name             string
 	Idempotency      Idempotency
-	Weight           Number // of a request answered in time
-	DegradedWeight   Number // the part of it paid for an answer without its call
-	MakesCalls       Flag   // its requests make calls below
-	LatencyObjective Number // seconds; an answer after it is worthless
-	CallerTimeout    Number // seconds; the caller gives up then
-	KeyWindow        Number // seconds for which a key is known
+	Weight           Number // value of a request answered in time
+	DegradedWeight   Number // part of it for an answer without its call
+	MakesCalls       Flag   // its requests call the dependency
+	LatencyObjective Number // seconds; a later answer is of no value
+	CallerTimeout    Number // seconds after which the caller gives up
+	KeyWindow        Number // seconds for which an idempotency key is known
 }
 
-// ResourceName is its name.
+// ResourceName returns the name by which versions of the class are compared.
 func (c Class) ResourceName() string { return c.Name }
 
-// Tenant is on whose behalf requests come.
+// Tenant holds the settings of a tenant, on whose behalf requests come.
 type Tenant struct {
 	Name  string
-	Quota Number // requests a second, of the whole fleet; 0 and missing set no bound
+	Quota Number // requests per second, of the whole fleet; 0 or missing: no limit
 }
 
-// ResourceName is its name.
+// ResourceName returns the name by which versions of the tenant are compared.
 func (t Tenant) ResourceName() string { return t.Name }
 
-// Settings is all that a deployment says. Classes and tenants are numbered by their place; one without a name can't be
-// asked for by name.
+// Settings holds all settings of an instance. Classes and tenants are numbered by their index; one without
+// a name can't be referred to by name.
 type Settings struct {
 	Server  Server
 	Classes []Class
