--- a/cmd/thymechute/serve.go
+++ b/cmd/thymechute/serve.go
@@ -73,7 +73,7 @@
 	g.Settings = settings.Settings{} // later ones take their place in inForce
 	part := (sockets - own) / 8
 	front := rpc.NewFront(inst, stubParts*part, part, log)
-	return loop.Run(g.Listen, host{front, inst}, g.Memory, part, log, func(l *loop.Loop) {
+	return loop.Run(loop.Config{Address: g.Listen, Host: host{front, inst}, MemoryLimit: g.Memory, MaxLingering: part, Log: log, OnStart: func(l *loop.Loop) {
 		dial := func(network string, address *string) func(loop.Handler) { // the address may change
 			return func(p loop.Handler) { l.Dial(network, *address, dialFor, p) }
 		}
@@ -116,7 +116,7 @@
 				go fl.leave(log) // off the loop: it waits up to a second for the others to hear
 			}
 		}()
-	})
+	}})
 }
 
 // move goes to another address.
--- a/internal/loop/accept.go
+++ b/internal/loop/accept.go
@@ -1,5 +1,3 @@
-// This file owns where connections come from: the listener and its end, dialling, and their joining of the loop.
-
 package loop
 
 import (
@@ -14,40 +12,34 @@
 	"golang.org/x/sys/unix"
 )
 
-const acceptRetryDelay = 5 * time.Millisecond // after a failed accept
+// acceptRetryDelay is the pause after a failed accept, mostly for want of descriptors.
+const acceptRetryDelay = 5 * time.Millisecond
 
+// acceptedMarker is the context with which accepted connections join the loop.
 type acceptedMarker struct{}
 
-// listen opens the address. Who supervises the instance may keep it bound between two lives, so it has to be shared.
+// listen opens the address with SO_REUSEPORT, as a supervisor may keep it bound between two incarnations.
 func listen(address string) (*net.TCPListener, error) {
-	shared := net.ListenConfig{Control: func(_, _ string, c syscall.RawConn) (err error) {
-		failed := c.Control(func(fd uintptr) { err = unix.SetsockoptInt(int(fd), unix.SOL_SOCKET, unix.SO_REUSEPORT, 1) })
-		return errors.Join(err, failed)
+	config := net.ListenConfig{Control: func(_, _ string, raw syscall.RawConn) error {
+		return setReusePort(raw)
 	}}
-	l, err := shared.Listen(context.Background(), "tcp", address)
+	listener, err := config.Listen(context.Background(), "tcp", address)
 	if err != nil {
 		return nil, err
 	}
-	return l.(*net.TCPListener), nil
+	return listener.(*net.TCPListener), nil
 }
 
-// attachEventLoop gets hold of gnet's loop, which gnet names only through a connection on it. This datagram socket sends
-// nothing and goes at once.
-func (l *Loop) attachEventLoop() error {
-	c, err := net.Dial("udp", l.listener.Addr().String())
-	if err != nil {
-		return err
-	}
-	g, err := l.client.Enroll(c)
-	if err != nil {
-		return err
-	}
-	l.eventLoop = g.EventLoop()
-	return g.Close()
+func setReusePort(raw syscall.RawConn) error {
+	var optionErr error
+	controlErr := raw.Control(func(fd uintptr) {
+		optionErr = unix.SetsockoptInt(int(fd), unix.SOL_SOCKET, unix.SO_REUSEPORT, 1)
+	})
+	return errors.Join(optionErr, controlErr)
 }
 
-// acceptConns brings the callers' connections into the loop. A deadline in the past is the listener's end: what the
-// system has accepted by then joins as well, as a close would reset it, with the requests that it may hold.
+// acceptConns passes accepted connections to the loop until closeListener sets a deadline in the past. What the kernel
+// has accepted by then joins too: closing the listener over it would reset connections that may hold requests.
 func (l *Loop) acceptConns() {
 	for {
 		c, err := l.listener.Accept()
@@ -61,57 +53,49 @@
 			_, err = l.client.EnrollContext(c, acceptedMarker{})
 		}
 		if err != nil {
-			l.log.Warn("not accepted", zap.Error(err))
+			l.log.Warn("accept failed", zap.Error(err))
 			time.Sleep(acceptRetryDelay)
 		}
 	}
 }
 
-// drainAcceptQueue takes what stands in the listener's queue, until it is empty. One that is gone before it is taken must
-// not leave those behind it.
+// drainAcceptQueue accepts until the listener's queue is empty. A connection that was aborted in the queue does not stop
+// it.
 func (l *Loop) drainAcceptQueue() {
 	raw, err := l.listener.SyscallConn()
 	for err == nil || errors.Is(err, unix.ECONNABORTED) || errors.Is(err, unix.EINTR) {
 		var c net.Conn
-		err = nil
-		failed := raw.Control(func(fd uintptr) { c, err = acceptOne(int(fd)) })
-		if err = errors.Join(failed, err); err == nil {
+		c, err = acceptNonblocking(raw)
+		if err == nil {
 			_, err = l.client.EnrollContext(c, acceptedMarker{})
 		}
 	}
 	if !errors.Is(err, unix.EAGAIN) {
-		l.log.Warn("not accepted", zap.Error(err))
+		l.log.Warn("accept failed", zap.Error(err))
 	}
 }
 
-func acceptOne(listener int) (net.Conn, error) {
+func acceptNonblocking(raw syscall.RawConn) (c net.Conn, err error) {
+	controlErr := raw.Control(func(fd uintptr) { c, err = acceptFrom(int(fd)) })
+	return c, errors.Join(controlErr, err)
+}
+
+func acceptFrom(listener int) (net.Conn, error) {
 	fd, _, err := unix.Accept4(listener, unix.SOCK_NONBLOCK|unix.SOCK_CLOEXEC)
 	if err != nil {
 		return nil, err
 	}
-	f := os.NewFile(uintptr(fd), "accepted")
-	defer f.Close()
-	return net.FileConn(f)
+	file := os.NewFile(uintptr(fd), "accepted")
+	defer file.Close()
+	return net.FileConn(file)
 }
 
-// closeListener begins the listener's end; no more is listened on once l.listening is false.
+// closeListener starts closing the listener; it is closed once l.listening is false.
 func (l *Loop) closeListener() {
-	if !l.listenerClosing {
-		l.listenerClosing = true
-		l.log.Info("no longer listening")
-		_ = l.listener.SetDeadline(time.Unix(1, 0))
+	if l.listenerClosing {
+		return
 	}
-}
-
-// Dial opens a connection for the peer; Opened or Closed follows on the loop.
-func (l *Loop) Dial(network, address string, patience time.Duration, p Handler) {
-	go func() {
-		c, err := net.DialTimeout(network, address, patience)
-		if err == nil {
-			_, err = l.client.EnrollContext(c, p)
-		}
-		if err != nil {
-			l.Post(func() { p.Closed(&ConnError{false, err}) })
-		}
-	}()
+	l.listenerClosing = true
+	l.log.Info("no longer listening")
+	_ = l.listener.SetDeadline(time.Unix(1, 0))
 }
--- a/internal/loop/conn.go
+++ b/internal/loop/conn.go
@@ -1,14 +1,6 @@
-// This file owns the life of a connection. What we dialled closes at once: nobody there is owed an answer. What we
-// accepted ends by one path, whatever the reason: open; draining (Close was called or its Read failed: nothing more
-// is read by the peer, what it owes is still written); half-closed (all is written and our side is shut; what comes
-// is dropped, so that closing over it does not reset the connection and take answers with it); closed. The steps are
-// bounded: draining by the peer, which owes nothing for ever, and by what all together may leave unread; the rest by
-// lingerFor, mostDropped and mostEnding connections at a time, of which the oldest goes.
-
 package loop
 
 import (
-	"errors"
 	"net"
 	"time"
 
@@ -18,152 +10,153 @@
 )
 
 const (
-	lingerTimeout = time.Second // the other side has so long to read what is left and to end
-	maxDiscarded  = 256 << 10   // bytes, before the end as well as after it, that end a half-closed connection
+	lingerTimeout     = time.Second // the peer has so long to read the rest and to close its side
+	maxDiscarded      = 256 << 10   // bytes received after Close, over which a half-closed connection is closed
+	maxRetainedBuffer = 16 << 10    // bytes; larger output buffers are released once they are empty
 )
 
-// connState is how far a connection is with its life.
+// connState is the state of a connection; it only moves forward.
 type connState int
 
 const (
+	// stateOpen delivers input and sends output.
 	stateOpen connState = iota
+	// stateDraining discards input; pending replies are still sent.
 	stateDraining
+	// stateHalfClosed has sent everything and shut down its side. Input is discarded until the peer closes, as closing
+	// over unread input would reset the connection and lose replies.
 	stateHalfClosed
+	// stateClosed is the end.
 	stateClosed
 )
 
+// conn is a connection on the loop. A dialled one closes at once, as no reply is pending on it. An accepted one closes
+// through the states above. Draining is bounded by the handler, which must answer everything in the end, and by the
+// limits on unsent output; the rest by lingerTimeout, maxDiscarded and Config.MaxLingering.
 type conn struct {
 	loop          *Loop
 	socket        gnet.Conn
 	handler       Handler
-	serverHandler ServerHandler // the peer of what we accepted; none on what we dialled
-	output        []byte        // emptied each round
-	dirty         bool
+	serverHandler ServerHandler // handler, if the connection was accepted; otherwise nil
+	output        []byte        // emptied by each tick
+	dirty         bool          // in Loop.dirty
 	state         connState
-	lingerUntil   time.Time // nothing is owed: it closes then at the latest
-	discarded     int
+	lingerUntil   time.Time // once nothing is pending: when it is closed at the latest
+	discarded     int       // bytes received after Close
 }
 
-// discardHandler sits on a connection for which there is no room.
-type discardHandler struct{}
-
-func (discardHandler) Opened(Conn)           {}
-func (discardHandler) Received([]byte) error { return nil }
-func (discardHandler) Closed(error)          {}
-func (discardHandler) HasPending() bool      { return false }
-
-// OnOpen greets a connection of either kind.
-func (l *Loop) OnOpen(g gnet.Conn) (out []byte, action gnet.Action) {
-	c := &conn{loop: l, socket: g}
-	switch of := g.Context().(type) {
+// OnOpen implements gnet.EventHandler: it calls the handler's Opened, with a new handler for an accepted connection.
+func (l *Loop) OnOpen(socket gnet.Conn) (out []byte, action gnet.Action) {
+	c := &conn{loop: l, socket: socket}
+	switch origin := socket.Context().(type) {
 	case Handler:
-		c.handler = of
+		c.handler = origin
 	case acceptedMarker:
-		if c.serverHandler = l.host.Accept(); c.serverHandler == nil {
-			c.serverHandler = discardHandler{}
-			c.Close()
-		}
-		c.handler, l.acceptedConns[c], l.hasUnreadConns = c.serverHandler, struct{}{}, true
+		c.assignServerHandler()
 	default:
-		return nil, gnet.None // the socket of find
+		return nil, gnet.None // the socket of attachEventLoop
 	}
-	g.SetContext(c)
+	socket.SetContext(c)
 	WithRecover(l.log, "open", func() { c.handler.Opened(c) })
 	l.scheduleTick()
 	return nil, gnet.None
 }
 
-// OnTraffic hands over what came.
-func (l *Loop) OnTraffic(g gnet.Conn) gnet.Action {
-	c, ok := g.Context().(*conn)
-	data, _ := g.Next(-1)
+func (c *conn) assignServerHandler() {
+	c.serverHandler = c.loop.host.Accept()
+	if c.serverHandler == nil {
+		c.serverHandler = discardHandler{}
+		c.Close()
+	}
+	c.handler = c.serverHandler
+	c.loop.acceptedConns[c] = struct{}{}
+	c.loop.hasUnreadConns = true
+}
+
+// OnTraffic implements gnet.EventHandler: it passes input to the handler, or discards it once the connection closes.
+func (l *Loop) OnTraffic(socket gnet.Conn) gnet.Action {
+	c, ok := socket.Context().(*conn)
+	data, _ := socket.Next(-1)
 	if !ok {
 		return gnet.None
 	}
 	if c.state != stateOpen {
-		if c.discarded += len(data); c.discarded > maxDiscarded && c.state == stateHalfClosed { // before that answers are owed
-			return gnet.Close
-		}
-		return gnet.None
+		return c.discard(data)
 	}
 	l.hasReceived = true
 	l.scheduleTick()
-	err := errors.New("peer failed")
-	WithRecover(l.log, "read", func() { err = c.handler.Received(data) })
+	err := errHandlerPanicked
+	WithRecover(l.log, "receive", func() { err = c.handler.Received(data) })
 	if err == nil {
 		return gnet.None
 	}
-	l.log.Warn("connection closed", zap.Error(err), zap.Stringer("peer", g.RemoteAddr()))
+	l.log.Warn("connection closed", zap.Error(err), zap.Stringer("remote_addr", socket.RemoteAddr()))
 	c.Close()
-	if c.serverHandler == nil { // its peer starts anew at once, with what was missed
+	if c.serverHandler == nil { // its handler may reconnect at once
 		c.flush()
 	}
 	return gnet.None
 }
 
-// OnClose tells the peer.
-func (l *Loop) OnClose(g gnet.Conn, err error) gnet.Action {
-	if c, ok := g.Context().(*conn); ok && l.phase != PhaseStopped {
-		delete(l.blocked, c)
-		delete(l.lingering, c)
-		delete(l.acceptedConns, c)
-		if err == nil {
-			err = net.ErrClosed
-		}
-		c.state = stateClosed
-		WithRecover(l.log, "close", func() { c.handler.Closed(&ConnError{true, err}) })
-		l.scheduleTick()
+// discard counts input that is not delivered any more. While replies are pending no amount of it closes the connection.
+func (c *conn) discard(data []byte) gnet.Action {
+	c.discarded += len(data)
+	if c.discarded > maxDiscarded && c.state == stateHalfClosed {
+		return gnet.Close
 	}
 	return gnet.None
 }
 
-// Write puts bytes down for the end of the round.
-func (c *conn) Write(p []byte) {
-	if c.state < stateHalfClosed {
-		c.output = append(c.output, p...)
-		c.markDirty()
+// OnClose implements gnet.EventHandler: it calls the handler's Closed.
+func (l *Loop) OnClose(socket gnet.Conn, err error) gnet.Action {
+	c, ok := socket.Context().(*conn)
+	if !ok || l.phase == PhaseStopped {
+		return gnet.None
 	}
+	delete(l.blocked, c)
+	delete(l.lingering, c)
+	delete(l.acceptedConns, c)
+	if err == nil {
+		err = net.ErrClosed
+	}
+	c.state = stateClosed
+	WithRecover(l.log, "close", func() { c.handler.Closed(&ConnError{Connected: true, Err: err}) })
+	l.scheduleTick()
+	return gnet.None
 }
 
-// Close ends the connection once nothing is owed on it.
-func (c *conn) Close() {
-	if c.state == stateOpen {
-		c.state = stateDraining
-		c.markDirty()
+// Write implements Conn.
+func (c *conn) Write(p []byte) {
+	if c.state >= stateHalfClosed {
+		return
 	}
+	c.output = append(c.output, p...)
+	c.markDirty()
 }
 
-func (c *conn) markDirty() {
-	if !c.dirty {
-		c.dirty = true
-		c.loop.dirty = append(c.loop.dirty, c)
-		c.loop.scheduleTick()
+// Close implements Conn.
+func (c *conn) Close() {
+	if c.state != stateOpen {
+		return
 	}
+	c.state = stateDraining
+	c.markDirty()
 }
 
-func (c *conn) flush() {
-	c.dirty = false
-	if c.state < stateHalfClosed && len(c.output) > 0 {
-		_, _ = c.socket.Write(c.output) // closes the connection itself if it fails
-	}
-	if c.output = c.output[:0]; cap(c.output) > maxRetainedBuffer {
-		c.output = nil
-	}
-	if c.state == stateClosed {
+// markDirty has the connection flushed by the next tick.
+func (c *conn) markDirty() {
+	if c.dirty {
 		return
 	}
-	if c.socket.OutboundBuffered() > 0 {
-		c.loop.blocked[c] = struct{}{}
-	}
-	if c.state == stateDraining {
-		c.advanceClose()
-	}
+	c.dirty = true
+	c.loop.dirty = append(c.loop.dirty, c)
+	c.loop.scheduleTick()
 }
 
-// advanceClose goes as far towards the end as what is owed and unwritten allows.
+// advanceClose moves a draining connection as far towards its end as pending replies and unsent output allow.
 func (c *conn) advanceClose() {
 	if c.serverHandler == nil {
-		_ = c.loop.eventLoop.Close(c.socket)
+		c.closeNow()
 		return
 	}
 	if c.serverHandler.HasPending() {
@@ -176,26 +169,34 @@
 	if c.socket.OutboundBuffered() > 0 {
 		return
 	}
-	if c.state = stateHalfClosed; unix.Shutdown(c.socket.Fd(), unix.SHUT_WR) != nil {
-		_ = c.loop.eventLoop.Close(c.socket)
+	c.state = stateHalfClosed
+	if unix.Shutdown(c.socket.Fd(), unix.SHUT_WR) != nil {
+		c.closeNow()
 	}
 }
 
-// closeExpired closes what has had its time, and the oldest beyond the room for them; it tells when the next has.
+func (c *conn) closeNow() { _ = c.loop.eventLoop.Close(c.socket) }
+
+// closeExpired closes the lingering connections whose time is over, and the oldest ones over the limit. It returns when
+// the next one expires, or the zero time if none lingers.
 func (l *Loop) closeExpired(now time.Time) (next time.Time) {
 	for {
-		var oldest *conn
-		for c := range l.lingering {
-			if oldest == nil || c.lingerUntil.Before(oldest.lingerUntil) {
-				oldest = c
-			}
-		}
+		oldest := l.oldestLingering()
 		if oldest == nil {
 			return time.Time{}
 		}
 		if len(l.lingering) <= l.maxLingering && now.Before(oldest.lingerUntil) {
 			return oldest.lingerUntil
 		}
-		_ = l.eventLoop.Close(oldest.socket)
+		oldest.closeNow()
+	}
+}
+
+func (l *Loop) oldestLingering() (oldest *conn) {
+	for c := range l.lingering {
+		if oldest == nil || c.lingerUntil.Before(oldest.lingerUntil) {
+			oldest = c
+		}
 	}
+	return oldest
 }
--- /dev/null
+++ b/internal/loop/dial.go
@@ -0,0 +1,25 @@
+package loop
+
+import (
+	"net"
+	"time"
+)
+
+// Dial connects to the address within the timeout. It returns at once; the handler's Opened or Closed follows on the
+// loop.
+func (l *Loop) Dial(network, address string, timeout time.Duration, handler Handler) {
+	go func() {
+		if err := l.connect(network, address, timeout, handler); err != nil {
+			l.Post(func() { handler.Closed(&ConnError{Connected: false, Err: err}) })
+		}
+	}()
+}
+
+func (l *Loop) connect(network, address string, timeout time.Duration, handler Handler) error {
+	c, err := net.DialTimeout(network, address, timeout)
+	if err != nil {
+		return err
+	}
+	_, err = l.client.EnrollContext(c, handler)
+	return err
+}
--- a/internal/loop/loop_test.go
+++ b/internal/loop/tick_test.go
@@ -9,17 +9,17 @@
 	at := time.Now()
 	l := &Loop{nextTick: at, hasReceived: true}
 	if l.deferTick(at.Add(stallThreshold / 2)) {
-		t.Error("a round in time was put off")
+		t.Error("a tick in time was deferred")
 	}
 	for n := range maxDeferrals {
 		if l.hasReceived = true; !l.deferTick(at.Add(time.Second)) {
-			t.Fatalf("put off only %d times while more came", n)
+			t.Fatalf("deferred only %d times while input arrived", n)
 		}
 	}
 	if l.hasReceived = true; l.deferTick(at.Add(time.Second)) {
-		t.Error("put off without end")
+		t.Error("deferred without bound")
 	}
 	if l.deferTick(at.Add(time.Second)) {
-		t.Error("put off though nothing came")
+		t.Error("deferred though nothing arrived")
 	}
 }
