--- a/cmd/thymechute/serve.go
+++ b/cmd/thymechute/serve.go
@@ -36,7 +36,7 @@
 
 // host puts the instance and its front before the loop.
 type host struct {
-	*rpc.Front
+	*rpc.Server
 	*node.Instance
 }
 
@@ -72,7 +72,7 @@
 	inForce := inForce{settings: g.Settings, version: inst.Version()}
 	g.Settings = settings.Settings{} // later ones take their place in inForce
 	part := (sockets - own) / 8
-	front := rpc.NewFront(inst, stubParts*part, part, log)
+	front := rpc.NewServer(inst, stubParts*part, part, log)
 	return loop.Run(loop.Config{Address: g.Listen, Host: host{front, inst}, MemoryLimit: g.Memory, MaxLingering: part, Log: log, OnStart: func(l *loop.Loop) {
 		dial := func(network string, address *string) func(loop.Handler) { // the address may change
 			return func(p loop.Handler) { l.Dial(network, *address, dialFor, p) }
--- a/internal/catalog/catalog_test.go
+++ b/internal/catalog/catalog_test.go
@@ -13,7 +13,7 @@
 func TestSeveralReportsGoOutWhileAnEntryLasts(t *testing.T) {
 	var dialled []*socket
 	r := New("n3", func(p loop.Handler) { dialled = append(dialled, p.(*socket)) })
-	now, w := time.Now(), &testutil.Wire{}
+	now, w := time.Now(), &testutil.FakeConn{}
 	r.Sweep(now, true)
 	dialled[0].Opened(w)
 	for at := now; at.Before(now.Add(3 * time.Second)); at = at.Add(20 * time.Millisecond) {
@@ -24,7 +24,7 @@
 	}
 	r.Move()
 	r.Sweep(now.Add(4*time.Second), false)
-	again := &testutil.Wire{}
+	again := &testutil.FakeConn{}
 	dialled[1].Opened(again)
 	if r.Sweep(now.Add(4*time.Second), false); !w.Closed || again.Out != "alive n3 critical" {
 		t.Errorf("closed %v, wrote %q", w.Closed, again.Out)
@@ -41,7 +41,7 @@
 		if len(dialled) != n+1 {
 			t.Fatalf("dialled %d times after %d errors", len(dialled), n)
 		}
-		w := &testutil.Wire{}
+		w := &testutil.FakeConn{}
 		dialled[n].Opened(w)
 		if r.Sweep(now, true); w.Out != "alive n3 passing" {
 			t.Errorf("wrote %q after %d errors", w.Out, n)
--- a/internal/index/index_test.go
+++ b/internal/index/index_test.go
@@ -27,8 +27,8 @@
 }
 
 // stand lets the newest connection stand.
-func stand(dialled *[]*conn) (*conn, *testutil.Wire) {
-	k, w := (*dialled)[len(*dialled)-1], &testutil.Wire{}
+func stand(dialled *[]*conn) (*conn, *testutil.FakeConn) {
+	k, w := (*dialled)[len(*dialled)-1], &testutil.FakeConn{}
 	k.Opened(w)
 	return k, w
 }
@@ -142,7 +142,7 @@
 	p.Call("c", time.Second, nil) // on its way when the address changes
 	way := (*dialled)[len(*dialled)-1]
 	p.Move()
-	wWay := &testutil.Wire{}
+	wWay := &testutil.FakeConn{}
 	way.Opened(wWay)
 	now, wNow := stand(dialled)
 	if !wWay.Closed || wWay.Out != "" || now == way || !strings.HasPrefix(wNow.Out, "GET c") {
@@ -166,7 +166,7 @@
 		t.Errorf("%d dialled, %d connections, %d wait", len(*dialled), len(p.conns), len(p.queue))
 	}
 	for _, k := range (*dialled)[4:] {
-		k.Opened(&testutil.Wire{})
+		k.Opened(&testutil.FakeConn{})
 	}
 	p.Move() // all out on the old address: e need not wait for them
 	if len(*dialled) != 9 || len(p.queue) != 0 {
--- a/internal/jsonline/lines.go
+++ b/internal/jsonline/lines.go
@@ -1,5 +1,3 @@
-// This file owns the cutting of what a socket brings into lines.
-
 package jsonline
 
 import (
@@ -7,46 +5,54 @@
 	"errors"
 )
 
-// Lines cuts a stream into lines. Its rest is bounded by the longest line, and emptied by the next line feed.
-type Lines struct {
-	rest    []byte
-	Longest int
-}
+// ErrLineTooLong is returned for a line over LineSplitter.MaxLength.
+var ErrLineTooLong = errors.New("line too long")
 
-// Partial tells whether a line has begun that is not whole.
-func (l *Lines) Partial() bool { return len(l.rest) > 0 }
+// LineSplitter splits a byte stream into lines. It buffers at most one partial line.
+type LineSplitter struct {
+	MaxLength int // bytes of a line without its line feed
+	partial   []byte
+}
 
-// ErrLong is a line over the longest.
-var ErrLong = errors.New("line too long")
+// HasPartial reports whether an incomplete line has been received.
+func (s *LineSplitter) HasPartial() bool { return len(s.partial) > 0 }
 
-// Feed calls line for each whole line, without its end, blank ones left out.
-func (l *Lines) Feed(data []byte, line func([]byte) error) error {
+// Feed calls handle for each line that data completes, trimmed of white space; blank lines are skipped. The line is valid
+// only during the call. Feed returns ErrLineTooLong or the error of handle; the stream can't be continued after either.
+func (s *LineSplitter) Feed(data []byte, handle func(line []byte) error) error {
 	for {
-		n := bytes.IndexByte(data, '\n')
-		if n < 0 {
-			n = len(data)
+		length := bytes.IndexByte(data, '\n')
+		isComplete := length >= 0
+		if !isComplete {
+			length = len(data)
 		}
-		if len(l.rest)+n > l.Longest {
-			return ErrLong
+		if len(s.partial)+length > s.MaxLength {
+			return ErrLineTooLong
 		}
-		if n == len(data) {
-			l.rest = append(l.rest, data...)
+		if !isComplete {
+			s.partial = append(s.partial, data...)
 			return nil
 		}
-		whole := data[:n]
-		if len(l.rest) > 0 {
-			l.rest = append(l.rest, whole...)
-			whole = l.rest
-		}
-		data = data[n+1:]
-		if whole = bytes.TrimSpace(whole); len(whole) > 0 {
-			if err := line(whole); err != nil {
-				return err
-			}
+		if err := s.completeLine(data[:length], handle); err != nil {
+			return err
 		}
-		if l.rest = l.rest[:0]; len(data) == 0 {
-			l.rest = nil // idle connections keep no buffer
+		s.partial = s.partial[:0]
+		data = data[length+1:]
+		if len(data) == 0 {
+			s.partial = nil // an idle connection retains no buffer
 			return nil
 		}
 	}
 }
+
+func (s *LineSplitter) completeLine(line []byte, handle func(line []byte) error) error {
+	if len(s.partial) > 0 {
+		s.partial = append(s.partial, line...)
+		line = s.partial
+	}
+	line = bytes.TrimSpace(line)
+	if len(line) == 0 {
+		return nil
+	}
+	return handle(line)
+}
--- a/internal/jsonline/value.go
+++ b/internal/jsonline/value.go
@@ -1,5 +1,3 @@
-// This file owns numbers, flags, and values that are passed over.
-
 package jsonline
 
 import (
@@ -8,89 +6,104 @@
 	"strings"
 )
 
-// Number reads a number, by JSON's own grammar: an id goes back as it came, and a reader of it may be strict.
-func (r *Reader) Number() (float64, error) {
+// ReadNumber reads a number by JSON's own grammar, which is stricter than strconv's.
+func (r *Reader) ReadNumber() (float64, error) {
 	r.peek()
-	from := r.at
-	digits := func() bool {
-		at := r.at
-		for r.at < len(r.text) && r.text[r.at] >= '0' && r.text[r.at] <= '9' {
-			r.at++
-		}
-		return r.at > at
+	start := r.offset
+	isNumber := r.skipNumber()
+	x, err := strconv.ParseFloat(string(r.text[start:r.offset]), 64)
+	if !isNumber || err != nil {
+		r.offset = start
+		return 0, r.syntaxError("a number")
 	}
-	skip := func(any string) bool {
-		found := r.at < len(r.text) && strings.IndexByte(any, r.text[r.at]) >= 0
-		if found {
-			r.at++
-		}
-		return found
+	return x, nil
+}
+
+// skipNumber skips the longest prefix that may be a number, and reports whether it is one.
+func (r *Reader) skipNumber() bool {
+	r.skipAny("-")
+	start := r.offset
+	if !r.skipDigits() {
+		return false
 	}
-	skip("-")
-	whole := r.at
-	ok := digits() && (r.text[whole] != '0' || r.at == whole+1)
-	if ok && skip(".") {
-		ok = digits()
+	hasLeadingZero := r.text[start] == '0' && r.offset > start+1
+	if hasLeadingZero {
+		return false
 	}
-	if ok && skip("eE") {
-		skip("+-")
-		ok = digits()
+	if r.skipAny(".") && !r.skipDigits() {
+		return false
 	}
-	x, err := strconv.ParseFloat(string(r.text[from:r.at]), 64)
-	if !ok || err != nil {
-		r.at = from
-		return 0, r.bad("a number")
+	if r.skipAny("eE") {
+		r.skipAny("+-")
+		return r.skipDigits()
 	}
-	return x, nil
+	return true
+}
+
+func (r *Reader) skipDigits() bool {
+	start := r.offset
+	for r.offset < len(r.text) && r.text[r.offset] >= '0' && r.text[r.offset] <= '9' {
+		r.offset++
+	}
+	return r.offset > start
+}
+
+// skipAny skips the next byte if it is one of the set.
+func (r *Reader) skipAny(set string) bool {
+	if r.offset >= len(r.text) || strings.IndexByte(set, r.text[r.offset]) < 0 {
+		return false
+	}
+	r.offset++
+	return true
 }
 
-// Flag reads true, false, or a number that is no 0 for true.
-func (r *Reader) Flag() (bool, error) {
+// ReadBool reads true, false, or a number, which is true unless it is 0.
+func (r *Reader) ReadBool() (bool, error) {
 	switch r.peek() {
 	case 't':
-		return true, r.word("true")
+		return true, r.readLiteral("true")
 	case 'f':
-		return false, r.word("false")
+		return false, r.readLiteral("false")
 	}
-	x, err := r.Number()
+	x, err := r.ReadNumber()
 	return x != 0, err
 }
 
-func (r *Reader) word(want string) error {
-	if !bytes.HasPrefix(r.text[r.at:], []byte(want)) {
-		return r.bad(want)
+func (r *Reader) readLiteral(literal string) error {
+	if !bytes.HasPrefix(r.text[r.offset:], []byte(literal)) {
+		return r.syntaxError(literal)
 	}
-	r.at += len(want)
+	r.offset += len(literal)
 	return nil
 }
 
-// Raw reads any value and returns its text.
-func (r *Reader) Raw() ([]byte, error) {
+// ReadRaw reads any value of at most maxDepth levels and returns its text, which points into the line.
+func (r *Reader) ReadRaw() ([]byte, error) {
 	r.peek()
-	from := r.at
-	err := r.skip(0)
-	return r.text[from:r.at], err
+	start := r.offset
+	err := r.skipValue(0)
+	return r.text[start:r.offset], err
 }
 
-func (r *Reader) skip(depth int) (err error) {
-	if depth > deepest {
-		return r.bad("fewer nested values")
+func (r *Reader) skipValue(depth int) (err error) {
+	if depth > maxDepth {
+		return r.syntaxError("fewer nested values")
 	}
-	switch c := r.peek(); c {
+	switch r.peek() {
 	case '{':
-		return r.Object(func([]byte) error { return r.skip(depth + 1) })
+		return r.ReadObject(func([]byte) error { return r.skipValue(depth + 1) })
 	case '[':
-		return r.List(func() error { return r.skip(depth + 1) })
+		return r.ReadArray(func() error { return r.skipValue(depth + 1) })
 	case '"':
-		_, err = r.Text()
+		_, err = r.ReadString()
 	case 't':
-		err = r.word("true")
+		err = r.readLiteral("true")
 	case 'f':
-		err = r.word("false")
+		err = r.readLiteral("false")
 	case 'n':
-		err = r.word("null")
+		err = r.readLiteral("null")
 	default:
-		_, err = r.Number()
+		_, err = r.ReadNumber()
 	}
 	return err
 }
--- a/internal/rpc/conn.go
+++ b/internal/rpc/conn.go
@@ -17,157 +17,157 @@
 // crosses the notice is served), then ended (nothing more is read; what is open gets its answers, and loop closes the
 // connection behind the last of them). A fault that can't be answered ends it without the first step.
 type conn struct {
-	front   *Front
-	wire    loop.Conn
-	in      jsonline.Lines
-	open    map[string]struct{}
-	last    time.Time // opened, a request read or answered
-	began   time.Time // of a message that is not whole; zero: none
-	noticed time.Time // when it was told closing; zero: not yet
-	asked   bool      // a whole request has come
-	ended   bool
-	faults  int
+	server         *Server
+	transport      loop.Conn
+	lines          jsonline.LineSplitter
+	pending        map[string]struct{}
+	lastActive     time.Time // opened, a request read or answered
+	partialSince   time.Time // of a message that is not whole; zero: none
+	notifiedAt     time.Time // when it was told closing; zero: not yet
+	hasRequested   bool      // a whole request has come
+	closing        bool
+	protocolErrors int
 }
 
 func (c *conn) Opened(w loop.Conn) {
-	c.wire, c.last = w, time.Now()
-	full := c.front.full()
-	c.front.conns[c] = struct{}{}
-	if c.front.draining || full {
-		c.notice(c.last)
+	c.transport, c.lastActive = w, time.Now()
+	full := c.server.atCapacity()
+	c.server.conns[c] = struct{}{}
+	if c.server.draining || full {
+		c.notifyClosing(c.lastActive)
 	}
 }
 
 // HasPending tells whether a request that was read has no answer yet.
-func (c *conn) HasPending() bool { return len(c.open) > 0 }
+func (c *conn) HasPending() bool { return len(c.pending) > 0 }
 
 // Closed: the other side ended the connection, or it left too much unread.
 func (c *conn) Closed(error) {
-	c.forget()
+	c.unregister()
 	if c.HasPending() {
-		c.front.admission.CallerGone(c)
+		c.server.admission.CallerGone(c)
 	}
 }
 
-// notice tells the stub to send no more here; a well-behaved one closes the connection once all is answered.
-func (c *conn) notice(now time.Time) {
-	if c.noticed.IsZero() && !c.ended {
-		c.noticed = now
-		c.front.noticed++
-		c.wire.Write(closing)
+// notifyClosing tells the stub to send no more here; a well-behaved one closes the connection once all is answered.
+func (c *conn) notifyClosing(now time.Time) {
+	if c.notifiedAt.IsZero() && !c.closing {
+		c.notifiedAt = now
+		c.server.notifiedConns++
+		c.transport.Write(closingNotification)
 	}
 }
 
-// stalled: it has been without a whole request, or with part of one, for too long.
-func (c *conn) stalled(now time.Time) bool {
-	return !c.began.IsZero() && now.Sub(c.began) > unasked || !c.asked && now.Sub(c.last) > unasked
+// isStalled: it has been without a whole request, or with part of one, for too long.
+func (c *conn) isStalled(now time.Time) bool {
+	return !c.partialSince.IsZero() && now.Sub(c.partialSince) > requestTimeout || !c.hasRequested && now.Sub(c.lastActive) > requestTimeout
 }
 
-// end lets nothing more in. What is open stays owed.
-func (c *conn) end() {
-	c.ended = true
-	c.wire.Close()
-	c.leave()
+// close lets nothing more in. What is open stays owed.
+func (c *conn) close() {
+	c.closing = true
+	c.transport.Close()
+	c.releaseIfDone()
 }
 
-// leave gives the place of an ended connection back once nothing is open on it.
-func (c *conn) leave() {
-	if c.ended && !c.HasPending() {
-		c.forget()
+// releaseIfDone gives the place of an ended connection back once nothing is open on it.
+func (c *conn) releaseIfDone() {
+	if c.closing && !c.HasPending() {
+		c.unregister()
 	}
 }
 
-func (c *conn) forget() {
-	if _, ok := c.front.conns[c]; !ok {
+func (c *conn) unregister() {
+	if _, ok := c.server.conns[c]; !ok {
 		return
 	}
-	delete(c.front.conns, c)
-	if !c.noticed.IsZero() {
-		c.front.noticed--
+	delete(c.server.conns, c)
+	if !c.notifiedAt.IsZero() {
+		c.server.notifiedConns--
 	}
 }
 
 // Received takes what came. A fault is answered under its id; without one, or with too many, the connection ends.
 func (c *conn) Received(p []byte) error {
 	whole := false
-	err := c.in.Feed(p, func(text []byte) error {
+	err := c.lines.Feed(p, func(text []byte) error {
 		whole = true
 		q, err := Decode(text)
 		if err == nil {
-			err = c.take(q)
+			err = c.handle(q)
 		}
 		if err == nil {
 			return nil
 		}
-		var f *Fault
+		var f *ProtocolError
 		if !errors.As(err, &f) {
 			return err
 		}
-		c.wire.Write(AppendFault(nil, q.ID, f))
-		if c.faults++; q.ID == "" || c.faults > mostFaults {
+		c.transport.Write(AppendError(nil, q.ID, f))
+		if c.protocolErrors++; q.ID == "" || c.protocolErrors > maxProtocolErrors {
 			return err
 		}
 		return nil
 	})
 	if err != nil {
-		c.end()
+		c.close()
 		return err
 	}
-	if !c.in.Partial() {
-		c.began = time.Time{}
-	} else if whole || c.began.IsZero() {
-		c.began = time.Now()
+	if !c.lines.HasPartial() {
+		c.partialSince = time.Time{}
+	} else if whole || c.partialSince.IsZero() {
+		c.partialSince = time.Now()
 	}
 	return nil
 }
 
-func (c *conn) take(q Request) error {
-	if q.Notification { // nothing is answered to one, and none has a meaning here; but a class or a check wants an answer
-		if q.Work.Class == methodCheck || c.front.admission.HasClass(q.Work.Class) {
-			return &Fault{codeRequest, errors.New("expected an id")}
+func (c *conn) handle(q Message) error {
+	if q.IsNotification { // nothing is answered to one, and none has a meaning here; but a class or a check wants an answer
+		if q.Request.Class == methodHealthCheck || c.server.admission.HasClass(q.Request.Class) {
+			return &ProtocolError{codeInvalidRequest, errors.New("expected an id")}
 		}
 		return nil
 	}
-	if _, twice := c.open[q.ID]; twice { // whichever of the two an error under this id would be taken for
+	if _, twice := c.pending[q.ID]; twice { // whichever of the two an error under this id would be taken for
 		return errors.New("two requests under one id")
 	}
-	if len(c.open) >= mostOpen {
-		return &Fault{codeRequest, fmt.Errorf("over %d open requests", mostOpen)}
+	if len(c.pending) >= maxPendingRequests {
+		return &ProtocolError{codeInvalidRequest, fmt.Errorf("over %d open requests", maxPendingRequests)}
 	}
-	c.asked, c.last = true, time.Now()
-	c.open[q.ID] = struct{}{}
-	if q.Check {
-		c.front.admission.CheckHealth(c, q.ID, q.Full)
+	c.hasRequested, c.lastActive = true, time.Now()
+	c.pending[q.ID] = struct{}{}
+	if q.IsHealthCheck {
+		c.server.admission.CheckHealth(c, q.ID, q.IsDeepCheck)
 		return nil
 	}
-	err := c.front.admission.Admit(c, q.ID, q.Work)
+	err := c.server.admission.Admit(c, q.ID, q.Request)
 	if err == nil {
 		return nil
 	}
-	delete(c.open, q.ID)
+	delete(c.pending, q.ID)
 	switch {
 	case errors.Is(err, node.ErrUnknownClass):
-		return &Fault{codeMethod, err}
+		return &ProtocolError{codeMethodNotFound, err}
 	case errors.Is(err, node.ErrUnknownTenant):
-		return &Fault{codeParams, err}
+		return &ProtocolError{codeInvalidParams, err}
 	}
-	return &Fault{codeRequest, err}
+	return &ProtocolError{codeInvalidRequest, err}
 }
 
 // Answer writes a final answer.
 func (c *conn) Answer(tag string, a node.Answer) {
-	c.done(tag)
-	c.wire.Write(AppendAnswer(nil, tag, a))
+	c.complete(tag)
+	c.transport.Write(AppendResponse(nil, tag, a))
 }
 
 // HealthChecked answers a health check.
 func (c *conn) HealthChecked(tag string, good bool, free float64) {
-	c.done(tag)
-	c.wire.Write(AppendChecked(nil, tag, good, free))
+	c.complete(tag)
+	c.transport.Write(AppendHealthStatus(nil, tag, good, free))
 }
 
-func (c *conn) done(tag string) {
-	delete(c.open, tag)
-	c.last = time.Now()
-	c.leave()
+func (c *conn) complete(tag string) {
+	delete(c.pending, tag)
+	c.lastActive = time.Now()
+	c.releaseIfDone()
 }
--- a/internal/rpc/decode.go
+++ b/internal/rpc/decode.go
@@ -13,33 +13,33 @@
 	"thymechute/internal/node"
 )
 
-// needed are the fields of every request.
-var needed = []string{"rid", "t0", "peer", "mem", "prio", "doc"}
+// requiredFields are the fields of every request.
+var requiredFields = []string{"rid", "t0", "peer", "mem", "prio", "doc"}
 
-// Request is a message from a stub.
-type Request struct {
-	ID           string // as it stands in the line
-	Notification bool   // a notification: the line has no id, and wants no answer
-	Check        bool   // a health check; Full: a deep one
-	Full         bool
-	Work         node.Request
+// Message is a message from a stub.
+type Message struct {
+	ID             string // as it stands in the line
+	IsNotification bool   // a notification: the line has no id, and wants no answer
+	IsHealthCheck  bool   // a health check; Full: a deep one
+	IsDeepCheck    bool
+	Request        node.Request
 }
 
-// Fault is what is wrong with a message, by JSON-RPC's code.
-type Fault struct {
+// ProtocolError is what is wrong with a message, by JSON-RPC's code.
+type ProtocolError struct {
 	Code int
 	Err  error
 }
 
-func (f *Fault) Error() string { return f.Err.Error() }
+func (f *ProtocolError) Error() string { return f.Err.Error() }
 
 // Decode reads one line. With a Fault the request's ID is set where it could be read.
-func Decode(line []byte) (q Request, err error) {
-	r := jsonline.New(line)
+func Decode(line []byte) (q Message, err error) {
+	r := jsonline.NewReader(line)
 	var method string
 	var params []byte
 	version, named := "", false
-	err = r.Object(func(name []byte) error {
+	err = r.ReadObject(func(name []byte) error {
 		switch string(name) {
 		case "id":
 			named = true
@@ -47,127 +47,127 @@
 				q.ID = "" // whose answer would it be
 				return errors.New("id stands twice")
 			}
-			raw, err := r.Raw()
-			if err == nil && len(raw) <= longestID && strings.Trim(string(raw), "0123456789") == "" {
+			raw, err := r.ReadRaw()
+			if err == nil && len(raw) <= maxIDLength && strings.Trim(string(raw), "0123456789") == "" {
 				q.ID = string(raw)
 			}
 			return err
 		case "method":
-			return word(r, &method)
+			return readString(r, &method)
 		case "jsonrpc":
-			return word(r, &version)
+			return readString(r, &version)
 		case "params":
-			raw, err := r.Raw()
+			raw, err := r.ReadRaw()
 			params = raw
 			return err
 		}
-		_, err := r.Raw()
+		_, err := r.ReadRaw()
 		return err
 	})
 	if err == nil {
-		err = r.End()
+		err = r.ExpectEnd()
 	}
 	switch {
 	case errors.Is(err, jsonline.ErrSyntax):
-		return q, &Fault{codeParse, err}
+		return q, &ProtocolError{codeParseError, err}
 	case err != nil:
-		return q, &Fault{codeRequest, err}
+		return q, &ProtocolError{codeInvalidRequest, err}
 	case version == "2.0" && method != "" && !named: // what it wants to say is read by its method alone
-		q.Notification, q.Work.Class = true, method
+		q.IsNotification, q.Request.Class = true, method
 		return q, nil
 	case version != "2.0" || method == "" || q.ID == "":
-		return q, &Fault{codeRequest, errors.New("expected jsonrpc 2.0, a method and an id")}
+		return q, &ProtocolError{codeInvalidRequest, errors.New("expected jsonrpc 2.0, a method and an id")}
 	}
-	if q.Check = method == methodCheck; q.Check && params == nil {
+	if q.IsHealthCheck = method == methodHealthCheck; q.IsHealthCheck && params == nil {
 		return q, nil
 	}
-	q.Work.Class = method
+	q.Request.Class = method
 	if err := q.params(params); err != nil {
-		return q, &Fault{codeParams, err}
+		return q, &ProtocolError{codeInvalidParams, err}
 	}
 	return q, nil
 }
 
-func (q *Request) params(text []byte) error {
-	r, a := jsonline.New(text), &q.Work
+func (q *Message) params(text []byte) error {
+	r, a := jsonline.NewReader(text), &q.Request
 	seen := map[string]bool{}
-	err := r.Object(func(name []byte) (err error) {
+	err := r.ReadObject(func(name []byte) (err error) {
 		var x float64
 		if seen[string(name)] {
 			return fmt.Errorf("%.20s: stands twice", name)
 		}
-		if len(seen) < mostNames {
+		if len(seen) < maxTrackedFields {
 			seen[string(name)] = true
 		}
 		switch string(name) {
 		case "rid":
-			err = word(r, &a.ID)
+			err = readString(r, &a.ID)
 		case "t0":
-			if x, err = r.Number(); err == nil && (x < 0 || x > 1e14) {
+			if x, err = r.ReadNumber(); err == nil && (x < 0 || x > 1e14) {
 				err = errors.New("expected Unix milliseconds")
 			}
 			a.ReceivedAt = time.UnixMicro(int64(x * 1e3))
-			if ago := time.Since(a.ReceivedAt); err == nil && (ago > oldest || ago < -ahead) {
+			if ago := time.Since(a.ReceivedAt); err == nil && (ago > maxRequestAge || ago < -maxClockSkew) {
 				err = errors.New("expected a time just now")
 			}
 		case "peer":
-			if x, err = r.Number(); err == nil && (x != math.Trunc(x) || x < 0 || x > 1e9) {
+			if x, err = r.ReadNumber(); err == nil && (x != math.Trunc(x) || x < 0 || x > 1e9) {
 				err = errors.New("expected the number of a stub")
 			}
 			a.Caller = int(x)
 		case "acct":
-			err = word(r, &a.Tenant)
+			err = readString(r, &a.Tenant)
 		case "again":
-			a.Retry, err = r.Flag()
+			a.Retry, err = r.ReadBool()
 		case "mem":
-			if a.MemoryKB, err = r.Number(); err == nil && (a.MemoryKB <= 0 || a.MemoryKB >= mostKB) {
-				err = fmt.Errorf("expected over 0 and under %d", mostKB)
+			if a.MemoryKB, err = r.ReadNumber(); err == nil && (a.MemoryKB <= 0 || a.MemoryKB >= maxMemoryKB) {
+				err = fmt.Errorf("expected over 0 and under %d", maxMemoryKB)
 			}
 		case "prio":
-			if a.Priority, err = r.Number(); err == nil && (a.Priority < 0 || a.Priority >= 1) {
+			if a.Priority, err = r.ReadNumber(); err == nil && (a.Priority < 0 || a.Priority >= 1) {
 				err = errors.New("expected 0 to under 1")
 			}
 		case "token":
-			err = word(r, &a.Key)
+			err = readString(r, &a.Key)
 		case "obj":
-			err = word(r, &a.Subject)
+			err = readString(r, &a.Subject)
 		case "doc":
-			a.Body, err = r.Bytes(mostBody)
+			a.Body, err = r.ReadBase64(maxBodySize)
 		case "full":
-			q.Full, err = r.Flag()
+			q.IsDeepCheck, err = r.ReadBool()
 		default:
-			_, err = r.Raw()
+			_, err = r.ReadRaw()
 		}
 		if err != nil {
 			err = fmt.Errorf("%.20s: %w", name, err)
 		}
 		return err
 	})
-	if err != nil || q.Check {
+	if err != nil || q.IsHealthCheck {
 		return err
 	}
-	for _, name := range needed {
+	for _, name := range requiredFields {
 		if !seen[name] {
 			return fmt.Errorf("%s: missing", name)
 		}
 	}
-	if !plain(a.ID) {
+	if !isPlainID(a.ID) {
 		return errors.New("rid: expected 1 to 64 letters or digits")
 	}
 	return nil
 }
 
-func word(r *jsonline.Reader, into *string) error {
-	text, err := r.Text()
-	if err == nil && len(text) > longestWord {
-		err = fmt.Errorf("expected at most %d bytes", longestWord)
+func readString(r *jsonline.Reader, into *string) error {
+	text, err := r.ReadString()
+	if err == nil && len(text) > maxStringLength {
+		err = fmt.Errorf("expected at most %d bytes", maxStringLength)
 	}
 	*into = string(text)
 	return err
 }
 
-// plain: ids go on into line protocols, where a blank would end them.
-func plain(id string) bool {
+// isPlainID: ids go on into line protocols, where a blank would end them.
+func isPlainID(id string) bool {
 	for _, c := range []byte(id) {
 		if !(c >= '0' && c <= '9' || c >= 'a' && c <= 'z' || c >= 'A' && c <= 'Z' || c == '-') {
 			return false
--- a/internal/runtime/runtime.go
+++ b/internal/runtime/runtime.go
@@ -38,13 +38,13 @@
 
 // Decode reads one line.
 func Decode(line []byte) (n Notice, err error) {
-	r := jsonline.New(line)
+	r := jsonline.NewReader(line)
 	text := func(into *string) error {
-		b, err := r.Text()
+		b, err := r.ReadString()
 		*into = string(b)
 		return err
 	}
-	err = r.Object(func(name []byte) (err error) {
+	err = r.ReadObject(func(name []byte) (err error) {
 		var x float64
 		switch string(name) {
 		case "verb":
@@ -56,31 +56,31 @@
 		case "nonce":
 			err = text(&n.Nonce)
 		case "index":
-			if x, err = r.Number(); err == nil && (x < 0 || x > 1<<53) {
+			if x, err = r.ReadNumber(); err == nil && (x < 0 || x > 1<<53) {
 				err = errors.New("expected a number of a notice")
 			}
 			n.Index = uint64(x)
 		case "spent":
-			if x, err = r.Number(); err == nil {
+			if x, err = r.ReadNumber(); err == nil {
 				n.Spent = time.Duration(min(max(x, 0), 1e12) * 1e6)
 			}
 		case "bytes":
-			n.Bytes, err = r.Bytes(mostBytes)
+			n.Bytes, err = r.ReadBase64(mostBytes)
 		case "readings":
-			err = r.List(func() error {
-				x, err := r.Number()
+			err = r.ReadArray(func() error {
+				x, err := r.ReadNumber()
 				if len(n.Readings) < 64 {
 					n.Readings = append(n.Readings, x)
 				}
 				return err
 			})
 		default:
-			_, err = r.Raw()
+			_, err = r.ReadRaw()
 		}
 		return err
 	})
 	if err == nil {
-		err = r.End()
+		err = r.ExpectEnd()
 	}
 	if err == nil && n.Verb == "" {
 		err = errors.New("expected a verb")
@@ -90,18 +90,18 @@
 
 // AppendCommand writes a command; empty fields are left out, but for bytes, which stand where they are not nil.
 func AppendCommand(out []byte, verb, task, handler string, body []byte, nonce string) []byte {
-	out = jsonline.AppendText(append(out, `{"verb":`...), verb)
+	out = jsonline.AppendString(append(out, `{"verb":`...), verb)
 	if task != "" {
-		out = jsonline.AppendText(append(out, `,"task":`...), task)
+		out = jsonline.AppendString(append(out, `,"task":`...), task)
 	}
 	if handler != "" {
-		out = jsonline.AppendText(append(out, `,"handler":`...), handler)
+		out = jsonline.AppendString(append(out, `,"handler":`...), handler)
 	}
 	if body != nil {
-		out = jsonline.AppendBytes(append(out, `,"bytes":`...), body)
+		out = jsonline.AppendBase64(append(out, `,"bytes":`...), body)
 	}
 	if nonce != "" {
-		out = jsonline.AppendText(append(out, `,"nonce":`...), nonce)
+		out = jsonline.AppendString(append(out, `,"nonce":`...), nonce)
 	}
 	return append(out, "}\n"...)
 }
@@ -129,7 +129,7 @@
 	spread *rand.Rand
 	now    *session  // the latest connection, standing or dialled
 	wire   loop.Conn // of the session that commands go to; none while the link is broken
-	in     jsonline.Lines
+	in     jsonline.LineSplitter
 	last   uint64 // number of the last notice read
 	caught bool   // the notices missed have been read
 	tag    string // of the reading behind them
@@ -174,7 +174,7 @@
 	l.wire, l.caught, l.odd, l.opened, l.owed = w, false, 0, time.Now(), time.Time{}
 	l.links++
 	l.tag = "sync" + strconv.Itoa(l.links)
-	l.in = jsonline.Lines{Longest: longestLine}
+	l.in = jsonline.LineSplitter{MaxLength: longestLine}
 	l.wire.Write(fmt.Appendf(nil, `{"verb":"sync","index":%d}`+"\n", l.last))
 }
 
--- a/internal/runtime/runtime_test.go
+++ b/internal/runtime/runtime_test.go
@@ -41,7 +41,7 @@
 
 func TestNoticesAreToldOnceAndInOrder(t *testing.T) {
 	l, s, _ := link()
-	w := &testutil.Wire{}
+	w := &testutil.FakeConn{}
 	open(l, w)
 	const notices = `{"verb":"ready","outcome":"new","spent":1.5}
 {"verb":"wants","index":1,"task":"a","bytes":"eA=="}
@@ -62,7 +62,7 @@
 	if got := strings.Join(s.got, "; "); got != "ready false 1.5ms; wants a x; end a 1 z; caught up; readings [1 2]" {
 		t.Error(got)
 	}
-	again := &testutil.Wire{}
+	again := &testutil.FakeConn{}
 	l.now.Closed(&loop.ConnError{Connected: true})
 	open(l, again)
 	if l.Up() || !strings.Contains(again.Out, `"index":2`) {
@@ -84,7 +84,7 @@
 
 func TestNewLinkTakesThePlaceOfTheOldWhenItIsOpen(t *testing.T) {
 	l, s, _ := link()
-	old, w := &testutil.Wire{}, &testutil.Wire{}
+	old, w := &testutil.FakeConn{}, &testutil.FakeConn{}
 	open(l, old)
 	first := l.now
 	l.Open()
@@ -104,7 +104,7 @@
 
 func TestRefusedStartIsMoot(t *testing.T) {
 	l, s, _ := link()
-	open(l, &testutil.Wire{})
+	open(l, &testutil.FakeConn{})
 	_ = l.now.Received([]byte(`{"verb":"nack","outcome":"start","task":"a"}` + "\n" + `{"verb":"nack","outcome":"give","task":"b"}` + "\n"))
 	if len(s.got) != 1 || s.got[0] != fmt.Sprintf("end a %d ", policy.NotStarted) {
 		t.Errorf("%q", s.got)
--- a/internal/settingsjson/read.go
+++ b/internal/settingsjson/read.go
@@ -171,16 +171,16 @@
 	if missing(raw) {
 		return tenant
 	}
-	entry := jsonline.New(raw)
+	entry := jsonline.NewReader(raw)
 	var name, quota []byte
-	err := entry.Object(func(key []byte) (err error) {
+	err := entry.ReadObject(func(key []byte) (err error) {
 		switch string(key) {
 		case "name":
-			name, err = entry.Raw()
+			name, err = entry.ReadRaw()
 		case "quota_per_s":
-			quota, err = entry.Raw()
+			quota, err = entry.ReadRaw()
 		default:
-			_, err = entry.Raw()
+			_, err = entry.ReadRaw()
 		}
 		return err
 	})
@@ -188,7 +188,7 @@
 		r.fail(fmt.Sprint("tenants.", place), compact(raw), "an object")
 	}
 	if !missing(name) {
-		text, err := jsonline.New(name).Text()
+		text, err := jsonline.NewReader(name).ReadString()
 		if err != nil {
 			r.fail(fmt.Sprintf("tenants.%d.name", place), compact(name), "a text")
 		}
--- a/internal/testutil/settings.go
+++ b/internal/testutil/settings.go
@@ -2,14 +2,14 @@
 
 import "thymechute/policy/settings"
 
-// Wire is a connection that keeps what is written on it.
-type Wire struct {
+// FakeConn is a connection that keeps what is written on it.
+type FakeConn struct {
 	Out    string
 	Closed bool
 }
 
-func (w *Wire) Write(p []byte) { w.Out += string(p) }
-func (w *Wire) Close()         { w.Closed = true }
+func (w *FakeConn) Write(p []byte) { w.Out += string(p) }
+func (w *FakeConn) Close()         { w.Closed = true }
 
 // TypedSettings are those of a server of two cores, with a change if there is one; class 0 is safe, 1 keyed, 2 unsafe.
 func TypedSettings(change func(*settings.Settings)) settings.Settings {
