--- a/cmd/testbed/emulated.go
+++ b/cmd/testbed/emulated.go
@@ -58,20 +58,20 @@
 	const mostTakeover = 3 * time.Second
 	return experiment("owner", "One owner a duty through pauses, cuts and cold restarts, in the emulator",
 		sizes{usual: 12, least: 2, most: 5000, unit: "members"}, func(t trial) (*lab.Report, error) {
-			f, err := emulator.Owner(t.size, 120, t.seed)
+			f, err := emulator.RunLeases(t.size, 120, t.seed)
 			if err != nil {
 				return nil, err
 			}
 			r := &lab.Report{}
-			r.Zero("owners_at_once", f.OwnersAtOnce)
-			r.Put("stale_tried", float64(f.StaleTried))
+			r.Zero("owners_at_once", f.ConcurrentHolders)
+			r.Put("stale_tried", float64(f.StaleProposed))
 			r.Zero("stale_accepted", f.StaleAccepted)
-			r.Zero("stale_acted_on", f.StaleActed)
+			r.Zero("stale_acted_on", f.StaleAdmitted)
 			r.Put("decisions", float64(f.Decisions))
-			r.Zero("tables_that_differ", f.Diverged)
+			r.Zero("tables_that_differ", f.DivergedTables)
 			r.Put("takeover_ms_p99", float64(f.TakeoverP99.Milliseconds()))
-			if f.StaleTried == 0 || f.TakeoverP99 > mostTakeover {
-				r.Fault("%d stale commands tried, takeover %v; expected some, and %v at most", f.StaleTried, f.TakeoverP99, mostTakeover)
+			if f.StaleProposed == 0 || f.TakeoverP99 > mostTakeover {
+				r.Fault("%d stale commands tried, takeover %v; expected some, and %v at most", f.StaleProposed, f.TakeoverP99, mostTakeover)
 			}
 			return r, nil
 		})
--- a/cmd/thymechute/fleet.go
+++ b/cmd/thymechute/fleet.go
@@ -74,13 +74,13 @@
 // fleet is a running member, the goroutine that keeps its record, and its end of the agreed log; nil where the file has no
 // fleet.
 type fleet struct {
-	member *membership.Member
-	agreed *agreed
-	own    membership.Record // the keeping goroutine's until kept is closed
-	within time.Duration     // each step of leaving
-	done   chan struct{}
-	kept   chan struct{}
-	once   sync.Once
+	member    *membership.Member
+	consensus *consensusNode
+	own       membership.Record // the keeping goroutine's until kept is closed
+	within    time.Duration     // each step of leaving
+	done      chan struct{}
+	kept      chan struct{}
+	once      sync.Once
 }
 
 // startFleet joins the fleet as the file says; stop is from the notice to the kill. Errors: an address can't be bound, the
@@ -97,16 +97,16 @@
 	f := &fleet{own: membership.Record{Zone: o.Zone, Region: o.Region, Rank: -1, Epoch: uint64(time.Now().UnixMilli())},
 		within: min(stop/3, time.Second), done: make(chan struct{}), kept: make(chan struct{})}
 	if o.Log != nil {
-		f.agreed = newAgreed(o.Log, &f.own, name, log)
+		f.consensus = newConsensusNode(o.Log, &f.own, name, log)
 	}
 	var err error
 	f.member, err = membership.Start(membership.Config{Name: name, Bind: o.Bind, Advertise: o.Advertise, Seeds: seeds, Most: o.Most, Record: f.own,
-		Probe: time.Duration(o.ProbeMS) * time.Millisecond, Sync: time.Duration(o.SyncMS) * time.Millisecond, Message: f.agreed.incoming}, watch)
+		Probe: time.Duration(o.ProbeMS) * time.Millisecond, Sync: time.Duration(o.SyncMS) * time.Millisecond, Message: f.consensus.receive}, watch)
 	if err != nil {
 		return nil, err
 	}
-	if f.agreed != nil {
-		if err := f.agreed.start(o.Log, f.member, f.own.Epoch); err != nil {
+	if f.consensus != nil {
+		if err := f.consensus.start(o.Log, f.member, f.own.Epoch); err != nil {
 			return nil, errors.Join(err, f.member.Leave(f.within))
 		}
 	}
@@ -121,8 +121,8 @@
 	defer close(f.kept)
 	own, told := &f.own, ""
 	var tell <-chan time.Time
-	if f.agreed != nil {
-		t := time.NewTicker(tellEvery)
+	if f.consensus != nil {
+		t := time.NewTicker(publishInterval)
 		defer t.Stop()
 		tell = t.C
 	}
@@ -131,7 +131,7 @@
 		case <-f.done:
 			return
 		case <-tell:
-			if f.agreed.keep(own) {
+			if f.consensus.refresh(own) {
 				_ = f.member.Set(*own) // not heard: the next time tells more
 			}
 			continue
@@ -148,8 +148,8 @@
 			if err := f.member.Set(*own); err != nil {
 				log.Warn("rank not claimed", zap.Error(err))
 			}
-			if f.agreed != nil {
-				f.agreed.placed(rank)
+			if f.consensus != nil {
+				f.consensus.setClaimPosition(rank)
 			}
 		}
 		names := ""
@@ -178,16 +178,16 @@
 	f.once.Do(func() {
 		close(f.done)
 		<-f.kept
-		if f.agreed != nil {
+		if f.consensus != nil {
 			f.own.Flag = "leaving"
 			_ = f.member.Set(f.own)
-			f.agreed.driver.Load().Leave(f.within)
+			f.consensus.driver.Load().Drain(f.within)
 		}
 		if err := f.member.Leave(f.within); err != nil {
 			log.Warn("fleet left with an error", zap.Error(err))
 		}
-		if f.agreed != nil {
-			f.agreed.driver.Load().Stop()
+		if f.consensus != nil {
+			f.consensus.driver.Load().Stop()
 		}
 		log.Info("fleet left")
 	})
--- a/internal/decide/lease/holder.go
+++ b/internal/decide/lease/holder.go
@@ -14,17 +14,17 @@
 type Host interface {
 	// Propose hands a command to the log. It may be lost, or be applied much later; the Holder tries again.
 	Propose(c Command)
-	// Holds says that this member holds the duty from now on, and under which token.
-	Holds(duty string, token uint64)
-	// Lost says that it no longer does; what it was about to do must not be begun.
-	Lost(duty string)
+	// LeaseAcquired says that this member holds the duty from now on, and under which token.
+	LeaseAcquired(duty string, token uint64)
+	// LeaseLost says that it no longer does; what it was about to do must not be begun.
+	LeaseLost(duty string)
 }
 
-// Holder drives one member. All times are spans since its start, by its own clock.
-type Holder struct {
+// Elector drives one member. All times are spans since its start, by its own clock.
+type Elector struct {
 	host   Host
 	table  *Table // its copy, as far as it has applied the log
-	lease  Lease
+	lease  Config
 	member string
 	life   uint64
 	seq    uint64
@@ -45,14 +45,14 @@
 	place    int           // its turn among those who would claim, from 0
 }
 
-// NewHolder is of a member that has just started; table is its copy, empty or from a snapshot, and it is taken to have
+// NewElector is of a member that has just started; table is its copy, empty or from a snapshot, and it is taken to have
 // been renewed just now. life must differ from that of every process before it under this name.
-func NewHolder(h Host, table *Table, lease Lease, member string, life uint64) *Holder {
-	return &Holder{host: h, table: table, lease: lease, member: member, life: life, own: make([]own, len(table.names)), behind: true}
+func NewElector(h Host, table *Table, lease Config, member string, life uint64) *Elector {
+	return &Elector{host: h, table: table, lease: lease, member: member, life: life, own: make([]own, len(table.names)), behind: true}
 }
 
-// CaughtUp: it has applied all that was in the log when it started, so from now on silence means something.
-func (h *Holder) CaughtUp(now time.Duration) {
+// SetCaughtUp: it has applied all that was in the log when it started, so from now on silence means something.
+func (h *Elector) SetCaughtUp(now time.Duration) {
 	if !h.behind {
 		return
 	}
@@ -62,22 +62,22 @@
 	}
 }
 
-// Applied: the log's entry at index is in force here; it returns what became of it. A decision accepted is the
+// Apply: the log's entry at index is in force here; it returns what became of it. A decision accepted is the
 // caller's to act on, by its Guard.
-func (h *Holder) Applied(now time.Duration, index uint64, c Command) Outcome {
+func (h *Elector) Apply(now time.Duration, index uint64, c Command) Outcome {
 	o := h.table.Apply(index, c)
 	for n, name := range h.table.names {
 		if name != c.Duty {
 			continue
 		}
-		mine := c.Member == h.member && c.Life == h.life
+		mine := c.Member == h.member && c.Incarnation == h.life
 		if s := &h.own[n]; mine && c.Seq == s.sent {
 			s.sent = 0
-			if o.Accepted && (c.Kind == Claim || c.Kind == Renew) {
+			if o.Accepted && (c.Kind == Acquire || c.Kind == Renew) {
 				h.hold(now, n, s.sentAt)
 			}
 		}
-		if o.Accepted && c.Kind != Do && c.Kind != Note {
+		if o.Accepted && c.Kind != Decide && c.Kind != Announce {
 			h.own[n].heard = now
 		}
 		h.check(now, n)
@@ -86,7 +86,7 @@
 }
 
 // hold counts the lease from when its entry was proposed; an entry applied after that lease is over gives nothing.
-func (h *Holder) hold(now time.Duration, n int, proposed time.Duration) {
+func (h *Elector) hold(now time.Duration, n int, proposed time.Duration) {
 	s := &h.own[n]
 	until := proposed + h.lease.holds()
 	if until <= now || !h.tableHas(n) {
@@ -95,29 +95,29 @@
 	fresh := !s.held
 	s.held, s.until = true, until
 	if fresh {
-		h.host.Holds(h.table.names[n], h.table.duties[n].Token)
+		h.host.LeaseAcquired(h.table.names[n], h.table.duties[n].Token)
 	}
 }
 
-func (h *Holder) tableHas(n int) bool {
+func (h *Elector) tableHas(n int) bool {
 	d := h.table.duties[n]
-	return d.Holder == h.member && d.Life == h.life
+	return d.Holder == h.member && d.Incarnation == h.life
 }
 
 // check gives up what is over, by the clock or by the table.
-func (h *Holder) check(now time.Duration, n int) {
+func (h *Elector) check(now time.Duration, n int) {
 	if s := &h.own[n]; s.held && (now >= s.until || !h.tableHas(n)) {
 		s.held = false
-		h.host.Lost(h.table.names[n])
+		h.host.LeaseLost(h.table.names[n])
 	}
 }
 
 // Tick comes often beside a lease, at least eight times in one: it gives up, renews and claims what is due.
-func (h *Holder) Tick(now time.Duration) {
+func (h *Elector) Tick(now time.Duration) {
 	for n := range h.own {
 		h.check(now, n)
 		s, d := &h.own[n], h.table.duties[n]
-		if s.sent != 0 && now < s.sentAt+h.lease.Length/2 || now < s.nextTry || h.leaves {
+		if s.sent != 0 && now < s.sentAt+h.lease.Duration/2 || now < s.nextTry || h.leaves {
 			continue
 		}
 		switch {
@@ -126,11 +126,11 @@
 		case !s.held && !h.behind && (d.Holder == "" || now-s.heard >= h.lease.waits()):
 			// Who holds fewer claims sooner: duties spread where members are alike, and none waits for another.
 			if s.standing == 0 {
-				s.standing = now + time.Duration(h.Held())*h.lease.Length/4 + h.turn(s.place) + 1
+				s.standing = now + time.Duration(h.LeaseCount())*h.lease.Duration/4 + h.turn(s.place) + 1
 			}
 			if now >= s.standing {
 				s.standing = 0
-				h.propose(now, n, Command{Kind: Claim, Seen: d.Renewed})
+				h.propose(now, n, Command{Kind: Acquire, ObservedIndex: d.RenewedIndex})
 			}
 		default:
 			s.standing = 0
@@ -138,9 +138,9 @@
 	}
 }
 
-// Placed: this member is the place-th to claim a duty that comes free, as the fleet's ranks have it; the same place in
+// SetClaimPosition: this member is the place-th to claim a duty that comes free, as the fleet's ranks have it; the same place in
 // two members costs a refused claim, no more. Without it all claim at once.
-func (h *Holder) Placed(duty string, place int) {
+func (h *Elector) SetClaimPosition(duty string, place int) {
 	for n, name := range h.table.names {
 		if name == duty {
 			h.own[n].place = max(place, 0)
@@ -150,23 +150,23 @@
 
 // turn is how long a place waits for those before it: the first few come one by one, the rest only where all of these
 // are gone, so that a large fleet doesn't put a claim each into the log whenever a duty comes free.
-func (h *Holder) turn(place int) time.Duration {
+func (h *Elector) turn(place int) time.Duration {
 	if place < firstTurns {
-		return time.Duration(place) * h.lease.Length / firstTurns
+		return time.Duration(place) * h.lease.Duration / firstTurns
 	}
-	return h.lease.Length + time.Duration(place%(4*firstTurns))*h.lease.Length/firstTurns
+	return h.lease.Duration + time.Duration(place%(4*firstTurns))*h.lease.Duration/firstTurns
 }
 
-func (h *Holder) propose(now time.Duration, n int, c Command) {
+func (h *Elector) propose(now time.Duration, n int, c Command) {
 	h.seq++
-	c.Duty, c.Member, c.Life, c.Seq = h.table.names[n], h.member, h.life, h.seq
+	c.Duty, c.Member, c.Incarnation, c.Seq = h.table.names[n], h.member, h.life, h.seq
 	s := &h.own[n]
-	s.sent, s.sentAt, s.nextTry = h.seq, now, now+h.lease.Length/8
+	s.sent, s.sentAt, s.nextTry = h.seq, now, now+h.lease.Duration/8
 	h.host.Propose(c)
 }
 
-// Held is how many duties it holds.
-func (h *Holder) Held() (held int) {
+// LeaseCount is how many duties it holds.
+func (h *Elector) LeaseCount() (held int) {
 	for _, s := range h.own {
 		if s.held {
 			held++
@@ -175,8 +175,8 @@
 	return held
 }
 
-// May tells whether it holds the duty at this moment, and under which token.
-func (h *Holder) May(now time.Duration, duty string) (token uint64, ok bool) {
+// Token tells whether it holds the duty at this moment, and under which token.
+func (h *Elector) Token(now time.Duration, duty string) (token uint64, ok bool) {
 	for n, name := range h.table.names {
 		if name == duty {
 			h.check(now, n)
@@ -188,50 +188,50 @@
 
 // Decide proposes a decision under a duty; false where it doesn't hold it any more, and then nothing was proposed.
 // Once proposed it may still be refused or lost: what becomes of it comes back by Applied.
-func (h *Holder) Decide(now time.Duration, duty, body string) (seq uint64, ok bool) {
-	token, held := h.May(now, duty)
+func (h *Elector) Decide(now time.Duration, duty, body string) (seq uint64, ok bool) {
+	token, held := h.Token(now, duty)
 	if !held {
 		return 0, false
 	}
 	h.seq++
-	h.host.Propose(Command{Kind: Do, Duty: duty, Member: h.member, Life: h.life, Seq: h.seq, Token: token, Body: body})
+	h.host.Propose(Command{Kind: Decide, Duty: duty, Member: h.member, Incarnation: h.life, Seq: h.seq, Token: token, Body: body})
 	return h.seq, true
 }
 
-// GiveUp releases one duty, for another to take: this member claims it no more for some leases.
-func (h *Holder) GiveUp(now time.Duration, duty string) {
+// Resign releases one duty, for another to take: this member claims it no more for some leases.
+func (h *Elector) Resign(now time.Duration, duty string) {
 	for n, name := range h.table.names {
 		if h.check(now, n); name == duty && h.own[n].held {
 			h.own[n].held = false
 			h.propose(now, n, Command{Kind: Release, Token: h.table.duties[n].Token})
-			h.own[n].nextTry = now + shy*h.lease.Length
-			h.host.Lost(name)
+			h.own[n].nextTry = now + shy*h.lease.Duration
+			h.host.LeaseLost(name)
 		}
 	}
 }
 
-// Note puts a word of this member's own into the log, under no token.
-func (h *Holder) Note(duty, body string) (seq uint64) {
+// Announce puts a word of this member's own into the log, under no token.
+func (h *Elector) Announce(duty, body string) (seq uint64) {
 	h.seq++
-	h.host.Propose(Command{Kind: Note, Duty: duty, Member: h.member, Life: h.life, Seq: h.seq, Body: body})
+	h.host.Propose(Command{Kind: Announce, Duty: duty, Member: h.member, Incarnation: h.life, Seq: h.seq, Body: body})
 	return h.seq
 }
 
-// Leave: this process ends soon. It gives up what it holds, at once, and claims nothing more.
-func (h *Holder) Leave(now time.Duration) {
+// Drain: this process ends soon. It gives up what it holds, at once, and claims nothing more.
+func (h *Elector) Drain(now time.Duration) {
 	h.leaves = true
 	for n, name := range h.table.names {
 		if h.check(now, n); h.own[n].held {
 			h.own[n].held = false
 			h.propose(now, n, Command{Kind: Release, Token: h.table.duties[n].Token})
-			h.host.Lost(name)
+			h.host.LeaseLost(name)
 		}
 	}
 }
 
-// Restored: a snapshot took the place of the entries so far. What it renewed meanwhile is taken to have been renewed
+// Restore: a snapshot took the place of the entries so far. What it renewed meanwhile is taken to have been renewed
 // just now.
-func (h *Holder) Restored(now time.Duration, t *Table) {
+func (h *Elector) Restore(now time.Duration, t *Table) {
 	for n, name := range h.table.names {
 		if d, ok := t.At(name); ok {
 			h.table.duties[n] = d
--- a/internal/decide/lease/owner.go
+++ b/internal/decide/lease/owner.go
@@ -17,45 +17,45 @@
 
 import "time"
 
-// MostDuties bounds the duties of a fleet.
-const MostDuties = 16
+// MaxDuties bounds the duties of a fleet.
+const MaxDuties = 16
 
 // Kind of a command.
 type Kind uint8
 
 // The commands that a log of duties carries.
 const (
-	Claim   Kind = iota // become the holder, if Seen is still the entry that last renewed the duty
-	Renew               // the holder goes on
-	Release             // the holder gives it up: whoever claims next need not wait
-	Do                  // a decision of the holder, for all members to act on
-	Note                // a member's own word under a duty: no token, no holder, and it changes nothing of the duty
+	Acquire  Kind = iota // become the holder, if Seen is still the entry that last renewed the duty
+	Renew                // the holder goes on
+	Release              // the holder gives it up: whoever claims next need not wait
+	Decide               // a decision of the holder, for all members to act on
+	Announce             // a member's own word under a duty: no token, no holder, and it changes nothing of the duty
 )
 
 // Command is one entry of the log, before it has an index. Member and Life name one process: under the same name a
 // restarted one has another Life, so what it said before it died is not taken for its own. Seq is its proposer's count.
 type Command struct {
-	Kind   Kind
-	Duty   string
-	Member string
-	Life   uint64
-	Seq    uint64
-	Token  uint64 // Renew, Release, Do: the token under which it acts
-	Seen   uint64 // Claim: index of the entry that last renewed the duty; 0: none ever did
-	Body   string // Do, Note: in the duty's own words
+	Kind          Kind
+	Duty          string
+	Member        string
+	Incarnation   uint64 `json:"Life"`
+	Seq           uint64
+	Token         uint64 // Renew, Release, Do: the token under which it acts
+	ObservedIndex uint64 `json:"Seen"` // Claim: index of the entry that last renewed the duty; 0: none ever did
+	Body          string // Do, Note: in the duty's own words
 }
 
-// Lease is its length and what clocks may do to it; both the same in all members.
-type Lease struct {
-	Length time.Duration // 1 ms and more
-	Drift  float64       // part by which a clock may run fast or slow, 0 to 0.5
-	Margin time.Duration // before its end at which the holder stops issuing commands
+// Config is its length and what clocks may do to it; both the same in all members.
+type Config struct {
+	Duration     time.Duration // 1 ms and more
+	MaxDrift     float64       // part by which a clock may run fast or slow, 0 to 0.5
+	SafetyMargin time.Duration // before its end at which the holder stops issuing commands
 }
 
 // holds is how long a holder may act, counted from before it proposed the renewal, by its own clock.
-func (l Lease) holds() time.Duration {
-	return time.Duration(float64(l.Length)*(1-l.Drift)) - l.Margin
+func (l Config) holds() time.Duration {
+	return time.Duration(float64(l.Duration)*(1-l.MaxDrift)) - l.SafetyMargin
 }
 
 // waits is how long another must have seen no renewal, counted from when it applied the last, by its own clock.
-func (l Lease) waits() time.Duration { return time.Duration(float64(l.Length) * (1 + l.Drift)) }
+func (l Config) waits() time.Duration { return time.Duration(float64(l.Duration) * (1 + l.MaxDrift)) }
--- a/internal/decide/lease/owner_test.go
+++ b/internal/decide/lease/owner_test.go
@@ -12,42 +12,42 @@
 	"thymechute/internal/lab/emulator"
 )
 
-var leaseTerms = lease.Lease{Length: time.Second, Drift: 0.05, Margin: 5 * time.Millisecond}
+var leaseTerms = lease.Config{Duration: time.Second, MaxDrift: 0.05, SafetyMargin: 5 * time.Millisecond}
 
 // Any order of pauses, cuts, cold restarts, lost and late entries, with clocks at any rate within the bound.
 func TestOneHolderAtATimeWhateverHappens(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		r := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "rates"), 1))
-		s, err := emulator.NewOwnerSim(rapid.IntRange(2, 5).Draw(t, "size"), leaseTerms, r, "ring", "roll")
+		s, err := emulator.NewLeaseSim(rapid.IntRange(2, 5).Draw(t, "size"), leaseTerms, r, "ring", "roll")
 		if err != nil {
 			t.Fatal(err)
 		}
-		some := func(t *rapid.T) *emulator.OwnerMember {
+		some := func(t *rapid.T) *emulator.LeaseMember {
 			return s.Members[rapid.IntRange(0, len(s.Members)-1).Draw(t, "member")]
 		}
 		inFlight := func(t *rapid.T) int {
-			if s.Flight() == 0 {
+			if s.InFlight() == 0 {
 				t.Skip("nothing in flight")
 			}
-			return rapid.IntRange(0, s.Flight()-1).Draw(t, "which")
+			return rapid.IntRange(0, s.InFlight()-1).Draw(t, "which")
 		}
 		t.Repeat(map[string]func(*rapid.T){
 			"advance": func(t *rapid.T) { s.Advance(time.Duration(rapid.IntRange(1, 400).Draw(t, "ms")) * time.Millisecond) },
 			"commit":  func(t *rapid.T) { s.Commit(inFlight(t)) },
 			"drop":    func(t *rapid.T) { s.Drop(inFlight(t)) },
-			"hear":    func(t *rapid.T) { s.Hear(some(t), rapid.IntRange(1, 8).Draw(t, "entries")) },
+			"hear":    func(t *rapid.T) { s.Deliver(some(t), rapid.IntRange(1, 8).Draw(t, "entries")) },
 			"all": func(t *rapid.T) {
 				for _, m := range s.Members {
-					s.Hear(m, 99)
+					s.Deliver(m, 99)
 				}
 			},
 			"pause":   func(t *rapid.T) { some(t).Paused = true },
-			"wake":    func(t *rapid.T) { m := some(t); m.Paused = false; s.Blurt(m) },
-			"deaf":    func(t *rapid.T) { m := some(t); m.Deaf = !m.Deaf },
-			"mute":    func(t *rapid.T) { m := some(t); m.Mute = !m.Mute },
+			"wake":    func(t *rapid.T) { m := some(t); m.Paused = false; s.ProposeStale(m) },
+			"deaf":    func(t *rapid.T) { m := some(t); m.InboundCut = !m.InboundCut },
+			"mute":    func(t *rapid.T) { m := some(t); m.OutboundCut = !m.OutboundCut },
 			"restart": func(t *rapid.T) { s.Restart(some(t)) },
 			"decide":  func(t *rapid.T) { s.Decide(some(t)) },
-			"leave":   func(t *rapid.T) { s.Leave(some(t)) },
+			"leave":   func(t *rapid.T) { s.Drain(some(t)) },
 			"": func(t *rapid.T) {
 				if err := s.Check(); err != nil {
 					t.Fatal(err)
@@ -59,14 +59,14 @@
 
 func TestEmulatedFleetThroughFaults(t *testing.T) {
 	for seed := uint64(1); seed <= 3; seed++ {
-		f, err := emulator.Owner(12, 120, seed)
+		f, err := emulator.RunLeases(12, 120, seed)
 		if err != nil {
 			t.Fatal(err)
 		}
-		if f.OwnersAtOnce != 0 || f.StaleAccepted != 0 || f.StaleActed != 0 || f.Diverged != 0 {
+		if f.ConcurrentHolders != 0 || f.StaleAccepted != 0 || f.StaleAdmitted != 0 || f.DivergedTables != 0 {
 			t.Errorf("seed %d: %+v", seed, f)
 		}
-		if f.StaleTried == 0 || f.Decisions == 0 {
+		if f.StaleProposed == 0 || f.Decisions == 0 {
 			t.Errorf("seed %d tried nothing: %+v", seed, f)
 		}
 	}
@@ -76,8 +76,8 @@
 	lease.Unfence(func() {
 		accepted, acted := 0, 0
 		for seed := uint64(1); seed <= 3; seed++ {
-			f, _ := emulator.Owner(12, 120, seed)
-			accepted, acted = accepted+f.StaleAccepted, acted+f.StaleActed
+			f, _ := emulator.RunLeases(12, 120, seed)
+			accepted, acted = accepted+f.StaleAccepted, acted+f.StaleAdmitted
 		}
 		if accepted == 0 || acted == 0 {
 			t.Errorf("%d stale commands accepted, %d acted on without a fence: the checks see nothing", accepted, acted)
@@ -92,21 +92,21 @@
 	two := 0
 	for seed := range uint64(20) {
 		r := rand.New(rand.NewPCG(seed, 2))
-		wide := lease.Lease{Length: time.Second, Drift: 0.4}
-		s, _ := emulator.NewOwnerSim(3, wide, r, "ring") // clocks at 0.6 to 1.4
-		s.Restrict(lease.Lease{Length: time.Second})
+		wide := lease.Config{Duration: time.Second, MaxDrift: 0.4}
+		s, _ := emulator.NewLeaseSim(3, wide, r, "ring") // clocks at 0.6 to 1.4
+		s.RestartAll(lease.Config{Duration: time.Second})
 		for range 400 {
 			s.Advance(20 * time.Millisecond)
-			for s.Flight() > 0 {
+			for s.InFlight() > 0 {
 				s.Commit(0)
 			}
 			for n, m := range s.Members {
-				if h := s.Holding("ring"); h == nil || m != h || n > 0 {
-					s.Hear(m, 9)
+				if h := s.HolderOf("ring"); h == nil || m != h || n > 0 {
+					s.Deliver(m, 9)
 				}
 			}
-			if h := s.Holding("ring"); h != nil {
-				h.Deaf, h.Mute = true, true // cut off: it must stop by its own clock
+			if h := s.HolderOf("ring"); h != nil {
+				h.InboundCut, h.OutboundCut = true, true // cut off: it must stop by its own clock
 			}
 			if s.Check() != nil {
 				two++
@@ -145,21 +145,21 @@
 			for m := range 3 {
 				for d, duty := range duties {
 					now, _ := n.table.At(duty)
-					if n.seen[m][d] != now.Renewed { // it hears of the last renewal
+					if n.seen[m][d] != now.RenewedIndex { // it hears of the last renewal
 						c := n
-						c.seen[m][d] = now.Renewed
+						c.seen[m][d] = now.RenewedIndex
 						add(c)
 					}
 					if len(n.flight) >= 2 {
 						continue
 					}
-					for _, kind := range []lease.Kind{lease.Claim, lease.Renew, lease.Release, lease.Do} {
-						if kind != lease.Claim && n.token[m][d] == 0 {
+					for _, kind := range []lease.Kind{lease.Acquire, lease.Renew, lease.Release, lease.Decide} {
+						if kind != lease.Acquire && n.token[m][d] == 0 {
 							continue
 						}
 						c := n
 						c.flight = append(append([]lease.Command{}, n.flight...), lease.Command{Kind: kind, Duty: duty,
-							Member: fmt.Sprint(m), Life: 1, Token: n.token[m][d], Seen: n.seen[m][d]})
+							Member: fmt.Sprint(m), Incarnation: 1, Token: n.token[m][d], ObservedIndex: n.seen[m][d]})
 						add(c)
 					}
 				}
@@ -173,10 +173,10 @@
 				o := c.table.Apply(n.table.Index()+1, cmd)
 				after, _ := c.table.At(cmd.Duty)
 				m, d := int(cmd.Member[0]-'0'), int(cmd.Duty[0]-'a')
-				if cmd.Kind == lease.Claim && o.Accepted {
+				if cmd.Kind == lease.Acquire && o.Accepted {
 					c.token[m][d] = after.Token
 				}
-				if after.Token < before.Token || o.Accepted && cmd.Kind != lease.Claim &&
+				if after.Token < before.Token || o.Accepted && cmd.Kind != lease.Acquire &&
 					(cmd.Token != before.Token || cmd.Member != before.Holder) {
 					faults++
 				}
@@ -197,49 +197,49 @@
 }
 
 func TestALargeFleetClaimsInTurn(t *testing.T) {
-	s, err := emulator.NewOwnerSim(500, leaseTerms, rand.New(rand.NewPCG(1, 1)), "ring")
+	s, err := emulator.NewLeaseSim(500, leaseTerms, rand.New(rand.NewPCG(1, 1)), "ring")
 	if err != nil {
 		t.Fatal(err)
 	}
 	most := 0
 	for range 200 {
 		s.Advance(25 * time.Millisecond)
-		most = max(most, s.Flight())
-		for s.Flight() > 0 {
+		most = max(most, s.InFlight())
+		for s.InFlight() > 0 {
 			s.Commit(0)
 		}
 		for _, m := range s.Members {
-			s.Hear(m, 9)
+			s.Deliver(m, 9)
 		}
 	}
-	if h := s.Holding("ring"); h == nil || most > 16 {
+	if h := s.HolderOf("ring"); h == nil || most > 16 {
 		t.Errorf("held by %v, %d proposals at once, want 16 at most", h, most)
 	}
 }
 
 func TestADutyGivenUpGoesToAnother(t *testing.T) {
-	s, _ := emulator.NewOwnerSim(3, leaseTerms, rand.New(rand.NewPCG(3, 3)), "roll")
-	pass := func() *emulator.OwnerMember {
+	s, _ := emulator.NewLeaseSim(3, leaseTerms, rand.New(rand.NewPCG(3, 3)), "roll")
+	pass := func() *emulator.LeaseMember {
 		for range 120 {
 			s.Advance(25 * time.Millisecond)
-			for s.Flight() > 0 {
+			for s.InFlight() > 0 {
 				s.Commit(0)
 			}
 			for _, m := range s.Members {
-				s.Hear(m, 9)
+				s.Deliver(m, 9)
 			}
 		}
-		return s.Holding("roll")
+		return s.HolderOf("roll")
 	}
 	first := pass()
-	s.GiveUp(first, "roll")
+	s.Resign(first, "roll")
 	if next := pass(); next == nil || next == first {
 		t.Errorf("held by %v, then by %v", first, next)
 	}
 }
 
 func TestGuardRefusesTheOlder(t *testing.T) {
-	var g lease.Guard
+	var g lease.Fence
 	for n, c := range []struct {
 		duty         string
 		token, index uint64
@@ -250,7 +250,7 @@
 			t.Errorf("%d: %+v: %v", n, c, got)
 		}
 	}
-	for n := range 2 * lease.MostDuties {
+	for n := range 2 * lease.MaxDuties {
 		g.Admit(fmt.Sprint(n), 1, 1)
 	}
 	if g.Admit("one too many", 1, 1) {
@@ -260,9 +260,9 @@
 
 func TestANoteNeedsNoTokenAndChangesNothing(t *testing.T) {
 	tab, _ := lease.NewTable("a")
-	tab.Apply(1, lease.Command{Kind: lease.Claim, Duty: "a", Member: "x", Life: 1})
+	tab.Apply(1, lease.Command{Kind: lease.Acquire, Duty: "a", Member: "x", Incarnation: 1})
 	before, _ := tab.At("a")
-	if o := tab.Apply(2, lease.Command{Kind: lease.Note, Duty: "a", Member: "y", Life: 2}); !o.Accepted {
+	if o := tab.Apply(2, lease.Command{Kind: lease.Announce, Duty: "a", Member: "y", Incarnation: 2}); !o.Accepted {
 		t.Errorf("%+v", o)
 	}
 	if after, _ := tab.At("a"); after != before {
@@ -281,13 +281,13 @@
 		t.Error("a duty twice")
 	}
 	tab, _ := lease.NewTable("a")
-	for n, c := range []lease.Command{{Kind: lease.Claim, Duty: "b"}, {Kind: lease.Do, Duty: "a", Token: 0, Member: "x"},
-		{Kind: lease.Kind(9), Duty: "a"}, {Kind: lease.Claim, Duty: "a", Seen: 7}} {
+	for n, c := range []lease.Command{{Kind: lease.Acquire, Duty: "b"}, {Kind: lease.Decide, Duty: "a", Token: 0, Member: "x"},
+		{Kind: lease.Kind(9), Duty: "a"}, {Kind: lease.Acquire, Duty: "a", ObservedIndex: 7}} {
 		if o := tab.Apply(uint64(n+1), c); o.Accepted || o.Why == "" {
 			t.Errorf("%+v: %+v", c, o)
 		}
 	}
-	if o := tab.Apply(2, lease.Command{Kind: lease.Claim, Duty: "a"}); o.Accepted {
+	if o := tab.Apply(2, lease.Command{Kind: lease.Acquire, Duty: "a"}); o.Accepted {
 		t.Error("an index under the last was applied")
 	}
 }
--- a/internal/decide/lease/table.go
+++ b/internal/decide/lease/table.go
@@ -10,11 +10,11 @@
 
 // Duty is what is agreed of one duty.
 type Duty struct {
-	Holder  string // "" where it was released or never claimed
-	Life    uint64
-	Token   uint64 // of the last holder; 0: never claimed
-	Renewed uint64 // index of the entry that last claimed, renewed or released it
-	Done    uint64 // index of its last decision
+	Holder       string // "" where it was released or never claimed
+	Incarnation  uint64 `json:"Life"`
+	Token        uint64 // of the last holder; 0: never claimed
+	RenewedIndex uint64 `json:"Renewed"` // index of the entry that last claimed, renewed or released it
+	DecidedIndex uint64 `json:"Done"`    // index of its last decision
 }
 
 // Outcome is what became of an entry. Why says, where it was refused, what was found and expected, in one line.
@@ -34,8 +34,8 @@
 // NewTable is of these duties. Errors: none, too many, one twice.
 func NewTable(duties ...string) (*Table, error) {
 	names := slices.Sorted(slices.Values(duties))
-	if len(names) == 0 || len(names) > MostDuties || len(slices.Compact(slices.Clone(names))) != len(names) {
-		return nil, fmt.Errorf("duties: found %q, expected 1 to %d names, each once", duties, MostDuties)
+	if len(names) == 0 || len(names) > MaxDuties || len(slices.Compact(slices.Clone(names))) != len(names) {
+		return nil, fmt.Errorf("duties: found %q, expected 1 to %d names, each once", duties, MaxDuties)
 	}
 	return &Table{names: names, duties: make([]Duty, len(names))}, nil
 }
@@ -71,14 +71,14 @@
 		return Outcome{Token: d.Token, Why: fmt.Sprintf("index: found %d, expected over %d", index, t.index)}
 	}
 	t.index = index
-	if c.Kind == Claim {
-		if c.Seen != d.Renewed {
-			return Outcome{Token: d.Token, Why: fmt.Sprintf("claim of %s: seen %d, expected %d", c.Duty, c.Seen, d.Renewed)}
+	if c.Kind == Acquire {
+		if c.ObservedIndex != d.RenewedIndex {
+			return Outcome{Token: d.Token, Why: fmt.Sprintf("claim of %s: seen %d, expected %d", c.Duty, c.ObservedIndex, d.RenewedIndex)}
 		}
-		*d = Duty{Holder: c.Member, Life: c.Life, Token: d.Token + 1, Renewed: index, Done: d.Done}
+		*d = Duty{Holder: c.Member, Incarnation: c.Incarnation, Token: d.Token + 1, RenewedIndex: index, DecidedIndex: d.DecidedIndex}
 		return Outcome{Accepted: true, Token: d.Token}
 	}
-	if c.Kind == Note {
+	if c.Kind == Announce {
 		return Outcome{Accepted: true, Token: d.Token}
 	}
 	if !d.fits(c) {
@@ -86,20 +86,20 @@
 	}
 	switch c.Kind {
 	case Renew:
-		d.Renewed = index
+		d.RenewedIndex = index
 	case Release:
-		d.Holder, d.Life, d.Renewed = "", 0, index
-	case Do:
-		d.Done = index
+		d.Holder, d.Incarnation, d.RenewedIndex = "", 0, index
+	case Decide:
+		d.DecidedIndex = index
 	default:
-		return Outcome{Token: d.Token, Why: fmt.Sprintf("%s: kind found %d, expected %d to %d", c.Duty, c.Kind, Claim, Do)}
+		return Outcome{Token: d.Token, Why: fmt.Sprintf("%s: kind found %d, expected %d to %d", c.Duty, c.Kind, Acquire, Decide)}
 	}
 	return Outcome{Accepted: true, Token: d.Token}
 }
 
 // fits is the fence: a command is its present holder's own, under its present token.
 func (d *Duty) fits(c Command) bool {
-	return unfenced || c.Token == d.Token && c.Member == d.Holder && c.Life == d.Life
+	return unfenced || c.Token == d.Token && c.Member == d.Holder && c.Incarnation == d.Incarnation
 }
 
 // unfenced is set by the tests' mutation run alone: with it every check must fail.
--- a/internal/decide/quorum/before_test.go
+++ b/internal/decide/quorum/before_test.go
@@ -24,13 +24,13 @@
 		for range 80 {
 			switch m := &p.members[r.IntN(len(p.members))]; r.IntN(12) {
 			case 0:
-				m.SilentFor += bounds.HoldDown
+				m.UnreachableFor += bounds.HoldDown
 			case 1, 2:
-				m.SilentFor = 0
+				m.UnreachableFor = 0
 			case 3:
-				m.Leaving = !m.Leaving
+				m.Draining = !m.Draining
 			}
-			c := Next(p.members, p.voters, p.learners, false, bounds)
+			c := NextChange(p.members, p.voters, p.learners, false, bounds)
 			fmt.Fprintln(digest, c)
 			p.apply(t, c)
 		}
--- a/internal/decide/quorum/spread_test.go
+++ b/internal/decide/quorum/spread_test.go
@@ -32,7 +32,7 @@
 // rest applies changes until there is none; it fails where they don't end.
 func rest(t *rapid.T, p *play) {
 	for range 60 {
-		if !p.apply(t, Next(p.members, p.voters, p.learners, false, bounds)) {
+		if !p.apply(t, NextChange(p.members, p.voters, p.learners, false, bounds)) {
 			return
 		}
 	}
@@ -50,15 +50,15 @@
 		before := regionsOf(p)[lost]
 		for n := range p.members {
 			if p.members[n].Region == lost {
-				p.members[n].SilentFor = bounds.HoldDown
+				p.members[n].UnreachableFor = bounds.HoldDown
 			}
 		}
 		rest(t, p)
-		if left := 5 - before; left >= Quorum(5) && regionsOf(p)[lost] > 0 && able(p) >= 5 {
+		if left := 5 - before; left >= Majority(5) && regionsOf(p)[lost] > 0 && able(p) >= 5 {
 			t.Fatalf("voters of the lost region are not replaced: %v", regionsOf(p))
 		}
 		for n := range p.members {
-			p.members[n].SilentFor = 0
+			p.members[n].UnreachableFor = 0
 		}
 		rest(t, p)
 		even(t, p)
@@ -67,7 +67,7 @@
 
 func able(p *play) (count int) {
 	for _, m := range p.members {
-		if m.SilentFor == 0 {
+		if m.UnreachableFor == 0 {
 			count++
 		}
 	}
@@ -101,7 +101,7 @@
 	}
 	settled(t, p)
 	for region, n := range regionsOf(p) {
-		if n >= Quorum(len(p.voters)) {
+		if n >= Majority(len(p.voters)) {
 			t.Errorf("%s has %d of %d voters", region, n, len(p.voters))
 		}
 	}
@@ -120,7 +120,7 @@
 			}
 			voters := []string{"p0", "p1", "p2", "p3", "p4"} // badly spread: every member is weighed
 			for b.Loop() {
-				Next(members, voters, nil, false, bounds)
+				NextChange(members, voters, nil, false, bounds)
 			}
 		})
 	}
--- a/internal/decide/quorum/voters.go
+++ b/internal/decide/quorum/voters.go
@@ -18,47 +18,47 @@
 
 // Member is one process as the leader has it now, those that fell silent included until they are forgotten.
 type Member struct {
-	Process   string // unique in a life
-	Zone      string
-	Region    string        // several zones that may be lost together; "" where none is known
-	Age       time.Duration // since it joined
-	SilentFor time.Duration // 0: heard of
-	Leaving   bool          // it has been told to drain
-	CaughtUp  bool          // it has applied what the log held a moment ago
-	Ended     bool          // for certain: another life stands at its address
+	Process        string // unique in a life
+	Zone           string
+	Region         string        // several zones that may be lost together; "" where none is known
+	Age            time.Duration // since it joined
+	UnreachableFor time.Duration // 0: heard of
+	Draining       bool          // it has been told to drain
+	CaughtUp       bool          // it has applied what the log held a moment ago
+	Replaced       bool          // for certain: another life stands at its address
 }
 
-// Bounds of the choice; the same in all members.
-type Bounds struct {
-	Most     int           // 3 or 5
-	Settle   time.Duration // before a member is chosen
-	HoldDown time.Duration // silence before a voter is replaced: a death may be refuted
+// Config of the choice; the same in all members.
+type Config struct {
+	MaxVoters int           // 3 or 5
+	MinAge    time.Duration // before a member is chosen
+	HoldDown  time.Duration // silence before a voter is replaced: a death may be refuted
 }
 
-// Kind of a change.
-type Kind uint8
+// ChangeKind of a change.
+type ChangeKind uint8
 
 // The changes; each is one entry of the log, and the next waits until it is in force.
 const (
-	None  Kind = iota
-	Learn      // it follows the log and will vote once it has caught up
-	Vote       // a learner becomes a voter
-	Drop       // a voter or a learner is one no more
+	NoChange     ChangeKind = iota
+	AddLearner              // it follows the log and will vote once it has caught up
+	PromoteVoter            // a learner becomes a voter
+	RemoveServer            // a voter or a learner is one no more
 )
 
 // Change is what to do now, and why, in one line; for None why not.
 type Change struct {
-	Kind    Kind
+	Kind    ChangeKind
 	Process string
-	Why     string
+	Reason  string
 }
 
-// Quorum of so many voters.
-func Quorum(voters int) int { return voters/2 + 1 }
+// Majority of so many voters.
+func Majority(voters int) int { return voters/2 + 1 }
 
 // choice is the state that one decision looks at.
 type choice struct {
-	b                Bounds
+	b                Config
 	members          map[string]Member
 	voters, learners []string
 	good             []string // voters that stay
@@ -69,24 +69,24 @@
 	lie              spread // how the good ones lie
 }
 
-// Next is the next change, one at a time: pending tells that the last is not in force yet.
-func Next(members []Member, voters, learners []string, pending bool, b Bounds) Change {
+// NextChange is the next change, one at a time: pending tells that the last is not in force yet.
+func NextChange(members []Member, voters, learners []string, pending bool, b Config) Change {
 	if pending {
-		return Change{Why: "a change is under way"}
+		return Change{Reason: "a change is under way"}
 	}
 	c := look(members, voters, learners, b)
-	if missing := c.missing(); c.heard < Quorum(len(voters)) {
-		return Change{Why: fmt.Sprintf("quorum lost: %d of %d voters heard, expected %d; missed: %s", c.heard, len(voters),
-			Quorum(len(voters)), strings.Join(missing, ", "))}
+	if missing := c.missing(); c.heard < Majority(len(voters)) {
+		return Change{Reason: fmt.Sprintf("quorum lost: %d of %d voters heard, expected %d; missed: %s", c.heard, len(voters),
+			Majority(len(voters)), strings.Join(missing, ", "))}
 	}
 	for _, v := range c.bad { // its successor can't follow the log at an address that the log still knows as another's
-		if c.members[v].Ended && c.heard >= Quorum(len(voters)-1) {
-			return Change{Drop, v, "another life stands at its address"}
+		if c.members[v].Replaced && c.heard >= Majority(len(voters)-1) {
+			return Change{RemoveServer, v, "another life stands at its address"}
 		}
 	}
 	for _, l := range learners {
-		if m, known := c.members[l]; !known || m.SilentFor >= b.HoldDown || m.Leaving {
-			return Change{Drop, l, "a learner that is gone"}
+		if m, known := c.members[l]; !known || m.UnreachableFor >= b.HoldDown || m.Draining {
+			return Change{RemoveServer, l, "a learner that is gone"}
 		}
 	}
 	if change, ok := c.promote(); ok {
@@ -98,26 +98,26 @@
 	return c.learn()
 }
 
-func look(members []Member, voters, learners []string, b Bounds) choice {
+func look(members []Member, voters, learners []string, b Config) choice {
 	c := choice{b: b, members: map[string]Member{}, voters: voters, learners: learners}
 	size := 0
 	for _, m := range members {
 		c.members[m.Process] = m
-		if !m.Leaving && !m.Ended { // of any age: a leader that has just started knows nobody for long
+		if !m.Draining && !m.Replaced { // of any age: a leader that has just started knows nobody for long
 			size++
 		}
-		if m.SilentFor == 0 && !m.Leaving && !m.Ended && (m.Age >= b.Settle || slices.Contains(voters, m.Process)) {
+		if m.UnreachableFor == 0 && !m.Draining && !m.Replaced && (m.Age >= b.MinAge || slices.Contains(voters, m.Process)) {
 			c.able = append(c.able, m)
 		}
 	}
 	slices.SortFunc(c.able, func(x, y Member) int { return cmp.Or(-cmp.Compare(x.Age, y.Age), cmp.Compare(x.Process, y.Process)) })
 	for _, v := range voters {
 		m, known := c.members[v]
-		if known && m.SilentFor == 0 && !m.Ended {
+		if known && m.UnreachableFor == 0 && !m.Replaced {
 			c.heard++
 		}
 		switch {
-		case !known || m.SilentFor >= b.HoldDown || m.Leaving || m.Ended:
+		case !known || m.UnreachableFor >= b.HoldDown || m.Draining || m.Replaced:
 			c.bad = append(c.bad, v)
 		default: // silent for a moment is no death
 			c.good = append(c.good, v)
@@ -130,7 +130,7 @@
 	// By how large the fleet is, the silent ones included until they leave or are forgotten: fewer voters because one
 	// has fallen silent would bear less just when more is to be borne.
 	c.want = 1
-	for _, n := range []int{3, b.Most} {
+	for _, n := range []int{3, b.MaxVoters} {
 		if size >= n {
 			c.want = n
 		}
@@ -141,7 +141,7 @@
 // silence of one that is not even known any more is the longest.
 func (c *choice) silence(process string) time.Duration {
 	if m, known := c.members[process]; known {
-		return m.SilentFor
+		return m.UnreachableFor
 	}
 	return 1 << 62
 }
@@ -159,25 +159,25 @@
 func (c *choice) promote() (Change, bool) {
 	for _, l := range c.learners {
 		m := c.members[l]
-		if m.SilentFor > 0 || !m.CaughtUp || !c.needed(m) {
+		if m.UnreachableFor > 0 || !m.CaughtUp || !c.needed(m) {
 			continue
 		}
 		if c.thin() {
 			continue
 		}
-		return Change{Vote, l, fmt.Sprintf("%d of %d wanted voters are good", len(c.good), c.want)}, true
+		return Change{PromoteVoter, l, fmt.Sprintf("%d of %d wanted voters are good", len(c.good), c.want)}, true
 	}
 	return Change{}, false
 }
 
 // thin tells that one voter more would leave the rest without a quorum, should it fall silent at once.
-func (c *choice) thin() bool { return len(c.voters) > 1 && c.heard < Quorum(len(c.voters)+1) }
+func (c *choice) thin() bool { return len(c.voters) > 1 && c.heard < Majority(len(c.voters)+1) }
 
 // ready tells whether a learner waits for nothing but room.
 func (c *choice) ready() bool {
 	return slices.ContainsFunc(c.learners, func(l string) bool {
 		m := c.members[l]
-		return m.SilentFor == 0 && m.CaughtUp && c.needed(m)
+		return m.UnreachableFor == 0 && m.CaughtUp && c.needed(m)
 	})
 }
 
@@ -185,7 +185,7 @@
 // the youngest of the fullest zone of the fullest region; and never where the smaller set would lack its quorum.
 func (c *choice) drop() (Change, bool) {
 	if len(c.learners) > 0 && !slices.ContainsFunc(c.learners, func(l string) bool { return c.needed(c.members[l]) }) {
-		return Change{Drop, c.learners[0], "a learner that is not needed any more"}, true
+		return Change{RemoveServer, c.learners[0], "a learner that is not needed any more"}, true
 	}
 	if inTheWay := len(c.bad) > 0 && c.thin() && c.ready(); len(c.voters) <= c.want && !inTheWay || len(c.voters) == 1 {
 		return Change{}, false
@@ -209,16 +209,16 @@
 	if c.silence(who) == 0 {
 		left--
 	}
-	if left < Quorum(len(c.voters)-1) {
+	if left < Majority(len(c.voters)-1) {
 		return Change{}, false
 	}
-	return Change{Drop, who, why}, true
+	return Change{RemoveServer, who, why}, true
 }
 
 // learn picks the next voter: of the region with the fewest good ones, and there of such a zone, the oldest.
 func (c *choice) learn() Change {
 	if len(c.learners) > 0 {
-		return Change{Why: c.learners[0] + " has not caught up, or the quorum is too thin for one more"}
+		return Change{Reason: c.learners[0] + " has not caught up, or the quorum is too thin for one more"}
 	}
 	s, who := c.lie, ""
 	for _, m := range c.able { // the oldest first
@@ -232,9 +232,9 @@
 	}
 	switch {
 	case who != "":
-		return Change{Learn, who, fmt.Sprintf("%d of %d wanted voters are good", len(c.good), c.want)}
+		return Change{AddLearner, who, fmt.Sprintf("%d of %d wanted voters are good", len(c.good), c.want)}
 	case len(c.good) < c.want || len(c.bad) > 0:
-		return Change{Why: fmt.Sprintf("%d of %d wanted voters are good, and no other member may vote", len(c.good), c.want)}
+		return Change{Reason: fmt.Sprintf("%d of %d wanted voters are good, and no other member may vote", len(c.good), c.want)}
 	}
-	return Change{Why: "nothing to change"}
+	return Change{Reason: "nothing to change"}
 }
--- a/internal/fleet/consensus/contact_test.go
+++ b/internal/fleet/consensus/contact_test.go
@@ -41,7 +41,7 @@
 // beside voters that are: with three of six gone the quorum would be lost for good.
 func TestNobodyVotesWhomTheHeartbeatsMiss(t *testing.T) {
 	start := func(process, bind string, found bool) *Log {
-		l, err := Start(Config{Process: process, Bind: bind, Found: found, Duties: []string{"ring"}, Beat: 100 * time.Millisecond}, still{})
+		l, err := Start(Config{Process: process, Bind: bind, Bootstrap: found, Duties: []string{"ring"}, HeartbeatTimeout: 100 * time.Millisecond}, still{})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -51,7 +51,7 @@
 	a, b := start("a#1", testutil.FreePort(t, "127.0.60.3"), true), start("b#1", at, false)
 	defer func() { _ = a.Stop() }()
 	testutil.Eventually(t, "a leader", func() bool { return a.raft.State() == raft.Leader })
-	if err := a.Follow("b#1", at); err != nil {
+	if err := a.AddLearner("b#1", at); err != nil {
 		t.Fatal(err)
 	}
 	began, learner := time.Now(), ""
@@ -59,9 +59,9 @@
 	look(known, []Peer{{Process: "c#1", Address: "c"}}, began.Add(-careEvery*10)) // the third of three, silent since
 	care := func(now time.Time) quorum.Change {                                   // b is in the view, as membership has it
 		look(known, []Peer{{Process: "a#1", Address: "a"}, {Process: "b#1", Address: at, Applied: 1000}}, now)
-		return a.care(known, &learner, now, quorum.Bounds{Most: 3, HoldDown: time.Hour})
+		return a.care(known, &learner, now, quorum.Config{MaxVoters: 3, HoldDown: time.Hour})
 	}
-	if c := care(began); c.Kind != quorum.None || learner != "" {
+	if c := care(began); c.Kind != quorum.NoChange || learner != "" {
 		t.Errorf("%+v by a leader that has just begun to lead", c)
 	}
 	later := began.Add(leadFirst)
@@ -70,7 +70,7 @@
 		t.Fatal(err)
 	}
 	testutil.Eventually(t, "the heartbeats miss it", func() bool { return a.contact.misses("b#1", time.Now()) })
-	if c := care(later); c.Kind == quorum.Vote {
+	if c := care(later); c.Kind == quorum.PromoteVoter {
 		t.Errorf("%+v, though the heartbeats miss it", c)
 	}
 	if got := a.Voters(); len(got) != 1 {
--- a/internal/fleet/consensus/driver.go
+++ b/internal/fleet/consensus/driver.go
@@ -14,19 +14,19 @@
 
 // Watcher hears what becomes of duties and entries, on the driver's goroutine.
 type Watcher interface {
-	Held(duty string, token uint64)
-	Lost(duty string)
-	Entry(index uint64, c lease.Command, o lease.Outcome) // each entry, in order
-	Restored(machine []byte)                              // a snapshot took the place of those so far
-	Tick(now time.Duration)                               // often beside a lease
+	LeaseAcquired(duty string, token uint64)
+	LeaseLost(duty string)
+	EntryApplied(index uint64, c lease.Command, o lease.Outcome) // each entry, in order
+	SnapshotRestored(machine []byte)                             // a snapshot took the place of those so far
+	Tick(now time.Duration)                                      // often beside a lease
 }
 
 // Driver is one member's duties.
 type Driver struct {
 	Log     *Log
-	holder  *lease.Holder
+	holder  *lease.Elector
 	watch   Watcher
-	lease   lease.Lease
+	lease   lease.Config
 	start   time.Time
 	work    chan func() // bounded; raft waits where it is full
 	send    chan forward
@@ -47,8 +47,8 @@
 	ticks    = 32 // in a lease
 )
 
-// Drive starts a log and its driver; ready, if not nil, is handed the driver before the first entry comes. send takes a message to the member that is this process (Incoming there).
-func Drive(c Config, terms lease.Lease, life uint64, w Watcher,
+// StartDriver starts a log and its driver; ready, if not nil, is handed the driver before the first entry comes. send takes a message to the member that is this process (Incoming there).
+func StartDriver(c Config, terms lease.Config, life uint64, w Watcher,
 	send func(process string, b []byte) error, ready func(*Driver)) (*Driver, error) {
 	table, err := lease.NewTable(c.Duties...)
 	if err != nil {
@@ -56,7 +56,7 @@
 	}
 	d := &Driver{watch: w, lease: terms, start: time.Now(), work: make(chan func(), queued), send: make(chan forward, forwards),
 		forward: send, stop: make(chan struct{}), process: c.Process}
-	d.holder = lease.NewHolder(d, table, terms, c.Process, life)
+	d.holder = lease.NewElector(d, table, terms, c.Process, life)
 	if ready != nil {
 		ready(d)
 	}
@@ -81,7 +81,7 @@
 
 func (d *Driver) run() {
 	defer d.done.Done()
-	tick := time.NewTicker(d.lease.Length / ticks)
+	tick := time.NewTicker(d.lease.Duration / ticks)
 	defer tick.Stop()
 	for {
 		select {
@@ -91,7 +91,7 @@
 			f()
 		case <-tick.C:
 			if _, all := d.Log.Applied(); all {
-				d.holder.CaughtUp(d.now())
+				d.holder.SetCaughtUp(d.now())
 			}
 			d.holder.Tick(d.now())
 			d.watch.Tick(d.now())
@@ -111,16 +111,16 @@
 	}
 }
 
-// Entry and Restored make the driver the log's Reader.
-func (d *Driver) Entry(index uint64, c lease.Command) {
-	d.do(func() { d.watch.Entry(index, c, d.holder.Applied(d.now(), index, c)) })
+// EntryApplied and Restored make the driver the log's Reader.
+func (d *Driver) EntryApplied(index uint64, c lease.Command) {
+	d.do(func() { d.watch.EntryApplied(index, c, d.holder.Apply(d.now(), index, c)) })
 }
 
-// Restored implements Reader.
-func (d *Driver) Restored(t *lease.Table, machine []byte) {
+// SnapshotRestored implements Reader.
+func (d *Driver) SnapshotRestored(t *lease.Table, machine []byte) {
 	d.do(func() {
-		d.holder.Restored(d.now(), t)
-		d.watch.Restored(machine)
+		d.holder.Restore(d.now(), t)
+		d.watch.SnapshotRestored(machine)
 	})
 }
 
@@ -140,14 +140,14 @@
 	}
 }
 
-// Holds and Lost implement lease.Host.
-func (d *Driver) Holds(duty string, token uint64) { d.watch.Held(duty, token) }
+// LeaseAcquired and Lost implement lease.Host.
+func (d *Driver) LeaseAcquired(duty string, token uint64) { d.watch.LeaseAcquired(duty, token) }
 
-// Lost implements lease.Host.
-func (d *Driver) Lost(duty string) { d.watch.Lost(duty) }
+// LeaseLost implements lease.Host.
+func (d *Driver) LeaseLost(duty string) { d.watch.LeaseLost(duty) }
 
-// Incoming is another member's proposal; what does not read is dropped.
-func (d *Driver) Incoming(b []byte) {
+// ReceiveProposal is another member's proposal; what does not read is dropped.
+func (d *Driver) ReceiveProposal(b []byte) {
 	var c lease.Command
 	if json.Unmarshal(b, &c) == nil {
 		_ = d.Log.Propose(c) // no longer the leader: its sender tries again
@@ -168,23 +168,25 @@
 	return ok
 }
 
-// Note puts a word of this member's own into the log; it comes back as an entry with this Seq, or never.
-func (d *Driver) Note(duty, body string) (seq uint64) { return d.holder.Note(duty, body) }
+// Announce puts a word of this member's own into the log; it comes back as an entry with this Seq, or never.
+func (d *Driver) Announce(duty, body string) (seq uint64) { return d.holder.Announce(duty, body) }
 
-// GiveUp is for the Watcher: another member is to take the duty.
-func (d *Driver) GiveUp(duty string) { d.holder.GiveUp(d.now(), duty) }
+// Resign is for the Watcher: another member is to take the duty.
+func (d *Driver) Resign(duty string) { d.holder.Resign(d.now(), duty) }
 
 // Now is the driver's clock.
 func (d *Driver) Now() time.Duration { return d.now() }
 
-// Placed tells this member's turn to claim a duty that comes free.
-func (d *Driver) Placed(duty string, place int) { d.do(func() { d.holder.Placed(duty, place) }) }
+// SetClaimPosition tells this member's turn to claim a duty that comes free.
+func (d *Driver) SetClaimPosition(duty string, place int) {
+	d.do(func() { d.holder.SetClaimPosition(duty, place) })
+}
 
-// Leave gives up all duties, and waits until the log has replaced this process's vote, for so long at most: one that ends with
+// Drain gives up all duties, and waits until the log has replaced this process's vote, for so long at most: one that ends with
 // its vote is a fault that the others have to bear. Its record says before that it leaves. Stop after it ends the log here.
-func (d *Driver) Leave(within time.Duration) {
+func (d *Driver) Drain(within time.Duration) {
 	done := make(chan struct{})
-	d.do(func() { d.holder.Leave(d.now()); close(done) })
+	d.do(func() { d.holder.Drain(d.now()); close(done) })
 	select {
 	case <-done:
 	case <-d.stop:
--- a/internal/fleet/consensus/lead.go
+++ b/internal/fleet/consensus/lead.go
@@ -16,7 +16,7 @@
 	Process, Address, Zone string
 	Region                 string // several zones that may be lost together; "" where it names none
 	Applied                uint64
-	Leaving                bool
+	Draining               bool
 }
 
 const (
@@ -52,13 +52,13 @@
 
 // candidate is what the choice of voters knows of it.
 func (s *seen) candidate(silent time.Duration, caughtUp bool, now time.Time) quorum.Member {
-	return quorum.Member{Process: s.Process, Zone: s.Zone, Region: s.Region, Age: now.Sub(s.first), SilentFor: silent, Leaving: s.Leaving,
-		CaughtUp: caughtUp, Ended: s.ended}
+	return quorum.Member{Process: s.Process, Zone: s.Zone, Region: s.Region, Age: now.Sub(s.first), UnreachableFor: silent, Draining: s.Draining,
+		CaughtUp: caughtUp, Replaced: s.ended}
 }
 
-// Care runs at every member, and acts only at the leader, until stop: peers gives the view, say tells each change and each
+// ManageVoters runs at every member, and acts only at the leader, until stop: peers gives the view, say tells each change and each
 // new reason for none.
-func (d *Driver) Care(peers func() []Peer, b quorum.Bounds, say func(quorum.Change)) {
+func (d *Driver) ManageVoters(peers func() []Peer, b quorum.Config, say func(quorum.Change)) {
 	d.done.Add(1)
 	go func() {
 		defer d.done.Done()
@@ -76,10 +76,10 @@
 					continue
 				}
 				c := d.Log.care(known, &learner, now, b)
-				if c.Kind != quorum.None || c.Why != last {
+				if c.Kind != quorum.NoChange || c.Reason != last {
 					say(c)
 				}
-				last = c.Why
+				last = c.Reason
 			}
 		}
 	}()
@@ -112,7 +112,7 @@
 }
 
 // care makes one change at most, and waits until it is in force.
-func (l *Log) care(known map[string]*seen, learner *string, now time.Time, b quorum.Bounds) quorum.Change {
+func (l *Log) care(known map[string]*seen, learner *string, now time.Time, b quorum.Config) quorum.Change {
 	future := l.raft.GetConfiguration()
 	if future.Error() != nil {
 		return quorum.Change{}
@@ -122,7 +122,7 @@
 		if id := string(s.ID); s.Suffrage == raft.Voter {
 			votes = append(votes, id)
 		} else if follows[id] = true; known[id] == nil || known[id].ended || now.Sub(known[id].last) > forgetOld {
-			return l.change(quorum.Change{Kind: quorum.Drop, Process: id, Why: "a follower long silent, or ended"}, "")
+			return l.change(quorum.Change{Kind: quorum.RemoveServer, Process: id, Reason: "a follower long silent, or ended"}, "")
 		}
 	}
 	var members []quorum.Member
@@ -137,8 +137,8 @@
 		for at < len(votes) && votes[at] != id {
 			at++
 		}
-		if at == len(votes) && !follows[id] && silent == 0 && !s.Leaving && !s.ended {
-			if err := l.Follow(id, s.Address); err != nil {
+		if at == len(votes) && !follows[id] && silent == 0 && !s.Draining && !s.ended {
+			if err := l.AddLearner(id, s.Address); err != nil {
 				failed = "a follower could not be added: " + err.Error() // not to hold up the rest
 			}
 		}
@@ -148,23 +148,23 @@
 		members = append(members, s.candidate(silent, s.caughtUp(committed, now) && follows[id], now))
 	}
 	if l.contact.early(now) {
-		return quorum.Change{Why: "it has just begun to lead"}
+		return quorum.Change{Reason: "it has just begun to lead"}
 	}
 	var learners []string
 	if *learner != "" {
 		learners = []string{*learner}
 	}
-	c := quorum.Next(members, votes, learners, false, b)
-	if c.Kind == quorum.None && failed != "" {
-		c.Why += "; " + failed
+	c := quorum.NextChange(members, votes, learners, false, b)
+	if c.Kind == quorum.NoChange && failed != "" {
+		c.Reason += "; " + failed
 	}
 	switch c.Kind {
-	case quorum.Learn: // it follows the log already, as all do: it is only chosen
+	case quorum.AddLearner: // it follows the log already, as all do: it is only chosen
 		*learner = c.Process
-	case quorum.Vote:
+	case quorum.PromoteVoter:
 		*learner = ""
 		c = l.change(c, known[c.Process].Address)
-	case quorum.Drop:
+	case quorum.RemoveServer:
 		if c.Process == *learner {
 			*learner = ""
 			return c
@@ -177,13 +177,13 @@
 // change carries one out, and tells in Why if it could not be.
 func (l *Log) change(c quorum.Change, address string) quorum.Change {
 	var err error
-	if c.Kind == quorum.Vote {
-		err = l.Vote(c.Process, address)
+	if c.Kind == quorum.PromoteVoter {
+		err = l.AddVoter(c.Process, address)
 	} else {
 		err = l.raft.RemoveServer(raft.ServerID(c.Process), 0, changeFor).Error()
 	}
 	if err != nil {
-		c.Kind, c.Why = quorum.None, c.Why+": "+err.Error()
+		c.Kind, c.Reason = quorum.NoChange, c.Reason+": "+err.Error()
 	}
 	return c
 }
--- a/internal/fleet/consensus/log.go
+++ b/internal/fleet/consensus/log.go
@@ -35,30 +35,30 @@
 
 // Config of a log.
 type Config struct {
-	Process   string        // this process's identity, of this life alone
-	Bind      string        // host:port, TCP; dials leave from its host
-	Advertise string        // where the others reach it, if not at Bind
-	Found     bool          // the log begins with this process: once in a fleet's life, never again
-	Duties    []string      // the same in all members
-	Machine   Machine       // what else is built from the entries and outlives a snapshot; nil: nothing
-	Beat      time.Duration // a leader silent for so long is replaced; 50 ms and more, 0: 500 ms
-	Out       io.Writer     // raft's own lines; nil: none
-	// Stream takes the place of each connection with one that counts or delays what passes; nil: none.
-	Stream func(net.Conn) net.Conn
+	Process          string        // this process's identity, of this life alone
+	Bind             string        // host:port, TCP; dials leave from its host
+	Advertise        string        // where the others reach it, if not at Bind
+	Bootstrap        bool          // the log begins with this process: once in a fleet's life, never again
+	Duties           []string      // the same in all members
+	StateMachine     StateMachine  // what else is built from the entries and outlives a snapshot; nil: nothing
+	HeartbeatTimeout time.Duration // a leader silent for so long is replaced; 50 ms and more, 0: 500 ms
+	LogOutput        io.Writer     // raft's own lines; nil: none
+	// WrapConn takes the place of each connection with one that counts or delays what passes; nil: none.
+	WrapConn func(net.Conn) net.Conn
 }
 
-// Machine is a state that every member builds alike from the entries, on raft's goroutine. What it encodes replaces all
+// StateMachine is a state that every member builds alike from the entries, on raft's goroutine. What it encodes replaces all
 // entries so far in a member that joins late.
-type Machine interface {
+type StateMachine interface {
 	Apply(index uint64, c lease.Command, o lease.Outcome)
 	Encode() ([]byte, error)
 	Decode(b []byte) error
 }
 
-// Reader hears the log, from raft's goroutine, in the entries' order.
-type Reader interface {
-	Entry(index uint64, c lease.Command)
-	Restored(t *lease.Table, machine []byte) // a snapshot took the place of all before
+// Subscriber hears the log, from raft's goroutine, in the entries' order.
+type Subscriber interface {
+	EntryApplied(index uint64, c lease.Command)
+	SnapshotRestored(t *lease.Table, machine []byte) // a snapshot took the place of all before
 }
 
 // Log is one process's end of it.
@@ -66,9 +66,9 @@
 	raft   *raft.Raft
 	self   raft.Server
 	stores *raft.InmemStore
-	reader Reader
+	reader Subscriber
 	table  *lease.Table // for snapshots, and the machine; raft's goroutine alone
-	more   Machine
+	more   StateMachine
 
 	contact contact // of this process as the leader
 }
@@ -77,29 +77,29 @@
 var ErrNotLeader = errors.New("not the leader")
 
 // Start begins. Errors: an address that can't be bound, faulty duties.
-func Start(c Config, r Reader) (*Log, error) {
+func Start(c Config, r Subscriber) (*Log, error) {
 	table, err := lease.NewTable(c.Duties...)
 	if err != nil {
 		return nil, err
 	}
-	out := c.Out
+	out := c.LogOutput
 	if out == nil {
 		out = io.Discard
 	}
 	logger := hclog.New(&hclog.LoggerOptions{Name: c.Process, Output: out, Level: hclog.Warn})
-	if c.Beat == 0 {
-		c.Beat = 500 * time.Millisecond
+	if c.HeartbeatTimeout == 0 {
+		c.HeartbeatTimeout = 500 * time.Millisecond
 	}
 	rc := raft.DefaultConfig()
 	rc.LocalID, rc.Logger = raft.ServerID(c.Process), logger
-	rc.HeartbeatTimeout, rc.ElectionTimeout, rc.LeaderLeaseTimeout, rc.CommitTimeout = c.Beat, c.Beat, c.Beat/2, c.Beat/10
+	rc.HeartbeatTimeout, rc.ElectionTimeout, rc.LeaderLeaseTimeout, rc.CommitTimeout = c.HeartbeatTimeout, c.HeartbeatTimeout, c.HeartbeatTimeout/2, c.HeartbeatTimeout/10
 	rc.TrailingLogs, rc.SnapshotThreshold, rc.SnapshotInterval = keepEntries, snapshotEvery, 10*time.Second
 	layer, err := listen(c.Bind, c.Advertise, c.Process)
 	if err != nil {
 		return nil, err
 	}
-	layer.stream = c.Stream
-	l := &Log{reader: r, table: table, more: c.Machine, stores: raft.NewInmemStore()}
+	layer.stream = c.WrapConn
+	l := &Log{reader: r, table: table, more: c.StateMachine, stores: raft.NewInmemStore()}
 	snapshots := raft.NewInmemSnapshotStore()
 	transport := raft.NewNetworkTransportWithLogger(layer, connections, dialFor, logger)
 	l.self = raft.Server{ID: rc.LocalID, Address: transport.LocalAddr()}
@@ -108,17 +108,17 @@
 		return nil, fmt.Errorf("log: %w", err)
 	}
 	l.contact.watch(l.raft)
-	if c.Found {
-		if err := l.Found(); err != nil {
+	if c.Bootstrap {
+		if err := l.Bootstrap(); err != nil {
 			return nil, errors.Join(err, l.Stop())
 		}
 	}
 	return l, nil
 }
 
-// Found begins a log with this process alone: once in a fleet's life, never again. It fails where this process has already
+// Bootstrap begins a log with this process alone: once in a fleet's life, never again. It fails where this process has already
 // been taken into one.
-func (l *Log) Found() error {
+func (l *Log) Bootstrap() error {
 	if err := l.raft.BootstrapCluster(raft.Configuration{Servers: []raft.Server{l.self}}).Error(); err != nil {
 		return fmt.Errorf("log: %w", err)
 	}
@@ -167,7 +167,7 @@
 	if m.l.more != nil {
 		m.l.more.Apply(e.Index, c, o)
 	}
-	m.l.reader.Entry(e.Index, c)
+	m.l.reader.EntryApplied(e.Index, c)
 	return nil
 }
 
@@ -216,7 +216,7 @@
 		}
 	}
 	m.l.table = t
-	m.l.reader.Restored(t.Copy(), k.Machine)
+	m.l.reader.SnapshotRestored(t.Copy(), k.Machine)
 	return nil
 }
 
@@ -245,13 +245,13 @@
 	return out
 }
 
-// Follow lets a process follow the log without a vote; at the leader only. It waits until this is agreed.
-func (l *Log) Follow(process, address string) error {
+// AddLearner lets a process follow the log without a vote; at the leader only. It waits until this is agreed.
+func (l *Log) AddLearner(process, address string) error {
 	return l.raft.AddNonvoter(raft.ServerID(process), located(address, process), 0, changeFor).Error()
 }
 
-// Vote makes a process a voter; at the leader only. It waits until this is agreed.
-func (l *Log) Vote(process, address string) error {
+// AddVoter makes a process a voter; at the leader only. It waits until this is agreed.
+func (l *Log) AddVoter(process, address string) error {
 	return l.raft.AddVoter(raft.ServerID(process), located(address, process), 0, changeFor).Error()
 }
 
--- a/internal/fleet/consensus/log_test.go
+++ b/internal/fleet/consensus/log_test.go
@@ -20,8 +20,8 @@
 )
 
 var (
-	leaseTerms = lease.Lease{Length: time.Second, Drift: 0.01, Margin: 20 * time.Millisecond}
-	bounds     = quorum.Bounds{Most: 5, Settle: 300 * time.Millisecond, HoldDown: 2 * time.Second}
+	leaseTerms = lease.Config{Duration: time.Second, MaxDrift: 0.01, SafetyMargin: 20 * time.Millisecond}
+	bounds     = quorum.Config{MaxVoters: 5, MinAge: 300 * time.Millisecond, HoldDown: 2 * time.Second}
 )
 
 // line is what a child tells, one JSON object a line.
@@ -67,17 +67,17 @@
 
 var held sync.Map // duty to token, the last it held
 
-func (t *teller) Held(duty string, token uint64) {
+func (t *teller) LeaseAcquired(duty string, token uint64) {
 	held.Store(duty, token)
 	t.tell(line{What: "held", Duty: duty, Token: token})
 }
-func (t *teller) Lost(duty string) { t.tell(line{What: "lost", Duty: duty}) }
-func (t *teller) Entry(index uint64, c lease.Command, o lease.Outcome) {
+func (t *teller) LeaseLost(duty string) { t.tell(line{What: "lost", Duty: duty}) }
+func (t *teller) EntryApplied(index uint64, c lease.Command, o lease.Outcome) {
 	t.tell(line{What: "entry", Duty: c.Duty, Token: c.Token, Index: index, Kind: c.Kind, Accepted: o.Accepted})
 }
 
-func (t *teller) Restored([]byte)    {}
-func (t *teller) Tick(time.Duration) {}
+func (t *teller) SnapshotRestored([]byte) {}
+func (t *teller) Tick(time.Duration)      {}
 
 // quiet is a membership.Watcher that hears nothing: the view is asked for.
 type quiet struct{}
@@ -100,36 +100,36 @@
 	record := membership.Record{Zone: os.Getenv("PACK_ZONE"), Rank: -1, Process: process, Log: front}
 	ready := make(chan struct{})
 	m, err := membership.Start(membership.Config{Name: name, Bind: bind, Advertise: os.Getenv("PACK_FRONT0"), Seeds: seeds, Most: 16, Probe: 200 * time.Millisecond,
-		Sync: 500 * time.Millisecond, Record: record, Message: func(b []byte) { <-ready; t.d.Incoming(b) }}, quiet{})
+		Sync: 500 * time.Millisecond, Record: record, Message: func(b []byte) { <-ready; t.d.ReceiveProposal(b) }}, quiet{})
 	if err != nil {
 		fmt.Fprintln(os.Stderr, err)
 		os.Exit(1)
 	}
-	t.d, err = Drive(Config{Process: process, Bind: at, Advertise: front, Found: os.Getenv("PACK_FOUND") != "", Duties: []string{"ring", "roll"},
-		Beat: 300 * time.Millisecond}, leaseTerms, life, t, func(to string, b []byte) error { return m.Send(to[:strings.IndexByte(to, '#')], b) }, nil)
+	t.d, err = StartDriver(Config{Process: process, Bind: at, Advertise: front, Bootstrap: os.Getenv("PACK_FOUND") != "", Duties: []string{"ring", "roll"},
+		HeartbeatTimeout: 300 * time.Millisecond}, leaseTerms, life, t, func(to string, b []byte) error { return m.Send(to[:strings.IndexByte(to, '#')], b) }, nil)
 	if err != nil {
 		fmt.Fprintln(os.Stderr, err)
 		os.Exit(1)
 	}
 	close(ready)
 	place, _ := strconv.Atoi(name[1:])
-	t.d.Placed("ring", place)
-	t.d.Placed("roll", place+2)
-	t.d.Care(func() (out []Peer) {
+	t.d.SetClaimPosition("ring", place)
+	t.d.SetClaimPosition("roll", place+2)
+	t.d.ManageVoters(func() (out []Peer) {
 		for _, r := range m.View() {
-			out = append(out, Peer{Process: r.Process, Address: r.Log, Zone: r.Zone, Applied: r.Applied, Leaving: r.Flag == "leaving"})
+			out = append(out, Peer{Process: r.Process, Address: r.Log, Zone: r.Zone, Applied: r.Applied, Draining: r.Flag == "leaving"})
 		}
 		return out
 	}, bounds, func(c quorum.Change) {
-		t.tell(line{What: "change", Kind: lease.Kind(c.Kind), Why: c.Why + " " + c.Process})
+		t.tell(line{What: "change", Kind: lease.Kind(c.Kind), Why: c.Reason + " " + c.Process})
 	})
 	go func() {
 		led, last, applied, voting := uint64(0), time.Now(), uint64(0), "" // led: the last term told
 		for n := 0; ; n++ {
 			time.Sleep(20 * time.Millisecond)
-			if time.Since(last) > leaseTerms.Length { // it stood still: on without looking, as one does who had checked just before
+			if time.Since(last) > leaseTerms.Duration { // it stood still: on without looking, as one does who had checked just before
 				held.Range(func(duty, token any) bool {
-					c := lease.Command{Kind: lease.Do, Duty: duty.(string), Member: process, Life: life, Token: token.(uint64), Body: "late"}
+					c := lease.Command{Kind: lease.Decide, Duty: duty.(string), Member: process, Incarnation: life, Token: token.(uint64), Body: "late"}
 					t.tell(line{What: "tried", Duty: c.Duty, Token: c.Token})
 					for range 20 { // until it surely reached a leader
 						t.d.Propose(c)
@@ -163,7 +163,7 @@
 		}
 	}()
 	_, _ = io.Copy(io.Discard, os.Stdin)
-	t.d.Leave(0)
+	t.d.Drain(0)
 	time.Sleep(300 * time.Millisecond) // what it proposed goes out; the claim is not on this
 	_ = m.Leave(time.Second)
 	t.d.Stop()
@@ -257,7 +257,7 @@
 	time.Sleep(time.Second - min(time.Since(stopped), time.Second)) // it stands still for more than a lease in any case
 	p.Signal(ring.name, syscall.SIGCONT)
 	p.Until("the late command in the log", from, func(l line) bool {
-		return l.What == "entry" && l.Kind == lease.Do && l.Duty == "ring" && l.Token == ring.Token && !l.Accepted
+		return l.What == "entry" && l.Kind == lease.Decide && l.Duty == "ring" && l.Token == ring.Token && !l.Accepted
 	})
 
 	from = p.Told()
@@ -290,7 +290,7 @@
 	p.Start(other)
 	p.Until("a leader after the cold restarts", from, func(l line) bool { return l.What == "leads" })
 	p.Until("a decision after them", from, func(l line) bool {
-		return l.What == "entry" && l.Kind == lease.Do && l.Accepted && l.Duty == "ring" && l.Token >= token
+		return l.What == "entry" && l.Kind == lease.Decide && l.Accepted && l.Duty == "ring" && l.Token >= token
 	})
 	p.check(true)
 }
@@ -330,7 +330,7 @@
 	highest := map[string]uint64{}
 	for index := uint64(0); index <= uint64(1<<20); index++ {
 		e, ok := entries[index]
-		if !ok || e.Kind != lease.Do || !e.Accepted {
+		if !ok || e.Kind != lease.Decide || !e.Accepted {
 			continue
 		}
 		if accepted++; e.Token < highest[e.Duty] {
--- a/internal/fleet/consensus/machines.go
+++ b/internal/fleet/consensus/machines.go
@@ -11,18 +11,18 @@
 	"thymechute/internal/decide/lease"
 )
 
-// Machines are states by name, each told of every entry.
-type Machines map[string]Machine
+// StateMachines are states by name, each told of every entry.
+type StateMachines map[string]StateMachine
 
 // Apply implements Machine, in the order of the names.
-func (m Machines) Apply(index uint64, c lease.Command, o lease.Outcome) {
+func (m StateMachines) Apply(index uint64, c lease.Command, o lease.Outcome) {
 	for _, name := range slices.Sorted(maps.Keys(m)) {
 		m[name].Apply(index, c, o)
 	}
 }
 
 // Encode implements Machine.
-func (m Machines) Encode() ([]byte, error) {
+func (m StateMachines) Encode() ([]byte, error) {
 	all := map[string][]byte{}
 	for name, state := range m {
 		b, err := state.Encode()
@@ -35,8 +35,8 @@
 }
 
 // Decode implements Machine.
-func (m Machines) Decode(b []byte) error {
-	all, err := Parts(b)
+func (m StateMachines) Decode(b []byte) error {
+	all, err := DecodeStates(b)
 	if err != nil {
 		return err
 	}
@@ -48,8 +48,8 @@
 	return nil
 }
 
-// Parts takes what Machines encoded apart, by name.
-func Parts(b []byte) (map[string][]byte, error) {
+// DecodeStates takes what Machines encoded apart, by name.
+func DecodeStates(b []byte) (map[string][]byte, error) {
 	all := map[string][]byte{}
 	if err := json.Unmarshal(b, &all); err != nil {
 		return nil, fmt.Errorf("states: found no JSON object (%w)", err)
--- a/internal/fleet/consensus/regions_test.go
+++ b/internal/fleet/consensus/regions_test.go
@@ -27,20 +27,20 @@
 	}
 	vote, learn := []string{peers[0].Process}, []string{}
 	for range 100 {
-		c := quorum.Next(members, vote, learn, false, quorum.Bounds{Most: 5, Settle: time.Second, HoldDown: time.Second})
+		c := quorum.NextChange(members, vote, learn, false, quorum.Config{MaxVoters: 5, MinAge: time.Second, HoldDown: time.Second})
 		isChanged := func(process string) bool { return process == c.Process }
 		switch c.Kind {
-		case quorum.None:
+		case quorum.NoChange:
 			regions := map[string]int{}
 			for _, process := range vote {
 				regions[known[process].Region]++
 			}
 			return regions
-		case quorum.Learn:
+		case quorum.AddLearner:
 			learn = append(learn, c.Process)
-		case quorum.Vote:
+		case quorum.PromoteVoter:
 			vote, learn = append(vote, c.Process), slices.DeleteFunc(learn, isChanged)
-		case quorum.Drop:
+		case quorum.RemoveServer:
 			vote, learn = slices.DeleteFunc(vote, isChanged), slices.DeleteFunc(learn, isChanged)
 		}
 	}
--- a/internal/fleet/rolling/rolls.go
+++ b/internal/fleet/rolling/rolls.go
@@ -81,7 +81,7 @@
 }
 
 func read(c lease.Command, o lease.Outcome) (w word, ok bool) {
-	ok = c.Duty == Duty && c.Kind == lease.Do && o.Accepted && json.Unmarshal([]byte(c.Body), &w) == nil
+	ok = c.Duty == Duty && c.Kind == lease.Decide && o.Accepted && json.Unmarshal([]byte(c.Body), &w) == nil
 	return w, ok
 }
 
--- a/internal/fleet/rolling/rolls_test.go
+++ b/internal/fleet/rolling/rolls_test.go
@@ -24,8 +24,8 @@
 )
 
 var (
-	leaseTerms = lease.Lease{Length: time.Second, Drift: 0.01, Margin: 20 * time.Millisecond}
-	votes      = quorum.Bounds{Most: 5, Settle: 300 * time.Millisecond, HoldDown: 2 * time.Second}
+	leaseTerms = lease.Config{Duration: time.Second, MaxDrift: 0.01, SafetyMargin: 20 * time.Millisecond}
+	votes      = quorum.Config{MaxVoters: 5, MinAge: 300 * time.Millisecond, HoldDown: 2 * time.Second}
 	bounds     = rollout.Bounds{Keep: 0.3, AtOnce: 2, Longest: 20 * time.Second, ColdFrom: 0.2, WarmAfter: time.Second}
 )
 
@@ -60,11 +60,11 @@
 	fmt.Println(string(b))
 }
 
-func (h *hub) Held(string, uint64)    { h.keeper.Held(); h.tell(line{What: "held"}) }
-func (h *hub) Lost(string)            { h.keeper.Lost() }
-func (h *hub) Restored(b []byte)      { h.keeper.Restored(h.driver.Load().Now(), b) }
-func (h *hub) Tick(now time.Duration) { h.keeper.Tick(now) }
-func (h *hub) Entry(_ uint64, c lease.Command, o lease.Outcome) {
+func (h *hub) LeaseAcquired(string, uint64) { h.keeper.Held(); h.tell(line{What: "held"}) }
+func (h *hub) LeaseLost(string)             { h.keeper.Lost() }
+func (h *hub) SnapshotRestored(b []byte)    { h.keeper.Restored(h.driver.Load().Now(), b) }
+func (h *hub) Tick(now time.Duration)       { h.keeper.Tick(now) }
+func (h *hub) EntryApplied(_ uint64, c lease.Command, o lease.Outcome) {
 	h.keeper.Entry(h.driver.Load().Now(), c, o)
 }
 
@@ -95,7 +95,7 @@
 	m, err := membership.Start(membership.Config{Name: name, Bind: os.Getenv("PACK_BIND0"), Advertise: os.Getenv("PACK_FRONT0"), Seeds: seeds,
 		Most: 16, Probe: 200 * time.Millisecond, Sync: 500 * time.Millisecond, Record: record, Message: func(b []byte) {
 			if d := h.driver.Load(); d != nil {
-				d.Incoming(b)
+				d.ReceiveProposal(b)
 			}
 		}}, quiet{})
 	fail(err)
@@ -131,22 +131,22 @@
 			return out
 		},
 		Decide: func(body string) bool { return h.driver.Load().DecideNow(Duty, body) },
-		HandOn: func() { h.driver.Load().GiveUp(Duty) },
+		HandOn: func() { h.driver.Load().Resign(Duty) },
 		Drain:  func() { close(leaving) },
 		Say:    func(text string) { h.tell(line{What: "said", Text: text}) }})
-	d, err := consensus.Drive(consensus.Config{Process: process, Bind: os.Getenv("PACK_BIND1"), Advertise: front, Found: os.Getenv("PACK_FOUND") != "",
-		Duties: []string{Duty}, Beat: 300 * time.Millisecond, Machine: consensus.Machines{Duty: NewState()}}, leaseTerms, life, h,
+	d, err := consensus.StartDriver(consensus.Config{Process: process, Bind: os.Getenv("PACK_BIND1"), Advertise: front, Bootstrap: os.Getenv("PACK_FOUND") != "",
+		Duties: []string{Duty}, HeartbeatTimeout: 300 * time.Millisecond, StateMachine: consensus.StateMachines{Duty: NewState()}}, leaseTerms, life, h,
 		func(to string, b []byte) error { return m.Send(to[:strings.IndexByte(to, '#')], b) }, func(d *consensus.Driver) { h.driver.Store(d) })
 	fail(err)
 	place, _ := strconv.Atoi(name[1:])
-	d.Placed(Duty, place)
-	d.Care(func() (out []consensus.Peer) {
+	d.SetClaimPosition(Duty, place)
+	d.ManageVoters(func() (out []consensus.Peer) {
 		for _, r := range m.View() {
-			out = append(out, consensus.Peer{Process: r.Process, Address: r.Log, Zone: r.Zone, Applied: r.Applied, Leaving: r.Flag == "leaving"})
+			out = append(out, consensus.Peer{Process: r.Process, Address: r.Log, Zone: r.Zone, Applied: r.Applied, Draining: r.Flag == "leaving"})
 		}
 		return out
 	}, votes, func(c quorum.Change) {
-		h.tell(line{What: "said", Text: fmt.Sprint("care ", c.Kind, " ", c.Why, " ", c.Process)})
+		h.tell(line{What: "said", Text: fmt.Sprint("care ", c.Kind, " ", c.Reason, " ", c.Process)})
 	})
 	go func() {
 		applied := uint64(0)
@@ -174,7 +174,7 @@
 	<-leaving
 	h.tell(line{What: "drains", Release: release, Life: life})
 	<-flagged
-	d.Leave(3 * time.Second)
+	d.Drain(3 * time.Second)
 	_ = m.Leave(time.Second)
 	d.Stop()
 }
--- a/internal/fleet/slots/calls.go
+++ b/internal/fleet/slots/calls.go
@@ -44,7 +44,7 @@
 		return false
 	}
 	b, _ := json.Marshal(word{Ends: true})
-	k.log.Note(Duty, string(b))
+	k.log.Announce(Duty, string(b))
 	return true
 }
 
--- a/internal/fleet/slots/slots.go
+++ b/internal/fleet/slots/slots.go
@@ -49,7 +49,7 @@
 // Log is what a Keeper says its words by.
 type Log interface {
 	DecideNow(duty, body string) bool
-	Note(duty, body string) (seq uint64)
+	Announce(duty, body string) (seq uint64)
 	Now() time.Duration
 }
 
@@ -126,7 +126,7 @@
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	switch {
-	case c.Kind == lease.Do && w.Freeze != nil:
+	case c.Kind == lease.Decide && w.Freeze != nil:
 		if next, slots, ok := k.c.follow(&k.agreed, *w.Freeze); ok {
 			k.calls.Frozen(slots)
 			k.nextAck = now
@@ -137,7 +137,7 @@
 			k.broken = true
 			k.c.Say(fmt.Sprintf("ring: plan %d came out otherwise than the fleet's: no calls by it; is this another build?", next.Version))
 		}
-	case c.Kind == lease.Do && w.Open != 0:
+	case c.Kind == lease.Decide && w.Open != 0:
 		if k.agreed.Open(w.Open) {
 			k.calls.Opened(k.agreed.Table)
 			if k.mover != nil {
@@ -145,16 +145,16 @@
 			}
 			k.c.Say(fmt.Sprintf("ring: table %d", w.Open))
 		}
-	case c.Kind == lease.Do && w.Lot != nil:
+	case c.Kind == lease.Decide && w.Lot != nil:
 		if k.agreed.Grant(*w.Lot) {
 			k.calls.Granted(w.Lot.Shares(k.agreed.Roster, k.c.Process))
 			if k.ramps != nil {
 				k.ramps.Granted(now)
 			}
 		}
-	case c.Kind == lease.Note && w.Ack != 0:
+	case c.Kind == lease.Announce && w.Ack != 0:
 		k.acknowledged(now, c, w)
-	case c.Kind == lease.Note && w.Ends:
+	case c.Kind == lease.Announce && w.Ends:
 		delete(k.heard, c.Member)
 		k.agreed.Left(c.Member)
 		if k.mover != nil {
@@ -189,7 +189,7 @@
 	if k.mover != nil {
 		k.mover.Acknowledged(now, c.Member, w.Ack)
 	}
-	if c.Member != k.c.Process || c.Life != k.c.Life {
+	if c.Member != k.c.Process || c.Incarnation != k.c.Life {
 		return
 	}
 	for n, s := range k.sent {
@@ -249,7 +249,7 @@
 
 func (k *Keeper) say(w word, now time.Duration) {
 	b, _ := json.Marshal(w)
-	if k.sent = append(k.sent, sent{k.log.Note(Duty, string(b)), now}); len(k.sent) > mostAcks {
+	if k.sent = append(k.sent, sent{k.log.Announce(Duty, string(b)), now}); len(k.sent) > mostAcks {
 		k.sent = slices.Delete(k.sent, 0, 1)
 	}
 	k.nextAck = now + k.c.Terms.Length/5
--- a/internal/fleet/slots/slots_test.go
+++ b/internal/fleet/slots/slots_test.go
@@ -28,8 +28,8 @@
 const keys = 48
 
 var (
-	leaseTerms = lease.Lease{Length: time.Second, Drift: 0.01, Margin: 20 * time.Millisecond}
-	bounds     = quorum.Bounds{Most: 5, Settle: 300 * time.Millisecond, HoldDown: 2 * time.Second}
+	leaseTerms = lease.Config{Duration: time.Second, MaxDrift: 0.01, SafetyMargin: 20 * time.Millisecond}
+	bounds     = quorum.Config{MaxVoters: 5, MinAge: 300 * time.Millisecond, HoldDown: 2 * time.Second}
 	terms      = ring.Terms{Length: time.Second, Drift: 0.01, Linger: 20 * time.Millisecond}
 )
 
@@ -67,16 +67,16 @@
 
 func (h *hub) now() time.Duration { return h.driver.Load().Now() }
 
-func (h *hub) Held(duty string, _ uint64) {
+func (h *hub) LeaseAcquired(duty string, _ uint64) {
 	if duty == Duty {
 		h.keeper.Load().Held(h.now())
 		h.tell(line{What: "held"})
 	}
 }
-func (h *hub) Lost(string)            { h.keeper.Load().Lost() }
-func (h *hub) Restored(b []byte)      { h.keeper.Load().Restored(b) }
-func (h *hub) Tick(now time.Duration) { h.keeper.Load().Tick(now) }
-func (h *hub) Entry(_ uint64, c lease.Command, o lease.Outcome) {
+func (h *hub) LeaseLost(string)          { h.keeper.Load().Lost() }
+func (h *hub) SnapshotRestored(b []byte) { h.keeper.Load().Restored(b) }
+func (h *hub) Tick(now time.Duration)    { h.keeper.Load().Tick(now) }
+func (h *hub) EntryApplied(_ uint64, c lease.Command, o lease.Outcome) {
 	if h.deaf.Load() {
 		return
 	}
@@ -86,9 +86,9 @@
 // lazy is the Keeper's Log, which is there a moment after it.
 type lazy struct{ h *hub }
 
-func (l lazy) DecideNow(duty, body string) bool    { return l.h.driver.Load().DecideNow(duty, body) }
-func (l lazy) Note(duty, body string) (seq uint64) { return l.h.driver.Load().Note(duty, body) }
-func (l lazy) Now() time.Duration                  { return l.h.now() }
+func (l lazy) DecideNow(duty, body string) bool        { return l.h.driver.Load().DecideNow(duty, body) }
+func (l lazy) Announce(duty, body string) (seq uint64) { return l.h.driver.Load().Announce(duty, body) }
+func (l lazy) Now() time.Duration                      { return l.h.now() }
 
 type quiet struct{}
 
@@ -130,23 +130,23 @@
 	m, err := membership.Start(membership.Config{Name: name, Bind: os.Getenv("PACK_BIND0"), Advertise: os.Getenv("PACK_FRONT0"), Seeds: seeds,
 		Most: 32, Probe: 200 * time.Millisecond, Sync: 500 * time.Millisecond, Record: record, Message: func(b []byte) {
 			if d := h.driver.Load(); d != nil {
-				d.Incoming(b)
+				d.ReceiveProposal(b)
 			}
 		}}, quiet{})
 	fail(err)
-	d, err := consensus.Drive(consensus.Config{Process: process, Bind: os.Getenv("PACK_BIND1"), Advertise: front, Found: os.Getenv("PACK_FOUND") != "",
-		Duties: []string{Duty}, Beat: 300 * time.Millisecond, Machine: state}, leaseTerms, life, h,
+	d, err := consensus.StartDriver(consensus.Config{Process: process, Bind: os.Getenv("PACK_BIND1"), Advertise: front, Bootstrap: os.Getenv("PACK_FOUND") != "",
+		Duties: []string{Duty}, HeartbeatTimeout: 300 * time.Millisecond, StateMachine: state}, leaseTerms, life, h,
 		func(to string, b []byte) error { return m.Send(to[:strings.IndexByte(to, '#')], b) }, func(d *consensus.Driver) { h.driver.Store(d) })
 	fail(err)
 	place, _ := strconv.Atoi(name[1:])
-	d.Placed(Duty, place)
-	d.Care(func() (out []consensus.Peer) {
+	d.SetClaimPosition(Duty, place)
+	d.ManageVoters(func() (out []consensus.Peer) {
 		for _, r := range m.View() {
-			out = append(out, consensus.Peer{Process: r.Process, Address: r.Log, Zone: r.Zone, Applied: r.Applied, Leaving: r.Flag == "leaving"})
+			out = append(out, consensus.Peer{Process: r.Process, Address: r.Log, Zone: r.Zone, Applied: r.Applied, Draining: r.Flag == "leaving"})
 		}
 		return out
 	}, bounds, func(c quorum.Change) {
-		if c.Kind == quorum.Vote {
+		if c.Kind == quorum.PromoteVoter {
 			h.tell(line{What: "votes"})
 		}
 	})
--- a/internal/fleet/slots/state.go
+++ b/internal/fleet/slots/state.go
@@ -39,7 +39,7 @@
 
 // Apply implements log.Machine.
 func (s *State) Apply(_ uint64, c lease.Command, o lease.Outcome) {
-	if c.Duty != Duty || !o.Accepted || c.Kind == lease.Note && !s.agreed.Table.Cold() {
+	if c.Duty != Duty || !o.Accepted || c.Kind == lease.Announce && !s.agreed.Table.Cold() {
 		return // acknowledgements matter to the roster alone
 	}
 	var w word
@@ -47,11 +47,11 @@
 		return
 	}
 	switch {
-	case c.Kind == lease.Note && w.Ends:
+	case c.Kind == lease.Announce && w.Ends:
 		s.agreed.Left(c.Member)
-	case c.Kind == lease.Note && w.Ack != 0 && s.agreed.Confirms(w.Ack):
+	case c.Kind == lease.Announce && w.Ack != 0 && s.agreed.Confirms(w.Ack):
 		s.agreed.Acknowledged(c.Member)
-	case c.Kind != lease.Do:
+	case c.Kind != lease.Decide:
 	case w.Freeze != nil:
 		s.c.follow(&s.agreed, *w.Freeze)
 	case w.Open != 0:
--- a/internal/lab/emulator/configuration_day.go
+++ b/internal/lab/emulator/configuration_day.go
@@ -90,7 +90,7 @@
 		if len(s.waiting) == 0 || !p.up || p.paused {
 			continue
 		}
-		token, holds := c.holder.May(c.clock(), configurationDuty)
+		token, holds := c.elector.Token(c.clock(), configurationDuty)
 		command, err := c.Submit(s.now, token, holds, s.waiting[0].edits)
 		cutOff := c.minor > 0 && s.now-c.minor > minority
 		if err != nil {
@@ -106,7 +106,7 @@
 		if cutOff {
 			s.judge.figures.AcceptedInMinority++
 		}
-		c.holder.Decide(c.clock(), configurationDuty, string(command.Encode()))
+		c.elector.Decide(c.clock(), configurationDuty, string(command.Encode()))
 	}
 }
 
--- a/internal/lab/emulator/configuration_faults.go
+++ b/internal/lab/emulator/configuration_faults.go
@@ -27,7 +27,7 @@
 		return
 	}
 	command := configuration.Command{Base: in, Version: v, Changes: []configuration.Change{{Resource: r}}}
-	c.Propose(lease.Command{Kind: lease.Do, Duty: configurationDuty, Member: c.p.name, Life: uint64(c.p.life), Token: c.token,
+	c.Propose(lease.Command{Kind: lease.Decide, Duty: configurationDuty, Member: c.p.name, Incarnation: uint64(c.p.life), Token: c.token,
 		Body: string(command.Encode())})
 }
 
@@ -147,7 +147,7 @@
 
 func (s *configurationSim) pauseOwner() {
 	for _, p := range s.all[:s.day.controls] {
-		if _, holds := p.control.holder.May(p.control.clock(), configurationDuty); !holds || !p.up {
+		if _, holds := p.control.elector.Token(p.control.clock(), configurationDuty); !holds || !p.up {
 			continue
 		}
 		p.paused = true
--- a/internal/lab/emulator/configuration_judge.go
+++ b/internal/lab/emulator/configuration_judge.go
@@ -64,10 +64,10 @@
 func (j *configurationJudge) commit(index uint64, c lease.Command, command *configuration.Command, asked time.Duration) (made bool) {
 	before, _ := j.table.At(configurationDuty)
 	outcome := j.table.Apply(index, c)
-	if c.Kind == lease.Claim && outcome.Accepted {
+	if c.Kind == lease.Acquire && outcome.Accepted {
 		j.figures.OwnerChanges++
 	}
-	if c.Kind != lease.Do {
+	if c.Kind != lease.Decide {
 		return false
 	}
 	if c.Token < before.Token {
--- a/internal/lab/emulator/configuration_log.go
+++ b/internal/lab/emulator/configuration_log.go
@@ -18,7 +18,7 @@
 	trailing             = time.Second / 2 // by which a machine's copy may be confirmed late
 )
 
-var configurationLease = lease.Lease{Length: 2 * time.Second, Drift: 0.01, Margin: 20 * time.Millisecond}
+var configurationLease = lease.Config{Duration: 2 * time.Second, MaxDrift: 0.01, SafetyMargin: 20 * time.Millisecond}
 
 type configurationEntry struct {
 	lease.Command
@@ -39,7 +39,7 @@
 	p       *configurationProcess
 	store   *configuration.Store
 	table   *lease.Table
-	holder  *lease.Holder
+	elector *lease.Elector
 	at      int // entries applied
 	token   uint64
 	started time.Duration
@@ -60,9 +60,9 @@
 	p.up, p.paused = true, false
 	p.last, c.started, c.token = c.store.State().Version(), s.now, 0
 	c.Control = configuration.NewControl(s.now, p, c.store)
-	c.holder = lease.NewHolder(c, c.table, configurationLease, p.name, uint64(p.life))
-	c.holder.Placed(configurationDuty, p.n)
-	c.holder.CaughtUp(0)
+	c.elector = lease.NewElector(c, c.table, configurationLease, p.name, uint64(p.life))
+	c.elector.SetClaimPosition(configurationDuty, p.n)
+	c.elector.SetCaughtUp(0)
 	p.bytes.begin(s.now)
 	p.bytes.started(s.now)
 }
@@ -72,11 +72,11 @@
 // Propose, Holds and Lost make it the lease.Host of its process.
 func (c *configurationControl) Propose(command lease.Command) { c.p.s.propose(c.p, command) }
 
-// Holds keeps the token, for what it does without looking.
-func (c *configurationControl) Holds(_ string, token uint64) { c.token = token }
+// LeaseAcquired keeps the token, for what it does without looking.
+func (c *configurationControl) LeaseAcquired(_ string, token uint64) { c.token = token }
 
-// Lost changes nothing: the token is kept.
-func (c *configurationControl) Lost(string) {}
+// LeaseLost changes nothing: the token is kept.
+func (c *configurationControl) LeaseLost(string) {}
 
 // leads tells whether a quorum of the voters reaches a machine.
 func (s *configurationSim) leads(n int) bool {
@@ -123,7 +123,7 @@
 // agree puts a command into the log; now and then it comes a second time.
 func (s *configurationSim) agree(c lease.Command) {
 	e := configurationEntry{Command: c}
-	if c.Kind == lease.Do {
+	if c.Kind == lease.Decide {
 		if command, err := configuration.DecodeCommand([]byte(c.Body)); err == nil {
 			e.change = &command
 		} else {
@@ -131,7 +131,7 @@
 		}
 	}
 	before, _ := s.judge.table.At(configurationDuty)
-	e.stale = c.Kind == lease.Do && c.Token < before.Token
+	e.stale = c.Kind == lease.Decide && c.Token < before.Token
 	s.log.entries = append(s.log.entries, e)
 	index := len(s.log.entries)
 	var asked time.Duration
@@ -160,8 +160,8 @@
 	}
 	for ; c.at < upTo; c.at++ {
 		e := s.log.entries[c.at]
-		outcome := c.holder.Applied(c.clock(), uint64(c.at+1), e.Command)
-		if e.Kind == lease.Claim && outcome.Accepted {
+		outcome := c.elector.Apply(c.clock(), uint64(c.at+1), e.Command)
+		if e.Kind == lease.Acquire && outcome.Accepted {
 			c.Granted(outcome.Token)
 		}
 		if e.change == nil {
@@ -203,6 +203,6 @@
 		} else if p.control.minor == 0 {
 			p.control.minor = s.now
 		}
-		p.control.holder.Tick(p.control.clock())
+		p.control.elector.Tick(p.control.clock())
 	}
 }
--- a/internal/lab/emulator/owner.go
+++ b/internal/lab/emulator/owner.go
@@ -15,11 +15,11 @@
 
 const mostFlight = 1 << 14 // proposals in flight; past them one is lost
 
-// OwnerSim is a fleet of members over one log. Its methods are what can happen to it; after each Check holds or not.
-type OwnerSim struct {
-	Lease   lease.Lease
-	Members []*OwnerMember
-	Figures OwnerFigures
+// LeaseSim is a fleet of members over one log. Its methods are what can happen to it; after each Check holds or not.
+type LeaseSim struct {
+	Config  lease.Config
+	Members []*LeaseMember
+	Figures LeaseFigures
 
 	now    time.Duration // true time
 	log    []lease.Command
@@ -33,47 +33,47 @@
 	size   int
 }
 
-// OwnerFigures are what a run counts.
-type OwnerFigures struct {
-	OwnersAtOnce  int // times that two members held one duty at one moment
-	StaleTried    int // commands issued by one that was no longer the holder
-	StaleAccepted int // of these, taken by a member's table
-	StaleActed    int // of these, acted on
-	Decisions     int // accepted
-	Diverged      int // members whose table differed at the same index
-	TakeoverP99   time.Duration
+// LeaseFigures are what a run counts.
+type LeaseFigures struct {
+	ConcurrentHolders int // times that two members held one duty at one moment
+	StaleProposed     int // commands issued by one that was no longer the holder
+	StaleAccepted     int // of these, taken by a member's table
+	StaleAdmitted     int // of these, acted on
+	Decisions         int // accepted
+	DivergedTables    int // members whose table differed at the same index
+	TakeoverP99       time.Duration
 }
 
-// OwnerMember is one process.
-type OwnerMember struct {
-	Name   string
-	place  int
-	Holder *lease.Holder
-	table  *lease.Table
-	guard  lease.Guard
-	sim    *OwnerSim
-	rate   float64       // of its clock
-	start  time.Duration // true time of its start
-	life   uint64
-	at     int               // entries applied
-	goal   int               // entries that were there when it started
-	tokens map[string]uint64 // the last it held, for what it does without looking
-
-	Paused, Deaf, Mute bool // does nothing; hears no entry; its proposals are lost
+// LeaseMember is one process.
+type LeaseMember struct {
+	Name    string
+	place   int
+	Elector *lease.Elector
+	table   *lease.Table
+	guard   lease.Fence
+	sim     *LeaseSim
+	rate    float64       // of its clock
+	start   time.Duration // true time of its start
+	life    uint64
+	at      int               // entries applied
+	goal    int               // entries that were there when it started
+	tokens  map[string]uint64 // the last it held, for what it does without looking
+
+	Paused, InboundCut, OutboundCut bool // does nothing; hears no entry; its proposals are lost
 }
 
-// NewOwnerSim is a fleet of size members, all with an empty log; their clocks run at rates within the lease's drift.
-func NewOwnerSim(size int, terms lease.Lease, r *rand.Rand, duties ...string) (*OwnerSim, error) {
+// NewLeaseSim is a fleet of size members, all with an empty log; their clocks run at rates within the lease's drift.
+func NewLeaseSim(size int, terms lease.Config, r *rand.Rand, duties ...string) (*LeaseSim, error) {
 	truth, err := lease.NewTable(duties...)
 	if err != nil {
 		return nil, err
 	}
-	s := &OwnerSim{Lease: terms, size: size, duties: truth.Duties(), truth: truth, vacant: map[string]time.Duration{}}
+	s := &LeaseSim{Config: terms, size: size, duties: truth.Duties(), truth: truth, vacant: map[string]time.Duration{}}
 	for _, d := range s.duties {
 		s.vacant[d] = 0
 	}
 	for n := range size {
-		m := &OwnerMember{Name: fmt.Sprintf("m%d", n), place: n, sim: s, rate: 1 + terms.Drift*(2*r.Float64()-1)}
+		m := &LeaseMember{Name: fmt.Sprintf("m%d", n), place: n, sim: s, rate: 1 + terms.MaxDrift*(2*r.Float64()-1)}
 		s.Members = append(s.Members, m)
 		s.Restart(m)
 	}
@@ -81,39 +81,39 @@
 }
 
 // Restart ends a member's process and starts it cold: no table, a new life.
-func (s *OwnerSim) Restart(m *OwnerMember) {
-	if m.Holder != nil {
+func (s *LeaseSim) Restart(m *LeaseMember) {
+	if m.Elector != nil {
 		for _, d := range s.duties {
-			if _, held := m.Holder.May(m.clock(), d); held {
-				m.Lost(d)
+			if _, held := m.Elector.Token(m.clock(), d); held {
+				m.LeaseLost(d)
 			}
 		}
 	}
 	s.lives++
 	m.table, _ = lease.NewTable(s.duties...)
-	m.guard, m.tokens = lease.Guard{}, map[string]uint64{}
+	m.guard, m.tokens = lease.Fence{}, map[string]uint64{}
 	m.start, m.life, m.at, m.goal = s.now, s.lives, 0, len(s.log)
-	m.Paused, m.Deaf, m.Mute = false, false, false
-	m.Holder = lease.NewHolder(m, m.table, s.Lease, m.Name, m.life)
+	m.Paused, m.InboundCut, m.OutboundCut = false, false, false
+	m.Elector = lease.NewElector(m, m.table, s.Config, m.Name, m.life)
 	for n, d := range s.duties { // ranks as the fleet's: each duty's turns begin elsewhere
-		m.Holder.Placed(d, (m.place+n*max(s.size/len(s.duties), 1))%s.size)
+		m.Elector.SetClaimPosition(d, (m.place+n*max(s.size/len(s.duties), 1))%s.size)
 	}
 	m.catchUp()
 }
 
-func (m *OwnerMember) clock() time.Duration {
+func (m *LeaseMember) clock() time.Duration {
 	return time.Duration(float64(m.sim.now-m.start) * m.rate)
 }
 
 // Propose, Holds and Lost make a member the lease.Host of its process.
-func (m *OwnerMember) Propose(c lease.Command) {
-	if !m.Mute && len(m.sim.flight) < mostFlight {
+func (m *LeaseMember) Propose(c lease.Command) {
+	if !m.OutboundCut && len(m.sim.flight) < mostFlight {
 		m.sim.flight = append(m.sim.flight, c)
 	}
 }
 
-// Holds notes the takeover.
-func (m *OwnerMember) Holds(duty string, token uint64) {
+// LeaseAcquired notes the takeover.
+func (m *LeaseMember) LeaseAcquired(duty string, token uint64) {
 	m.tokens[duty] = token
 	if since, ok := m.sim.vacant[duty]; ok {
 		m.sim.took = append(m.sim.took, m.sim.now-since)
@@ -121,37 +121,37 @@
 	}
 }
 
-// Lost notes from when nobody holds it.
-func (m *OwnerMember) Lost(duty string) { m.sim.vacant[duty] = m.sim.now }
+// LeaseLost notes from when nobody holds it.
+func (m *LeaseMember) LeaseLost(duty string) { m.sim.vacant[duty] = m.sim.now }
 
 // Advance moves true time on and ticks all that are not paused.
-func (s *OwnerSim) Advance(by time.Duration) {
+func (s *LeaseSim) Advance(by time.Duration) {
 	s.now += by
 	for _, m := range s.Members {
 		if !m.Paused {
-			m.Holder.Tick(m.clock())
+			m.Elector.Tick(m.clock())
 		}
 	}
 }
 
 // Entries are the log so far, in order.
-func (s *OwnerSim) Entries() []lease.Command { return s.log }
+func (s *LeaseSim) Entries() []lease.Command { return s.log }
 
 // Now is the true time since the start.
-func (s *OwnerSim) Now() time.Duration { return s.now }
+func (s *LeaseSim) Now() time.Duration { return s.now }
 
-// Flight is how many proposals are on their way.
-func (s *OwnerSim) Flight() int { return len(s.flight) }
+// InFlight is how many proposals are on their way.
+func (s *LeaseSim) InFlight() int { return len(s.flight) }
 
 // Drop loses the n-th proposal in flight.
-func (s *OwnerSim) Drop(n int) { s.flight = slices.Delete(s.flight, n, n+1) }
+func (s *LeaseSim) Drop(n int) { s.flight = slices.Delete(s.flight, n, n+1) }
 
 // Commit puts the n-th proposal in flight into the log.
-func (s *OwnerSim) Commit(n int) {
+func (s *LeaseSim) Commit(n int) {
 	c := s.flight[n]
 	s.Drop(n)
 	s.log = append(s.log, c)
-	if c.Kind != lease.Do { // whom the log made the holder: judged by claims, renewals and releases alone
+	if c.Kind != lease.Decide { // whom the log made the holder: judged by claims, renewals and releases alone
 		s.truth.Apply(uint64(len(s.log)), c)
 	}
 	top := map[string]uint64{}
@@ -165,14 +165,14 @@
 	s.top = append(s.top, top)
 }
 
-// Hear applies up to n entries at a member.
-func (s *OwnerSim) Hear(m *OwnerMember, n int) {
-	for ; n > 0 && m.at < len(s.log) && !m.Paused && !m.Deaf; n-- {
+// Deliver applies up to n entries at a member.
+func (s *LeaseSim) Deliver(m *LeaseMember, n int) {
+	for ; n > 0 && m.at < len(s.log) && !m.Paused && !m.InboundCut; n-- {
 		c, index := s.log[m.at], uint64(m.at+1)
 		m.at++
-		o := m.Holder.Applied(m.clock(), index, c)
+		o := m.Elector.Apply(m.clock(), index, c)
 		m.catchUp()
-		if c.Kind != lease.Do || !o.Accepted {
+		if c.Kind != lease.Decide || !o.Accepted {
 			continue
 		}
 		stale := c.Token < s.top[index-1][c.Duty]
@@ -180,7 +180,7 @@
 			s.Figures.StaleAccepted++
 		}
 		if m.guard.Admit(c.Duty, c.Token, index) && stale {
-			s.Figures.StaleActed++
+			s.Figures.StaleAdmitted++
 		}
 		if m == s.Members[0] {
 			s.Figures.Decisions++
@@ -188,100 +188,100 @@
 	}
 }
 
-func (m *OwnerMember) catchUp() {
+func (m *LeaseMember) catchUp() {
 	if m.at >= m.goal {
-		m.Holder.CaughtUp(m.clock())
+		m.Elector.SetCaughtUp(m.clock())
 	}
 }
 
 // Decide lets a member issue a decision of each duty it holds.
-func (s *OwnerSim) Decide(m *OwnerMember) {
+func (s *LeaseSim) Decide(m *LeaseMember) {
 	for _, d := range s.duties {
 		if !m.Paused {
-			m.Holder.Decide(m.clock(), d, "plan")
+			m.Elector.Decide(m.clock(), d, "plan")
 		}
 	}
 }
 
-// Blurt is a member that checked, stood still, and goes on without looking: it issues a decision under the last token
+// ProposeStale is a member that checked, stood still, and goes on without looking: it issues a decision under the last token
 // that it held, whatever came since.
-func (s *OwnerSim) Blurt(m *OwnerMember) {
+func (s *LeaseSim) ProposeStale(m *LeaseMember) {
 	for d, token := range m.tokens {
 		if at, _ := s.truth.At(d); at.Token > token {
-			s.Figures.StaleTried++
-			m.Propose(lease.Command{Kind: lease.Do, Duty: d, Member: m.Name, Life: m.life, Token: token, Body: "late"})
+			s.Figures.StaleProposed++
+			m.Propose(lease.Command{Kind: lease.Decide, Duty: d, Member: m.Name, Incarnation: m.life, Token: token, Body: "late"})
 		}
 	}
 }
 
 // Check counts what must never be: two holders at one moment. It returns the first fault that it finds now.
-func (s *OwnerSim) Check() error {
+func (s *LeaseSim) Check() error {
 	for _, d := range s.duties {
 		first := ""
 		for _, m := range s.Members {
-			if _, held := m.Holder.May(m.clock(), d); !held {
+			if _, held := m.Elector.Token(m.clock(), d); !held {
 				continue
 			}
 			if first != "" {
-				s.Figures.OwnersAtOnce++
+				s.Figures.ConcurrentHolders++
 				return fmt.Errorf("%s: held by %s and %s at %v", d, first, m.Name, s.now)
 			}
 			first = m.Name
 		}
 	}
-	if s.Figures.StaleAccepted > 0 || s.Figures.StaleActed > 0 {
-		return fmt.Errorf("%d stale commands accepted, %d acted on", s.Figures.StaleAccepted, s.Figures.StaleActed)
+	if s.Figures.StaleAccepted > 0 || s.Figures.StaleAdmitted > 0 {
+		return fmt.Errorf("%d stale commands accepted, %d acted on", s.Figures.StaleAccepted, s.Figures.StaleAdmitted)
 	}
 	return nil
 }
 
-// Holding is the member that holds a duty now, nil for none.
-func (s *OwnerSim) Holding(duty string) *OwnerMember {
+// HolderOf is the member that holds a duty now, nil for none.
+func (s *LeaseSim) HolderOf(duty string) *LeaseMember {
 	for _, m := range s.Members {
-		if _, held := m.Holder.May(m.clock(), duty); held {
+		if _, held := m.Elector.Token(m.clock(), duty); held {
 			return m
 		}
 	}
 	return nil
 }
 
-// Owner plays leases' time of a fleet of size: each few leases a holder is paused and woken late, killed, made deaf or
+// RunLeases plays leases' time of a fleet of size: each few leases a holder is paused and woken late, killed, made deaf or
 // mute, and all heal again; a twentieth of the proposals is lost. It ends with all members at the log's end.
-func Owner(size, leases int, seed uint64) (OwnerFigures, error) {
+func RunLeases(size, leases int, seed uint64) (LeaseFigures, error) {
 	r := rand.New(rand.NewPCG(seed, 0x07e4))
-	terms := lease.Lease{Length: time.Second, Drift: 0.01, Margin: 10 * time.Millisecond}
-	s, err := NewOwnerSim(size, terms, r, "budget", "ring", "roll")
+	terms := lease.Config{Duration: time.Second, MaxDrift: 0.01, SafetyMargin: 10 * time.Millisecond}
+	s, err := NewLeaseSim(size, terms, r, "budget", "ring", "roll")
 	if err != nil {
-		return OwnerFigures{}, err
+		return LeaseFigures{}, err
 	}
 	const step = 25 * time.Millisecond
-	perLease := int(terms.Length / step)
+	perLease := int(terms.Duration / step)
 	for n := range leases * perLease {
 		s.Advance(step)
-		for s.Flight() > 0 && r.IntN(4) > 0 { // what is not committed now comes later, in another order
-			if k := r.IntN(s.Flight()); r.IntN(20) == 0 {
+		for s.InFlight() > 0 && r.IntN(4) > 0 { // what is not committed now comes later, in another order
+			if k := r.IntN(s.InFlight()); r.IntN(20) == 0 {
 				s.Drop(k)
 			} else {
 				s.Commit(k)
 			}
 		}
 		for _, m := range s.Members {
-			s.Hear(m, r.IntN(6))
+			s.Deliver(m, r.IntN(6))
 		}
 		if n%8 == 0 {
-			if m := s.Holding(s.duties[r.IntN(len(s.duties))]); m != nil {
+			if m := s.HolderOf(s.duties[r.IntN(len(s.duties))]); m != nil {
 				s.Decide(m)
 			}
 		}
 		if n%(4*perLease) == 2*perLease {
-			if m := s.Holding(s.duties[r.IntN(len(s.duties))]); m != nil {
+			if m := s.HolderOf(s.duties[r.IntN(len(s.duties))]); m != nil {
 				switch r.IntN(4) {
 				case 0:
 					s.Restart(m)
 				case 1:
-					m.Deaf = true
+					m.InboundCut = true
 				case 2:
-					m.Mute = true
+					m.OutboundCut = true
 				default:
 					m.Paused = true
 				}
@@ -290,9 +290,9 @@
 		if n%(4*perLease) == 4*perLease-1 {
 			for _, m := range s.Members {
 				woken := m.Paused
-				m.Paused, m.Deaf, m.Mute = false, false, false
+				m.Paused, m.InboundCut, m.OutboundCut = false, false, false
 				if woken {
-					s.Blurt(m)
+					s.ProposeStale(m)
 				}
 			}
 		}
@@ -303,17 +303,17 @@
 }
 
 // settle lets all hear all, and counts tables that differ.
-func (s *OwnerSim) settle() {
-	for s.Flight() > 0 {
+func (s *LeaseSim) settle() {
+	for s.InFlight() > 0 {
 		s.Commit(0)
 	}
 	for _, m := range s.Members {
-		m.Paused, m.Deaf = false, false
-		s.Hear(m, len(s.log))
+		m.Paused, m.InboundCut = false, false
+		s.Deliver(m, len(s.log))
 		for _, d := range s.duties {
 			a, _ := m.table.At(d)
 			if b, _ := s.Members[0].table.At(d); a != b {
-				s.Figures.Diverged++
+				s.Figures.DivergedTables++
 			}
 		}
 	}
@@ -323,19 +323,19 @@
 	}
 }
 
-// Leave gives a member the notice.
-func (s *OwnerSim) Leave(m *OwnerMember) {
+// Drain gives a member the notice.
+func (s *LeaseSim) Drain(m *LeaseMember) {
 	if !m.Paused {
-		m.Holder.Leave(m.clock())
+		m.Elector.Drain(m.clock())
 	}
 }
 
-// GiveUp lets a member give one duty to another.
-func (s *OwnerSim) GiveUp(m *OwnerMember, duty string) { m.Holder.GiveUp(m.clock(), duty) }
+// Resign lets a member give one duty to another.
+func (s *LeaseSim) Resign(m *LeaseMember, duty string) { m.Elector.Resign(m.clock(), duty) }
 
-// Restrict starts all members anew under another lease, their clocks as they are.
-func (s *OwnerSim) Restrict(l lease.Lease) {
-	s.Lease = l
+// RestartAll starts all members anew under another lease, their clocks as they are.
+func (s *LeaseSim) RestartAll(l lease.Config) {
+	s.Config = l
 	for _, m := range s.Members {
 		s.Restart(m)
 	}
--- a/internal/lab/scale/decisions/decisions.go
+++ b/internal/lab/scale/decisions/decisions.go
@@ -75,8 +75,8 @@
 
 // measurements are made at every size, lossMeasurements at the largest in both readings of "4 regions with 10 zones".
 var (
-	measurements     = []func(*collector, Layout) error{measureSubsets, measureOwner, measureVoters, measureRing, measureRoll}
-	lossMeasurements = []func(*collector, Layout) error{loseSubsets, loseOwner, loseVoters, loseRing, loseRoll}
+	measurements     = []func(*collector, Layout) error{measureSubsets, measureLeases, measureVoters, measureRing, measureRoll}
+	lossMeasurements = []func(*collector, Layout) error{loseSubsets, loseHolder, loseVoters, loseRing, loseRoll}
 )
 
 // collector gathers the points of each series over the sizes.
--- a/internal/lab/scale/decisions/owner.go
+++ b/internal/lab/scale/decisions/owner.go
@@ -20,7 +20,7 @@
 
 // As cmd/thymechute has them by default: a lease of 2 s and its duties.
 var (
-	ownerLease = lease.Lease{Length: 2 * time.Second, Drift: 0.01, Margin: 40 * time.Millisecond}
+	ownerLease = lease.Config{Duration: 2 * time.Second, MaxDrift: 0.01, SafetyMargin: 40 * time.Millisecond}
 	duties     = []string{"ring", "roll"}
 )
 
@@ -31,39 +31,39 @@
 }
 
 // ownerFleet is an emulated fleet whose log takes every proposal at once and in order.
-func ownerFleet(c *collector, size int) (*emulator.OwnerSim, error) {
-	return emulator.NewOwnerSim(size, ownerLease, chance(c.seed, 0x07e4), duties...)
+func ownerFleet(c *collector, size int) (*emulator.LeaseSim, error) {
+	return emulator.NewLeaseSim(size, ownerLease, chance(c.seed, 0x07e4), duties...)
 }
 
-func play(s *emulator.OwnerSim, until time.Duration) {
+func play(s *emulator.LeaseSim, until time.Duration) {
 	for s.Now() < until {
 		s.Advance(ownerStep)
-		for s.Flight() > 0 {
+		for s.InFlight() > 0 {
 			s.Commit(0)
 		}
 		for _, m := range s.Members {
-			s.Hear(m, hearAtOnce)
+			s.Deliver(m, hearAtOnce)
 		}
 	}
 }
 
-func measureOwner(c *collector, l Layout) error {
+func measureLeases(c *collector, l Layout) error {
 	s, err := ownerFleet(c, l.Size)
 	if err != nil {
 		return err
 	}
 	const warm = 4
-	play(s, warm*ownerLease.Length)
+	play(s, warm*ownerLease.Duration)
 	before := len(s.Entries())
-	play(s, (warm+calmLeases)*ownerLease.Length)
+	play(s, (warm+calmLeases)*ownerLease.Duration)
 	calm := s.Entries()[before:]
 	total := 0
 	for _, e := range calm {
 		e.Member = processName(l.Size-1, 0)
-		e.Life = 0x18f3a2b4c5000000
+		e.Incarnation = 0x18f3a2b4c5000000
 		total += entryBytes(e)
 	}
-	spent := (calmLeases * ownerLease.Length).Seconds()
+	spent := (calmLeases * ownerLease.Duration).Seconds()
 	c.point("owner_entries_day", "log_leader", 0, l.Size, float64(len(calm))/spent*86400)
 	c.point("owner_entry_bytes", "log_leader", 0, l.Size, float64(total)/float64(max(len(calm), 1)))
 	if err := s.Check(); err != nil {
@@ -78,11 +78,11 @@
 	if err != nil {
 		return err
 	}
-	holder := lease.NewHolder(silent{}, table, ownerLease, processName(0, 0), 1)
+	holder := lease.NewElector(silent{}, table, ownerLease, processName(0, 0), 1)
 	c.timing("owner_entry", "member", l.Size, func(n int) {
 		seen, _ := table.At(duties[0])
-		holder.Applied(time.Duration(n)*time.Millisecond, table.Index()+1, lease.Command{Kind: lease.Claim, Duty: duties[0],
-			Member: processName(n, 0), Life: 1, Seen: seen.Renewed})
+		holder.Apply(time.Duration(n)*time.Millisecond, table.Index()+1, lease.Command{Kind: lease.Acquire, Duty: duties[0],
+			Member: processName(n, 0), Incarnation: 1, ObservedIndex: seen.RenewedIndex})
 		holder.Tick(time.Duration(n) * time.Millisecond)
 	})
 	encoded, err := table.Encode()
@@ -93,20 +93,20 @@
 // silent is a host whose proposals go nowhere.
 type silent struct{}
 
-func (silent) Propose(lease.Command) {}
-func (silent) Holds(string, uint64)  {}
-func (silent) Lost(string)           {}
+func (silent) Propose(lease.Command)        {}
+func (silent) LeaseAcquired(string, uint64) {}
+func (silent) LeaseLost(string)             {}
 
-// loseOwner cuts off whoever holds a duty, with all that the loss takes: until another holds it, the claims that this
+// loseHolder cuts off whoever holds a duty, with all that the loss takes: until another holds it, the claims that this
 // cost, and what the heal puts into the log.
-func loseOwner(c *collector, l Layout) error {
+func loseHolder(c *collector, l Layout) error {
 	for _, kind := range lossKinds {
 		s, err := ownerFleet(c, l.Size)
 		if err != nil {
 			return err
 		}
-		play(s, 4*ownerLease.Length)
-		holder := s.Holding(duties[0])
+		play(s, 4*ownerLease.Duration)
+		holder := s.HolderOf(duties[0])
 		if holder == nil {
 			return fmt.Errorf("owner: nobody holds %s at %d members", duties[0], l.Size)
 		}
@@ -119,13 +119,13 @@
 	return nil
 }
 
-func (c *collector) takeover(name string, s *emulator.OwnerSim, loss Loss) {
+func (c *collector) takeover(name string, s *emulator.LeaseSim, loss Loss) {
 	cut := s.Members[loss.From:loss.To]
 	for _, m := range cut {
-		m.Deaf, m.Mute = true, true
+		m.InboundCut, m.OutboundCut = true, true
 	}
 	start, entries := s.Now(), len(s.Entries())
-	for s.Now() < start+mostTakeover*ownerLease.Length && !heldOutside(s, loss) {
+	for s.Now() < start+mostTakeover*ownerLease.Duration && !heldOutside(s, loss) {
 		play(s, s.Now()+ownerStep)
 	}
 	took := s.Now() - start
@@ -135,10 +135,10 @@
 	c.result.Put(name+"_takeover_s", took.Seconds())
 	c.result.Put(name+"_claims", float64(claims(s.Entries()[entries:])))
 	for _, m := range cut {
-		m.Deaf, m.Mute = false, false
+		m.InboundCut, m.OutboundCut = false, false
 	}
 	healed := len(s.Entries())
-	play(s, s.Now()+2*ownerLease.Length)
+	play(s, s.Now()+2*ownerLease.Duration)
 	c.result.Put(name+"_heal_claims", float64(claims(s.Entries()[healed:])))
 	if err := s.Check(); err != nil {
 		c.result.Fault("%s: %v", name, err)
@@ -146,11 +146,11 @@
 }
 
 // heldOutside tells whether every duty is held by one that the loss does not take.
-func heldOutside(s *emulator.OwnerSim, loss Loss) bool {
+func heldOutside(s *emulator.LeaseSim, loss Loss) bool {
 	held := 0
 	for n, m := range s.Members {
 		if !loss.takes(n) {
-			held += m.Holder.Held()
+			held += m.Elector.LeaseCount()
 		}
 	}
 	return held == len(duties)
@@ -158,7 +158,7 @@
 
 func claims(entries []lease.Command) (count int) {
 	for _, e := range entries {
-		if e.Kind == lease.Claim {
+		if e.Kind == lease.Acquire {
 			count++
 		}
 	}
--- a/internal/lab/scale/decisions/ring.go
+++ b/internal/lab/scale/decisions/ring.go
@@ -88,20 +88,20 @@
 
 func (w *words) say(c lease.Command) uint64 {
 	w.seq++
-	c.Member, c.Life, c.Seq, c.Duty = w.process, 0x18f3a2b4c5000000, w.seq, slots.Duty
+	c.Member, c.Incarnation, c.Seq, c.Duty = w.process, 0x18f3a2b4c5000000, w.seq, slots.Duty
 	w.said = append(w.said, c)
 	return w.seq
 }
 
 // DecideNow implements slots.Log.
 func (w *words) DecideNow(_, body string) bool {
-	w.say(lease.Command{Kind: lease.Do, Token: 7, Body: body})
+	w.say(lease.Command{Kind: lease.Decide, Token: 7, Body: body})
 	return true
 }
 
-// Note implements slots.Log.
-func (w *words) Note(_, body string) uint64 {
-	return w.say(lease.Command{Kind: lease.Note, Body: body})
+// Announce implements slots.Log.
+func (w *words) Announce(_, body string) uint64 {
+	return w.say(lease.Command{Kind: lease.Announce, Body: body})
 }
 
 // Now implements slots.Log.
@@ -123,7 +123,7 @@
 	for len(entries) < 2 && w.now < 10*ringTerms.Length {
 		k.Tick(w.now)
 		for _, c := range w.said {
-			if c.Kind == lease.Do {
+			if c.Kind == lease.Decide {
 				entries = append(entries, c)
 			}
 			k.Entry(w.now, c, accepted)
--- a/internal/lab/scale/decisions/roll.go
+++ b/internal/lab/scale/decisions/roll.go
@@ -36,7 +36,7 @@
 	for n := range out {
 		out[n] = emulator.RollPlace{Zone: l.zoneName(n), Runs: n%2 == 1, Lost: loss.takes(n), ComesBackCold: cold}
 	}
-	emulator.EveryNth(out, wantedVoters)
+	emulator.EveryNth(out, targetVoters)
 	return out
 }
 
@@ -84,7 +84,7 @@
 	k.Want(wantedRelease)
 	k.Held()
 	entry := func(body string) lease.Command {
-		return lease.Command{Kind: lease.Do, Duty: rolling.Duty, Member: processName(0, 0), Life: 0x18f3a2b4c5000000, Seq: 99999, Token: 7, Body: body}
+		return lease.Command{Kind: lease.Decide, Duty: rolling.Duty, Member: processName(0, 0), Incarnation: 0x18f3a2b4c5000000, Seq: 99999, Token: 7, Body: body}
 	}
 	k.Tick(time.Second)
 	if len(bodies) == 1 {
--- a/internal/lab/scale/decisions/voters.go
+++ b/internal/lab/scale/decisions/voters.go
@@ -19,10 +19,10 @@
 	voterHoldDown = 4 * time.Second
 	mostCare      = 30 * time.Second // played after a loss
 	quorumDraws   = 200              // orders of joining in which the regions' voters are counted; a tenth in the small run
-	wantedVoters  = 5
+	targetVoters  = 5
 )
 
-var voterBounds = quorum.Bounds{Most: wantedVoters, Settle: voterSettle, HoldDown: voterHoldDown}
+var voterBounds = quorum.Config{MaxVoters: targetVoters, MinAge: voterSettle, HoldDown: voterHoldDown}
 
 // choice is a fleet with its voters.
 type choice struct {
@@ -44,7 +44,7 @@
 		}
 	}
 	p.voters = []string{p.members[order[0]].Process}
-	for range 4 * wantedVoters {
+	for range 4 * targetVoters {
 		p.ask()
 	}
 	return p
@@ -52,13 +52,13 @@
 
 // ask is one of the leader's: at most one change, in force before the next.
 func (p *choice) ask() quorum.Change {
-	c := quorum.Next(p.members, p.voters, p.learners, false, voterBounds)
+	c := quorum.NextChange(p.members, p.voters, p.learners, false, voterBounds)
 	switch c.Kind {
-	case quorum.Learn:
+	case quorum.AddLearner:
 		p.learners = []string{c.Process}
-	case quorum.Vote:
+	case quorum.PromoteVoter:
 		p.learners, p.voters = nil, append(p.voters, c.Process)
-	case quorum.Drop:
+	case quorum.RemoveServer:
 		is := func(x string) bool { return x == c.Process }
 		p.learners, p.voters = slices.DeleteFunc(p.learners, is), slices.DeleteFunc(p.voters, is)
 	}
@@ -86,11 +86,11 @@
 
 func measureVoters(c *collector, l Layout) error {
 	p := newChoice(l, inOrder(l.Size), true)
-	if len(p.voters) != wantedVoters {
-		c.result.Fault("voters: %d of %d chosen among %d", len(p.voters), wantedVoters, l.Size)
+	if len(p.voters) != targetVoters {
+		c.result.Fault("voters: %d of %d chosen among %d", len(p.voters), targetVoters, l.Size)
 	}
-	p.members[slices.IndexFunc(p.members, func(m quorum.Member) bool { return m.Process == p.voters[4] })].SilentFor = time.Minute
-	c.timing("voters", "log_leader", l.Size, func(int) { quorum.Next(p.members, p.voters, nil, false, voterBounds) })
+	p.members[slices.IndexFunc(p.members, func(m quorum.Member) bool { return m.Process == p.voters[4] })].UnreachableFor = time.Minute
+	c.timing("voters", "log_leader", l.Size, func(int) { quorum.NextChange(p.members, p.voters, nil, false, voterBounds) })
 	c.point("log_membership_entry_bytes", "log_leader", 0, l.Size, float64(membershipEntry(l.Size)))
 	return nil
 }
@@ -125,7 +125,7 @@
 			draws /= 10
 		}
 		for range draws {
-			if newChoice(l, r.Perm(l.Size), regions).regions() >= quorum.Quorum(wantedVoters) {
+			if newChoice(l, r.Perm(l.Size), regions).regions() >= quorum.Majority(targetVoters) {
 				quorums++
 			}
 		}
@@ -148,10 +148,10 @@
 	for now := careEvery; now < mostCare; now += careEvery {
 		for n := range p.members {
 			if loss.takes(n) {
-				p.members[n].SilentFor = now
+				p.members[n].UnreachableFor = now
 			}
 		}
-		if p.ask().Kind != quorum.None {
+		if p.ask().Kind != quorum.NoChange {
 			changes++
 			took = now
 		}
@@ -160,7 +160,7 @@
 	c.result.Put(name+"_changes", float64(changes))
 	c.result.Put(name+"_s", took.Seconds())
 	quorumLost := 0.0
-	if lost >= quorum.Quorum(wantedVoters) {
+	if lost >= quorum.Majority(targetVoters) {
 		quorumLost = 1
 	}
 	c.result.Put(name+"_quorum_lost", quorumLost)
--- a/internal/lab/scale/raftlog/child.go
+++ b/internal/lab/scale/raftlog/child.go
@@ -94,9 +94,9 @@
 			if time.Since(began) > addWithin {
 				return reply, fmt.Errorf("added %d of %d within %v", n, len(r.Peers), addWithin)
 			}
-			add := p.logs[0].log.Follow
+			add := p.logs[0].log.AddLearner
 			if n < r.Voters {
-				add = p.logs[0].log.Vote
+				add = p.logs[0].log.AddVoter
 			}
 			if err := tryFor(leadWithin, func() error { return add(peer.Process, peer.Address) }); err != nil {
 				return reply, fmt.Errorf("add %d of %d: %w", n, len(r.Peers), err)
@@ -128,7 +128,7 @@
 // propose writes one entry with a body of so many bytes, by the first log.
 func (p *process) propose(bodyBytes int) error {
 	first := p.logs[0]
-	return first.log.Propose(lease.Command{Kind: lease.Note, Duty: "ring", Member: first.peer.Process, Body: strings.Repeat("x", bodyBytes)})
+	return first.log.Propose(lease.Command{Kind: lease.Announce, Duty: "ring", Member: first.peer.Process, Body: strings.Repeat("x", bodyBytes)})
 }
 
 func tryFor(limit time.Duration, f func() error) error {
--- a/internal/lab/scale/raftlog/election.go
+++ b/internal/lab/scale/raftlog/election.go
@@ -66,7 +66,7 @@
 		return err
 	}
 	for _, h := range live[1:] {
-		if err := tryFor(electionWait, func() error { return live[0].log.Vote(h.peer.Process, h.peer.Address) }); err != nil {
+		if err := tryFor(electionWait, func() error { return live[0].log.AddVoter(h.peer.Process, h.peer.Address) }); err != nil {
 			return err
 		}
 	}
@@ -131,7 +131,7 @@
 // agreed proposes one entry and waits until the proposer has it back.
 func agreed(ctx context.Context, h *hollow) error {
 	before := h.applied.Load()
-	if err := h.log.Propose(lease.Command{Kind: lease.Note, Duty: "ring", Member: h.peer.Process, Body: "x"}); err != nil {
+	if err := h.log.Propose(lease.Command{Kind: lease.Announce, Duty: "ring", Member: h.peer.Process, Body: "x"}); err != nil {
 		return err
 	}
 	for began := time.Now(); h.applied.Load() <= before; {
--- a/internal/lab/scale/raftlog/process.go
+++ b/internal/lab/scale/raftlog/process.go
@@ -40,8 +40,8 @@
 	decoded atomic.Int64 // bytes of the state that it was handed
 }
 
-func (h *hollow) Entry(index uint64, _ lease.Command)        { h.applied.Store(index) }
-func (h *hollow) Restored(*lease.Table, []byte)              {}
+func (h *hollow) EntryApplied(index uint64, _ lease.Command) { h.applied.Store(index) }
+func (h *hollow) SnapshotRestored(*lease.Table, []byte)      {}
 func (h *hollow) Apply(uint64, lease.Command, lease.Outcome) {}
 func (h *hollow) Encode() ([]byte, error)                    { return h.state, nil }
 func (h *hollow) Decode(state []byte) error                  { h.decoded.Store(int64(len(state))); return nil }
@@ -58,8 +58,8 @@
 	n := len(p.logs)
 	h := &hollow{peer: Peer{fmt.Sprintf("checkout-%04d#%x", n, time.Now().UnixMilli()), address(n)}, state: state}
 	var err error
-	h.log, err = consensus.Start(consensus.Config{Process: h.peer.Process, Bind: h.peer.Address, Found: found, Duties: []string{"ring", "roll"}, Machine: h,
-		Beat: beat, Stream: func(conn net.Conn) net.Conn {
+	h.log, err = consensus.Start(consensus.Config{Process: h.peer.Process, Bind: h.peer.Address, Bootstrap: found, Duties: []string{"ring", "roll"}, StateMachine: h,
+		HeartbeatTimeout: beat, WrapConn: func(conn net.Conn) net.Conn {
 			counted := net.Conn(&countedConn{conn, &p.meter})
 			if wrap != nil {
 				return wrap(counted)
