--- a/internal/decide/lease/export_test.go
+++ b/internal/decide/lease/export_test.go
@@ -1,8 +1,8 @@
 package lease
 
-// Unfence takes the fence out while f runs: the mutation that every check must notice.
-func Unfence(f func()) {
-	unfenced = true
-	defer func() { unfenced = false }()
+// WithoutFencing disables fencing while f runs: the mutation that every check must notice.
+func WithoutFencing(f func()) {
+	fencingDisabled = true
+	defer func() { fencingDisabled = false }()
 	f()
 }
--- a/internal/decide/lease/owner_test.go
+++ b/internal/decide/lease/lease_test.go
@@ -12,13 +12,13 @@
 	"thymechute/internal/lab/emulator"
 )
 
-var leaseTerms = lease.Config{Duration: time.Second, MaxDrift: 0.05, SafetyMargin: 5 * time.Millisecond}
+var leaseConfig = lease.Config{Duration: time.Second, MaxDrift: 0.05, SafetyMargin: 5 * time.Millisecond}
 
 // Any order of pauses, cuts, cold restarts, lost and late entries, with clocks at any rate within the bound.
-func TestOneHolderAtATimeWhateverHappens(t *testing.T) {
+func TestAtMostOneHolderUnderAnyFaults(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		r := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "rates"), 1))
-		s, err := emulator.NewLeaseSim(rapid.IntRange(2, 5).Draw(t, "size"), leaseTerms, r, "ring", "roll")
+		s, err := emulator.NewLeaseSim(rapid.IntRange(2, 5).Draw(t, "size"), leaseConfig, r, "ring", "roll")
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -35,19 +35,19 @@
 			"advance": func(t *rapid.T) { s.Advance(time.Duration(rapid.IntRange(1, 400).Draw(t, "ms")) * time.Millisecond) },
 			"commit":  func(t *rapid.T) { s.Commit(inFlight(t)) },
 			"drop":    func(t *rapid.T) { s.Drop(inFlight(t)) },
-			"hear":    func(t *rapid.T) { s.Deliver(some(t), rapid.IntRange(1, 8).Draw(t, "entries")) },
-			"all": func(t *rapid.T) {
+			"deliver": func(t *rapid.T) { s.Deliver(some(t), rapid.IntRange(1, 8).Draw(t, "entries")) },
+			"deliver all": func(t *rapid.T) {
 				for _, m := range s.Members {
 					s.Deliver(m, 99)
 				}
 			},
-			"pause":   func(t *rapid.T) { some(t).Paused = true },
-			"wake":    func(t *rapid.T) { m := some(t); m.Paused = false; s.ProposeStale(m) },
-			"deaf":    func(t *rapid.T) { m := some(t); m.InboundCut = !m.InboundCut },
-			"mute":    func(t *rapid.T) { m := some(t); m.OutboundCut = !m.OutboundCut },
-			"restart": func(t *rapid.T) { s.Restart(some(t)) },
-			"decide":  func(t *rapid.T) { s.Decide(some(t)) },
-			"leave":   func(t *rapid.T) { s.Drain(some(t)) },
+			"pause":        func(t *rapid.T) { some(t).Paused = true },
+			"wake":         func(t *rapid.T) { m := some(t); m.Paused = false; s.ProposeStale(m) },
+			"cut inbound":  func(t *rapid.T) { m := some(t); m.InboundCut = !m.InboundCut },
+			"cut outbound": func(t *rapid.T) { m := some(t); m.OutboundCut = !m.OutboundCut },
+			"restart":      func(t *rapid.T) { s.Restart(some(t)) },
+			"decide":       func(t *rapid.T) { s.Decide(some(t)) },
+			"drain":        func(t *rapid.T) { s.Drain(some(t)) },
 			"": func(t *rapid.T) {
 				if err := s.Check(); err != nil {
 					t.Fatal(err)
@@ -57,7 +57,7 @@
 	})
 }
 
-func TestEmulatedFleetThroughFaults(t *testing.T) {
+func TestEmulatedFleetWithFaults(t *testing.T) {
 	for seed := uint64(1); seed <= 3; seed++ {
 		f, err := emulator.RunLeases(12, 120, seed)
 		if err != nil {
@@ -72,8 +72,8 @@
 	}
 }
 
-func TestWithTheFenceTakenOutTheChecksFail(t *testing.T) {
-	lease.Unfence(func() {
+func TestChecksFailWithoutFencing(t *testing.T) {
+	lease.WithoutFencing(func() {
 		accepted, acted := 0, 0
 		for seed := uint64(1); seed <= 3; seed++ {
 			f, _ := emulator.RunLeases(12, 120, seed)
@@ -82,13 +82,13 @@
 		if accepted == 0 || acted == 0 {
 			t.Errorf("%d stale commands accepted, %d acted on without a fence: the checks see nothing", accepted, acted)
 		}
-		if _, faults := walk(6); faults == 0 {
-			t.Error("the walk sees nothing either")
+		if _, faults := explore(6); faults == 0 {
+			t.Error("the exhaustive search sees nothing either")
 		}
 	})
 }
 
-func TestClockBeyondTheBoundIsWhatTheBoundIsFor(t *testing.T) {
+func TestClockDriftBeyondBoundGivesTwoHolders(t *testing.T) {
 	two := 0
 	for seed := range uint64(20) {
 		r := rand.New(rand.NewPCG(seed, 2))
@@ -119,85 +119,8 @@
 	}
 }
 
-// walk goes through every order of three members' claims, renewals, decisions and releases over two duties, as fast
-// or as late as may be, to a depth: leases left out, so that only the fence stands. It returns states and faults.
-func walk(depth int) (states, faults int) {
-	type node struct {
-		table  *lease.Table
-		flight []lease.Command
-		token  [3][2]uint64 // the last that each member was granted
-		seen   [3][2]uint64
-	}
-	duties := []string{"a", "b"}
-	first, _ := lease.NewTable(duties...)
-	known := map[string]bool{}
-	level := []node{{table: first}}
-	for range depth {
-		var next []node
-		add := func(n node) {
-			key := fmt.Sprint(*n.table, n.flight, n.token, n.seen)
-			if !known[key] {
-				known[key] = true
-				next = append(next, n)
-			}
-		}
-		for _, n := range level {
-			for m := range 3 {
-				for d, duty := range duties {
-					now, _ := n.table.At(duty)
-					if n.seen[m][d] != now.RenewedIndex { // it hears of the last renewal
-						c := n
-						c.seen[m][d] = now.RenewedIndex
-						add(c)
-					}
-					if len(n.flight) >= 2 {
-						continue
-					}
-					for _, kind := range []lease.Kind{lease.Acquire, lease.Renew, lease.Release, lease.Decide} {
-						if kind != lease.Acquire && n.token[m][d] == 0 {
-							continue
-						}
-						c := n
-						c.flight = append(append([]lease.Command{}, n.flight...), lease.Command{Kind: kind, Duty: duty,
-							Member: fmt.Sprint(m), Incarnation: 1, Token: n.token[m][d], ObservedIndex: n.seen[m][d]})
-						add(c)
-					}
-				}
-			}
-			for f, cmd := range n.flight {
-				c := n
-				c.flight = append(append([]lease.Command{}, n.flight[:f]...), n.flight[f+1:]...)
-				add(c) // lost
-				c.table = n.table.Copy()
-				before, _ := n.table.At(cmd.Duty)
-				o := c.table.Apply(n.table.Index()+1, cmd)
-				after, _ := c.table.At(cmd.Duty)
-				m, d := int(cmd.Member[0]-'0'), int(cmd.Duty[0]-'a')
-				if cmd.Kind == lease.Acquire && o.Accepted {
-					c.token[m][d] = after.Token
-				}
-				if after.Token < before.Token || o.Accepted && cmd.Kind != lease.Acquire &&
-					(cmd.Token != before.Token || cmd.Member != before.Holder) {
-					faults++
-				}
-				add(c)
-			}
-		}
-		level = next
-	}
-	return len(known), faults
-}
-
-func TestEveryOrderOfThreeMembersTwoDuties(t *testing.T) {
-	states, faults := walk(7)
-	t.Logf("%d states to a depth of 7", states)
-	if faults != 0 || states < 50000 {
-		t.Errorf("%d faults in %d states", faults, states)
-	}
-}
-
-func TestALargeFleetClaimsInTurn(t *testing.T) {
-	s, err := emulator.NewLeaseSim(500, leaseTerms, rand.New(rand.NewPCG(1, 1)), "ring")
+func TestLargeFleetClaimsInOrder(t *testing.T) {
+	s, err := emulator.NewLeaseSim(500, leaseConfig, rand.New(rand.NewPCG(1, 1)), "ring")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -217,8 +140,8 @@
 	}
 }
 
-func TestADutyGivenUpGoesToAnother(t *testing.T) {
-	s, _ := emulator.NewLeaseSim(3, leaseTerms, rand.New(rand.NewPCG(3, 3)), "roll")
+func TestResignedLeaseGoesToAnotherMember(t *testing.T) {
+	s, _ := emulator.NewLeaseSim(3, leaseConfig, rand.New(rand.NewPCG(3, 3)), "roll")
 	pass := func() *emulator.LeaseMember {
 		for range 120 {
 			s.Advance(25 * time.Millisecond)
@@ -238,7 +161,7 @@
 	}
 }
 
-func TestGuardRefusesTheOlder(t *testing.T) {
+func TestFenceRejectsOlderDecisions(t *testing.T) {
 	var g lease.Fence
 	for n, c := range []struct {
 		duty         string
@@ -254,11 +177,11 @@
 		g.Admit(fmt.Sprint(n), 1, 1)
 	}
 	if g.Admit("one too many", 1, 1) {
-		t.Error("a guard takes any number of duties")
+		t.Error("a fence takes any number of duties")
 	}
 }
 
-func TestANoteNeedsNoTokenAndChangesNothing(t *testing.T) {
+func TestAnnouncementNeedsNoTokenAndLeavesLeaseUnchanged(t *testing.T) {
 	tab, _ := lease.NewTable("a")
 	tab.Apply(1, lease.Command{Kind: lease.Acquire, Duty: "a", Member: "x", Incarnation: 1})
 	before, _ := tab.At("a")
@@ -276,14 +199,14 @@
 	}
 }
 
-func TestTableRefusesWhatItDoesNotKnow(t *testing.T) {
+func TestTableRejectsInvalidCommands(t *testing.T) {
 	if _, err := lease.NewTable("a", "a"); err == nil {
 		t.Error("a duty twice")
 	}
 	tab, _ := lease.NewTable("a")
 	for n, c := range []lease.Command{{Kind: lease.Acquire, Duty: "b"}, {Kind: lease.Decide, Duty: "a", Token: 0, Member: "x"},
 		{Kind: lease.Kind(9), Duty: "a"}, {Kind: lease.Acquire, Duty: "a", ObservedIndex: 7}} {
-		if o := tab.Apply(uint64(n+1), c); o.Accepted || o.Why == "" {
+		if o := tab.Apply(uint64(n+1), c); o.Accepted || o.Err == nil {
 			t.Errorf("%+v: %+v", c, o)
 		}
 	}
--- a/internal/decide/lease/table.go
+++ b/internal/decide/lease/table.go
@@ -1,88 +1,98 @@
-// This file owns the log's state machine. It must give the same outcome for the same entries in every member, so it
-// knows no time and nothing of who is alive.
-
 package lease
 
 import (
 	"fmt"
 	"slices"
+	"strconv"
 )
 
-// Duty is what is agreed of one duty.
+// Duty is the replicated state of one duty.
 type Duty struct {
-	Holder       string // "" where it was released or never claimed
+	Holder       string `json:"Holder"` // empty if the lease was released or never acquired
 	Incarnation  uint64 `json:"Life"`
-	Token        uint64 // of the last holder; 0: never claimed
-	RenewedIndex uint64 `json:"Renewed"` // index of the entry that last claimed, renewed or released it
-	DecidedIndex uint64 `json:"Done"`    // index of its last decision
+	Token        uint64 `json:"Token"`   // fencing token of the last holder; 0 if the lease was never acquired
+	RenewedIndex uint64 `json:"Renewed"` // entry that last acquired, renewed or released the lease
+	DecidedIndex uint64 `json:"Done"`    // entry of the last decision
 }
 
-// Outcome is what became of an entry. Why says, where it was refused, what was found and expected, in one line.
+// Outcome is the result of applying an entry.
 type Outcome struct {
 	Accepted bool
-	Token    uint64 // of the duty after the entry
-	Why      string
+	Token    uint64 // fencing token of the duty after the entry
+	Err      error  // a *RejectedError unless the entry was accepted
 }
 
-// Table is the state machine. The zero value holds no duty.
+// Table is the state machine of the log. It depends on the entries alone, so all replicas that applied the same entries
+// are equal. The zero value has no duties.
 type Table struct {
-	names  []string
-	duties []Duty
-	index  uint64 // of the last entry applied
+	names  []string // sorted
+	duties []Duty   // by position in names
+	index  uint64   // of the last entry applied
 }
 
-// NewTable is of these duties. Errors: none, too many, one twice.
+// NewTable returns a table of duties whose leases were never acquired. Errors: ErrInvalidDuties.
 func NewTable(duties ...string) (*Table, error) {
 	names := slices.Sorted(slices.Values(duties))
-	if len(names) == 0 || len(names) > MaxDuties || len(slices.Compact(slices.Clone(names))) != len(names) {
-		return nil, fmt.Errorf("duties: found %q, expected 1 to %d names, each once", duties, MaxDuties)
+	hasDuplicates := len(slices.Compact(slices.Clone(names))) != len(names)
+	if len(names) == 0 || len(names) > MaxDuties || hasDuplicates {
+		return nil, fmt.Errorf("%w: found %q, expected 1 to %d distinct names", ErrInvalidDuties, duties, MaxDuties)
 	}
 	return &Table{names: names, duties: make([]Duty, len(names))}, nil
 }
 
-// Duties are their names in order.
+// Duties returns the names of the duties, sorted. The caller must not change the slice.
 func (t *Table) Duties() []string { return t.names }
 
-// At is the state of one duty, and false where there is none of that name.
+// At returns the state of a duty, and whether the table has it.
 func (t *Table) At(duty string) (Duty, bool) {
-	n, found := slices.BinarySearch(t.names, duty)
+	n, found := t.position(duty)
 	if !found {
 		return Duty{}, false
 	}
 	return t.duties[n], true
 }
 
-// Index is that of the last entry applied.
+// position returns the place of a duty in names, and whether the table has it.
+func (t *Table) position(duty string) (int, bool) { return slices.BinarySearch(t.names, duty) }
+
+// Index returns the index of the last entry applied.
 func (t *Table) Index() uint64 { return t.index }
 
-// Copy is the table for a snapshot; it shares nothing that changes.
+// Copy returns a table that shares no mutable state with this one.
 func (t *Table) Copy() *Table {
 	return &Table{names: t.names, duties: slices.Clone(t.duties), index: t.index}
 }
 
-// Apply takes the entry at index, which must be over all before; one that is not is refused and changes nothing.
+// Apply applies the entry at index. Indexes must increase: an entry at or below the last index, or of an unknown duty, is
+// rejected and leaves the table as it is.
 func (t *Table) Apply(index uint64, c Command) Outcome {
-	n, found := slices.BinarySearch(t.names, c.Duty)
+	n, found := t.position(c.Duty)
 	if !found {
-		return Outcome{Why: fmt.Sprintf("duty: found %q, expected one of %q", c.Duty, t.names)}
+		return Outcome{Err: &RejectedError{c.Duty, ErrUnknownDuty, strconv.Quote(c.Duty), fmt.Sprintf("one of %q", t.names)}}
 	}
-	d := &t.duties[n]
+	duty := &t.duties[n]
 	if index <= t.index {
-		return Outcome{Token: d.Token, Why: fmt.Sprintf("index: found %d, expected over %d", index, t.index)}
+		err := &RejectedError{c.Duty, ErrOldIndex, strconv.FormatUint(index, 10), fmt.Sprintf("above %d", t.index)}
+		return Outcome{Token: duty.Token, Err: err}
 	}
 	t.index = index
-	if c.Kind == Acquire {
-		if c.ObservedIndex != d.RenewedIndex {
-			return Outcome{Token: d.Token, Why: fmt.Sprintf("claim of %s: seen %d, expected %d", c.Duty, c.ObservedIndex, d.RenewedIndex)}
-		}
-		*d = Duty{Holder: c.Member, Incarnation: c.Incarnation, Token: d.Token + 1, RenewedIndex: index, DecidedIndex: d.DecidedIndex}
-		return Outcome{Accepted: true, Token: d.Token}
+	if err := duty.apply(index, c); err != nil {
+		return Outcome{Token: duty.Token, Err: err}
 	}
-	if c.Kind == Announce {
-		return Outcome{Accepted: true, Token: d.Token}
+	return Outcome{Accepted: true, Token: duty.Token}
+}
+
+// apply returns the reason if it rejects the command; the duty is unchanged then.
+func (d *Duty) apply(index uint64, c Command) error {
+	switch c.Kind {
+	case Announce:
+		return nil
+	case Acquire:
+		return d.acquire(index, c)
 	}
-	if !d.fits(c) {
-		return Outcome{Token: d.Token, Why: fmt.Sprintf("%s: token %d of %s, expected %d of %s", c.Duty, c.Token, c.Member, d.Token, d.Holder)}
+	if !d.isHeldBy(c) {
+		found := fmt.Sprintf("token %d of %q", c.Token, c.Member)
+		return &RejectedError{c.Duty, ErrFenced, found, fmt.Sprintf("token %d of %q", d.Token, d.Holder)}
 	}
 	switch c.Kind {
 	case Renew:
@@ -92,15 +102,25 @@
 	case Decide:
 		d.DecidedIndex = index
 	default:
-		return Outcome{Token: d.Token, Why: fmt.Sprintf("%s: kind found %d, expected %d to %d", c.Duty, c.Kind, Acquire, Decide)}
+		return &RejectedError{c.Duty, ErrUnknownKind, strconv.Itoa(int(c.Kind)), fmt.Sprintf("%d to %d", Acquire, Announce)}
+	}
+	return nil
+}
+
+// acquire is the compare-and-set of the lease: it makes the command's process the holder under the next token.
+func (d *Duty) acquire(index uint64, c Command) error {
+	if c.ObservedIndex != d.RenewedIndex {
+		found, expected := strconv.FormatUint(c.ObservedIndex, 10), strconv.FormatUint(d.RenewedIndex, 10)
+		return &RejectedError{c.Duty, ErrRenewed, found, expected}
 	}
-	return Outcome{Accepted: true, Token: d.Token}
+	*d = Duty{Holder: c.Member, Incarnation: c.Incarnation, Token: d.Token + 1, RenewedIndex: index, DecidedIndex: d.DecidedIndex}
+	return nil
 }
 
-// fits is the fence: a command is its present holder's own, under its present token.
-func (d *Duty) fits(c Command) bool {
-	return unfenced || c.Token == d.Token && c.Member == d.Holder && c.Incarnation == d.Incarnation
+// isHeldBy reports whether a command is the present holder's own, under its present token.
+func (d *Duty) isHeldBy(c Command) bool {
+	return fencingDisabled || c.Token == d.Token && c.Member == d.Holder && c.Incarnation == d.Incarnation
 }
 
-// unfenced is set by the tests' mutation run alone: with it every check must fail.
-var unfenced = false
+// fencingDisabled is set by the tests alone, to prove that their checks notice a missing fence.
+var fencingDisabled = false
