--- a/internal/decide/quorum/spread_test.go
+++ b/internal/decide/quorum/distribution_test.go
@@ -9,64 +9,64 @@
 	"pgregory.net/rapid"
 )
 
-func regionsOf(p *play) map[string]int {
+func regionsOf(s *simulation) map[string]int {
 	regions := map[string]int{}
-	for _, v := range p.voters {
-		regions[p.members[p.at(v)].Region]++
+	for _, v := range s.Voters {
+		regions[s.Members[s.position(v)].Region]++
 	}
 	return regions
 }
 
-// drawnRegions is a fleet over regions of some zones each, in any order of joining, all able to vote.
-func drawnRegions(t *rapid.T) *play {
+// drawFleet draws a fleet over regions of some zones each, in any order of joining, all able to vote.
+func drawFleet(t *rapid.T) *simulation {
 	regions, zones := rapid.IntRange(1, 5).Draw(t, "regions"), rapid.IntRange(1, 4).Draw(t, "zones")
-	p := &play{voters: []string{"p0"}}
+	s := &simulation{Fleet{Voters: []string{"p0"}}}
 	for n := range rapid.IntRange(5, 40).Draw(t, "size") {
 		region := rapid.IntRange(0, regions-1).Draw(t, "region")
-		p.members = append(p.members, Member{Process: fmt.Sprint("p", n), Region: fmt.Sprint("r", region),
+		s.Members = append(s.Members, Member{Process: fmt.Sprint("p", n), Region: fmt.Sprint("r", region),
 			Zone: fmt.Sprintf("r%d-z%d", region, rapid.IntRange(0, zones-1).Draw(t, "zone")), Age: time.Hour - time.Duration(n)*time.Second, CaughtUp: true})
 	}
-	return p
+	return s
 }
 
-// rest applies changes until there is none; it fails where they don't end.
-func rest(t *rapid.T, p *play) {
+// changeUntilSettled applies changes until there is none; it fails where they don't end.
+func changeUntilSettled(t *rapid.T, s *simulation) {
 	for range 60 {
-		if !p.apply(t, NextChange(p.members, p.voters, p.learners, false, bounds)) {
+		if !s.apply(t, NextChange(s.Fleet, config)) {
 			return
 		}
 	}
-	t.Fatalf("no rest: voters %v, learners %v", p.voters, p.learners)
+	t.Fatalf("no rest: voters %v, learners %v", s.Voters, s.Learners)
 }
 
 // As even over the regions as they allow, so no region has a quorum where three or more have somebody able; and with that
 // over as many zones; and then it rests. So it is again after a region is lost and after it is back.
-func TestVotersLieOverTheRegionsAndRest(t *testing.T) {
+func TestVotersSpreadOverRegionsAndSettle(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		p := drawnRegions(t)
-		rest(t, p)
-		even(t, p)
+		s := drawFleet(t)
+		changeUntilSettled(t, s)
+		checkEven(t, s)
 		lost := fmt.Sprint("r", rapid.IntRange(0, 4).Draw(t, "lost"))
-		before := regionsOf(p)[lost]
-		for n := range p.members {
-			if p.members[n].Region == lost {
-				p.members[n].UnreachableFor = bounds.HoldDown
+		before := regionsOf(s)[lost]
+		for n := range s.Members {
+			if s.Members[n].Region == lost {
+				s.Members[n].UnreachableFor = config.HoldDown
 			}
 		}
-		rest(t, p)
-		if left := 5 - before; left >= Majority(5) && regionsOf(p)[lost] > 0 && able(p) >= 5 {
-			t.Fatalf("voters of the lost region are not replaced: %v", regionsOf(p))
+		changeUntilSettled(t, s)
+		if left := 5 - before; left >= Majority(5) && regionsOf(s)[lost] > 0 && reachableMembers(s) >= 5 {
+			t.Fatalf("voters of the lost region are not replaced: %v", regionsOf(s))
 		}
-		for n := range p.members {
-			p.members[n].UnreachableFor = 0
+		for n := range s.Members {
+			s.Members[n].UnreachableFor = 0
 		}
-		rest(t, p)
-		even(t, p)
+		changeUntilSettled(t, s)
+		checkEven(t, s)
 	})
 }
 
-func able(p *play) (count int) {
-	for _, m := range p.members {
+func reachableMembers(s *simulation) (count int) {
+	for _, m := range s.Members {
 		if m.UnreachableFor == 0 {
 			count++
 		}
@@ -74,18 +74,18 @@
 	return count
 }
 
-// even fails where a voter could be taken from one region to another that has two fewer.
-func even(t *rapid.T, p *play) {
-	regions := regionsOf(p)
-	if len(p.voters) != 5 {
-		t.Fatalf("%d voters", len(p.voters))
+// checkEven fails where a voter could be taken from one region to another that has two fewer.
+func checkEven(t *rapid.T, s *simulation) {
+	regions := regionsOf(s)
+	if len(s.Voters) != 5 {
+		t.Fatalf("%d voters", len(s.Voters))
 	}
 	most := 0
 	for _, n := range regions {
 		most = max(most, n)
 	}
-	for _, m := range p.members {
-		if !slices.Contains(p.voters, m.Process) && regions[m.Region]+2 <= most {
+	for _, m := range s.Members {
+		if !slices.Contains(s.Voters, m.Process) && regions[m.Region]+2 <= most {
 			t.Fatalf("voters %v, and %s of %s is none", regions, m.Process, m.Region)
 		}
 	}
@@ -93,19 +93,19 @@
 
 // Forty zones in four regions, the members of one region joined first: five voters over five zones, and yet a region lost
 // must leave a quorum.
-func TestARegionLostLeavesAQuorum(t *testing.T) {
-	p := &play{voters: []string{"p0"}}
+func TestLostRegionLeavesQuorum(t *testing.T) {
+	s := &simulation{Fleet{Voters: []string{"p0"}}}
 	for n := range 400 {
-		p.members = append(p.members, Member{Process: fmt.Sprint("p", n), Region: fmt.Sprint("r", n/100), Zone: fmt.Sprintf("z%02d", n/10),
+		s.Members = append(s.Members, Member{Process: fmt.Sprint("p", n), Region: fmt.Sprint("r", n/100), Zone: fmt.Sprintf("z%02d", n/10),
 			Age: time.Hour - time.Duration(n)*time.Second, CaughtUp: true})
 	}
-	settled(t, p)
-	for region, n := range regionsOf(p) {
-		if n >= Majority(len(p.voters)) {
-			t.Errorf("%s has %d of %d voters", region, n, len(p.voters))
+	settle(t, s)
+	for region, n := range regionsOf(s) {
+		if n >= Majority(len(s.Voters)) {
+			t.Errorf("%s has %d of %d voters", region, n, len(s.Voters))
 		}
 	}
-	if zones := zonesOf(p); len(zones) != 5 {
+	if zones := zonesOf(s); len(zones) != 5 {
 		t.Errorf("voters in the zones %v", zones)
 	}
 }
@@ -120,7 +120,7 @@
 			}
 			voters := []string{"p0", "p1", "p2", "p3", "p4"} // badly spread: every member is weighed
 			for b.Loop() {
-				NextChange(members, voters, nil, false, bounds)
+				NextChange(Fleet{Members: members, Voters: voters}, config)
 			}
 		})
 	}
--- /dev/null
+++ b/internal/decide/quorum/quorum_test.go
@@ -0,0 +1,214 @@
+package quorum
+
+import (
+	"fmt"
+	"slices"
+	"strings"
+	"testing"
+	"time"
+
+	"pgregory.net/rapid"
+)
+
+var config = Config{MaxVoters: 5, MinAge: 10 * time.Second, HoldDown: 5 * time.Second}
+
+// simulation is a fleet to which changes are applied; it fails the test where one breaks a rule.
+type simulation struct{ Fleet }
+
+// withoutLearners returns the fleet as it is before any learner was chosen.
+func (s *simulation) withoutLearners() Fleet { return Fleet{Members: s.Members, Voters: s.Voters} }
+
+func (s *simulation) reachableVoters() (n int) {
+	for _, v := range s.Voters {
+		if at := s.position(v); at >= 0 && s.Members[at].UnreachableFor == 0 {
+			n++
+		}
+	}
+	return n
+}
+
+func (s *simulation) position(process string) int {
+	return slices.IndexFunc(s.Members, func(m Member) bool { return m.Process == process })
+}
+
+func (s *simulation) apply(t interface{ Fatalf(string, ...any) }, c Change) bool {
+	before, had := s.reachableVoters(), s.reachableVoters() >= Majority(len(s.Voters))
+	switch c.Kind {
+	case NoChange:
+		return false
+	case AddLearner:
+		if slices.Contains(s.Voters, c.Process) || slices.Contains(s.Learners, c.Process) {
+			t.Fatalf("%+v: learns twice", c)
+		}
+		s.Learners = append(s.Learners, c.Process)
+	case PromoteVoter:
+		at := slices.Index(s.Learners, c.Process)
+		if at < 0 || !s.Members[s.position(c.Process)].CaughtUp {
+			t.Fatalf("%+v: votes without having caught up", c)
+		}
+		s.Learners = slices.Delete(s.Learners, at, at+1)
+		if s.Voters = append(s.Voters, c.Process); len(s.Voters) > 2 && before < Majority(len(s.Voters)) {
+			t.Fatalf("%+v: the grown set has no quorum without it", c)
+		}
+	case RemoveServer:
+		if at := slices.Index(s.Learners, c.Process); at >= 0 {
+			s.Learners = slices.Delete(s.Learners, at, at+1)
+			return true
+		}
+		at := slices.Index(s.Voters, c.Process)
+		s.Voters = slices.Delete(s.Voters, at, at+1)
+	}
+	if !had || s.reachableVoters() < Majority(len(s.Voters)) || len(s.Voters) > config.MaxVoters+1 {
+		t.Fatalf("%+v: %d of %d voters heard, quorum before %v", c, s.reachableVoters(), len(s.Voters), had)
+	}
+	return true
+}
+
+func TestNoChangeLosesQuorum(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) {
+		s := &simulation{Fleet{Members: []Member{{Process: "p0", Zone: "z0", Age: time.Minute, CaughtUp: true}}, Voters: []string{"p0"}}}
+		born := 1
+		some := func(t *rapid.T) *Member { return &s.Members[rapid.IntRange(0, len(s.Members)-1).Draw(t, "who")] }
+		t.Repeat(map[string]func(*rapid.T){
+			"join": func(t *rapid.T) {
+				if len(s.Members) < 12 {
+					s.Members = append(s.Members, Member{Process: fmt.Sprint("p", born), Zone: fmt.Sprint("z", rapid.IntRange(0, 3).Draw(t, "zone"))})
+					born++
+				}
+			},
+			"fail":    func(t *rapid.T) { some(t).UnreachableFor = time.Second },
+			"recover": func(t *rapid.T) { some(t).UnreachableFor = 0 },
+			"drain":   func(t *rapid.T) { some(t).Draining = true },
+			"forget": func(t *rapid.T) {
+				if n := rapid.IntRange(0, len(s.Members)-1).Draw(t, "who"); len(s.Members) > 1 {
+					s.Members = slices.Delete(s.Members, n, n+1)
+				}
+			},
+			"time": func(t *rapid.T) {
+				for n := range s.Members {
+					s.Members[n].Age += 4 * time.Second
+					if s.Members[n].UnreachableFor > 0 {
+						s.Members[n].UnreachableFor += 4 * time.Second
+					}
+					s.Members[n].CaughtUp = s.Members[n].UnreachableFor == 0
+				}
+			},
+			"change": func(t *rapid.T) { s.apply(t, NextChange(s.Fleet, config)) },
+		})
+	})
+}
+
+// settle runs changes and time until nothing is left to change.
+func settle(t *testing.T, s *simulation) Change {
+	for range 100 {
+		for n := range s.Members {
+			s.Members[n].Age += time.Second
+			s.Members[n].CaughtUp = s.Members[n].UnreachableFor == 0
+			if s.Members[n].UnreachableFor > 0 {
+				s.Members[n].UnreachableFor += time.Second
+			}
+		}
+		c := NextChange(s.Fleet, config)
+		if !s.apply(t, c) && c.Reason == "nothing to change" {
+			return c
+		}
+	}
+	return NextChange(s.Fleet, config)
+}
+
+func zonesOf(s *simulation) map[string]int {
+	zones := map[string]int{}
+	for _, v := range s.Voters {
+		zones[s.Members[s.position(v)].Zone]++
+	}
+	return zones
+}
+
+func TestVotersSpreadOverZonesAndAreReplaced(t *testing.T) {
+	s := &simulation{Fleet{Voters: []string{"p0"}}}
+	for n := range 12 { // the first eight stand in one zone
+		s.Members = append(s.Members, Member{Process: fmt.Sprint("p", n), Zone: fmt.Sprint("z", max(0, n-7)%3), Age: time.Duration(20-n) * time.Second})
+	}
+	if c := settle(t, s); c.Kind != NoChange || len(s.Voters) != 5 || len(zonesOf(s)) != 3 {
+		t.Fatalf("%+v: voters %v in %v", c, s.Voters, zonesOf(s))
+	}
+	first := slices.Clone(s.Voters)
+	s.Members[s.position(first[0])].UnreachableFor = time.Second
+	if c := NextChange(s.withoutLearners(), config); c.Kind != NoChange {
+		t.Errorf("silent for a second: %+v", c)
+	}
+	s.Members[s.position(first[0])].UnreachableFor = config.HoldDown
+	settle(t, s)
+	if len(s.Voters) != 5 || slices.Contains(s.Voters, first[0]) {
+		t.Errorf("a dead voter is not replaced: %v", s.Voters)
+	}
+	leaving := s.Voters[2]
+	s.Members[s.position(leaving)].Draining = true
+	settle(t, s)
+	if len(s.Voters) != 5 || slices.Contains(s.Voters, leaving) || len(zonesOf(s)) != 3 {
+		t.Errorf("one that leaves is not replaced: %v in %v", s.Voters, zonesOf(s))
+	}
+	if c := NextChange(Fleet{Members: s.Members, Voters: s.Voters, IsChangePending: true}, config); c.Kind != NoChange {
+		t.Errorf("two changes at once: %+v", c)
+	}
+}
+
+// Seen on processes: one of five stopped, its successor as leader then wanted three and dropped a good one, itself.
+func TestUnreachableVoterDoesNotLowerTarget(t *testing.T) {
+	s := &simulation{Fleet{Voters: []string{"p0", "p1", "p2", "p3", "p4"}}}
+	for n := range 5 {
+		s.Members = append(s.Members, Member{Process: fmt.Sprint("p", n), Zone: "z", Age: time.Hour, CaughtUp: true})
+	}
+	for _, silent := range []time.Duration{time.Second, time.Hour} {
+		s.Members[0].UnreachableFor = silent
+		if c := NextChange(s.withoutLearners(), config); c.Kind != NoChange {
+			t.Errorf("silent for %v: %+v", silent, c)
+		}
+	}
+	s.Members[0].UnreachableFor, s.Members[0].Draining = 0, true // a fleet that does shrink, to four
+	if settle(t, s); len(s.Voters) != 3 || slices.Contains(s.Voters, "p0") {
+		t.Errorf("four members have the voters %v", s.Voters)
+	}
+}
+
+func TestNewLeaderRemovesNobody(t *testing.T) {
+	s := &simulation{Fleet{Voters: []string{"p0", "p1", "p2", "p3", "p4"}}}
+	for n := range 8 { // two voters are silent to it yet, and it has known all for a moment only
+		s.Members = append(s.Members, Member{Process: fmt.Sprint("p", n), Zone: "z", CaughtUp: true})
+	}
+	s.Members[3].UnreachableFor, s.Members[4].UnreachableFor = time.Second, time.Second
+	if c := NextChange(s.withoutLearners(), config); c.Kind != NoChange {
+		t.Errorf("%+v", c)
+	}
+	s.Members = s.Members[:5] // and these are all
+	if c := NextChange(s.withoutLearners(), config); c.Kind != NoChange {
+		t.Errorf("%+v", c)
+	}
+}
+
+func TestLostQuorumIsReportedWithoutChange(t *testing.T) {
+	s := &simulation{Fleet{Voters: []string{"p0", "p1", "p2"}}}
+	for n := range 6 {
+		s.Members = append(s.Members, Member{Process: fmt.Sprint("p", n), Zone: "z", Age: time.Hour, CaughtUp: true})
+	}
+	s.Members[1].UnreachableFor, s.Members[2].UnreachableFor = time.Hour, time.Hour
+	c := NextChange(s.withoutLearners(), config)
+	if c.Kind != NoChange || !strings.Contains(c.Reason, "quorum lost") || !strings.Contains(c.Reason, "p1, p2") {
+		t.Errorf("%+v", c)
+	}
+}
+
+func TestRestartedProcessIsAnotherVoter(t *testing.T) {
+	s := &simulation{Fleet{Voters: []string{"a#1", "b#1", "c#1"}}}
+	for _, name := range []string{"a#1", "b#1", "c#1", "c#2"} { // c was started anew
+		s.Members = append(s.Members, Member{Process: name, Zone: "z", Age: time.Hour, CaughtUp: true})
+	}
+	s.Members[2].Replaced = true // no hold-down: it has ended for certain, and its successor can't follow before it is out
+	if c := NextChange(s.withoutLearners(), config); c.Kind != RemoveServer || c.Process != "c#1" {
+		t.Errorf("%+v", c)
+	}
+	settle(t, s)
+	if !slices.Contains(s.Voters, "c#2") || slices.Contains(s.Voters, "c#1") || len(s.Voters) != 3 {
+		t.Errorf("voters %v", s.Voters)
+	}
+}
--- a/internal/fleet/consensus/lead.go
+++ b/internal/fleet/consensus/lead.go
@@ -154,7 +154,7 @@
 	if *learner != "" {
 		learners = []string{*learner}
 	}
-	c := quorum.NextChange(members, votes, learners, false, b)
+	c := quorum.NextChange(quorum.Fleet{Members: members, Voters: votes, Learners: learners}, b)
 	if c.Kind == quorum.NoChange && failed != "" {
 		c.Reason += "; " + failed
 	}
--- a/internal/fleet/consensus/regions_test.go
+++ b/internal/fleet/consensus/regions_test.go
@@ -27,7 +27,7 @@
 	}
 	vote, learn := []string{peers[0].Process}, []string{}
 	for range 100 {
-		c := quorum.NextChange(members, vote, learn, false, quorum.Config{MaxVoters: 5, MinAge: time.Second, HoldDown: time.Second})
+		c := quorum.NextChange(quorum.Fleet{Members: members, Voters: vote, Learners: learn}, quorum.Config{MaxVoters: 5, MinAge: time.Second, HoldDown: time.Second})
 		isChanged := func(process string) bool { return process == c.Process }
 		switch c.Kind {
 		case quorum.NoChange:
--- a/internal/lab/scale/decisions/voters.go
+++ b/internal/lab/scale/decisions/voters.go
@@ -52,7 +52,7 @@
 
 // ask is one of the leader's: at most one change, in force before the next.
 func (p *choice) ask() quorum.Change {
-	c := quorum.NextChange(p.members, p.voters, p.learners, false, voterBounds)
+	c := quorum.NextChange(quorum.Fleet{Members: p.members, Voters: p.voters, Learners: p.learners}, voterBounds)
 	switch c.Kind {
 	case quorum.AddLearner:
 		p.learners = []string{c.Process}
@@ -90,7 +90,7 @@
 		c.result.Fault("voters: %d of %d chosen among %d", len(p.voters), targetVoters, l.Size)
 	}
 	p.members[slices.IndexFunc(p.members, func(m quorum.Member) bool { return m.Process == p.voters[4] })].UnreachableFor = time.Minute
-	c.timing("voters", "log_leader", l.Size, func(int) { quorum.NextChange(p.members, p.voters, nil, false, voterBounds) })
+	c.timing("voters", "log_leader", l.Size, func(int) { quorum.NextChange(quorum.Fleet{Members: p.members, Voters: p.voters}, voterBounds) })
 	c.point("log_membership_entry_bytes", "log_leader", 0, l.Size, float64(membershipEntry(l.Size)))
 	return nil
 }
