--- a/internal/fleet/consensus/driver.go
+++ b/internal/fleet/consensus/driver.go
@@ -1,6 +1,3 @@
-// This file owns the goroutine that drives one member's lease.Holder: entries, ticks and messages come to it one by
-// one. It must never block raft for longer than its queue, nor call the Holder from two goroutines.
-
 package consensus
 
 import (
@@ -12,67 +9,74 @@
 	"thymechute/internal/decide/lease"
 )
 
-// Watcher hears what becomes of duties and entries, on the driver's goroutine.
+const (
+	workQueueSize     = 256 // raft blocks while the queue is full
+	sendQueueSize     = 64  // proposals to the leader; more are lost, and proposed again
+	ticksPerLease     = 32
+	drainPollInterval = 20 * time.Millisecond
+)
+
+// Watcher receives the changes of leases and the entries, on the driver's goroutine.
 type Watcher interface {
 	LeaseAcquired(duty string, token uint64)
 	LeaseLost(duty string)
-	EntryApplied(index uint64, c lease.Command, o lease.Outcome) // each entry, in order
-	SnapshotRestored(machine []byte)                             // a snapshot took the place of those so far
-	Tick(now time.Duration)                                      // often beside a lease
+	// EntryApplied is called for each entry, in order.
+	EntryApplied(index uint64, c lease.Command, o lease.Outcome)
+	// SnapshotRestored is called when a snapshot replaced all earlier entries; state is the state machine's.
+	SnapshotRestored(state []byte)
+	// Tick is called many times within a lease.
+	Tick(now time.Duration)
 }
 
-// Driver is one member's duties.
+// Driver runs one member's elector over its replica of the log. One goroutine calls the elector and the Watcher: entries,
+// ticks and calls from other goroutines reach it through a bounded queue.
 type Driver struct {
-	Log     *Log
-	holder  *lease.Elector
-	watch   Watcher
-	lease   lease.Config
-	start   time.Time
-	work    chan func() // bounded; raft waits where it is full
-	send    chan forward
-	forward func(process string, b []byte) error
-	stop    chan struct{}
+	Log      *Log
+	elector  *lease.Elector
+	watcher  Watcher
+	process  string
+	interval time.Duration // between ticks
+	start    time.Time
+	work     chan func()
+	outbox   chan message
+	send     func(process string, b []byte) error
+	stop     chan struct{}
+	running  sync.WaitGroup
+}
+
+// message is a proposal on its way to the leader.
+type message struct {
 	process string
-	done    sync.WaitGroup
+	body    []byte
 }
 
-type forward struct {
-	process string
-	b       []byte
-}
-
-const (
-	queued   = 256
-	forwards = 64 // to the leader; past them a proposal is lost, and tried again
-	ticks    = 32 // in a lease
-)
-
-// StartDriver starts a log and its driver; ready, if not nil, is handed the driver before the first entry comes. send takes a message to the member that is this process (Incoming there).
-func StartDriver(c Config, terms lease.Config, life uint64, w Watcher,
-	send func(process string, b []byte) error, ready func(*Driver)) (*Driver, error) {
+// StartDriver starts a replica and its driver. onReady, if not nil, receives the driver before the first entry comes. send
+// sends a message to the member that is this process, which calls ReceiveProposal there. Errors: those of Start.
+func StartDriver(c Config, leases lease.Config, incarnation uint64, w Watcher,
+	send func(process string, b []byte) error, onReady func(*Driver)) (*Driver, error) {
 	table, err := lease.NewTable(c.Duties...)
 	if err != nil {
 		return nil, err
 	}
-	d := &Driver{watch: w, lease: terms, start: time.Now(), work: make(chan func(), queued), send: make(chan forward, forwards),
-		forward: send, stop: make(chan struct{}), process: c.Process}
-	d.holder = lease.NewElector(d, table, terms, c.Process, life)
-	if ready != nil {
-		ready(d)
+	d := &Driver{watcher: w, process: c.Process, interval: leases.Duration / ticksPerLease, start: time.Now(),
+		work: make(chan func(), workQueueSize), outbox: make(chan message, sendQueueSize), send: send, stop: make(chan struct{})}
+	d.elector = lease.NewElector(d, table, leases, c.Process, incarnation)
+	if onReady != nil {
+		onReady(d)
 	}
 	if d.Log, err = Start(c, d); err != nil {
 		return nil, err
 	}
-	d.done.Add(2)
-	go d.run()
-	go d.deliver()
+	d.running.Go(d.run)
+	d.running.Go(d.deliver)
 	return d, nil
 }
 
-func (d *Driver) now() time.Duration { return time.Since(d.start) }
+// Now returns the time since the driver's start, which is its elector's clock.
+func (d *Driver) Now() time.Duration { return time.Since(d.start) }
 
-// do hands work to the driver's goroutine; once it has stopped, nowhere.
-func (d *Driver) do(f func()) {
+// enqueue hands work to the driver's goroutine; after Stop it is dropped.
+func (d *Driver) enqueue(f func()) {
 	select {
 	case d.work <- f:
 	case <-d.stop:
@@ -80,51 +84,54 @@
 }
 
 func (d *Driver) run() {
-	defer d.done.Done()
-	tick := time.NewTicker(d.lease.Duration / ticks)
-	defer tick.Stop()
+	ticker := time.NewTicker(d.interval)
+	defer ticker.Stop()
 	for {
 		select {
 		case <-d.stop:
 			return
 		case f := <-d.work:
 			f()
-		case <-tick.C:
-			if _, all := d.Log.Applied(); all {
-				d.holder.SetCaughtUp(d.now())
-			}
-			d.holder.Tick(d.now())
-			d.watch.Tick(d.now())
+		case <-ticker.C:
+			d.tick()
 		}
 	}
 }
 
+func (d *Driver) tick() {
+	if _, isCurrent := d.Log.Applied(); isCurrent {
+		d.elector.SetCaughtUp(d.Now())
+	}
+	d.elector.Tick(d.Now())
+	d.watcher.Tick(d.Now())
+}
+
+// deliver sends proposals to the leader. Errors are ignored: the elector proposes again.
 func (d *Driver) deliver() {
-	defer d.done.Done()
 	for {
 		select {
 		case <-d.stop:
 			return
-		case f := <-d.send:
-			_ = d.forward(f.process, f.b) // lost: the Holder tries again
+		case m := <-d.outbox:
+			_ = d.send(m.process, m.body)
 		}
 	}
 }
 
-// EntryApplied and Restored make the driver the log's Reader.
+// EntryApplied implements Subscriber.
 func (d *Driver) EntryApplied(index uint64, c lease.Command) {
-	d.do(func() { d.watch.EntryApplied(index, c, d.holder.Apply(d.now(), index, c)) })
+	d.enqueue(func() { d.watcher.EntryApplied(index, c, d.elector.Apply(d.Now(), index, c)) })
 }
 
-// SnapshotRestored implements Reader.
-func (d *Driver) SnapshotRestored(t *lease.Table, machine []byte) {
-	d.do(func() {
-		d.holder.Restore(d.now(), t)
-		d.watch.SnapshotRestored(machine)
+// SnapshotRestored implements Subscriber.
+func (d *Driver) SnapshotRestored(t *lease.Table, state []byte) {
+	d.enqueue(func() {
+		d.elector.Restore(d.Now(), t)
+		d.watcher.SnapshotRestored(state)
 	})
 }
 
-// Propose implements lease.Host: into the log here, or to the leader.
+// Propose implements lease.Host. It appends the command to the log if this process leads, and else sends it to the leader.
 func (d *Driver) Propose(c lease.Command) {
 	if d.Log.Propose(c) == nil {
 		return
@@ -135,69 +142,70 @@
 		return
 	}
 	select {
-	case d.send <- forward{leader, b}:
+	case d.outbox <- message{leader, b}:
 	default:
 	}
 }
 
-// LeaseAcquired and Lost implement lease.Host.
-func (d *Driver) LeaseAcquired(duty string, token uint64) { d.watch.LeaseAcquired(duty, token) }
+// LeaseAcquired implements lease.Host.
+func (d *Driver) LeaseAcquired(duty string, token uint64) { d.watcher.LeaseAcquired(duty, token) }
 
 // LeaseLost implements lease.Host.
-func (d *Driver) LeaseLost(duty string) { d.watch.LeaseLost(duty) }
+func (d *Driver) LeaseLost(duty string) { d.watcher.LeaseLost(duty) }
 
-// ReceiveProposal is another member's proposal; what does not read is dropped.
+// ReceiveProposal appends another member's proposal to the log. It is dropped if it cannot be decoded, or if this process
+// does not lead any more: its sender proposes again.
 func (d *Driver) ReceiveProposal(b []byte) {
 	var c lease.Command
 	if json.Unmarshal(b, &c) == nil {
-		_ = d.Log.Propose(c) // no longer the leader: its sender tries again
+		_ = d.Log.Propose(c)
 	}
 }
 
-// Decide issues a decision of a duty that this member holds; whether it did comes back on the driver's goroutine.
-func (d *Driver) Decide(duty, body string, told func(ok bool)) {
-	d.do(func() {
-		_, ok := d.holder.Decide(d.now(), duty, body)
-		told(ok)
-	})
+// Decide proposes a decision if this member is the duty's holder. Whether it did is reported to done, on the driver's
+// goroutine.
+func (d *Driver) Decide(duty, body string, done func(isProposed bool)) {
+	d.enqueue(func() { done(d.DecideNow(duty, body)) })
 }
 
-// DecideNow and Note are for the Watcher, on the driver's goroutine.
-func (d *Driver) DecideNow(duty, body string) bool {
-	_, ok := d.holder.Decide(d.now(), duty, body)
-	return ok
+// DecideNow is Decide for the Watcher: it must be called on the driver's goroutine.
+func (d *Driver) DecideNow(duty, body string) (isProposed bool) {
+	_, isProposed = d.elector.Decide(d.Now(), duty, body)
+	return isProposed
 }
 
-// Announce puts a word of this member's own into the log; it comes back as an entry with this Seq, or never.
-func (d *Driver) Announce(duty, body string) (seq uint64) { return d.holder.Announce(duty, body) }
+// Announce proposes a message of this member's own. It comes back as an entry with this sequence number, or is lost. It
+// must be called on the driver's goroutine.
+func (d *Driver) Announce(duty, body string) (seq uint64) { return d.elector.Announce(duty, body) }
 
-// Resign is for the Watcher: another member is to take the duty.
-func (d *Driver) Resign(duty string) { d.holder.Resign(d.now(), duty) }
+// Resign releases the lease of a duty for another member to acquire. It must be called on the driver's goroutine.
+func (d *Driver) Resign(duty string) { d.elector.Resign(d.Now(), duty) }
 
-// Now is the driver's clock.
-func (d *Driver) Now() time.Duration { return d.now() }
-
-// SetClaimPosition tells this member's turn to claim a duty that comes free.
-func (d *Driver) SetClaimPosition(duty string, place int) {
-	d.do(func() { d.holder.SetClaimPosition(duty, place) })
+// SetClaimPosition sets this member's position in the order in which members claim a vacant duty.
+func (d *Driver) SetClaimPosition(duty string, position int) {
+	d.enqueue(func() { d.elector.SetClaimPosition(duty, position) })
 }
 
-// Drain gives up all duties, and waits until the log has replaced this process's vote, for so long at most: one that ends with
-// its vote is a fault that the others have to bear. Its record says before that it leaves. Stop after it ends the log here.
-func (d *Driver) Drain(within time.Duration) {
-	done := make(chan struct{})
-	d.do(func() { d.holder.Drain(d.now()); close(done) })
+// Drain releases all leases, and waits until another process votes in place of this one, or for the timeout: a process that
+// ends while it votes is a failure that the other voters have to tolerate. The membership record must say before that this
+// process is draining. Stop ends the replica after it.
+func (d *Driver) Drain(timeout time.Duration) {
+	released := make(chan struct{})
+	d.enqueue(func() {
+		d.elector.Drain(d.Now())
+		close(released)
+	})
 	select {
-	case <-done:
+	case <-released:
 	case <-d.stop:
 		return
 	}
-	look := time.NewTicker(20 * time.Millisecond)
-	defer look.Stop()
-	for over := time.After(within); slices.Contains(d.Log.Voters(), d.process); {
+	ticker := time.NewTicker(drainPollInterval)
+	defer ticker.Stop()
+	for expired := time.After(timeout); slices.Contains(d.Log.Voters(), d.process); {
 		select {
-		case <-look.C:
-		case <-over:
+		case <-ticker.C:
+		case <-expired:
 			return
 		case <-d.stop:
 			return
@@ -205,9 +213,9 @@
 	}
 }
 
-// Stop ends the log and the driver.
+// Stop ends the driver and the replica.
 func (d *Driver) Stop() {
 	close(d.stop)
-	d.done.Wait()
+	d.running.Wait()
 	_ = d.Log.Stop()
 }
--- /dev/null
+++ b/internal/fleet/consensus/heartbeats_test.go
@@ -0,0 +1,73 @@
+package consensus
+
+import (
+	"testing"
+	"time"
+
+	"github.com/hashicorp/raft"
+
+	"thymechute/internal/decide/quorum"
+	"thymechute/internal/testutil"
+)
+
+func TestHeartbeatMonitorTracksFailures(t *testing.T) {
+	now := time.Unix(1_800_000_000, 0)
+	m := &heartbeatMonitor{failed: map[raft.ServerID]time.Time{}}
+	fail := func(at time.Time) { m.handle(raft.FailedHeartbeatObservation{PeerID: "b"}, at) }
+	for _, ends := range []struct {
+		what  string
+		event any
+	}{
+		{"it answers again", raft.ResumedHeartbeatObservation{PeerID: "b"}},
+		{"it is added anew", raft.PeerObservation{Peer: raft.Server{ID: "b"}}},
+		{"another leads", raft.Follower},
+	} {
+		if fail(now); !m.isFailing("b", now) || m.isFailing("d", now) {
+			t.Errorf("a failed heartbeat to b: failing b %v, d %v", m.isFailing("b", now), m.isFailing("d", now))
+		}
+		if m.handle(ends.event, now); m.isFailing("b", now) {
+			t.Errorf("%s, and its heartbeats still count as failing", ends.what)
+		}
+	}
+	if fail(now); m.isFailing("b", now.Add(failedHeartbeatTTL)) {
+		t.Error("failing for ever by one failed heartbeat")
+	}
+	if m.handle(raft.Leader, now); !m.isNewLeader(now.Add(newLeaderPeriod-1)) || m.isNewLeader(now.Add(newLeaderPeriod)) {
+		t.Error("a leader is new for newLeaderPeriod, and no longer")
+	}
+}
+
+// Membership detects a failure seconds after the log's heartbeats do. Meanwhile no failed peer may be promoted, and none may be
+// added beside failed voters: with three of six gone the quorum would be lost for good.
+func TestUnreachablePeerIsNotPromoted(t *testing.T) {
+	address := testutil.FreePort(t, "127.0.60.4")
+	a := startLog(t, Config{Process: "a#1", Bind: testutil.FreePort(t, "127.0.60.3"), Bootstrap: true})
+	b := startLog(t, Config{Process: "b#1", Bind: address})
+	defer func() { _ = a.Stop() }()
+	testutil.Eventually(t, "a leader", func() bool { return a.raft.State() == raft.Leader })
+	if err := a.AddLearner("b#1", address); err != nil {
+		t.Fatal(err)
+	}
+	began := time.Now()
+	manager := &voterManager{log: a, config: quorum.Config{MaxVoters: 3, HoldDown: time.Hour}, peers: peerTable{}}
+	manager.peers.update([]Peer{{Process: "c#1", Address: "c"}}, began.Add(-reconcileInterval*10)) // the third of three, unreachable since
+	reconcile := func(now time.Time) quorum.Change {                                               // b is in the view, as membership has it
+		manager.peers.update([]Peer{{Process: "a#1", Address: "a"}, {Process: "b#1", Address: address, Applied: 1000}}, now)
+		return manager.reconcile(now)
+	}
+	if c := reconcile(began); c.Kind != quorum.NoChange || manager.learner != "" {
+		t.Errorf("%+v by a new leader", c)
+	}
+	later := began.Add(newLeaderPeriod)
+	manager.learner = "b#1"
+	if err := b.Stop(); err != nil {
+		t.Fatal(err)
+	}
+	testutil.Eventually(t, "its heartbeats fail", func() bool { return a.heartbeats.isFailing("b#1", time.Now()) })
+	if c := reconcile(later); c.Kind == quorum.PromoteVoter {
+		t.Errorf("%+v, though its heartbeats fail", c)
+	}
+	if got := a.Voters(); len(got) != 1 {
+		t.Errorf("voters %v, want the leader alone", got)
+	}
+}
--- a/internal/fleet/consensus/log_test.go
+++ b/internal/fleet/consensus/log_test.go
@@ -203,7 +203,7 @@
 
 // Cuts between the five: the owner cut off both ways, then what it sends alone, two against three with the owner among
 // the two. Each time another takes over once its lease is over, and what it says after the heal changes nothing.
-func TestOneOwnerThroughCutsAndAPartition(t *testing.T) {
+func TestOneHolderThroughPartitions(t *testing.T) {
 	p := five(t)
 	all := p.Names()
 	p.Until("an owner", 0, heldBy("ring", 0))
@@ -245,7 +245,7 @@
 
 // Five processes over raft: the owner of a duty is stopped past its lease and woken, killed, the leader and another
 // voter killed and started cold in the middle of the election.
-func TestOneOwnerThroughPauseKillAndColdRestarts(t *testing.T) {
+func TestOneHolderThroughPauseKillAndRestarts(t *testing.T) {
 	p := five(t)
 	ring := p.Until("an owner", 0, heldBy("ring", 0))
 	ring = p.Last(heldBy("ring", 0))
