--- a/internal/index/index.go
+++ b/internal/index/index.go
@@ -31,7 +31,7 @@
 
 // Sink is told how calls end.
 type Sink interface {
-	Returned(rid string, o policy.Outcome, took time.Duration, reply []byte)
+	CallReturned(rid string, o policy.Outcome, took time.Duration, reply []byte)
 }
 
 // Reply is one message from the index.
@@ -77,7 +77,7 @@
 }
 
 var outcomes = map[string]policy.Outcome{
-	"HIT": policy.OK, "SHED": policy.Full, "BROKEN": policy.Failed, "SLOW": policy.TimedOut, "NOBODY": policy.Moot,
+	"HIT": policy.OK, "SHED": policy.Rejected, "BROKEN": policy.Failed, "SLOW": policy.TimedOut, "NOBODY": policy.NotStarted,
 }
 
 type call struct {
@@ -91,7 +91,7 @@
 // Pool is the connections to the index and the calls on them.
 type Pool struct {
 	sink  Sink
-	dial  func(loop.Peer)
+	dial  func(loop.Handler)
 	log   *zap.Logger
 	most  int
 	conns map[*conn]struct{}
@@ -104,7 +104,7 @@
 // conn is one connection. Out of the pool's table it takes no further call.
 type conn struct {
 	p       *Pool
-	wire    loop.Wire // none before it stands
+	wire    loop.Conn // none before it stands
 	call    *call
 	carried map[string]struct{}
 	rest    []byte // bounded by one reply; emptied by the next
@@ -112,7 +112,7 @@
 }
 
 // NewPool makes a pool of so many connections at most; dial opens one.
-func NewPool(sink Sink, dial func(loop.Peer), most int, log *zap.Logger) *Pool {
+func NewPool(sink Sink, dial func(loop.Handler), most int, log *zap.Logger) *Pool {
 	return &Pool{sink: sink, dial: dial, most: most, log: log, calls: map[string]*call{}, conns: map[*conn]struct{}{}}
 }
 
@@ -187,8 +187,8 @@
 	p.fill()
 }
 
-// GiveUp ends a call without a reply; closing its connection gives it up below too.
-func (p *Pool) GiveUp(rid string) {
+// Abandon ends a call without a reply; closing its connection gives it up below too.
+func (p *Pool) Abandon(rid string) {
 	c := p.calls[rid]
 	if c == nil {
 		return
@@ -215,8 +215,8 @@
 		if c.sent {
 			o = policy.TimedOut
 		}
-		p.GiveUp(rid)
-		p.sink.Returned(rid, o, now.Sub(c.began), nil)
+		p.Abandon(rid)
+		p.sink.CallReturned(rid, o, now.Sub(c.began), nil)
 	}
 	for len(p.idle) > 0 && now.Sub(p.idle[0].used) > idleAfter {
 		p.drop(p.idle[0])
@@ -240,7 +240,7 @@
 }
 
 // Opened writes the call that it was opened for, or one that waits.
-func (k *conn) Opened(w loop.Wire) {
+func (k *conn) Opened(w loop.Conn) {
 	k.wire, k.used = w, time.Now()
 	if _, ok := k.p.conns[k]; !ok {
 		w.Close()
@@ -264,13 +264,13 @@
 		}
 		k.call = nil
 		delete(p.calls, c.rid)
-		p.sink.Returned(c.rid, o, time.Since(c.began), nil)
+		p.sink.CallReturned(c.rid, o, time.Since(c.began), nil)
 	}
 	k.wire = nil
 	p.drop(k)
 }
 
-func (k *conn) Read(b []byte) error {
+func (k *conn) Received(b []byte) error {
 	text := b
 	if len(k.rest) > 0 {
 		text = append(k.rest, b...)
@@ -300,7 +300,7 @@
 		return
 	}
 	delete(p.calls, c.rid)
-	p.sink.Returned(c.rid, o, time.Since(c.began), bytes.Clone(r.Body))
+	p.sink.CallReturned(c.rid, o, time.Since(c.began), bytes.Clone(r.Body))
 	if _, ok := p.conns[k]; ok {
 		k.release()
 	} else { // the address has changed meanwhile
