--- /dev/null
+++ b/cmd/thymechute/consensus_test.go
@@ -0,0 +1,262 @@
+package main
+
+import (
+	"encoding/json"
+	"fmt"
+	"os"
+	"path/filepath"
+	"regexp"
+	"strings"
+	"testing"
+	"time"
+
+	"thymechute/internal/fake/faultnet"
+	"thymechute/internal/testutil"
+)
+
+// logFleet is several programs with a replicated log, behind the fault network.
+type logFleet struct {
+	t            *testing.T
+	net          *faultnet.Net
+	names        []string
+	environments map[string]*testutil.Environment
+	settings     map[string]string
+	earlierLogs  map[string]string // of the processes before this one under the name
+}
+
+// location is the zone and region of a member, as attributes of the element fleet.
+type location struct{ zone, region string }
+
+func (l location) String() string {
+	if l.region == "" {
+		return fmt.Sprintf("zone=%q", l.zone)
+	}
+	return fmt.Sprintf("zone=%q region=%q", l.zone, l.region)
+}
+
+// startLogFleet starts one at each location; the first bootstraps the log.
+func startLogFleet(t *testing.T, octet int, locations []location) *logFleet {
+	f := &logFleet{t: t, net: faultnet.New(1), environments: map[string]*testutil.Environment{}, settings: map[string]string{}, earlierLogs: map[string]string{}}
+	t.Cleanup(f.net.Close)
+	type ports struct{ bind, front, logBind, logFront string }
+	var all []ports
+	for n := range locations {
+		name := fmt.Sprint("m", n)
+		own, front := fmt.Sprintf("127.0.%d.%d", octet, n+1), fmt.Sprintf("127.0.%d.%d", octet+1, n+1)
+		p := ports{testutil.FreePort(t, own), testutil.FreePort(t, front), testutil.FreePort(t, own), testutil.FreePort(t, front)}
+		for _, pair := range [][2]string{{p.bind, p.front}, {p.logBind, p.logFront}} {
+			if err := f.net.Front(name, pair[0], pair[1]); err != nil {
+				t.Fatal(err)
+			}
+		}
+		all, f.names = append(all, p), append(f.names, name)
+	}
+	for n, name := range f.names {
+		p, seed, bootstrap := all[n], all[0], ""
+		if n == 0 { // its seed is for when it starts again
+			seed, bootstrap = all[1], ` found="`+time.Now().Format(time.RFC3339)+`"`
+		}
+		f.settings[name] = filepath.Join(t.TempDir(), name+".xml")
+		text := fmt.Sprintf(`<thymechute xmlns="urn:thymechute:operator:1"><fleet bind="%s" advertise="%s" %v probe-ms="200" sync-ms="500">`+
+			`<seed address="%s"/><log bind="%s" advertise="%s" lease-ms="1000"%s/></fleet></thymechute>`,
+			p.bind, p.front, locations[n], seed.front, p.logBind, p.logFront, bootstrap)
+		if err := os.WriteFile(f.settings[name], []byte(text), 0o600); err != nil {
+			t.Fatal(err)
+		}
+		f.environments[name] = testutil.NewEnvironment(t, func(given map[string]any) { given["name"] = name })
+		f.start(name)
+	}
+	return f
+}
+
+// start starts a member without state, with the file it had.
+func (f *logFleet) start(name string) {
+	w := f.environments[name]
+	if w.Program != nil {
+		f.earlierLogs[name] += w.Program.Log()
+	}
+	w.Program = testutil.StartWith(f.t, w.Config, nil, "--settings", f.settings[name])
+}
+
+func (f *logFleet) log(name string) string { return f.environments[name].Program.Log() }
+
+// logLine is a line of a program's log.
+type logLine struct {
+	name, message string
+	at            time.Time
+	Duty          string
+	Token         uint64
+	Process       string
+}
+
+var logLinePattern = regexp.MustCompile(`(?m)^(\S+)\t\w+\t(m\d+)\t([^\t{]+?)(?:\t(\{.*\}))?$`)
+
+var leaderPattern = regexp.MustCompile(`fleet log: (?:no leader|leader\t\{"process": "([^"]*)")`)
+
+// lines returns those of all programs whose message begins so, each program's in its order.
+func (f *logFleet) lines(message string) (out []logLine) {
+	for _, name := range f.names {
+		for _, m := range logLinePattern.FindAllStringSubmatch(f.earlierLogs[name]+f.log(name), -1) {
+			if !strings.HasPrefix(m[3], "fleet log: "+message) {
+				continue
+			}
+			l := logLine{name: name, message: m[3]}
+			l.at, _ = time.Parse("2006-01-02T15:04:05.000Z", m[1])
+			_ = json.Unmarshal([]byte(m[4]), &l)
+			out = append(out, l)
+		}
+	}
+	return out
+}
+
+// holder returns the line with the highest token of a duty.
+func (f *logFleet) holder(duty string) (highest logLine) {
+	for _, l := range f.lines("lease acquired") {
+		if l.Duty == duty && l.Token > highest.Token {
+			highest = l
+		}
+	}
+	return highest
+}
+
+func (f *logFleet) eventually(what string, holds func() bool) {
+	f.t.Helper()
+	testutil.Eventually(f.t, what, func() bool {
+		time.Sleep(20 * time.Millisecond) // logs grow, and are read whole
+		return holds()
+	})
+}
+
+// nextHolder waits for a holder of the duty after the one of that line.
+func (f *logFleet) nextHolder(duty string, last logLine) logLine {
+	f.t.Helper()
+	f.eventually("a new holder of "+duty, func() bool { return f.holder(duty).Token > last.Token })
+	return f.holder(duty)
+}
+
+// voterCount returns the number of voters, by the leaders' lines.
+func (f *logFleet) voterCount() int {
+	added := len(f.lines("bootstrapped")) + len(f.lines("voter added"))
+	return added - len(f.lines("server removed"))
+}
+
+// Five real programs agree on one holder per duty: through a kill, a partition, a drain and a restart of the bootstrapping
+// member with its old file, which must not bootstrap a second log.
+func TestProgramsAgreeOnOneHolder(t *testing.T) {
+	f := startLogFleet(t, 70, []location{{zone: "z0"}, {zone: "z1"}, {zone: "z0"}, {zone: "z1"}, {zone: "z0"}})
+	ring := f.nextHolder("ring", logLine{})
+	f.nextHolder("roll", logLine{})
+	f.eventually("five voters", func() bool { return f.voterCount() == 5 })
+
+	f.environments[ring.name].Program.Cmd.Process.Kill()
+	f.environments[ring.name].Program.Exit()
+	killed := ring.name
+	ring = f.nextHolder("ring", ring)
+	f.start(killed)
+	f.eventually("its next incarnation votes in place of the dead one", func() bool {
+		return f.voterCount() == 5 && strings.Count(f.log(killed), "fleet log: leader") > 0
+	})
+
+	ring = f.holder("ring")
+	isolated := ring.name
+	f.net.Isolate(isolated, f.names)
+	next := f.nextHolder("ring", ring)
+	lost := time.Time{}
+	for _, l := range f.lines("lease lost") {
+		if l.name == isolated && l.Duty == "ring" {
+			lost = l.at
+		}
+	}
+	if lost.IsZero() || lost.After(next.at) {
+		t.Errorf("%s, cut off, lost the duty at %v, and %s held it from %v", isolated, lost, next.name, next.at)
+	}
+	f.net.Heal()
+	f.eventually("the one cut off has a leader again", func() bool {
+		log := f.log(isolated)
+		return strings.LastIndex(log, "fleet log: leader") > strings.LastIndex(log, "fleet log: no leader")
+	})
+
+	for _, name := range []string{f.holder("ring").name, "m0"} { // a holder that drains, and the bootstrapping member, which restarts
+		p := f.environments[name].Program
+		p.Term()
+		if code := p.Exit(); code != 0 {
+			t.Errorf("%s: exit code %d", name, code)
+		}
+		if !strings.Contains(p.Log(), "fleet left") {
+			t.Errorf("%s did not leave", name)
+		}
+		f.start(name)
+		f.eventually(name+" follows again", func() bool { return strings.Contains(f.log(name), "fleet log: leader") })
+	}
+	f.eventually("both duties are held by running members", func() bool {
+		for _, duty := range duties {
+			if h := f.holder(duty); !strings.Contains(f.log(h.name), fmt.Sprintf(`"duty": %q, "token": %d`, duty, h.Token)) {
+				return false
+			}
+		}
+		return true
+	})
+	if bootstraps := f.lines("bootstrapped"); len(bootstraps) != 1 {
+		t.Errorf("the log was bootstrapped %d times", len(bootstraps))
+	}
+	for duty, tokens := range map[string]map[uint64]string{"ring": {}, "roll": {}} {
+		for _, l := range f.lines("lease acquired") {
+			if l.Duty != duty {
+				continue
+			}
+			if other, ok := tokens[l.Token]; ok && other != l.name {
+				t.Errorf("%s: %s and %s both held it under token %d", duty, other, l.name, l.Token)
+			}
+			tokens[l.Token] = l.name
+		}
+	}
+}
+
+// voters returns the processes that vote, by the leaders' last line of each.
+func (f *logFleet) voters() (processes []string) {
+	last := map[string]logLine{}
+	for _, l := range append(append(f.lines("bootstrapped"), f.lines("voter added")...), f.lines("server removed")...) {
+		if l.at.After(last[l.Process].at) {
+			last[l.Process] = l
+		}
+	}
+	for process, l := range last {
+		if l.message != "fleet log: server removed" {
+			processes = append(processes, process)
+		}
+	}
+	return processes
+}
+
+// Seven real programs in three regions, by the attribute region of their files: the regions have two, two and one of the five
+// voters, though the first region's four members are in the most zones; so the log outlives the loss of that region.
+func TestLostRegionLeavesHolders(t *testing.T) {
+	f := startLogFleet(t, 72, []location{{"z1", "a"}, {"z2", "a"}, {"z3", "a"}, {"z4", "a"}, {"z0", "b"}, {"z0", "b"}, {"z0", "c"}})
+	region := func(process string) string {
+		name, _, _ := strings.Cut(process, "#")
+		return map[string]string{"m4": "b", "m5": "b", "m6": "c"}[name] // "": the first
+	}
+	f.eventually("two voters in each of two regions and one in the third", func() bool {
+		count := map[string]int{}
+		for _, process := range f.voters() {
+			count[region(process)]++
+		}
+		return count[""] == 2 && count["b"] == 2 && count["c"] == 1
+	})
+	for _, name := range f.names[:4] {
+		f.environments[name].Program.Cmd.Process.Kill()
+		f.environments[name].Program.Exit()
+	}
+	f.eventually("all that are left have a leader among them", func() bool {
+		for _, name := range f.names[4:] {
+			leaders := leaderPattern.FindAllStringSubmatch(f.log(name), -1)
+			if len(leaders) == 0 || region(leaders[len(leaders)-1][1]) == "" {
+				return false
+			}
+		}
+		return true
+	})
+	f.eventually("both duties are held by members that are left", func() bool {
+		return region(f.holder("ring").name) != "" && region(f.holder("roll").name) != ""
+	})
+}
