--- /dev/null
+++ b/internal/lab/emulator/lease_member.go
@@ -0,0 +1,117 @@
+package emulator
+
+import (
+	"time"
+
+	"thymechute/internal/decide/lease"
+)
+
+// LeaseMember is one process of a LeaseSim. It implements lease.Host.
+type LeaseMember struct {
+	Name    string
+	Elector *lease.Elector
+
+	Paused      bool // does nothing
+	InboundCut  bool // receives no entries
+	OutboundCut bool // its proposals are lost
+
+	number        int
+	sim           *LeaseSim
+	table         *lease.Table
+	fence         lease.Fence
+	clockRate     float64
+	startedAt     time.Duration // true time
+	incarnation   uint64
+	applied       int               // entries
+	appliedTarget int               // entries in the log when it started
+	tokens        map[string]uint64 // by duty: its last fencing token, for commands that it proposes without a check
+}
+
+// Restart ends a member's process and starts another without state.
+func (s *LeaseSim) Restart(m *LeaseMember) {
+	if m.Elector != nil {
+		for _, duty := range s.duties {
+			if m.isHolder(duty) {
+				m.LeaseLost(duty)
+			}
+		}
+	}
+	s.incarnations++
+	m.table, _ = lease.NewTable(s.duties...)
+	m.fence, m.tokens = lease.Fence{}, map[string]uint64{}
+	m.startedAt, m.incarnation = s.now, s.incarnations
+	m.applied, m.appliedTarget = 0, len(s.log)
+	m.Paused, m.InboundCut, m.OutboundCut = false, false, false
+	m.Elector = lease.NewElector(m, m.table, s.Config, m.Name, m.incarnation)
+	for n, duty := range s.duties { // as in the program, each duty has another member as its first claimant
+		size := len(s.Members)
+		m.Elector.SetClaimPosition(duty, (m.number+n*max(size/len(s.duties), 1))%size)
+	}
+	m.checkCaughtUp()
+}
+
+// clock returns the time since the member's start, by its own clock.
+func (m *LeaseMember) clock() time.Duration {
+	return time.Duration(float64(m.sim.now-m.startedAt) * m.clockRate)
+}
+
+func (m *LeaseMember) isHolder(duty string) bool {
+	_, isHolder := m.Elector.Token(m.clock(), duty)
+	return isHolder
+}
+
+func (m *LeaseMember) checkCaughtUp() {
+	if m.applied >= m.appliedTarget {
+		m.Elector.SetCaughtUp(m.clock())
+	}
+}
+
+// Propose implements lease.Host.
+func (m *LeaseMember) Propose(c lease.Command) {
+	if !m.OutboundCut && len(m.sim.inFlight) < maxInFlight {
+		m.sim.inFlight = append(m.sim.inFlight, c)
+	}
+}
+
+// LeaseAcquired implements lease.Host. It records how long the takeover took.
+func (m *LeaseMember) LeaseAcquired(duty string, token uint64) {
+	m.tokens[duty] = token
+	if since, isVacant := m.sim.vacantSince[duty]; isVacant {
+		m.sim.takeovers = append(m.sim.takeovers, m.sim.now-since)
+		delete(m.sim.vacantSince, duty)
+	}
+}
+
+// LeaseLost implements lease.Host. It records since when the duty has no holder.
+func (m *LeaseMember) LeaseLost(duty string) { m.sim.vacantSince[duty] = m.sim.now }
+
+// Decide lets a member propose a decision of each duty whose lease it holds.
+func (s *LeaseSim) Decide(m *LeaseMember) {
+	if m.Paused {
+		return
+	}
+	for _, duty := range s.duties {
+		m.Elector.Decide(m.clock(), duty, "plan")
+	}
+}
+
+// ProposeStale lets a member go on as if it had been stopped between its check and its act: it proposes decisions under
+// its last tokens, whoever the holder is by now.
+func (s *LeaseSim) ProposeStale(m *LeaseMember) {
+	for duty, token := range m.tokens {
+		if state, _ := s.truth.At(duty); state.Token > token {
+			s.Figures.StaleProposed++
+			m.Propose(lease.Command{Kind: lease.Decide, Duty: duty, Member: m.Name, Incarnation: m.incarnation, Token: token, Body: "late"})
+		}
+	}
+}
+
+// Drain gives a member the notice of its end.
+func (s *LeaseSim) Drain(m *LeaseMember) {
+	if !m.Paused {
+		m.Elector.Drain(m.clock())
+	}
+}
+
+// Resign lets a member release one lease for another to acquire.
+func (s *LeaseSim) Resign(m *LeaseMember, duty string) { m.Elector.Resign(m.clock(), duty) }
--- /dev/null
+++ b/internal/lab/emulator/lease_run.go
@@ -0,0 +1,105 @@
+package emulator
+
+import (
+	"math/rand/v2"
+	"time"
+
+	"thymechute/internal/decide/lease"
+)
+
+const (
+	leaseStep         = 25 * time.Millisecond // of emulated time
+	decideEvery       = 8                     // steps
+	faultEvery        = 4                     // leases
+	faultAt           = 2                     // leases after the last heal
+	lossOneIn         = 20                    // proposals
+	maxEntriesPerStep = 5                     // that a member applies
+)
+
+// leaseRun is a run with faults on a LeaseSim.
+type leaseRun struct {
+	*LeaseSim
+	r             *rand.Rand
+	stepsPerLease int
+}
+
+// RunLeases emulates a fleet of size members for a number of leases. Every few leases one holder is paused, restarted, or
+// cut off in one direction, and all faults are healed; one in twenty proposals is lost. At the end all members have the
+// whole log.
+func RunLeases(size, leases int, seed uint64) (LeaseFigures, error) {
+	r := rand.New(rand.NewPCG(seed, 0x07e4))
+	config := lease.Config{Duration: time.Second, MaxDrift: 0.01, SafetyMargin: 10 * time.Millisecond}
+	s, err := NewLeaseSim(size, config, r, "budget", "ring", "roll")
+	if err != nil {
+		return LeaseFigures{}, err
+	}
+	run := &leaseRun{LeaseSim: s, r: r, stepsPerLease: int(config.Duration / leaseStep)}
+	for n := range leases * run.stepsPerLease {
+		run.step(n)
+	}
+	s.settle()
+	return s.Figures, nil
+}
+
+func (run *leaseRun) step(n int) {
+	run.Advance(leaseStep)
+	run.commitSome()
+	for _, m := range run.Members {
+		run.Deliver(m, run.r.IntN(maxEntriesPerStep+1))
+	}
+	if n%decideEvery == 0 {
+		if m := run.randomHolder(); m != nil {
+			run.Decide(m)
+		}
+	}
+	switch n % (faultEvery * run.stepsPerLease) {
+	case faultAt * run.stepsPerLease:
+		if m := run.randomHolder(); m != nil {
+			run.injectFault(m)
+		}
+	case faultEvery*run.stepsPerLease - 1:
+		run.heal()
+	}
+	_ = run.Check() // it counts in the figures
+}
+
+// commitSome commits or loses some of the proposals in flight, in any order; the others remain.
+func (run *leaseRun) commitSome() {
+	for run.InFlight() > 0 && run.r.IntN(4) > 0 {
+		n := run.r.IntN(run.InFlight())
+		if run.r.IntN(lossOneIn) == 0 {
+			run.Drop(n)
+		} else {
+			run.Commit(n)
+		}
+	}
+}
+
+// randomHolder returns the holder of a random duty, nil if it has none.
+func (run *leaseRun) randomHolder() *LeaseMember {
+	return run.HolderOf(run.duties[run.r.IntN(len(run.duties))])
+}
+
+func (run *leaseRun) injectFault(m *LeaseMember) {
+	switch run.r.IntN(4) {
+	case 0:
+		run.Restart(m)
+	case 1:
+		m.InboundCut = true
+	case 2:
+		m.OutboundCut = true
+	default:
+		m.Paused = true
+	}
+}
+
+// heal ends all faults. A member that was paused goes on without looking at what happened meanwhile.
+func (run *leaseRun) heal() {
+	for _, m := range run.Members {
+		wasPaused := m.Paused
+		m.Paused, m.InboundCut, m.OutboundCut = false, false, false
+		if wasPaused {
+			run.ProposeStale(m)
+		}
+	}
+}
--- a/internal/lab/scale/decisions/decisions_test.go
+++ b/internal/lab/scale/decisions/decisions_test.go
@@ -76,8 +76,8 @@
 }
 
 // A process that joins the log is named in an entry with all others: the entry grows with the fleet.
-func TestAMembershipEntryNamesTheWholeFleet(t *testing.T) {
-	if few, many := membershipEntry(6), membershipEntry(1200); many < 150*few {
+func TestMembershipEntryGrowsWithFleet(t *testing.T) {
+	if few, many := membershipEntryBytes(6), membershipEntryBytes(1200); many < 150*few {
 		t.Errorf("%d bytes at 6, %d at 1,200", few, many)
 	}
 }
--- /dev/null
+++ b/internal/lab/scale/decisions/lease.go
@@ -0,0 +1,171 @@
+package decisions
+
+import (
+	"encoding/json"
+	"fmt"
+	"slices"
+	"time"
+
+	"thymechute/internal/decide/lease"
+	"thymechute/internal/lab/emulator"
+)
+
+const (
+	leaseStep             = 25 * time.Millisecond
+	warmUpLeases          = 4
+	measuredLeases        = 60 // without a fault
+	maxTakeoverLeases     = 30
+	afterHealLeases       = 2
+	maxEntriesPerDelivery = 256
+	leaseSeed             = 0x07e4
+	sampleIncarnation     = 0x18f3a2b4c5000000 // as long as a real one is when it is encoded
+)
+
+// As cmd/thymechute has them by default.
+var (
+	leaseConfig = lease.Config{Duration: 2 * time.Second, MaxDrift: 0.01, SafetyMargin: 40 * time.Millisecond}
+	duties      = []string{"ring", "roll"}
+)
+
+// entryBytes returns the size of an entry's body as internal/fleet/consensus encodes it.
+func entryBytes(c lease.Command) int {
+	b, _ := json.Marshal(c)
+	return len(b)
+}
+
+// newLeaseFleet returns an emulated fleet, to be run by runLeases.
+func newLeaseFleet(c *collector, size int) (*emulator.LeaseSim, error) {
+	return emulator.NewLeaseSim(size, leaseConfig, chance(c.seed, leaseSeed), duties...)
+}
+
+// runLeases runs a fleet until the given time, with a log that commits every proposal at once and in order.
+func runLeases(s *emulator.LeaseSim, until time.Duration) {
+	for s.Now() < until {
+		s.Advance(leaseStep)
+		s.CommitAll()
+		for _, m := range s.Members {
+			s.Deliver(m, maxEntriesPerDelivery)
+		}
+	}
+}
+
+// measureLeases measures the entries that keep the leases of a fleet without faults.
+func measureLeases(c *collector, l Layout) error {
+	s, err := newLeaseFleet(c, l.Size)
+	if err != nil {
+		return err
+	}
+	runLeases(s, warmUpLeases*leaseConfig.Duration)
+	before := len(s.Entries())
+	runLeases(s, (warmUpLeases+measuredLeases)*leaseConfig.Duration)
+	entries := s.Entries()[before:]
+	total := 0
+	for _, e := range entries {
+		e.Member = processName(l.Size-1, 0)
+		e.Incarnation = sampleIncarnation
+		total += entryBytes(e)
+	}
+	measured := (measuredLeases * leaseConfig.Duration).Seconds()
+	c.point("owner_entries_day", "log_leader", 0, l.Size, float64(len(entries))/measured*86400)
+	c.point("owner_entry_bytes", "log_leader", 0, l.Size, float64(total)/float64(max(len(entries), 1)))
+	if err := s.Check(); err != nil {
+		c.result.Fault("owner at %d: %v", l.Size, err)
+	}
+	return measureElector(c, l)
+}
+
+// measureElector times an entry's application and a tick at one member, and measures the table's snapshot.
+func measureElector(c *collector, l Layout) error {
+	table, err := lease.NewTable(duties...)
+	if err != nil {
+		return err
+	}
+	elector := lease.NewElector(discardHost{}, table, leaseConfig, processName(0, 0), 1)
+	c.timing("owner_entry", "member", l.Size, func(n int) {
+		now := time.Duration(n) * time.Millisecond
+		state, _ := table.At(duties[0])
+		elector.Apply(now, table.Index()+1, lease.Command{Kind: lease.Acquire, Duty: duties[0], Member: processName(n, 0),
+			Incarnation: 1, ObservedIndex: state.RenewedIndex})
+		elector.Tick(now)
+	})
+	encoded, err := table.Encode()
+	c.point("owner_snapshot_bytes", "member", 0, l.Size, float64(len(encoded)))
+	return err
+}
+
+// discardHost is a lease.Host that loses all proposals.
+type discardHost struct{}
+
+// Propose implements lease.Host.
+func (discardHost) Propose(lease.Command) {}
+
+// LeaseAcquired implements lease.Host.
+func (discardHost) LeaseAcquired(string, uint64) {}
+
+// LeaseLost implements lease.Host.
+func (discardHost) LeaseLost(string) {}
+
+// loseHolder measures the takeover after each kind of loss that takes the holder of a duty.
+func loseHolder(c *collector, l Layout) error {
+	for _, kind := range lossKinds {
+		s, err := newLeaseFleet(c, l.Size)
+		if err != nil {
+			return err
+		}
+		runLeases(s, warmUpLeases*leaseConfig.Duration)
+		holder := s.HolderOf(duties[0])
+		if holder == nil {
+			return fmt.Errorf("owner: nobody holds %s at %d members", duties[0], l.Size)
+		}
+		c.measureTakeover("owner_"+l.label()+"_"+kind, s, l.lose(kind, slices.Index(s.Members, holder)))
+	}
+	return nil
+}
+
+// measureTakeover cuts off the members of a loss until others hold all leases, then heals. It measures the time, the
+// claims that this took, and those after the heal.
+func (c *collector) measureTakeover(name string, s *emulator.LeaseSim, loss Loss) {
+	lost := s.Members[loss.From:loss.To]
+	for _, m := range lost {
+		m.InboundCut, m.OutboundCut = true, true
+	}
+	start, entries := s.Now(), len(s.Entries())
+	for s.Now() < start+maxTakeoverLeases*leaseConfig.Duration && !isTakenOver(s, loss) {
+		runLeases(s, s.Now()+leaseStep)
+	}
+	took := s.Now() - start
+	if !isTakenOver(s, loss) {
+		c.result.Fault("%s: nobody took the duties over within %v", name, took)
+	}
+	c.result.Put(name+"_takeover_s", took.Seconds())
+	c.result.Put(name+"_claims", float64(countClaims(s.Entries()[entries:])))
+	for _, m := range lost {
+		m.InboundCut, m.OutboundCut = false, false
+	}
+	healed := len(s.Entries())
+	runLeases(s, s.Now()+afterHealLeases*leaseConfig.Duration)
+	c.result.Put(name+"_heal_claims", float64(countClaims(s.Entries()[healed:])))
+	if err := s.Check(); err != nil {
+		c.result.Fault("%s: %v", name, err)
+	}
+}
+
+// isTakenOver reports whether members outside the loss hold all leases.
+func isTakenOver(s *emulator.LeaseSim, loss Loss) bool {
+	leases := 0
+	for n, m := range s.Members {
+		if !loss.takes(n) {
+			leases += m.Elector.LeaseCount()
+		}
+	}
+	return leases == len(duties)
+}
+
+func countClaims(entries []lease.Command) (count int) {
+	for _, e := range entries {
+		if e.Kind == lease.Acquire {
+			count++
+		}
+	}
+	return count
+}
--- a/internal/lab/scale/decisions/voters.go
+++ b/internal/lab/scale/decisions/voters.go
@@ -1,5 +1,3 @@
-// This file owns the choice of voters: timed, and played through losses at the pace at which the leader asks.
-
 package decisions
 
 import (
@@ -12,91 +10,104 @@
 	"thymechute/internal/decide/quorum"
 )
 
-// As cmd/thymechute and internal/fleet/consensus have them with a lease of 2 s.
 const (
-	careEvery     = 250 * time.Millisecond
-	voterSettle   = 2 * time.Second
-	voterHoldDown = 4 * time.Second
-	mostCare      = 30 * time.Second // played after a loss
-	quorumDraws   = 200              // orders of joining in which the regions' voters are counted; a tenth in the small run
-	targetVoters  = 5
+	voterChangeInterval = 250 * time.Millisecond // as internal/fleet/consensus has it
+	maxReplacementTime  = 30 * time.Second       // run after a loss
+	targetVoters        = 5
+	joinOrders          = 200 // in which the voters of each region are counted; a tenth in the small run
+	votersSeed          = 0x707e
 )
 
-var voterBounds = quorum.Config{MaxVoters: targetVoters, MinAge: voterSettle, HoldDown: voterHoldDown}
+// voterConfig is as cmd/thymechute has it with leases of 2 s.
+var voterConfig = quorum.Config{MaxVoters: targetVoters, MinAge: 2 * time.Second, HoldDown: 4 * time.Second}
+
+// regionKnowledge says whether members name their regions.
+type regionKnowledge bool
 
-// choice is a fleet with its voters.
-type choice struct {
-	l        Layout
-	members  []quorum.Member
-	voters   []string
-	learners []string
+const (
+	regionsKnown   regionKnowledge = true
+	regionsUnknown regionKnowledge = false
+)
+
+// voterFleet is a fleet with its voters.
+type voterFleet struct {
+	quorum.Fleet
+	layout Layout
 }
 
-// newChoice has chosen its voters one by one out of a fleet whose members joined in this order; regions tells whether the
-// choice knows them. The program's records name a zone alone.
-func newChoice(l Layout, order []int, regions bool) *choice {
-	p := &choice{l: l, members: make([]quorum.Member, l.Size)}
-	for at, n := range order {
-		p.members[n] = quorum.Member{Process: processName(n, 0), Zone: l.zoneName(n), Age: time.Hour + time.Duration(l.Size-at)*time.Second,
-			CaughtUp: true}
-		if regions {
-			p.members[n].Region = fmt.Sprint("r", l.region(n))
+// newVoterFleet returns a fleet whose members joined in this order, with its voters chosen one by one.
+func newVoterFleet(l Layout, joinOrder []int, knowledge regionKnowledge) *voterFleet {
+	f := &voterFleet{layout: l, Fleet: quorum.Fleet{Members: make([]quorum.Member, l.Size)}}
+	for position, n := range joinOrder {
+		age := time.Hour + time.Duration(l.Size-position)*time.Second
+		f.Members[n] = quorum.Member{Process: processName(n, 0), Zone: l.zoneName(n), Age: age, CaughtUp: true}
+		if knowledge == regionsKnown {
+			f.Members[n].Region = fmt.Sprint("r", l.region(n))
 		}
 	}
-	p.voters = []string{p.members[order[0]].Process}
+	f.Voters = []string{f.Members[joinOrder[0]].Process}
 	for range 4 * targetVoters {
-		p.ask()
+		f.change()
 	}
-	return p
+	return f
 }
 
-// ask is one of the leader's: at most one change, in force before the next.
-func (p *choice) ask() quorum.Change {
-	c := quorum.NextChange(quorum.Fleet{Members: p.members, Voters: p.voters, Learners: p.learners}, voterBounds)
+// change makes the next change of the voters, if there is one.
+func (f *voterFleet) change() quorum.Change {
+	c := quorum.NextChange(f.Fleet, voterConfig)
 	switch c.Kind {
 	case quorum.AddLearner:
-		p.learners = []string{c.Process}
+		f.Learners = []string{c.Process}
 	case quorum.PromoteVoter:
-		p.learners, p.voters = nil, append(p.voters, c.Process)
+		f.Learners, f.Voters = nil, append(f.Voters, c.Process)
 	case quorum.RemoveServer:
-		is := func(x string) bool { return x == c.Process }
-		p.learners, p.voters = slices.DeleteFunc(p.learners, is), slices.DeleteFunc(p.voters, is)
+		isRemoved := func(process string) bool { return process == c.Process }
+		f.Learners, f.Voters = slices.DeleteFunc(f.Learners, isRemoved), slices.DeleteFunc(f.Voters, isRemoved)
 	}
 	return c
 }
 
-// regions counts the voters by region.
-func (p *choice) regions() (most int) {
-	count := map[int]int{}
-	for n, m := range p.members {
-		if slices.Contains(p.voters, m.Process) {
-			count[p.l.region(n)]++
-			most = max(most, count[p.l.region(n)])
+// maxVotersPerRegion returns the most voters that a region has.
+func (f *voterFleet) maxVotersPerRegion() (most int) {
+	voters := map[int]int{}
+	for n, m := range f.Members {
+		if slices.Contains(f.Voters, m.Process) {
+			region := f.layout.region(n)
+			voters[region]++
+			most = max(most, voters[region])
 		}
 	}
 	return most
 }
 
-func inOrder(n int) (order []int) {
+// position returns the place of a process among the members.
+func (f *voterFleet) position(process string) int {
+	return slices.IndexFunc(f.Members, func(m quorum.Member) bool { return m.Process == process })
+}
+
+func ascending(n int) (numbers []int) {
 	for k := range n {
-		order = append(order, k)
+		numbers = append(numbers, k)
 	}
-	return order
+	return numbers
 }
 
+// measureVoters times a decision with one voter to replace, and measures a membership entry.
 func measureVoters(c *collector, l Layout) error {
-	p := newChoice(l, inOrder(l.Size), true)
-	if len(p.voters) != targetVoters {
-		c.result.Fault("voters: %d of %d chosen among %d", len(p.voters), targetVoters, l.Size)
+	f := newVoterFleet(l, ascending(l.Size), regionsKnown)
+	if len(f.Voters) != targetVoters {
+		c.result.Fault("voters: %d of %d chosen among %d", len(f.Voters), targetVoters, l.Size)
 	}
-	p.members[slices.IndexFunc(p.members, func(m quorum.Member) bool { return m.Process == p.voters[4] })].UnreachableFor = time.Minute
-	c.timing("voters", "log_leader", l.Size, func(int) { quorum.NextChange(quorum.Fleet{Members: p.members, Voters: p.voters}, voterBounds) })
-	c.point("log_membership_entry_bytes", "log_leader", 0, l.Size, float64(membershipEntry(l.Size)))
+	last := f.Voters[targetVoters-1]
+	f.Members[f.position(last)].UnreachableFor = time.Minute
+	f.Learners = nil
+	c.timing("voters", "log_leader", l.Size, func(int) { quorum.NextChange(f.Fleet, voterConfig) })
+	c.point("log_membership_entry_bytes", "log_leader", 0, l.Size, float64(membershipEntryBytes(l.Size)))
 	return nil
 }
 
-// membershipEntry is the bytes of one entry by which a process joins or leaves the log: raft puts all servers into it.
-func membershipEntry(size int) int {
+// membershipEntryBytes returns the size of an entry by which a process joins or leaves the log: raft encodes all servers.
+func membershipEntryBytes(size int) int {
 	servers := make([]raft.Server, size)
 	for n := range servers {
 		process := processName(n, 0)
@@ -106,52 +117,52 @@
 	return len(raft.EncodeConfiguration(raft.Configuration{Servers: servers}))
 }
 
-// loseVoters plays each loss that takes the first voter, and counts the orders of joining in which a region has a quorum:
-// with regions known to the choice, and with zones alone.
+// loseVoters measures each loss that takes the first voter, and counts the orders of joining in which a region has a
+// quorum: with regions known, and with zones alone.
 func loseVoters(c *collector, l Layout) error {
-	for _, regions := range []bool{true, false} {
-		r := chance(c.seed, 0x707e)
+	for _, knowledge := range []regionKnowledge{regionsKnown, regionsUnknown} {
+		r := chance(c.seed, votersSeed)
 		name := "voters_" + l.label()
-		if !regions {
+		if knowledge == regionsUnknown {
 			name += "_zones_alone"
 		}
 		for _, kind := range lossKinds {
-			p := newChoice(l, r.Perm(l.Size), regions)
-			first := slices.IndexFunc(p.members, func(m quorum.Member) bool { return m.Process == p.voters[0] })
-			c.replaced(name+"_"+kind, p, l.lose(kind, first))
+			f := newVoterFleet(l, r.Perm(l.Size), knowledge)
+			c.measureReplacement(name+"_"+kind, f, l.lose(kind, f.position(f.Voters[0])))
 		}
-		draws, quorums := quorumDraws, 0
+		orders, withQuorum := joinOrders, 0
 		if c.samples == fewSamples {
-			draws /= 10
+			orders /= 10
 		}
-		for range draws {
-			if newChoice(l, r.Perm(l.Size), regions).regions() >= quorum.Majority(targetVoters) {
-				quorums++
+		for range orders {
+			f := newVoterFleet(l, r.Perm(l.Size), knowledge)
+			if f.maxVotersPerRegion() >= quorum.Majority(targetVoters) {
+				withQuorum++
 			}
 		}
-		c.result.Put(name+"_region_with_quorum_part", float64(quorums)/float64(draws))
-		if regions && quorums > 0 {
-			c.result.Fault("%s: a region has a quorum in %d of %d orders of joining", name, quorums, draws)
+		c.result.Put(name+"_region_with_quorum_part", float64(withQuorum)/float64(orders))
+		if knowledge == regionsKnown && withQuorum > 0 {
+			c.result.Fault("%s: a region has a quorum in %d of %d orders of joining", name, withQuorum, orders)
 		}
 	}
 	return nil
 }
 
-// replaced asks until all voters are heard of again, and says how many changes and how long that took.
-func (c *collector) replaced(name string, p *choice, loss Loss) {
+// measureReplacement changes voters until all are reachable again, and measures the changes and the time of that.
+func (c *collector) measureReplacement(name string, f *voterFleet, loss Loss) {
 	lost, changes, took := 0, 0, time.Duration(0)
-	for n := range p.members {
-		if loss.takes(n) && slices.Contains(p.voters, p.members[n].Process) {
+	for n, m := range f.Members {
+		if loss.takes(n) && slices.Contains(f.Voters, m.Process) {
 			lost++
 		}
 	}
-	for now := careEvery; now < mostCare; now += careEvery {
-		for n := range p.members {
+	for now := voterChangeInterval; now < maxReplacementTime; now += voterChangeInterval {
+		for n := range f.Members {
 			if loss.takes(n) {
-				p.members[n].UnreachableFor = now
+				f.Members[n].UnreachableFor = now
 			}
 		}
-		if p.ask().Kind != quorum.NoChange {
+		if f.change().Kind != quorum.NoChange {
 			changes++
 			took = now
 		}
