--- /dev/null
+++ b/internal/lab/scale/raftlog/childprocess.go
@@ -0,0 +1,56 @@
+package raftlog
+
+import (
+	"context"
+	"encoding/json"
+	"io"
+	"os"
+	"os/exec"
+)
+
+// childProcess is a process that runs Child, as its parent has it.
+type childProcess struct {
+	command   *exec.Cmd
+	stdin     io.WriteCloser
+	requests  *json.Encoder
+	responses *json.Decoder
+}
+
+func startChild(ctx context.Context) (*childProcess, error) {
+	program, err := os.Executable()
+	if err != nil {
+		return nil, err
+	}
+	c := &childProcess{command: exec.CommandContext(ctx, program, ChildCommand)}
+	if c.stdin, err = c.command.StdinPipe(); err != nil {
+		return nil, err
+	}
+	stdout, err := c.command.StdoutPipe()
+	if err != nil {
+		return nil, err
+	}
+	c.command.Stderr = os.Stderr
+	c.requests, c.responses = json.NewEncoder(c.stdin), json.NewDecoder(stdout)
+	return c, c.command.Start()
+}
+
+func (c *childProcess) call(r request) (response, error) {
+	return roundTrip(c.requests, c.responses, r)
+}
+
+// stop ends the process by the end of its input.
+func (c *childProcess) stop() {
+	c.stdin.Close()
+	_ = c.command.Wait()
+}
+
+// electInChild runs the elections of one fleet in a process of its own, as the addresses are a process's.
+func electInChild(ctx context.Context, delayFactor float64) (Election, error) {
+	c, err := startChild(ctx)
+	if err != nil {
+		return Election{}, err
+	}
+	defer c.stop()
+	reply, err := c.call(request{Operation: opElect, DelayFactor: delayFactor})
+	return reply.Election, err
+}
--- a/internal/lab/scale/raftlog/election.go
+++ b/internal/lab/scale/raftlog/election.go
@@ -1,11 +1,9 @@
-// This file owns the elections across regions: voters with the delay between their regions on every connection. It must
-// never count an election that the quorum can't hold.
-
 package raftlog
 
 import (
 	"context"
 	"errors"
+	"fmt"
 	"net"
 	"slices"
 	"time"
@@ -14,98 +12,123 @@
 )
 
 const (
-	voters        = 5
-	electionWait  = 30 * time.Second // the longest
-	quietFor      = 5 * time.Second  // in which no leader may change
-	electionPause = 10 * time.Millisecond
+	voterCount           = 5
+	electionTimeout      = 30 * time.Second
+	quietPeriod          = 5 * time.Second // in which the leader should not change
+	electionPollInterval = 10 * time.Millisecond
+	commitPollInterval   = time.Millisecond
+	measuredCommits      = 5 // before each election
 )
 
-// roundTrips are those between regions, in ms: from 40 to 150.
-var roundTrips = [4][4]int{{0, 40, 80, 150}, {40, 0, 60, 120}, {80, 60, 0, 100}, {150, 120, 100, 0}}
+// roundTripsMillis are those between regions: from 40 to 150.
+var roundTripsMillis = [4][4]int{{0, 40, 80, 150}, {40, 0, 60, 120}, {80, 60, 0, 100}, {150, 120, 100, 0}}
 
-// Election is what one fleet of voters went through. Times are in milliseconds.
+// Election is what was measured on one fleet of voters. Times are in milliseconds.
 type Election struct {
-	Takeovers    []float64 // from a leader's end to another that has had an entry agreed
-	Commits      []float64 // from a proposal at the leader until it is agreed
-	QuietChanges uint64    // of term with nothing failing
+	Takeovers    []float64 `json:"Takeovers"`    // from the end of a leader until another has had an entry committed
+	Commits      []float64 `json:"Commits"`      // from a proposal at the leader until it is committed
+	QuietChanges uint64    `json:"QuietChanges"` // of the term, with nothing failing
 }
 
-var errNoLeader = errors.New("no leader in time")
+var (
+	errNoLeader     = errors.New("no leader in time")
+	errNotCommitted = errors.New("entry not committed in time")
+)
 
-// region of the n-th voter: five over four regions.
-func region(n int) int { return n % len(roundTrips) }
+// voterRegion returns the region of the n-th voter: five over four regions.
+func voterRegion(n int) int { return n % len(roundTripsMillis) }
 
-// Elect runs one fleet of voters, whose delays are factor times the round trips, and ends the leader twice.
-func Elect(ctx context.Context, factor float64) (Election, error) {
+// Elect runs one fleet of voters whose one-way delays are half the round trips times delayFactor. It ends the leader as
+// long as the quorum remains, which is twice.
+func Elect(ctx context.Context, delayFactor float64) (Election, error) {
 	var out Election
-	p := &process{}
-	defer p.end()
-	err := p.elect(ctx, factor, &out)
-	return out, err
-}
-
-func (p *process) elect(ctx context.Context, factor float64, out *Election) error {
-	regions := map[string]int{}
-	for n := range voters {
-		host, _, _ := net.SplitHostPort(address(n))
-		regions[host] = region(n)
+	g := &replicaGroup{}
+	defer g.stop()
+	if err := g.startVoters(ctx, delayFactor); err != nil {
+		return out, err
 	}
-	wrap := func(conn net.Conn) net.Conn {
-		from, _, _ := net.SplitHostPort(conn.LocalAddr().String())
-		to, _, _ := net.SplitHostPort(conn.RemoteAddr().String())
-		oneWay := factor * float64(roundTrips[regions[from]][regions[to]]) / 2
-		return newDelayedConn(conn, time.Duration(oneWay*float64(time.Millisecond)))
+	for live := slices.Clone(g.replicas); len(live) > voterCount/2+1; {
+		ended, err := out.replaceLeader(ctx, live)
+		if err != nil {
+			return out, err
+		}
+		live = slices.DeleteFunc(live, func(r *replica) bool { return r == ended })
 	}
-	for n := range voters {
-		if _, err := p.start(n == 0, programBeat, nil, wrap); err != nil {
+	return out, nil
+}
+
+// startVoters starts voters with the delay of their regions on every connection.
+func (g *replicaGroup) startVoters(ctx context.Context, delayFactor float64) error {
+	delays := regionDelays(delayFactor)
+	for n := range voterCount {
+		if _, err := g.start(replicaConfig{bootstrap: n == 0, heartbeatTimeout: programHeartbeatTimeout, wrapConn: delays}); err != nil {
 			return err
 		}
 	}
-	live := slices.Clone(p.logs)
-	if _, err := leader(ctx, live[:1]); err != nil {
+	first := g.replicas[0]
+	if _, err := waitForLeader(ctx, g.replicas[:1]); err != nil {
 		return err
 	}
-	for _, h := range live[1:] {
-		if err := tryFor(electionWait, func() error { return live[0].log.AddVoter(h.peer.Process, h.peer.Address) }); err != nil {
-			return err
+	for _, r := range g.replicas[1:] {
+		add := func() error { return first.log.AddVoter(r.peer.Process, r.peer.Address) }
+		if err := retry(electionTimeout, add); err != nil {
+			return fmt.Errorf("add voter %s: %w", r.peer.Process, err)
 		}
 	}
-	for len(live) > voters/2+1 {
-		led, err := leader(ctx, live)
-		if err != nil {
-			return err
-		}
-		if err := out.commits(ctx, led); err != nil {
-			return err
-		}
-		term := led.log.Term()
-		if err := wait(ctx, quietFor); err != nil {
-			return err
-		}
-		out.QuietChanges += led.log.Term() - term
-		if led, err = leader(ctx, live); err != nil {
-			return err
-		}
-		live = slices.DeleteFunc(live, func(h *hollow) bool { return h == led })
-		began := time.Now()
-		_ = led.log.Stop()
-		next, err := leader(ctx, live)
-		if err != nil {
-			return err
-		}
-		if err := agreed(ctx, next); err != nil {
-			return err
-		}
-		out.Takeovers = append(out.Takeovers, millisSince(began))
-	}
 	return nil
 }
 
-// commits measures some entries, one after the other.
-func (e *Election) commits(ctx context.Context, led *hollow) error {
-	for range 5 {
+// regionDelays returns a wrapper that delays each connection by the distance of its ends' regions.
+func regionDelays(delayFactor float64) func(net.Conn) net.Conn {
+	regions := map[string]int{} // by host
+	for n := range voterCount {
+		host, _, _ := net.SplitHostPort(replicaAddress(n))
+		regions[host] = voterRegion(n)
+	}
+	return func(conn net.Conn) net.Conn {
+		from, _, _ := net.SplitHostPort(conn.LocalAddr().String())
+		to, _, _ := net.SplitHostPort(conn.RemoteAddr().String())
+		oneWayMillis := delayFactor * float64(roundTripsMillis[regions[from]][regions[to]]) / 2
+		return newDelayedConn(conn, time.Duration(oneWayMillis*float64(time.Millisecond)))
+	}
+}
+
+// replaceLeader measures commits, a quiet period, and the election after the leader's end. It returns the ended leader.
+func (e *Election) replaceLeader(ctx context.Context, live []*replica) (ended *replica, err error) {
+	leader, err := waitForLeader(ctx, live)
+	if err != nil {
+		return nil, err
+	}
+	if err := e.measureCommits(ctx, leader); err != nil {
+		return nil, err
+	}
+	term := leader.log.Term()
+	if err := sleep(ctx, quietPeriod); err != nil {
+		return nil, err
+	}
+	e.QuietChanges += leader.log.Term() - term
+	if ended, err = waitForLeader(ctx, live); err != nil {
+		return nil, err
+	}
+	others := slices.DeleteFunc(slices.Clone(live), func(r *replica) bool { return r == ended })
+	began := time.Now()
+	_ = ended.log.Stop()
+	successor, err := waitForLeader(ctx, others)
+	if err != nil {
+		return nil, err
+	}
+	if err := successor.commitEntry(ctx); err != nil {
+		return nil, err
+	}
+	e.Takeovers = append(e.Takeovers, millisSince(began))
+	return ended, nil
+}
+
+// measureCommits measures some entries, one after the other.
+func (e *Election) measureCommits(ctx context.Context, leader *replica) error {
+	for range measuredCommits {
 		began := time.Now()
-		if err := agreed(ctx, led); err != nil {
+		if err := leader.commitEntry(ctx); err != nil {
 			return err
 		}
 		e.Commits = append(e.Commits, millisSince(began))
@@ -113,43 +136,43 @@
 	return nil
 }
 
-// leader waits for one that leads.
-func leader(ctx context.Context, among []*hollow) (*hollow, error) {
-	for began := time.Now(); time.Since(began) < electionWait; {
-		for _, h := range among {
-			if _, leads := h.log.Leader(); leads {
-				return h, nil
+func waitForLeader(ctx context.Context, replicas []*replica) (*replica, error) {
+	for began := time.Now(); time.Since(began) < electionTimeout; {
+		for _, r := range replicas {
+			if _, isLeader := r.log.Leader(); isLeader {
+				return r, nil
 			}
 		}
-		if err := wait(ctx, electionPause); err != nil {
+		if err := sleep(ctx, electionPollInterval); err != nil {
 			return nil, err
 		}
 	}
 	return nil, errNoLeader
 }
 
-// agreed proposes one entry and waits until the proposer has it back.
-func agreed(ctx context.Context, h *hollow) error {
-	before := h.applied.Load()
-	if err := h.log.Propose(lease.Command{Kind: lease.Announce, Duty: "ring", Member: h.peer.Process, Body: "x"}); err != nil {
+// commitEntry proposes one entry and waits until this replica has applied it.
+func (r *replica) commitEntry(ctx context.Context) error {
+	before := r.appliedIndex.Load()
+	if err := r.log.Propose(lease.Command{Kind: lease.Announce, Duty: "ring", Member: r.peer.Process, Body: "x"}); err != nil {
 		return err
 	}
-	for began := time.Now(); h.applied.Load() <= before; {
-		if time.Since(began) > electionWait {
-			return errors.New("an entry was not agreed in time")
+	for began := time.Now(); r.appliedIndex.Load() <= before; {
+		if time.Since(began) > electionTimeout {
+			return errNotCommitted
 		}
-		if err := wait(ctx, time.Millisecond); err != nil {
+		if err := sleep(ctx, commitPollInterval); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func wait(ctx context.Context, pause time.Duration) error {
+// sleep waits for the duration or until the context ends, whose error it returns then.
+func sleep(ctx context.Context, d time.Duration) error {
 	select {
 	case <-ctx.Done():
 		return ctx.Err()
-	case <-time.After(pause):
+	case <-time.After(d):
 		return nil
 	}
 }
--- a/internal/lab/scale/raftlog/part.go
+++ b/internal/lab/scale/raftlog/part.go
@@ -1,10 +1,9 @@
-// Package raftlog measures what the agreed log costs: at the leader, at one that follows, in an election across regions, and
-// when one comes late. It runs the program's own internal/fleet/consensus with no instance round it. It owns these logs, the
-// counting on their connections and the delay between regions. It must never listen outside loopback, nor leave a log or a
-// process running.
+// Package raftlog measures the cost of the replicated log: at the leader, at a follower, in an election across regions, and
+// for a late follower to catch up. It runs the program's own internal/fleet/consensus without the rest of the instance, on
+// loopback addresses alone, in child processes that end with the measurement.
 //
-// What is counted: the payload of all TCP connections of a process, both directions; headers are left out (40 bytes and more
-// a segment). Processor time and memory are the process's: the leader has one of its own. Tables hold one entry a log.
+// Bytes are the payload of all TCP connections of a process in both directions, without headers (40 bytes and more per
+// segment). Processor time and memory are the process's: the leader has one of its own. State is one entry per replica.
 package raftlog
 
 import (
@@ -16,13 +15,13 @@
 	"thymechute/internal/lab/scale"
 )
 
-// Sizes are the followers without a vote, beside five voters.
+// Sizes are the numbers of non-voters that are measured, beside five voters.
 var Sizes = []int{10, 25, 50, 100, 200, 400}
 
-// targetFollowers is every member but the leader.
+// targetFollowers is all members of the planned fleet but the leader.
 const targetFollowers = scale.TargetMembers - 1
 
-// Part implements scale.Part.
+// Part is the measurement of the log. It implements scale.Part.
 type Part struct{}
 
 // Name implements scale.Part.
@@ -31,42 +30,48 @@
 // Run implements scale.Part.
 func (Part) Run(ctx context.Context, options scale.Options) (*scale.Result, error) {
 	result := &scale.Result{Part: Part{}.Name(), Seed: options.Seed}
-	var outcomes []Outcome
-	for _, size := range Sizes {
-		out, err := try(ctx, defaultPlan(size))
-		if err != nil {
-			line := fmt.Sprintf("failed at %d followers without a vote, on this machine: %v", size, err)
-			options.Progress(line)
-			result.NotRun = append(result.NotRun, line)
-			break
-		}
-		options.Progress(fmt.Sprintf("%d followers without a vote: leader %.0f B/s, %.1f%% of a core; added in %.1f s", size,
-			out.Leader.idleBytes(), out.Leader.IdleProcessor, out.AddSeconds))
-		outcomes = append(outcomes, out)
-	}
+	outcomes := runTrials(ctx, result, options.Progress)
 	if err := addCosts(result, outcomes); err != nil {
 		return nil, err
 	}
 	var caught CatchUp
-	var catchUpError error
-	var late sync.WaitGroup
-	late.Go(func() { caught, catchUpError = catchUp(ctx, TargetTenants) })
+	var catchUpErr error
+	var catchUpDone sync.WaitGroup
+	catchUpDone.Go(func() { caught, catchUpErr = measureCatchUp(ctx, TargetTenants) })
 	addElections(ctx, result, options.Progress)
-	late.Wait()
-	if catchUpError != nil {
-		return nil, catchUpError
+	catchUpDone.Wait()
+	if catchUpErr != nil {
+		return nil, catchUpErr
 	}
 	result.Put("state_bytes", caught.StateBytes)
 	result.Put("catch_up_ms", caught.Millis)
 	result.Put("catch_up_leader_bytes", caught.LeaderBytes)
 	result.NotRun = append(result.NotRun,
-		fmt.Sprintf("more than %d followers: the figures at %d are worked out", outcomes[len(outcomes)-1].Size, targetFollowers),
+		fmt.Sprintf("more than %d followers: the figures at %d are worked out", outcomes[len(outcomes)-1].Followers, targetFollowers),
 		"catching up across a delay, or over a link with a limit: the snapshot's time is that of one machine",
 		"a follower that falls behind under load; voters that lose datagrams (raft is over TCP)",
 		"the duties' leases: their renewals are entries, whose cost is that of one entry")
 	return result, nil
 }
 
+// runTrials measures each size, up to the first that this machine cannot run.
+func runTrials(ctx context.Context, result *scale.Result, progress func(string)) (outcomes []Outcome) {
+	for _, size := range Sizes {
+		out, err := runTrial(ctx, defaultPlan(size))
+		if err != nil {
+			line := fmt.Sprintf("failed at %d followers without a vote, on this machine: %v", size, err)
+			progress(line)
+			result.NotRun = append(result.NotRun, line)
+			return outcomes
+		}
+		progress(fmt.Sprintf("%d followers without a vote: leader %.0f B/s, %.1f%% of a core; added in %.1f s", size,
+			out.Leader.idleBytes(), out.Leader.IdleProcessor, out.AddSeconds))
+		outcomes = append(outcomes, out)
+	}
+	return outcomes
+}
+
+// figure is one series of the result: its name, role and bound, and its value in an outcome.
 type figure struct {
 	name, role string
 	bound      float64
@@ -92,9 +97,9 @@
 func addCosts(result *scale.Result, outcomes []Outcome) error {
 	for _, f := range figures() {
 		series := scale.Series{Name: f.name, Role: f.role, Of: "followers", Target: targetFollowers, Bound: f.bound,
-			Ran: fmt.Sprintf("to %d followers, four of them voters", outcomes[len(outcomes)-1].Size)}
+			Ran: fmt.Sprintf("to %d followers, four of them voters", outcomes[len(outcomes)-1].Followers)}
 		for _, o := range outcomes {
-			series.Points = append(series.Points, scale.Point{Size: float64(o.Size), Value: f.of(o)})
+			series.Points = append(series.Points, scale.Point{Size: float64(o.Followers), Value: f.of(o)})
 		}
 		if err := result.Add(series); err != nil {
 			return err
@@ -105,16 +110,16 @@
 	return nil
 }
 
-// reading is one of the two of "40 to 150 ms between regions": as round trips and, harder, as one way.
-type reading struct {
+// delayReading is one interpretation of "40 to 150 ms between regions": as round trips or, harder, as one way.
+type delayReading struct {
 	name   string
 	factor float64
 }
 
-// addElections runs three fleets of voters for each reading, all at once.
+// addElections measures three fleets of voters for each reading, all at the same time.
 func addElections(ctx context.Context, result *scale.Result, progress func(string)) {
 	const fleets = 3
-	readings := []reading{{"round_trip", 1}, {"one_way", 2}}
+	readings := []delayReading{{"round_trip", 1}, {"one_way", 2}}
 	found := make([][fleets]Election, len(readings))
 	errs := make([][fleets]error, len(readings))
 	var done sync.WaitGroup
--- a/internal/lab/scale/raftlog/raftlog_test.go
+++ b/internal/lab/scale/raftlog/raftlog_test.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// TestMain: the test binary is also the child that the part starts.
+// TestMain makes the test binary the child process too.
 func TestMain(m *testing.M) {
 	if len(os.Args) == 2 && os.Args[1] == ChildCommand {
 		if err := Child(context.Background(), os.Stdin, os.Stdout); err != nil {
@@ -20,17 +20,18 @@
 	os.Exit(m.Run())
 }
 
-func TestSmallTrialCountsLeaderAndFollowersApart(t *testing.T) {
+func TestTrialMeasuresLeaderAndFollowersApart(t *testing.T) {
 	if testing.Short() {
 		t.Skip("starts processes")
 	}
 	ctx, cancel := context.WithTimeout(t.Context(), time.Minute)
 	defer cancel()
-	out, err := try(ctx, Plan{Voters: 3, Beat: calmBeat, Followers: 4, Idle: time.Second, Entries: 10, EntryEvery: 20 * time.Millisecond, EntryBytes: 300})
+	out, err := runTrial(ctx, Plan{Voters: 3, HeartbeatTimeout: longHeartbeatTimeout, NonVoters: 4, IdlePeriod: time.Second, Entries: 10,
+		EntryInterval: 20 * time.Millisecond, EntryBytes: 300})
 	if err != nil {
 		t.Fatal(err)
 	}
-	followers := float64(out.Size)
+	followers := float64(out.Followers)
 	if followers != 6 {
 		t.Fatalf("%v followers, want 6", followers)
 	}
@@ -44,14 +45,14 @@
 	}
 }
 
-func TestALateFollowerIsHandedTheState(t *testing.T) {
+func TestLateFollowerRestoresState(t *testing.T) {
 	if testing.Short() {
 		t.Skip("starts processes and waits for raft's snapshot")
 	}
 	ctx, cancel := context.WithTimeout(t.Context(), 2*time.Minute)
 	defer cancel()
 	const tenants = TargetTenants
-	out, err := catchUp(ctx, tenants)
+	out, err := measureCatchUp(ctx, tenants)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -61,7 +62,7 @@
 	t.Logf("%+v", out)
 }
 
-func TestADelayedConnectionKeepsOrderAndDelay(t *testing.T) {
+func TestDelayedConnKeepsOrderAndDelay(t *testing.T) {
 	near, far := net.Pipe()
 	const delay = 30 * time.Millisecond
 	delayed := newDelayedConn(near, delay)
--- a/internal/lab/scale/raftlog/state.go
+++ b/internal/lab/scale/raftlog/state.go
@@ -1,5 +1,3 @@
-// This file owns the state that a late follower is handed, at its real size.
-
 package raftlog
 
 import (
@@ -22,7 +20,7 @@
 	Class   string `json:"class"`
 }
 
-// State is the settings of so many tenants, and of routes in the target's proportion; empty for none.
+// State returns the encoded settings of that many tenants, and of routes in the target's proportion; nil for no tenants.
 func State(tenants int) []byte {
 	if tenants == 0 {
 		return nil
@@ -35,11 +33,12 @@
 		state.Tenants = append(state.Tenants, tenant{fmt.Sprintf("tenant-%05d", n), "gold", float64(n % 997)})
 	}
 	for n := range tenants * scale.TargetRoutes / scale.TargetTenants {
-		state.Routes = append(state.Routes, route{fmt.Sprintf("route-%04d", n), fmt.Sprintf("service-%03d", n%scale.TargetCallerGroups), "gold"})
+		service := fmt.Sprintf("service-%03d", n%scale.TargetCallerGroups)
+		state.Routes = append(state.Routes, route{fmt.Sprintf("route-%04d", n), service, "gold"})
 	}
 	encoded, err := json.Marshal(state)
 	if err != nil {
-		panic(err) // of plain strings and numbers
+		panic(err) // impossible: plain strings and numbers
 	}
 	return encoded
 }
