--- a/cmd/testbed/configuration.go
+++ b/cmd/testbed/configuration.go
@@ -1,6 +1,3 @@
-// This file owns the experiment on configuration: the decisions in the emulator, no process and no socket. It must never
-// print a figure that was not counted in its own run.
-
 package main
 
 import (
@@ -8,6 +5,7 @@
 	"maps"
 	"slices"
 	"syscall"
+	"time"
 
 	"github.com/spf13/cobra"
 
@@ -15,57 +13,58 @@
 	"thymechute/internal/lab/emulator"
 )
 
-const leastOfAZone = 6 // members, on the mean
+// minMeanZoneSize is the fewest members of a zone, on average.
+const minMeanZoneSize = 6
 
-// runConfiguration plays a day's changes and failures, compressed, and holds the decisions to their claim.
+// runConfiguration is the experiment that simulates a day's changes of configuration and failures. It runs the decisions in the
+// emulator, without processes or sockets.
 func runConfiguration() *cobra.Command {
 	var zones int
-	c := experiment("configuration", "A day's changes of configuration through the plan's failures, in the emulator",
+	c := experiment("configuration", "A day's changes of configuration with faults, in the emulator",
 		sizes{usual: 1200, least: 24, most: 3000, unit: "members, in 4 regions"}, func(t trial) (*lab.Report, error) {
-			day := emulator.NewConfigurationDay(t.size)
-			if most := t.size / leastOfAZone; zones != 0 && (zones < day.Regions || zones > most) {
-				return nil, usageError{fmt.Errorf("--zones: found %d, expected %d to %d", zones, day.Regions, most)}
+			scenario := emulator.NewConfigurationScenario(t.size)
+			if maxZones := t.size / minMeanZoneSize; zones != 0 && (zones < scenario.Regions || zones > maxZones) {
+				return nil, usageError{fmt.Errorf("--zones: found %d, expected %d to %d", zones, scenario.Regions, maxZones)}
 			}
 			if zones != 0 {
-				day.Zones = zones
+				scenario.Zones = zones
 			}
 			before := processorSeconds()
-			f := emulator.Configuration(day, t.seed)
-			spent := processorSeconds() - before
-			return configurationReport(day, f, spent), nil
+			result := emulator.Configuration(scenario, t.seed)
+			return configurationReport(scenario, result, processorSeconds()-before), nil
 		})
 	c.Flags().IntVar(&zones, "zones", 0, "zones of all regions together; 0: 40, fewer under 400 members")
-	c.Long = `A day's changes, restarts and deaths, compressed into two hours (12 minutes under 400 members), with the plan's
-failures: a rack, a zone and regions lost or cut, the owner paused and woken, relays killed as they send, a relay that
-lies, a release, half of all restarted at once. Decisions, message bytes and chance are emulated; delays, leases and
-polls keep their real times. Ends with 0 only if all claims hold.
+	c.Long = `A day's changes, restarts and machine losses, compressed into two hours (12 minutes under 400 members), with faults: a
+rack and a zone lost, a zone and regions partitioned, the lease holder paused and resumed, relays killed while they push, a
+byzantine relay, a release, half of all members restarted at once. Decisions, message bytes and randomness are emulated; delays,
+leases and polls keep their real times. Ends with 0 only if no limit or safety rule is violated.
 
 No process of thymechute and no socket is run yet: nothing in the program carries configuration so far.`
 	return c
 }
 
-func configurationReport(day emulator.ConfigurationDay, f emulator.ConfigurationFigures, spent float64) *lab.Report {
+func configurationReport(scenario emulator.ConfigurationScenario, result emulator.ConfigurationResult, processorTime float64) *lab.Report {
 	r := &lab.Report{}
-	figures := f.ByName()
-	for _, name := range slices.Sorted(maps.Keys(figures)) {
-		r.Put(name, figures[name])
+	metrics := result.Metrics()
+	for _, name := range slices.Sorted(maps.Keys(metrics)) {
+		r.Put(name, metrics[name])
 	}
-	r.Put("emulated_s", day.Span.Seconds())
-	r.Put("cpu_s_emulation", spent)
-	state, history := emulator.ConfigurationMemory(day)
-	r.Put("state_bytes_member", float64(state))
-	r.Put("history_bytes_member", float64(history))
-	for _, fault := range f.Faults() {
-		r.Fault("%v", fault)
+	r.Put("emulated_s", scenario.Duration.Seconds())
+	r.Put("cpu_s_emulation", processorTime)
+	stateBytes, historyBytes := emulator.ConfigurationMemory(scenario)
+	r.Put("state_bytes_member", float64(stateBytes))
+	r.Put("history_bytes_member", float64(historyBytes))
+	for _, violation := range result.Violations() {
+		r.Fault("%v", violation)
 	}
 	return r
 }
 
-// processorSeconds is what this process has spent, in user and system.
+// processorSeconds is the user and system time of this process so far.
 func processorSeconds() float64 {
-	var u syscall.Rusage
-	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &u); err != nil {
+	var usage syscall.Rusage
+	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &usage); err != nil {
 		return 0
 	}
-	return float64(u.Utime.Nano()+u.Stime.Nano()) / 1e9
+	return float64(usage.Utime.Nano()+usage.Stime.Nano()) / float64(time.Second)
 }
--- a/internal/decide/configuration/emulator_test.go
+++ b/internal/decide/configuration/emulator_test.go
@@ -8,42 +8,42 @@
 	"thymechute/internal/lab/emulator"
 )
 
-func TestEmulatedDayWithFaults(t *testing.T) {
+func TestEmulatedScenarioWithFaults(t *testing.T) {
 	for seed := uint64(1); seed <= 5; seed++ {
-		result := emulator.Configuration(emulator.NewConfigurationDay(48), seed)
-		if err := errors.Join(result.Faults()...); err != nil {
+		result := emulator.Configuration(emulator.NewConfigurationScenario(48), seed)
+		if err := errors.Join(result.Violations()...); err != nil {
 			t.Errorf("seed %d: %v\n%+v", seed, err, result)
 		}
 		if seed > 1 {
 			continue
 		}
-		if again := emulator.Configuration(emulator.NewConfigurationDay(48), seed); again != result {
+		if again := emulator.Configuration(emulator.NewConfigurationScenario(48), seed); again != result {
 			t.Errorf("seed %d gives %+v, then %+v", seed, result, again)
 		}
 	}
 }
 
-func TestEmulatedDayDetectsEachRemovedSafeguard(t *testing.T) {
+func TestEmulatedScenarioDetectsEachRemovedSafeguard(t *testing.T) {
 	for name, c := range map[string]struct {
 		mutate   func(func())
-		detected func(result emulator.ConfigurationFigures) int
+		detected func(result emulator.ConfigurationResult) int
 	}{
-		"fencing":      {configuration.WithoutFencing, func(result emulator.ConfigurationFigures) int { return result.StaleAccepted }},
-		"atomic apply": {configuration.WithPartialApply, func(result emulator.ConfigurationFigures) int { return result.HalfApplied }},
-		"digest check": {configuration.WithoutDigestCheck, func(result emulator.ConfigurationFigures) int { return result.HalfApplied }},
+		"fencing":      {configuration.WithoutFencing, func(result emulator.ConfigurationResult) int { return result.StaleAccepted }},
+		"atomic apply": {configuration.WithPartialApply, func(result emulator.ConfigurationResult) int { return result.PartiallyApplied }},
+		"digest check": {configuration.WithoutDigestCheck, func(result emulator.ConfigurationResult) int { return result.PartiallyApplied }},
 	} {
 		t.Run(name, func(t *testing.T) {
 			c.mutate(func() {
 				detected := 0
 				for seed := uint64(1); seed <= 3; seed++ {
-					result := emulator.Configuration(emulator.NewConfigurationDay(48), seed)
+					result := emulator.Configuration(emulator.NewConfigurationScenario(48), seed)
 					detected += c.detected(result)
-					if c.detected(result) > 0 && len(result.Faults()) == 0 {
+					if c.detected(result) > 0 && len(result.Violations()) == 0 {
 						t.Error("detected, but the run reports no violation")
 					}
 				}
 				if detected == 0 {
-					t.Errorf("without %s the emulated day detects nothing", name)
+					t.Errorf("without %s the emulated scenario detects nothing", name)
 				}
 			})
 		})
@@ -51,9 +51,9 @@
 }
 
 func TestMemberMemoryIsBounded(t *testing.T) {
-	day := emulator.NewConfigurationDay(1200)
-	state, history := emulator.ConfigurationMemory(day)
-	t.Logf("%d bytes for %d resources, %d for the history", state, day.Tenants+day.Routes, history)
+	scenario := emulator.NewConfigurationScenario(1200)
+	state, history := emulator.ConfigurationMemory(scenario)
+	t.Logf("%d bytes for %d resources, %d for the history", state, scenario.Tenants+scenario.Routes, history)
 	if state > 16<<20 || history > 6<<20 {
 		t.Errorf("%d bytes for the state, %d for the history; expected 16 MB and 6 MB at most", state, history)
 	}
--- /dev/null
+++ b/internal/lab/emulator/configuration_control.go
@@ -0,0 +1,101 @@
+package emulator
+
+import (
+	"time"
+
+	"thymechute/internal/decide/configuration"
+	"thymechute/internal/decide/lease"
+)
+
+// configurationDuty is the duty whose lease holder may change the configuration.
+const configurationDuty = "configuration"
+
+var configurationLease = lease.Lease{Length: 2 * time.Second, Drift: 0.01, Margin: 20 * time.Millisecond}
+
+// configurationControlNode is a control node with its copy of the log and its part in the lease. It is the lease.Host of its
+// process.
+type configurationControlNode struct {
+	*configuration.ControlNode
+	process        *configurationProcess
+	store          *configuration.Store
+	table          *lease.Table
+	holder         *lease.Holder
+	appliedEntries int
+	token          uint64 // of the last lease that it held
+	startedAt      time.Duration
+	isolatedSince  time.Duration // from the leader's quorum; 0: it is not
+}
+
+func newConfigurationControlNode(p *configurationProcess) *configurationControlNode {
+	c := &configurationControlNode{process: p, store: configuration.NewStore(p.simulation.initialState, 0)}
+	c.table, _ = lease.NewTable(configurationDuty)
+	c.start()
+	return c
+}
+
+// start starts the process with what is on its disk: its copy of the log, the table of leases and the store.
+func (c *configurationControlNode) start() {
+	s, p := c.process.simulation, c.process
+	p.incarnation++
+	p.isUp, p.isPaused = true, false
+	p.activeVersion, c.startedAt, c.token = c.store.State().Version(), s.now, 0
+	c.ControlNode = configuration.NewControlNode(s.now, p, c.store)
+	c.holder = lease.NewHolder(c, c.table, configurationLease, p.name, uint64(p.incarnation))
+	c.holder.Placed(configurationDuty, p.index)
+	c.holder.CaughtUp(0)
+	p.traffic.reset(s.now)
+	p.traffic.markStarted(s.now)
+}
+
+// clock is the time since the process has started.
+func (c *configurationControlNode) clock() time.Duration {
+	return c.process.simulation.now - c.startedAt
+}
+
+// Propose implements lease.Host.
+func (c *configurationControlNode) Propose(command lease.Command) {
+	c.process.simulation.propose(c.process, command)
+}
+
+// Holds implements lease.Host. The token is kept for commands that are proposed without checking the lease.
+func (c *configurationControlNode) Holds(_ string, token uint64) { c.token = token }
+
+// Lost implements lease.Host. The token stays, see Holds.
+func (c *configurationControlNode) Lost(string) {}
+
+// proposeWithoutLeaseCheck proposes under the last lease, as a node does that checked it, was paused and goes on.
+func (c *configurationControlNode) proposeWithoutLeaseCheck() {
+	if c.token == 0 {
+		return
+	}
+	active := c.State().Version()
+	v := configuration.Version{Token: c.token, Counter: active.Counter + 1}
+	r, err := configuration.NewResource(configuration.Tenant, tenantName(0), "late", v)
+	if err != nil {
+		return
+	}
+	command := configuration.Command{Base: active, Version: v, Changes: []configuration.Change{{Resource: r}}}
+	c.Propose(lease.Command{Kind: lease.Do, Duty: configurationDuty, Member: c.process.name, Life: uint64(c.process.incarnation),
+		Token: c.token, Body: string(command.Encode())})
+}
+
+// applyEntries applies the log's entries up to a number, if the leader reaches the node.
+func (s *configurationSimulation) applyEntries(p *configurationProcess, upTo int) {
+	if !p.isRunning() || !s.network.isReachable(s.leader(), p) {
+		return
+	}
+	c := p.control
+	for ; c.appliedEntries < upTo; c.appliedEntries++ {
+		e := s.log.entries[c.appliedEntries]
+		outcome := c.holder.Applied(c.clock(), uint64(c.appliedEntries+1), e.Command)
+		if e.Kind == lease.Claim && outcome.Accepted {
+			c.LeaseGranted(outcome.Token)
+		}
+		if e.change == nil {
+			continue
+		}
+		if err := c.Apply(s.now, *e.change); err == nil && e.isStale {
+			s.checker.result.StaleAccepted++
+		}
+	}
+}
--- a/internal/lab/emulator/configuration_events.go
+++ b/internal/lab/emulator/configuration_events.go
@@ -1,97 +1,105 @@
-// This file owns the emulation's order of events, by time and then by when they were put in.
-
 package emulator
 
 import (
+	"container/heap"
 	"time"
 
 	"thymechute/internal/decide/configuration"
 )
 
-// configurationEvent is a message's arrival, a process's tick (no message), or do.
+// configurationEvent is an action, the arrival of a message, or a process's tick where it has neither.
 type configurationEvent struct {
-	at       time.Duration
-	seq      uint64
-	do       func()
-	from, to *configurationProcess
-	life     int
-	wire     int
-	stream   bool
-	m        configuration.Message
+	at          time.Duration
+	sequence    uint64
+	action      func()
+	from, to    *configurationProcess
+	incarnation int // of the sender, or of the process that ticks
+	wireBytes   int
+	isStream    bool
+	message     configuration.Message
 }
 
-// configurationEvents is a binary heap by time, then by when it was put in.
-type configurationEvents struct {
-	heap []*configurationEvent
-	free []*configurationEvent // played, to be used again
-	seq  uint64
+// configurationEventHeap implements heap.Interface: by time, then in the order of insertion.
+type configurationEventHeap []*configurationEvent
+
+func (h configurationEventHeap) Len() int { return len(h) }
+
+func (h configurationEventHeap) Less(a, b int) bool {
+	return h[a].at < h[b].at || h[a].at == h[b].at && h[a].sequence < h[b].sequence
+}
+
+func (h configurationEventHeap) Swap(a, b int) { h[a], h[b] = h[b], h[a] }
+
+// Push implements heap.Interface.
+func (h *configurationEventHeap) Push(e any) { *h = append(*h, e.(*configurationEvent)) }
+
+// Pop implements heap.Interface.
+func (h *configurationEventHeap) Pop() any {
+	last := len(*h) - 1
+	e := (*h)[last]
+	(*h)[last] = nil
+	*h = (*h)[:last]
+	return e
 }
 
-func (h *configurationEvents) less(a, b int) bool {
-	x, y := h.heap[a], h.heap[b]
-	return x.at < y.at || x.at == y.at && x.seq < y.seq
+// configurationEventQueue is the pending events, and a pool of executed ones to reuse.
+type configurationEventQueue struct {
+	pending      configurationEventHeap
+	free         []*configurationEvent
+	lastSequence uint64
 }
 
-func (h *configurationEvents) push(e configurationEvent) {
-	h.seq++
-	e.seq = h.seq
+func (q *configurationEventQueue) push(e configurationEvent) {
+	q.lastSequence++
+	e.sequence = q.lastSequence
 	slot := &configurationEvent{}
-	if last := len(h.free) - 1; last >= 0 {
-		slot, h.free = h.free[last], h.free[:last]
+	if last := len(q.free) - 1; last >= 0 {
+		slot, q.free = q.free[last], q.free[:last]
 	}
 	*slot = e
-	h.heap = append(h.heap, slot)
-	for n := len(h.heap) - 1; n > 0 && h.less(n, (n-1)/2); n = (n - 1) / 2 {
-		h.heap[n], h.heap[(n-1)/2] = h.heap[(n-1)/2], h.heap[n]
-	}
+	heap.Push(&q.pending, slot)
 }
 
-func (h *configurationEvents) pop() *configurationEvent {
-	top, last := h.heap[0], len(h.heap)-1
-	h.heap[0], h.heap[last] = h.heap[last], nil
-	h.heap = h.heap[:last]
-	for n := 0; ; {
-		least := n
-		for child := 2*n + 1; child <= 2*n+2 && child < last; child++ {
-			if h.less(child, least) {
-				least = child
-			}
-		}
-		if least == n {
-			return top
-		}
-		h.heap[n], h.heap[least] = h.heap[least], h.heap[n]
-		n = least
-	}
+func (q *configurationEventQueue) pop() *configurationEvent {
+	return heap.Pop(&q.pending).(*configurationEvent)
+}
+
+// release returns an executed event to the pool.
+func (q *configurationEventQueue) release(e *configurationEvent) {
+	*e = configurationEvent{}
+	q.free = append(q.free, e)
 }
 
-func (s *configurationSim) after(by time.Duration, do func()) {
-	s.events.push(configurationEvent{at: s.now + by, do: do})
+func (s *configurationSimulation) after(delay time.Duration, action func()) {
+	s.events.push(configurationEvent{at: s.now + delay, action: action})
 }
 
-func (s *configurationSim) tickAfter(by time.Duration, p *configurationProcess) {
-	s.events.push(configurationEvent{at: s.now + by, to: p, life: p.life})
+func (s *configurationSimulation) tickAfter(delay time.Duration, p *configurationProcess) {
+	s.events.push(configurationEvent{at: s.now + delay, to: p, incarnation: p.incarnation})
 }
 
-func (s *configurationSim) every(by time.Duration, do func()) {
-	s.after(by, func() { do(); s.every(by, do) })
+func (s *configurationSimulation) every(interval time.Duration, action func()) {
+	s.after(interval, func() { action(); s.every(interval, action) })
 }
 
-// runUntil plays all events up to a time.
-func (s *configurationSim) runUntil(end time.Duration) {
-	for len(s.events.heap) > 0 && s.events.heap[0].at <= end {
+// runUntil executes all events up to a time.
+func (s *configurationSimulation) runUntil(end time.Duration) {
+	for len(s.events.pending) > 0 && s.events.pending[0].at <= end {
 		e := s.events.pop()
 		s.now = e.at
-		switch {
-		case e.do != nil:
-			e.do()
-		case e.m != nil:
-			s.deliver(e)
-		case e.to.up && e.to.life == e.life:
-			s.tick(e.to)
-		}
-		*e = configurationEvent{}
-		s.events.free = append(s.events.free, e)
+		s.execute(e)
+		s.events.release(e)
 	}
 	s.now = end
 }
+
+func (s *configurationSimulation) execute(e *configurationEvent) {
+	switch {
+	case e.action != nil:
+		e.action()
+	case e.message != nil:
+		s.deliver(e)
+	case e.to.isUp && e.to.incarnation == e.incarnation:
+		s.tickProcess(e.to)
+	}
+}
--- a/internal/lab/emulator/configuration_faults.go
+++ b/internal/lab/emulator/configuration_faults.go
@@ -1,5 +1,3 @@
-// This file owns the emulated failures: what ends, is cut off, stands still or lies, and how it comes back.
-
 package emulator
 
 import (
@@ -8,223 +6,172 @@
 	"time"
 
 	"thymechute/internal/decide/configuration"
-	"thymechute/internal/decide/lease"
 )
 
 const (
-	detects = 6 * time.Second // until a silent member has left its zone's view
+	failureDetectionTime = 6 * time.Second // until a silent member is removed from its zone's view
+	viewSpread           = 2 * time.Second // at most, until all members of a zone have a new view
+	minRestartTime       = 2 * time.Second
+	restartJitter        = 6 * time.Second
+	releaseTime          = 3 * time.Second  // until a released member starts from its image
+	replacementTime      = 30 * time.Second // until a lost machine is replaced
+	rackOutage           = time.Minute
+	controlNodeOutage    = 10 * time.Second
+	leaseHolderPause     = 8 * time.Second
+	byzantineTime        = 2 * time.Minute
+	minRelayChildren     = 3 // of a relay that faults select
 )
 
-// late is a control machine that checked, stood still, and goes on without looking.
-func (s *configurationSim) late(c *configurationControl) {
-	if c.token == 0 {
-		return
-	}
-	in := c.State().Version()
-	v := configuration.Version{Token: c.token, Counter: in.Counter + 1}
-	r, err := configuration.NewResource(configuration.Tenant, "tenant-00000", "late", v)
-	if err != nil {
+// kill ends a process now; then schedules its restart.
+func (s *configurationSimulation) kill(p *configurationProcess, scheduleRestart func()) {
+	if !p.isUp {
 		return
 	}
-	command := configuration.Command{Base: in, Version: v, Changes: []configuration.Change{{Resource: r}}}
-	c.Propose(lease.Command{Kind: lease.Do, Duty: configurationDuty, Member: c.p.name, Life: uint64(c.p.life), Token: c.token,
-		Body: string(command.Encode())})
-}
-
-// kill ends a process now; what is to come back does so after down.
-func (s *configurationSim) kill(p *configurationProcess, back func()) {
-	if !p.up {
-		return
-	}
-	p.up = false
+	p.isUp = false
 	if p.member != nil {
-		p.fresh = s.now - p.member.Age(s.now)
-		life := p.life
-		s.after(detects+s.jitter(2*time.Second), func() {
-			if !p.up && p.life == life {
-				s.leave(p)
+		p.confirmedAt = s.now - p.member.Age(s.now)
+		incarnation := p.incarnation
+		s.after(failureDetectionTime+s.jitter(viewSpread), func() {
+			if !p.isUp && p.incarnation == incarnation {
+				s.removeFromZone(p)
 			}
 		})
 	}
-	back()
+	scheduleRestart()
 }
 
-func (s *configurationSim) restartLater(p *configurationProcess) func() {
-	return func() {
-		s.after(2*time.Second+s.jitter(6*time.Second), func() { s.back(p, p.member.State(), causeKept) })
-	}
+// restartLater schedules the restart of a member with its last state.
+func (s *configurationSimulation) restartLater(p *configurationProcess) func() {
+	return func() { s.restartAfter(minRestartTime+s.jitter(restartJitter), p) }
+}
+
+func (s *configurationSimulation) restartAfter(delay time.Duration, p *configurationProcess) {
+	s.after(delay, func() { s.restartMember(p, p.member.State(), recoveryFromSnapshot) })
 }
 
-// back starts a member again, in the view of its zone.
-func (s *configurationSim) back(p *configurationProcess, state *configuration.State, cause configurationCause) {
-	if p.up {
+// restartMember starts a member again and adds it to its zone's view.
+func (s *configurationSimulation) restartMember(p *configurationProcess, state *configuration.State, recovery configurationRecovery) {
+	if p.isUp {
 		return
 	}
 	if z := s.zones[p.zone]; !slices.Contains(z.members, p) {
 		p.claim.Since = uint64(s.now)
 		z.members = append(z.members, p)
-		s.plant(z)
-		s.replace(z)
+		s.rebuildTree(z)
+		s.distributeTree(z)
 	}
-	s.start(p, state, cause)
+	s.startMember(p, state, recovery)
 }
 
-func (s *configurationSim) leave(p *configurationProcess) {
+func (s *configurationSimulation) removeFromZone(p *configurationProcess) {
 	z := s.zones[p.zone]
-	z.members = slices.DeleteFunc(z.members, func(q *configurationProcess) bool { return q == p })
-	s.plant(z)
-	s.replace(z)
+	z.members = slices.DeleteFunc(z.members, func(other *configurationProcess) bool { return other == p })
+	s.rebuildTree(z)
+	s.distributeTree(z)
 }
 
-// replace tells a zone's members of its new tree, each when it hears.
-func (s *configurationSim) replace(z *configurationZone) {
+// distributeTree gives a zone's members their sources in the new tree, each when it learns the new view.
+func (s *configurationSimulation) distributeTree(z *configurationZone) {
 	tree := z.tree
 	for _, p := range z.members {
-		life := p.life
-		s.after(s.jitter(2*time.Second), func() {
-			if sources, there := tree[p.name]; there && p.up && p.life == life {
+		incarnation := p.incarnation
+		s.after(s.jitter(viewSpread), func() {
+			if sources, found := tree[p.name]; found && p.isUp && p.incarnation == incarnation {
 				p.member.SetSources(s.now, sources)
 			}
 		})
 	}
 }
 
-// some is a member that is up, at random.
-func (s *configurationSim) some() *configurationProcess {
+// randomMember is a random member that is up.
+func (s *configurationSimulation) randomMember() *configurationProcess {
+	members := s.memberProcesses()
 	for {
-		if p := s.all[s.day.controls+s.r.IntN(len(s.all)-s.day.controls)]; p.up {
+		if p := members[s.random.IntN(len(members))]; p.isUp {
 			return p
 		}
 	}
 }
 
-// die ends a member for good; another takes its place, from an image or from nothing.
-func (s *configurationSim) die(p *configurationProcess) {
+// release replaces a member's program by one whose image has the initial state.
+func (s *configurationSimulation) release(p *configurationProcess) {
+	s.kill(p, func() {
+		s.after(releaseTime, func() { s.restartMember(p, s.initialState, recoveryFromImage) })
+	})
+}
+
+// loseMachine ends a member for good; a new one replaces it, with the state of its image or with none.
+func (s *configurationSimulation) loseMachine(p *configurationProcess) {
 	s.kill(p, func() {
-		s.after(30*time.Second, func() {
-			q := s.add(fmt.Sprintf("%s-%d", p.name[:11], len(s.all)), p.region, p.zone)
-			q.claim.Name, q.claim.Rank = q.name, -1
-			if s.r.IntN(2) == 0 {
-				s.back(q, configuration.Empty(), causeEmpty)
+		s.after(replacementTime, func() {
+			replacement := s.addProcess(fmt.Sprintf("%s-%d", p.name[:len("member-0000")], len(s.processes)), p.region, p.zone)
+			replacement.claim.Name, replacement.claim.Rank = replacement.name, -1
+			if s.random.IntN(2) == 0 {
+				s.restartMember(replacement, configuration.Empty(), recoveryFromNothing)
 			} else {
-				s.back(q, s.first, causeImage)
+				s.restartMember(replacement, s.initialState, recoveryFromImage)
 			}
 		})
 	})
 }
 
-func (s *configurationSim) rack() {
-	z := s.zones[s.r.IntN(len(s.zones))]
-	for _, p := range slices.Clone(z.members[:min(s.day.inARack, len(z.members))]) {
-		s.kill(p, func() { s.after(time.Minute, func() { s.back(p, p.member.State(), causeKept) }) })
+func (s *configurationSimulation) failRack() {
+	z := s.zones[s.random.IntN(len(s.zones))]
+	for _, p := range slices.Clone(z.members[:min(s.scenario.rackSize, len(z.members))]) {
+		s.kill(p, func() { s.restartAfter(rackOutage, p) })
 	}
 }
 
-func (s *configurationSim) loseZone() {
-	for _, p := range slices.Clone(s.zones[s.r.IntN(len(s.zones))].members) {
-		s.kill(p, func() {
-			s.after(s.day.zoneOff+s.jitter(5*time.Second), func() { s.back(p, p.member.State(), causeKept) })
-		})
+func (s *configurationSimulation) failZone() {
+	for _, p := range slices.Clone(s.zones[s.random.IntN(len(s.zones))].members) {
+		s.kill(p, func() { s.restartAfter(s.scenario.zoneOutage+s.jitter(5*time.Second), p) })
 	}
 }
 
-func (s *configurationSim) restartHalf() {
-	for n, p := range slices.Clone(s.all[s.day.controls:]) {
-		if n%2 == 0 && p.up {
+// restartHalf restarts every other member at once.
+func (s *configurationSimulation) restartHalf() {
+	for n, p := range slices.Clone(s.memberProcesses()) {
+		if n%2 == 0 && p.isUp {
 			s.kill(p, s.restartLater(p))
 		}
 	}
 }
 
-func (s *configurationSim) deceive() {
-	p := s.some()
-	for n := 0; n < 1000 && p.member.Children() < 3; n++ {
-		p = s.some()
+// corruptRelay makes a relay byzantine for a while.
+func (s *configurationSimulation) corruptRelay() {
+	p := s.randomMember()
+	for n := 0; n < 1000 && p.member.Children() < minRelayChildren; n++ {
+		p = s.randomMember()
 	}
-	p.lies = true
-	s.after(2*time.Minute, func() { p.lies = false })
+	p.isByzantine = true
+	s.after(byzantineTime, func() { p.isByzantine = false })
 }
 
-func (s *configurationSim) pauseOwner() {
-	for _, p := range s.all[:s.day.controls] {
-		if _, holds := p.control.holder.May(p.control.clock(), configurationDuty); !holds || !p.up {
+// pauseLeaseHolder pauses the lease holder past its lease; it goes on without checking the lease.
+func (s *configurationSimulation) pauseLeaseHolder() {
+	for _, p := range s.controlProcesses() {
+		if _, isHolder := p.control.holder.May(p.control.clock(), configurationDuty); !isHolder || !p.isUp {
 			continue
 		}
-		p.paused = true
-		s.after(8*time.Second, func() {
-			p.paused = false
-			if p.up {
-				s.late(p.control)
+		p.isPaused = true
+		s.after(leaseHolderPause, func() {
+			p.isPaused = false
+			if p.isUp {
+				p.control.proposeWithoutLeaseCheck()
 			}
 		})
 		return
 	}
 }
 
-func (s *configurationSim) restartControl(n int) {
-	p := s.all[n]
-	if !p.up {
+func (s *configurationSimulation) restartControlNode(index int) {
+	p := s.processes[index]
+	if !p.isUp {
 		return
 	}
-	p.up = false
-	s.after(10*time.Second, func() {
-		p.control.begin()
-		s.tick(p)
-	})
-}
-
-func (s *configurationSim) cutRegion(n int) {
-	from := s.now
-	s.net.cutRegion(n, true)
-	s.unreachable(func(p *configurationProcess) bool { return p.region == n })
-	s.after(s.day.regionCut, func() {
-		s.net.cutRegion(n, false)
-		s.healed(from, func(p *configurationProcess) bool { return p.region == n })
+	p.isUp = false
+	s.after(controlNodeOutage, func() {
+		p.control.start()
+		s.tickProcess(p)
 	})
 }
-
-func (s *configurationSim) cutZone() {
-	from, n := s.now, s.r.IntN(len(s.zones))
-	s.net.zoneCut[n] = true
-	s.unreachable(func(p *configurationProcess) bool { return p.zone == n })
-	s.after(s.day.zoneCut, func() {
-		s.net.zoneCut[n] = false
-		s.healed(from, func(p *configurationProcess) bool { return p.zone == n })
-	})
-}
-
-// cutPair cuts two regions from each other: all can still be reached through the others.
-func (s *configurationSim) cutPair() {
-	a := s.all[s.log.leader].region
-	b := (a + 1 + s.r.IntN(s.day.Regions-1)) % s.day.Regions
-	s.net.cut[a][b], s.net.cut[b][a] = true, true
-	s.after(s.day.zoneCut, func() { s.net.cut[a][b], s.net.cut[b][a] = false, false })
-}
-
-const never = time.Duration(1 << 62)
-
-func (s *configurationSim) unreachable(those func(*configurationProcess) bool) {
-	for _, p := range s.all {
-		if those(p) {
-			p.since, p.done = never, true
-		}
-	}
-}
-
-// healed counts from now; who was cut off the whole time must have said so.
-func (s *configurationSim) healed(from time.Duration, those func(*configurationProcess) bool) {
-	const slack = 12 * time.Second // of what it heard last, by polls down the tree
-	for _, p := range s.all {
-		if !those(p) || !p.up {
-			continue
-		}
-		if p.member != nil && p.since == never && p.member.Age(s.now) < s.now-from-slack {
-			s.judge.figures.AgeWrong++
-		}
-		cause := causeHeal
-		if p.bytes.starting() {
-			cause = p.cause
-		}
-		s.reachableAgain(p, cause)
-	}
-}
--- a/internal/lab/emulator/configuration_log.go
+++ b/internal/lab/emulator/configuration_log.go
@@ -1,6 +1,3 @@
-// This file owns the agreed log among the control machines as the emulator has it: a leader that some voters reach,
-// entries agreed after a quorum's round trip, members that hear them late. It stands in for raft and decides no duty.
-
 package emulator
 
 import (
@@ -12,197 +9,149 @@
 )
 
 const (
-	configurationDuty    = "configuration"
-	configurationLogStep = 100 * time.Millisecond
-	electAfter           = time.Second     // without a leader that a quorum reaches
-	trailing             = time.Second / 2 // by which a machine's copy may be confirmed late
+	configurationLogInterval = 100 * time.Millisecond // between steps of the log
+	electionTimeout          = time.Second            // without a leader that has a quorum
+	proposalLossPercent      = 1
+	duplicateEntryOdds       = 50 // one in so many effective entries is committed twice
 )
 
-var configurationLease = lease.Lease{Length: 2 * time.Second, Drift: 0.01, Margin: 20 * time.Millisecond}
-
-type configurationEntry struct {
-	lease.Command
-	change *configuration.Command // nil: none
-	made   bool                   // the judge's word
-	stale  bool                   // issued under a token older than the last that was granted
-}
-
+// configurationLog is the replicated log among the control nodes, a stand-in for raft: a leader that a quorum of voters
+// reaches, entries that are committed after a round trip to a quorum, and nodes that receive them later.
 type configurationLog struct {
-	entries []configurationEntry
-	leader  int
-	without time.Duration // since when no quorum reaches the leader; 0: one does
+	entries         []configurationEntry
+	leader          int           // index of its process
+	leaderlessSince time.Duration // since no quorum reaches the leader; 0: one does
 }
 
-// configurationControl is a control machine: its copy of the log, its part in the duty, its store and what it serves.
-type configurationControl struct {
-	*configuration.ControlNode
-	p       *configurationProcess
-	store   *configuration.Store
-	table   *lease.Table
-	holder  *lease.Holder
-	at      int // entries applied
-	token   uint64
-	started time.Duration
-	minor   time.Duration // since when it is cut from the leader's quorum; 0: it isn't
+type configurationEntry struct {
+	lease.Command
+	change  *configuration.Command // nil: none
+	isStale bool                   // proposed under an older token than the last that was granted
 }
 
-func newConfigurationControl(p *configurationProcess) *configurationControl {
-	c := &configurationControl{p: p, store: configuration.NewStore(p.s.first, 0)}
-	c.table, _ = lease.NewTable(configurationDuty)
-	c.begin()
-	return c
-}
+func (s *configurationSimulation) leader() *configurationProcess { return s.processes[s.log.leader] }
 
-// begin starts the process on what its disk has: the log's copy, the table and the store.
-func (c *configurationControl) begin() {
-	s, p := c.p.s, c.p
-	p.life++
-	p.up, p.paused = true, false
-	p.last, c.started, c.token = c.store.State().Version(), s.now, 0
-	c.ControlNode = configuration.NewControlNode(s.now, p, c.store)
-	c.holder = lease.NewHolder(c, c.table, configurationLease, p.name, uint64(p.life))
-	c.holder.Placed(configurationDuty, p.n)
-	c.holder.CaughtUp(0)
-	p.bytes.begin(s.now)
-	p.bytes.started(s.now)
+func (s *configurationSimulation) voters() []*configurationProcess {
+	return s.processes[:s.scenario.voters]
 }
 
-func (c *configurationControl) clock() time.Duration { return c.p.s.now - c.started }
-
-// Propose, Holds and Lost make it the lease.Host of its process.
-func (c *configurationControl) Propose(command lease.Command) { c.p.s.propose(c.p, command) }
-
-// Holds keeps the token, for what it does without looking.
-func (c *configurationControl) Holds(_ string, token uint64) { c.token = token }
+// isRunning reports whether the process is up and not paused.
+func (p *configurationProcess) isRunning() bool { return p.isUp && !p.isPaused }
 
-// Lost changes nothing: the token is kept.
-func (c *configurationControl) Lost(string) {}
-
-// leads tells whether a quorum of the voters reaches a machine.
-func (s *configurationSim) leads(n int) bool {
+// hasQuorum reports whether a process is running and reaches a quorum of the voters.
+func (s *configurationSimulation) hasQuorum(p *configurationProcess) bool {
 	reached := 0
-	for _, p := range s.all[:s.day.voters] {
-		if p.up && !p.paused && s.net.reach(s.all[n], p) {
+	for _, voter := range s.voters() {
+		if voter.isRunning() && s.network.isReachable(p, voter) {
 			reached++
 		}
 	}
-	return s.all[n].up && !s.all[n].paused && reached > s.day.voters/2
+	return p.isRunning() && reached > s.scenario.voters/2
 }
 
-// propose sends a command to the leader; where a quorum agrees it becomes an entry.
-func (s *configurationSim) propose(p *configurationProcess, c lease.Command) {
-	leader := s.all[s.log.leader]
-	there := s.net.delay[p.region][leader.region] + s.jitter(20*time.Millisecond)
-	s.after(there, func() {
-		if !s.net.reach(p, leader) || !s.leads(leader.n) || s.r.IntN(100) == 0 {
-			s.judge.figures.LostProposals++
+// propose sends a command to the leader; where a quorum commits it, it becomes an entry.
+func (s *configurationSimulation) propose(p *configurationProcess, c lease.Command) {
+	leader := s.leader()
+	delay := s.network.delay[p.region][leader.region] + s.jitter(20*time.Millisecond)
+	s.after(delay, func() {
+		if !s.network.isReachable(p, leader) || !s.hasQuorum(leader) || s.random.IntN(100) < proposalLossPercent {
+			s.checker.result.ProposalsLost++
 			return
 		}
-		s.after(s.quorumTrip(leader), func() {
-			if s.log.leader == leader.n && s.leads(leader.n) {
-				s.agree(c)
+		s.after(s.quorumRoundTrip(leader), func() {
+			if s.leader() == leader && s.hasQuorum(leader) {
+				s.appendEntry(c)
 			} else {
-				s.judge.figures.LostProposals++
+				s.checker.result.ProposalsLost++
 			}
 		})
 	})
 }
 
-// quorumTrip is how long the leader's round to the nearest quorum takes.
-func (s *configurationSim) quorumTrip(leader *configurationProcess) time.Duration {
-	var trips []time.Duration
-	for _, p := range s.all[:s.day.voters] {
-		if p != leader && p.up && !p.paused && s.net.reach(leader, p) {
-			trips = append(trips, 2*s.net.delay[leader.region][p.region])
+// quorumRoundTrip is the leader's round trip to the nearest quorum.
+func (s *configurationSimulation) quorumRoundTrip(leader *configurationProcess) time.Duration {
+	var roundTrips []time.Duration
+	for _, p := range s.voters() {
+		if p != leader && p.isRunning() && s.network.isReachable(leader, p) {
+			roundTrips = append(roundTrips, 2*s.network.delay[leader.region][p.region])
 		}
 	}
-	slices.Sort(trips)
-	return trips[min(s.day.voters/2-1, len(trips)-1)]
+	slices.Sort(roundTrips)
+	return roundTrips[min(s.scenario.voters/2-1, len(roundTrips)-1)]
 }
 
-// agree puts a command into the log; now and then it comes a second time.
-func (s *configurationSim) agree(c lease.Command) {
-	e := configurationEntry{Command: c}
+// appendEntry commits a command and sends it to the control nodes. Some commands are committed a second time later.
+func (s *configurationSimulation) appendEntry(c lease.Command) {
+	entry := configurationEntry{Command: c}
 	if c.Kind == lease.Do {
-		if command, err := configuration.DecodeCommand([]byte(c.Body)); err == nil {
-			e.change = &command
-		} else {
+		change, err := configuration.DecodeCommand([]byte(c.Body))
+		if err != nil {
 			return
 		}
+		entry.change = &change
+		granted, _ := s.checker.table.At(configurationDuty)
+		entry.isStale = c.Token < granted.Token
 	}
-	before, _ := s.judge.table.At(configurationDuty)
-	e.stale = c.Kind == lease.Do && c.Token < before.Token
-	s.log.entries = append(s.log.entries, e)
+	s.log.entries = append(s.log.entries, entry)
 	index := len(s.log.entries)
-	var asked time.Duration
-	if len(s.waiting) > 0 {
-		asked = s.waiting[0].at
+	var requestedAt time.Duration
+	if len(s.pendingChanges) > 0 {
+		requestedAt = s.pendingChanges[0].requestedAt
 	}
-	made := s.judge.commit(uint64(index), c, e.change, asked)
-	s.log.entries[index-1].made = made
-	if made && len(s.waiting) > 0 {
-		s.waiting = s.waiting[1:]
+	isEffective := s.checker.commit(uint64(index), entry, requestedAt)
+	if isEffective && len(s.pendingChanges) > 0 {
+		s.pendingChanges = s.pendingChanges[1:]
 	}
-	for _, p := range s.all[:s.day.controls] {
-		delay := s.net.delay[s.all[s.log.leader].region][p.region]
-		s.after(delay+s.jitter(delay/4), func() { s.hear(p, index) })
+	for _, p := range s.controlProcesses() {
+		delay := s.network.delay[s.leader().region][p.region]
+		s.after(delay+s.jitter(delay/4), func() { s.applyEntries(p, index) })
 	}
-	if made && s.r.IntN(50) == 0 {
-		s.after(s.jitter(3*time.Second), func() { s.agree(c) })
+	if isEffective && s.random.IntN(duplicateEntryOdds) == 0 {
+		s.after(s.jitter(3*time.Second), func() { s.appendEntry(c) })
 	}
 }
 
-// hear applies the log's entries up to one, where the leader reaches the machine.
-func (s *configurationSim) hear(p *configurationProcess, upTo int) {
-	c := p.control
-	if !p.up || p.paused || !s.net.reach(s.all[s.log.leader], p) {
-		return
-	}
-	for ; c.at < upTo; c.at++ {
-		e := s.log.entries[c.at]
-		outcome := c.holder.Applied(c.clock(), uint64(c.at+1), e.Command)
-		if e.Kind == lease.Claim && outcome.Accepted {
-			c.LeaseGranted(outcome.Token)
-		}
-		if e.change == nil {
+// stepLog elects a leader where there is none, and lets the control nodes catch up, confirm and tick.
+func (s *configurationSimulation) stepLog() {
+	s.electLeader()
+	leader := s.leader()
+	leaderHasQuorum := s.hasQuorum(leader)
+	for _, p := range s.controlProcesses() {
+		if !p.isRunning() {
 			continue
 		}
-		if accepted := c.Apply(s.now, *e.change) == nil; accepted && e.stale {
-			s.judge.figures.StaleAccepted++
+		if leaderHasQuorum && s.network.isReachable(leader, p) {
+			p.control.isolatedSince = 0
+			s.catchUp(p)
+		} else if p.control.isolatedSince == 0 {
+			p.control.isolatedSince = s.now
 		}
+		p.control.holder.Tick(p.control.clock())
 	}
 }
 
-// logStep elects a leader where there is none, and lets machines catch up, confirm and tick.
-func (s *configurationSim) logStep() {
+// electLeader replaces a leader that has been without a quorum for electionTimeout.
+func (s *configurationSimulation) electLeader() {
 	l := &s.log
 	switch {
-	case s.leads(l.leader):
-		l.without = 0
-	case l.without == 0:
-		l.without = s.now
-	case s.now-l.without > electAfter:
-		if next := slices.IndexFunc(s.all[:s.day.voters], func(p *configurationProcess) bool { return s.leads(p.n) }); next >= 0 {
-			l.leader, l.without = next, 0
+	case s.hasQuorum(s.leader()):
+		l.leaderlessSince = 0
+	case l.leaderlessSince == 0:
+		l.leaderlessSince = s.now
+	case s.now-l.leaderlessSince > electionTimeout:
+		if next := slices.IndexFunc(s.voters(), s.hasQuorum); next >= 0 {
+			l.leader, l.leaderlessSince = next, 0
 		}
 	}
-	whole := s.leads(l.leader)
-	for _, p := range s.all[:s.day.controls] {
-		if !p.up || p.paused {
-			continue
-		}
-		if whole && s.net.reach(s.all[l.leader], p) {
-			p.control.minor = 0
-			entries, life := len(l.entries), p.life
-			s.after(s.net.delay[s.all[l.leader].region][p.region], func() {
-				s.hear(p, entries)
-				if p.life == life && p.up && !p.paused && p.control.at >= entries {
-					p.control.LogConfirmed(s.now)
-				}
-			})
-		} else if p.control.minor == 0 {
-			p.control.minor = s.now
+}
+
+// catchUp sends all entries to a control node, and confirms the log to it once it has applied them.
+func (s *configurationSimulation) catchUp(p *configurationProcess) {
+	entries, incarnation := len(s.log.entries), p.incarnation
+	s.after(s.network.delay[s.leader().region][p.region], func() {
+		s.applyEntries(p, entries)
+		if p.incarnation == incarnation && p.isRunning() && p.control.appliedEntries >= entries {
+			p.control.LogConfirmed(s.now)
 		}
-		p.control.holder.Tick(p.control.clock())
-	}
+	})
 }
--- /dev/null
+++ b/internal/lab/emulator/configuration_network.go
@@ -0,0 +1,177 @@
+package emulator
+
+import (
+	"math/rand/v2"
+	"time"
+
+	"thymechute/internal/decide/configuration"
+)
+
+// Approximate costs of a message beside its own bytes. A message over maxDatagramBytes is sent on a stream.
+const (
+	maxDatagramBytes      = 1200
+	datagramOverheadBytes = 64   // IP, UDP, and memberlist's envelope (nonce, tag, type, label)
+	streamOverheadBytes   = 700  // IP and TCP of ten packets that open, acknowledge and close
+	segmentPayloadBytes   = 1400 // of a stream
+	segmentOverheadBytes  = 60   // IP and TCP of a segment, and half as much for its acknowledgement
+)
+
+// Behaviour of links. The rates are of datagrams.
+const (
+	streamBytesPerSecond = 4 << 20
+	lossWithinRegion     = 0.002
+	lossBetweenRegions   = 0.01
+	duplicateRate        = 0.002
+	maxDuplicateDelay    = 2 * time.Second
+	delayWithinRegion    = 2 * time.Millisecond
+	minRegionDelayMS     = 40
+	maxRegionDelayMS     = 150
+)
+
+// configurationNetwork is the links between processes: their delays, and which are cut.
+type configurationNetwork struct {
+	delay     [][]time.Duration // one way, by region
+	regionCut [][]bool          // by pair of regions
+	zoneCut   []bool            // from all other zones and the control nodes
+}
+
+func newConfigurationNetwork(scenario ConfigurationScenario, random *rand.Rand) configurationNetwork {
+	n := configurationNetwork{
+		delay:     make([][]time.Duration, scenario.Regions),
+		regionCut: make([][]bool, scenario.Regions),
+		zoneCut:   make([]bool, scenario.Zones),
+	}
+	for a := range scenario.Regions {
+		n.delay[a] = make([]time.Duration, scenario.Regions)
+		n.regionCut[a] = make([]bool, scenario.Regions)
+		n.delay[a][a] = delayWithinRegion
+		for b := range a {
+			n.delay[a][b] = time.Duration(minRegionDelayMS+random.IntN(maxRegionDelayMS-minRegionDelayMS+1)) * time.Millisecond
+			n.delay[b][a] = n.delay[a][b]
+		}
+	}
+	return n
+}
+
+// isReachable reports whether a message from one process reaches the other now.
+func (n *configurationNetwork) isReachable(a, b *configurationProcess) bool {
+	if n.regionCut[a.region][b.region] {
+		return false
+	}
+	return a.zone == b.zone || !n.isInCutZone(a) && !n.isInCutZone(b)
+}
+
+func (n *configurationNetwork) isInCutZone(p *configurationProcess) bool {
+	return p.zone != noZone && n.zoneCut[p.zone]
+}
+
+// isIsolated reports whether nobody outside its zone or region reaches a process.
+func (n *configurationNetwork) isIsolated(p *configurationProcess) bool {
+	for region, isCut := range n.regionCut[p.region] {
+		if region != p.region && !isCut {
+			return n.isInCutZone(p)
+		}
+	}
+	return true
+}
+
+// setRegionCut cuts a region from all others, or connects it again.
+func (n *configurationNetwork) setRegionCut(region int, isCut bool) {
+	for other := range n.regionCut {
+		if other != region {
+			n.setPairCut(region, other, isCut)
+		}
+	}
+}
+
+// setPairCut cuts two regions from each other, or connects them again.
+func (n *configurationNetwork) setPairCut(a, b int, isCut bool) {
+	n.regionCut[a][b], n.regionCut[b][a] = isCut, isCut
+}
+
+// send counts a message's bytes and schedules its arrival, unless it is lost.
+func (s *configurationSimulation) send(from, to *configurationProcess, m configuration.Message) {
+	if from.isByzantine {
+		m = s.corrupt(m)
+	}
+	s.encodeBuffer = configuration.Append(s.encodeBuffer[:0], m)
+	size := len(s.encodeBuffer)
+	isStream := size > maxDatagramBytes
+	wireBytes := wireBytesOf(size)
+	s.checker.result.Messages++
+	s.countTraffic(from, wireBytes)
+	delay := s.network.delay[from.region][to.region]
+	delay += s.jitter(delay/4) + s.jitter(time.Millisecond)
+	if isStream {
+		delay = 3*delay + time.Duration(float64(size)/streamBytesPerSecond*float64(time.Second))
+	}
+	if !isStream && s.random.Float64() < lossRate(from, to) || !s.network.isReachable(from, to) {
+		return
+	}
+	event := configurationEvent{at: s.now + delay, from: from, to: to, incarnation: from.incarnation, wireBytes: wireBytes,
+		isStream: isStream, message: m}
+	s.events.push(event)
+	if !isStream && s.random.Float64() < duplicateRate {
+		event.at += s.jitter(maxDuplicateDelay)
+		s.events.push(event)
+	}
+}
+
+// wireBytesOf is what a message of an encoded size takes on the wire, in one direction.
+func wireBytesOf(size int) int {
+	if size <= maxDatagramBytes {
+		return size + datagramOverheadBytes
+	}
+	segments := (size + segmentPayloadBytes - 1) / segmentPayloadBytes
+	return size + streamOverheadBytes + segments*segmentOverheadBytes*3/2
+}
+
+func lossRate(from, to *configurationProcess) float64 {
+	if from.region == to.region {
+		return lossWithinRegion
+	}
+	return lossBetweenRegions
+}
+
+// corrupt is what a byzantine relay sends instead of a message: one body or root altered, and all else as it was.
+func (s *configurationSimulation) corrupt(m configuration.Message) configuration.Message {
+	switch m := m.(type) {
+	case configuration.Delta:
+		return s.corruptDelta(m)
+	case configuration.RepairReply:
+		m.Root++
+		s.checker.result.MessagesCorrupted++
+		return m
+	}
+	return m
+}
+
+func (s *configurationSimulation) corruptDelta(m configuration.Delta) configuration.Delta {
+	for n, c := range m.Changes {
+		if c.Removed {
+			continue
+		}
+		r, err := configuration.NewResource(c.Resource.Type, c.Resource.Name, "0"+c.Resource.Body, c.Resource.Version)
+		if err != nil {
+			return m
+		}
+		corrupted := append([]configuration.Change(nil), m.Changes...)
+		corrupted[n].Resource = r
+		m.Changes = corrupted
+		s.checker.result.MessagesCorrupted++
+		return m
+	}
+	return m
+}
+
+// deliver hands a message to its receiver, unless the link was cut meanwhile, or the sender of a stream has died.
+func (s *configurationSimulation) deliver(e *configurationEvent) {
+	if !e.to.isRunning() || !s.network.isReachable(e.from, e.to) {
+		return
+	}
+	if e.isStream && (e.from.incarnation != e.incarnation || !e.from.isUp) {
+		return
+	}
+	s.countTraffic(e.to, e.wireBytes)
+	e.to.receive(e.from.name, e.message)
+}
