--- a/internal/fake/crashdisk/crashdisk.go
+++ b/internal/fake/crashdisk/crashdisk.go
@@ -169,7 +169,7 @@
 }
 
 // Folder is the folder as a process of this life sees it.
-func (d *Disk) Folder() disk.Folder {
+func (d *Disk) Folder() disk.Directory {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return &folder{d, d.life}
@@ -185,7 +185,7 @@
 	f.d.mu.Lock()
 	defer f.d.mu.Unlock()
 	for _, n := range names {
-		if err := disk.Name(n); err != nil {
+		if err := disk.ValidateName(n); err != nil {
 			return err
 		}
 	}
--- a/internal/fake/crashdisk/crashdisk_test.go
+++ b/internal/fake/crashdisk/crashdisk_test.go
@@ -37,7 +37,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		both := []disk.Folder{real, New().Folder()}
+		both := []disk.Directory{real, New().Folder()}
 		for range rapid.IntRange(1, 30).Draw(t, "steps") {
 			file := rapid.SampledFrom([]string{"a", "b", ".c", "d/e"}).Draw(t, "file")
 			to := rapid.SampledFrom([]string{"a", "b"}).Draw(t, "to")
--- a/internal/state/disk/disk.go
+++ b/internal/state/disk/disk.go
@@ -1,140 +1,66 @@
-// Package disk is the few file calls that state which outlives the process may make: one folder, files that are only
-// appended to and cut, names that are made, renamed and removed. What outlives a crash is said at each call, and no
-// more may be relied on; internal/fake/crashdisk holds callers to it. It keeps no table, and must never retry, hide
-// an error, or touch anything outside its folder.
+// Package disk defines the file operations that durable state may use: one directory of files that are appended to and
+// truncated, and whose names are created, renamed and removed. Each operation documents what survives a crash, and callers may
+// rely on no more than that; internal/fake/crashdisk tests them against it. Operations are never retried, and their errors are
+// returned as they are. A Directory and a File have no locks of their own: concurrent use is as safe as that of os.File.
 package disk
 
 import (
 	"errors"
 	"fmt"
 	"io"
-	"os"
-	"path/filepath"
 	"strings"
-	"syscall"
-
-	"golang.org/x/sys/unix"
 )
 
-// ErrLocked: another process has the folder.
-var ErrLocked = errors.New("folder is in use by another process")
-
-// Folder is one, without folders in it. Names are 1 to 100 bytes without a slash, and do not begin with a dot.
-type Folder interface {
-	Names() ([]string, error)             // of its files, sorted
-	Create(name string) (File, error)     // an error where it is there
-	Open(name string) (File, error)       // to read and to append
-	Rename(from, to string) error         // what stood under to is gone; after a crash it is done or not, never half
-	Remove(name string) error             //
-	Sync() error                          // all names as they are now outlive a crash
-	Lock() (unlock func() error, _ error) // ErrLocked where another has it; a crash unlocks
+// ErrLocked reports that another process has locked the directory.
+var ErrLocked = errors.New("directory is in use by another process")
+
+// maxNameBytes bounds the name of a file.
+const maxNameBytes = 100
+
+// Directory is a directory without subdirectories. File names are as ValidateName allows.
+type Directory interface {
+	// Names lists the files in sorted order.
+	Names() ([]string, error)
+	// Create creates a file; it is an error if the file exists.
+	Create(name string) (File, error)
+	// Open opens an existing file for reading and appending.
+	Open(name string) (File, error)
+	// Rename replaces a file atomically: after a crash it is done or not, never in part.
+	Rename(from, to string) error
+	// Remove removes a file.
+	Remove(name string) error
+	// Sync makes all names as they are now survive a crash.
+	Sync() error
+	// Lock locks the directory, with ErrLocked where another process has locked it. A crash releases the lock.
+	Lock() (unlock func() error, err error)
 }
 
-// File is one that is open.
+// File is an open file.
 type File interface {
 	io.ReaderAt
+	// Size is the size in bytes.
 	Size() (int64, error)
-	Append(p []byte) (int, error) // after a crash any beginning of what was not synced may be there, and rubbish behind it
-	Truncate(size int64) error    // may be undone by a crash before the next Sync
-	Sync() error                  // all up to here outlives a crash. After an error nothing since the last good one is sure, also if a later one is good
+	// Append writes at the end. After a crash any prefix of what was not synced may be there, followed by arbitrary bytes.
+	Append(p []byte) (int, error)
+	// Truncate changes the size in bytes. A crash before the next Sync may undo it.
+	Truncate(size int64) error
+	// Sync makes everything so far survive a crash. After an error nothing written since the last successful Sync is certain to
+	// survive, even if a later Sync succeeds.
+	Sync() error
 	Close() error
 }
 
-// Name tells whether it may name a file here.
-func Name(name string) error {
-	if len(name) < 1 || len(name) > 100 || strings.ContainsAny(name, "/\\\x00") || strings.HasPrefix(name, ".") {
-		return fmt.Errorf("file name: found %.110q, expected 1 to 100 bytes without a slash or a dot in front", name)
+// ValidateName returns a *NameError if a file here may not have the name.
+func ValidateName(name string) error {
+	if len(name) < 1 || len(name) > maxNameBytes || strings.ContainsAny(name, "/\\\x00") || strings.HasPrefix(name, ".") {
+		return &NameError{Name: name}
 	}
 	return nil
 }
 
-type folder string
-
-// Open takes a folder that is there.
-func Open(path string) (Folder, error) {
-	info, err := os.Stat(path)
-	if err != nil {
-		return nil, err
-	}
-	if !info.IsDir() {
-		return nil, fmt.Errorf("%s: found a file, expected a folder", path)
-	}
-	return folder(path), nil
-}
-
-func (f folder) path(name string) string { return filepath.Join(string(f), name) }
-
-func (f folder) Names() (names []string, err error) {
-	all, err := os.ReadDir(string(f))
-	for _, e := range all {
-		if e.Type().IsRegular() && Name(e.Name()) == nil {
-			names = append(names, e.Name())
-		}
-	}
-	return names, err
-}
-
-func (f folder) Create(name string) (File, error) { return f.open(name, os.O_CREATE|os.O_EXCL) }
-
-func (f folder) Open(name string) (File, error) { return f.open(name, 0) }
-
-func (f folder) open(name string, how int) (File, error) {
-	if err := Name(name); err != nil {
-		return nil, err
-	}
-	file, err := os.OpenFile(f.path(name), os.O_RDWR|os.O_APPEND|how, 0o600)
-	if err != nil {
-		return nil, err
-	}
-	return open{file}, nil
-}
-
-func (f folder) Rename(from, to string) error {
-	if err := errors.Join(Name(from), Name(to)); err != nil {
-		return err
-	}
-	return os.Rename(f.path(from), f.path(to))
-}
-
-func (f folder) Remove(name string) error {
-	if err := Name(name); err != nil {
-		return err
-	}
-	return os.Remove(f.path(name))
-}
-
-func (f folder) Sync() error {
-	d, err := os.Open(string(f))
-	if err != nil {
-		return err
-	}
-	return errors.Join(d.Sync(), d.Close())
-}
-
-// Lock holds a lock of the kernel's on the folder itself, so that no file is left by a crash.
-func (f folder) Lock() (func() error, error) {
-	d, err := os.Open(string(f))
-	if err != nil {
-		return nil, err
-	}
-	if err := unix.Flock(int(d.Fd()), unix.LOCK_EX|unix.LOCK_NB); err != nil {
-		d.Close()
-		if errors.Is(err, syscall.EWOULDBLOCK) {
-			err = ErrLocked
-		}
-		return nil, err
-	}
-	return d.Close, nil
-}
-
-type open struct{ *os.File }
+// NameError reports an invalid file name.
+type NameError struct{ Name string }
 
-func (o open) Size() (int64, error) {
-	info, err := o.Stat()
-	if err != nil {
-		return 0, err
-	}
-	return info.Size(), nil
+func (e *NameError) Error() string {
+	return fmt.Sprintf("file name: found %.110q, expected 1 to %d bytes without a slash and not starting with a dot", e.Name, maxNameBytes)
 }
-
-func (o open) Append(p []byte) (int, error) { return o.Write(p) }
