--- a/internal/state/disk/os.go
+++ b/internal/state/disk/os.go
@@ -41,7 +41,9 @@
 }
 
 // Create implements Directory.
-func (d osDirectory) Create(name string) (File, error) { return d.openFile(name, os.O_CREATE|os.O_EXCL) }
+func (d osDirectory) Create(name string) (File, error) {
+	return d.openFile(name, os.O_CREATE|os.O_EXCL)
+}
 
 // Open implements Directory.
 func (d osDirectory) Open(name string) (File, error) { return d.openFile(name, 0) }
