--- a/cmd/thymechute/agreed.go
+++ b/cmd/thymechute/agreed.go
@@ -47,7 +47,7 @@
 	if own.Process, own.Log = a.process, o.Advertise; o.Advertise == "" {
 		own.Log = o.Bind
 	}
-	if now := time.Now(); !o.FoundAt.IsZero() && now.Sub(o.FoundAt).Abs() < foundFor {
+	if now := time.Now(); !o.BootstrapAt.IsZero() && now.Sub(o.BootstrapAt).Abs() < foundFor {
 		a.founds = now.Add(foundAfter)
 	}
 	return a
@@ -56,7 +56,7 @@
 // start begins to follow the log. Errors: an address that can't be bound.
 func (a *agreed) start(o *operator.Log, m *membership.Member, life uint64) error {
 	a.member = m
-	length := time.Duration(o.LeaseMS) * time.Millisecond
+	length := time.Duration(o.LeaseDurationMS) * time.Millisecond
 	lease := lease.Lease{Length: length, Drift: drift, Margin: length / 50}
 	send := func(process string, b []byte) error { return m.Send(process[:strings.LastIndexByte(process, '#')], b) }
 	d, err := consensus.Drive(consensus.Config{Process: a.process, Bind: o.Bind, Advertise: o.Advertise, Duties: duties, Beat: length * 3 / 10},
@@ -65,7 +65,7 @@
 		return err
 	}
 	a.driver.Store(d)
-	d.Care(a.peers, quorum.Bounds{Most: o.Voters, Settle: length, HoldDown: 2 * length}, a.changed)
+	d.Care(a.peers, quorum.Bounds{Most: o.MaxVoters, Settle: length, HoldDown: 2 * length}, a.changed)
 	return nil
 }
 
--- a/cmd/thymechute/fleet.go
+++ b/cmd/thymechute/fleet.go
@@ -100,8 +100,8 @@
 		f.agreed = newAgreed(o.Log, &f.own, name, log)
 	}
 	var err error
-	f.member, err = membership.Start(membership.Config{Name: name, Bind: o.Bind, Advertise: o.Advertise, Seeds: seeds, Most: o.Most, Record: f.own,
-		Probe: time.Duration(o.ProbeMS) * time.Millisecond, Sync: time.Duration(o.SyncMS) * time.Millisecond, Message: f.agreed.incoming}, watch)
+	f.member, err = membership.Start(membership.Config{Name: name, Bind: o.Bind, Advertise: o.Advertise, Seeds: seeds, Most: o.MaxMembers, Record: f.own,
+		Probe: time.Duration(o.ProbeIntervalMS) * time.Millisecond, Sync: time.Duration(o.SyncIntervalMS) * time.Millisecond, Message: f.agreed.incoming}, watch)
 	if err != nil {
 		return nil, err
 	}
--- a/cmd/thymechute/main.go
+++ b/cmd/thymechute/main.go
@@ -103,9 +103,9 @@
 }
 
 // operators reads the operator's file; none is an empty one.
-func operators(path string) (*operator.File, error) {
+func operators(path string) (*operator.Settings, error) {
 	if path == "" {
-		return &operator.File{}, nil
+		return &operator.Settings{}, nil
 	}
 	return operator.Load(path)
 }
--- a/cmd/thymechute/serve.go
+++ b/cmd/thymechute/serve.go
@@ -49,7 +49,7 @@
 func (t timed) After(wait time.Duration, what func()) { t.after(wait, what) }
 
 // serve runs one instance until its end.
-func serve(g config.Given, o *operator.File, signals <-chan os.Signal) error {
+func serve(g config.Given, o *operator.Settings, signals <-chan os.Signal) error {
 	runtime.GOMAXPROCS(max(int(math.Ceil(g.Cores)), 1))
 	debug.SetMemoryLimit(int64(float64(g.Memory) * memoryPart))
 	debug.SetGCPercent(moreHeap)
--- a/internal/front/amqp/fields.go
+++ b/internal/front/amqp/fields.go
@@ -30,30 +30,30 @@
 
 // Decode makes a work item of a message that was read just now. kind tells that of a class: safe, keyed, or any
 // other for unsafe. An error says what can't be read.
-func Decode(d *amqp.Delivery, f *operator.Fields, q *operator.Queue, now time.Time, kind func(class string) settings.Idempotency) (ask node.Request, err error) {
+func Decode(d *amqp.Delivery, f *operator.FieldMapping, q *operator.Queue, now time.Time, kind func(class string) settings.Idempotency) (ask node.Request, err error) {
 	ask = node.Request{ReceivedAt: now, Body: d.Body, MemoryKB: max(float64(len(d.Body))/1024, 0.1)}
 	for _, w := range []struct {
 		into  *string
 		field string
-	}{{&ask.Class, f.Band}, {&ask.Tenant, f.Customer}, {&ask.Key, f.Key}, {&ask.Subject, f.Subject}} {
+	}{{&ask.Class, f.Class}, {&ask.Tenant, f.Tenant}, {&ask.Key, f.IdempotencyKey}, {&ask.Subject, f.Subject}} {
 		if *w.into, err = word(d, w.field); err != nil {
 			return ask, err
 		}
 	}
 	if ask.Class == "" {
-		return ask, fmt.Errorf("%s: found nothing, expected a band", f.Band)
+		return ask, fmt.Errorf("%s: found nothing, expected a band", f.Class)
 	}
 	switch kind := kind(ask.Class); {
 	case kind == settings.Idempotent && ask.Key == "":
-		return ask, fmt.Errorf("%s: found nothing, expected a key, as band %s must not run twice", f.Key, ask.Class)
+		return ask, fmt.Errorf("%s: found nothing, expected a key, as band %s must not run twice", f.IdempotencyKey, ask.Class)
 	case kind == settings.Idempotent:
-		ask.MayHaveRunElsewhere = d.Redelivered && q.Redelivered != "run"
+		ask.MayHaveRunElsewhere = d.Redelivered && q.OnRedelivery != "run"
 	case kind != settings.Safe: // no key tells a repeat, so nothing but the first delivery proves that it did not run
 		ask.MayHaveRunElsewhere = d.Redelivered
 	}
-	ask.Priority, _, err = number(d, f.Rank)
+	ask.Priority, _, err = number(d, f.Priority)
 	if err != nil || ask.Priority < 0 || ask.Priority >= 1 || math.IsNaN(ask.Priority) {
-		return ask, fmt.Errorf("%s: expected a number from 0 to under 1", f.Rank)
+		return ask, fmt.Errorf("%s: expected a number from 0 to under 1", f.Priority)
 	}
 	ask.CallerTimeout, err = patience(d, f, now)
 	return ask, err
@@ -61,10 +61,10 @@
 
 // patience is what is left of it: it counts from the message's origin, where that is told and not in the future, as a
 // clock elsewhere may be wrong.
-func patience(d *amqp.Delivery, f *operator.Fields, now time.Time) (time.Duration, error) {
-	span, ok, err := number(d, f.Patience)
+func patience(d *amqp.Delivery, f *operator.FieldMapping, now time.Time) (time.Duration, error) {
+	span, ok, err := number(d, f.CallerTimeout)
 	if err != nil || span < 0 || math.IsNaN(span) {
-		return 0, fmt.Errorf("%s: expected milliseconds", f.Patience)
+		return 0, fmt.Errorf("%s: expected milliseconds", f.CallerTimeout)
 	}
 	if !ok || span > float64(longestSpan/time.Millisecond) {
 		return 0, nil
--- a/internal/front/amqp/fields_test.go
+++ b/internal/front/amqp/fields_test.go
@@ -12,8 +12,8 @@
 	"thymechute/policy/settings"
 )
 
-var usual = &operator.Fields{Band: "type", Customer: "header:customer", Key: "message-id", Subject: "header:subject",
-	Rank: "header:rank", Origin: "timestamp", Patience: "expiration"}
+var usual = &operator.FieldMapping{Class: "type", Tenant: "header:customer", IdempotencyKey: "message-id", Subject: "header:subject",
+	Priority: "header:rank", Origin: "timestamp", CallerTimeout: "expiration"}
 
 func kindOf(class string) settings.Idempotency {
 	return map[string]settings.Idempotency{"trace": settings.Safe, "excursion": settings.Idempotent, "seal": settings.NonIdempotent}[class]
@@ -28,8 +28,8 @@
 		ask.Priority != 0.5 || ask.CallerTimeout != 3*time.Second || string(ask.Body) != "body" || !ask.ReceivedAt.Equal(now) || ask.MayHaveRunElsewhere {
 		t.Errorf("%+v, %v", ask, err)
 	}
-	other := &operator.Fields{Band: "header:b", Customer: "user-id", Key: "correlation-id", Subject: "app-id", Rank: "priority",
-		Origin: "header:at", Patience: "header:ms"}
+	other := &operator.FieldMapping{Class: "header:b", Tenant: "user-id", IdempotencyKey: "correlation-id", Subject: "app-id", Priority: "priority",
+		Origin: "header:at", CallerTimeout: "header:ms"}
 	d = &amqp.Delivery{UserId: "acme", CorrelationId: "k", AppId: "s1", Priority: 200,
 		Headers: amqp.Table{"b": "trace", "at": now.UnixMilli() - 500, "ms": int32(1500)}}
 	ask, err = Decode(d, other, &operator.Queue{}, now, kindOf)
@@ -62,7 +62,7 @@
 		band, setting string
 		want          bool
 	}{{"trace", "dead-letter", false}, {"excursion", "dead-letter", true}, {"excursion", "run", false}, {"seal", "run", true}, {"unknown", "run", true}} {
-		ask, err := Decode(&amqp.Delivery{Type: c.band, MessageId: "k", Redelivered: true}, usual, &operator.Queue{Redelivered: c.setting}, time.Now(), kindOf)
+		ask, err := Decode(&amqp.Delivery{Type: c.band, MessageId: "k", Redelivered: true}, usual, &operator.Queue{OnRedelivery: c.setting}, time.Now(), kindOf)
 		if err != nil || ask.MayHaveRunElsewhere != c.want {
 			t.Errorf("%s, %s: %v, want %v (%v)", c.band, c.setting, ask.MayHaveRunElsewhere, c.want, err)
 		}
--- a/internal/front/amqp/front.go
+++ b/internal/front/amqp/front.go
@@ -86,8 +86,8 @@
 func New(door Admission, loop Loop, told *operator.AMQP, name string, seed uint64, kind func(class string) settings.Idempotency, log *zap.Logger) *Front {
 	f := &Front{door: door, loop: loop, told: told, name: name, kind: kind, log: log, start: time.Now(),
 		rid: "q" + strconv.FormatUint(seed&0xffffffff, 36) + "-" + strconv.FormatInt(time.Now().UnixMilli()&0xffffff, 36) + "-", waits: map[uint64]*message{}}
-	f.in = intake.New(f, seed, intake.Told{Brokers: len(told.Brokers), Least: told.LeastCredit, Most: told.MostCredit,
-		Silence: time.Duration(told.ConfirmS) * time.Second})
+	f.in = intake.New(f, seed, intake.Told{Brokers: len(told.Brokers), Least: told.MinCredit, Most: told.MaxCredit,
+		Silence: time.Duration(told.ConfirmTimeoutSeconds) * time.Second})
 	return f
 }
 
@@ -123,7 +123,7 @@
 func (f *Front) Dial(broker int) {
 	f.serial++
 	f.open = map[uint64]*message{}
-	bound := 2*f.told.MostCredit*len(f.told.Queues) + slack
+	bound := 2*f.told.MaxCredit*len(f.told.Queues) + slack
 	var s *session
 	s = open(f.told, f.name, f.told.Brokers[broker].Address, bound, f.loop.Post, func(events []event) { f.take(s, events) }, f.answer)
 	f.now, f.stands, f.drained, f.left = s, false, true, false
@@ -222,7 +222,7 @@
 func (f *Front) read(s *session, e *event) {
 	f.counts.Read++
 	m := &message{d: e.delivery, tag: e.delivery.DeliveryTag, queue: &f.told.Queues[e.queue], came: e.at}
-	if f.open[m.tag] != nil || len(f.open) >= 2*f.told.MostCredit*len(f.told.Queues)+slack {
+	if f.open[m.tag] != nil || len(f.open) >= 2*f.told.MaxCredit*len(f.told.Queues)+slack {
 		f.in.Senseless(f.time(), "more messages than credit, or one tag twice")
 		return
 	}
@@ -230,7 +230,7 @@
 	f.in.Read(1)
 	if s.guard.wasTooLarge(m.tag) {
 		f.counts.Unreadable++
-		f.log.Warn("amqp: message too large, rejected", zap.String("queue", m.queue.Name), zap.String("key", m.d.MessageId), zap.Int("largest", f.told.LargestBody))
+		f.log.Warn("amqp: message too large, rejected", zap.String("queue", m.queue.Name), zap.String("key", m.d.MessageId), zap.Int("largest", f.told.MaxBodyBytes))
 		f.settle(m, back(m.tag, false))
 		return
 	}
@@ -276,7 +276,7 @@
 			f.late = append(f.late, m) // the broker pushes on though consuming was cancelled: this would go round and round
 		case f.leaving: // the next consumer has it at once, and no return is counted
 			f.giveBack(m, times)
-		case times >= f.told.Returns:
+		case times >= f.told.MaxReturns:
 			f.giveUp(m, fmt.Sprintf("turned back %d times", times+1))
 		default:
 			f.giveBack(m, times+1)
@@ -312,7 +312,7 @@
 		f.number++
 		f.now.put(publish(f.number, "", m.d.ReplyTo, amqp.Publishing{CorrelationId: m.d.CorrelationId, Headers: amqp.Table{endField: "scrapped", reasonField: reason}}))
 	}
-	f.publish(m, m.queue.DeadLetter, m.queue.DeadLetterKey, publishing(&m.d, reasonField, reason))
+	f.publish(m, m.queue.DeadLetterExchange, m.queue.DeadLetterRoutingKey, publishing(&m.d, reasonField, reason))
 }
 
 func (f *Front) publish(m *message, exchange, key string, p amqp.Publishing) {
@@ -339,7 +339,7 @@
 	default: // nothing may be lost: it stays the broker's, and comes again as one that may have run
 		f.counts.Unsent++
 		f.log.Error("amqp: nothing takes what is published", zap.Bool("reply", m.reply), zap.Bool("unroutable", m.lost),
-			zap.String("queue", m.queue.Name), zap.String("dead-letter", m.queue.DeadLetter))
+			zap.String("queue", m.queue.Name), zap.String("dead-letter", m.queue.DeadLetterExchange))
 		m.fate = intake.Unsent
 		f.settle(m, back(m.tag, true))
 	}
--- a/internal/front/amqp/login.go
+++ b/internal/front/amqp/login.go
@@ -20,19 +20,19 @@
 	if err != nil {
 		return intake.Unreached, err
 	}
-	if s.told.Secure != nil {
-		secure := s.told.Secure.Clone()
+	if s.told.TLSConfig != nil {
+		secure := s.told.TLSConfig.Clone()
 		if secure.ServerName == "" {
 			secure.ServerName, _, _ = net.SplitHostPort(address)
 		}
 		raw = tls.Client(raw, secure)
 	}
-	s.guard = newGuard(raw, s.told.LargestBody, time.Duration(s.told.ConfirmS)*time.Second)
+	s.guard = newGuard(raw, s.told.MaxBodyBytes, time.Duration(s.told.ConfirmTimeoutSeconds)*time.Second)
 	stuck := time.AfterFunc(dialFor, func() { raw.Close() })
 	defer stuck.Stop()
-	s.conn, err = amqp.Open(s.guard, amqp.Config{Vhost: s.told.Login.Vhost, ChannelMax: mostChannels,
-		FrameSize: mostFrame, Heartbeat: time.Duration(s.told.HeartbeatS) * time.Second, Locale: "en_US",
-		SASL:       []amqp.Authentication{&amqp.PlainAuth{Username: s.told.User, Password: s.told.Password}},
+	s.conn, err = amqp.Open(s.guard, amqp.Config{Vhost: s.told.Credentials.Vhost, ChannelMax: mostChannels,
+		FrameSize: mostFrame, Heartbeat: time.Duration(s.told.HeartbeatSeconds) * time.Second, Locale: "en_US",
+		SASL:       []amqp.Authentication{&amqp.PlainAuth{Username: s.told.Username, Password: s.told.Password}},
 		Properties: amqp.Table{"product": "thymechute", "connection_name": s.name}})
 	if err != nil {
 		if far := farOf(err); s.guard.wasRefused() {
@@ -75,8 +75,8 @@
 		if _, err := ch.QueueDeclarePassive(q.Name, true, false, false, false, nil); err != nil {
 			return fmt.Errorf("queue %s: %w", q.Name, err)
 		}
-		if err := ch.ExchangeDeclarePassive(q.DeadLetter, "direct", true, false, false, false, nil); err != nil {
-			return fmt.Errorf("exchange %s: %w", q.DeadLetter, err)
+		if err := ch.ExchangeDeclarePassive(q.DeadLetterExchange, "direct", true, false, false, false, nil); err != nil {
+			return fmt.Errorf("exchange %s: %w", q.DeadLetterExchange, err)
 		}
 	}
 	return nil
--- a/internal/front/amqp/orders.go
+++ b/internal/front/amqp/orders.go
@@ -26,9 +26,9 @@
 		for n, q := range s.told.Queues {
 			args := amqp.Table{}
 			for _, a := range q.Arguments {
-				args[a.Name], _ = a.Typed()
+				args[a.Name], _ = a.TypedValue()
 			}
-			tag := q.Tag
+			tag := q.ConsumerTag
 			if tag == "" {
 				tag = s.name
 			}
--- a/internal/operator/amqp.go
+++ b/internal/operator/amqp.go
@@ -1,140 +1,156 @@
-// This file owns the element amqp, but for its files.
-
 package operator
 
 import (
 	"crypto/tls"
 	"fmt"
-	"reflect"
 	"strconv"
 
 	"thymechute/internal/xsd"
 )
 
-// AMQP is work taken from a message broker.
+// AMQP configures work that is consumed from a message broker.
 type AMQP struct {
-	Line        int      `xml:"-"`
-	Brokers     []Broker `xml:"broker"`
-	Login       *Login   `xml:"login"`
-	TLS         *TLS     `xml:"tls"`
-	Queues      []Queue  `xml:"queue"`
-	Fields      *Fields  `xml:"fields"`
-	HeartbeatS  int      `xml:"heartbeat-s,attr"`
-	LeastCredit int      `xml:"least-credit,attr"`
-	MostCredit  int      `xml:"most-credit,attr"`
-	LargestBody int      `xml:"largest-body,attr"` // bytes
-	Returns     int      `xml:"returns,attr"`
-	ConfirmS    int      `xml:"confirm-s,attr"`
+	Line                  int           `xml:"-"`
+	Brokers               []Endpoint    `xml:"broker"` // tried in turn
+	Credentials           *Credentials  `xml:"login"`
+	TLS                   *TLS          `xml:"tls"` // nil: without TLS
+	Queues                []Queue       `xml:"queue"`
+	Fields                *FieldMapping `xml:"fields"`
+	HeartbeatSeconds      int           `xml:"heartbeat-s,attr"`
+	MinCredit             int           `xml:"least-credit,attr"` // unacknowledged messages of each queue
+	MaxCredit             int           `xml:"most-credit,attr"`
+	MaxBodyBytes          int           `xml:"largest-body,attr"`
+	MaxReturns            int           `xml:"returns,attr"` // of one message to its queue, before it is dead-lettered
+	ConfirmTimeoutSeconds int           `xml:"confirm-s,attr"`
 
-	User, Password string      `xml:"-"` // from the login's file
-	Secure         *tls.Config `xml:"-"` // from the files of TLS
+	Username, Password string      `xml:"-"` // from the credentials' file
+	TLSConfig          *tls.Config `xml:"-"` // from the files of TLS; nil: without TLS
 }
 
-// Broker is one of those tried in turn.
-type Broker struct {
+// Endpoint is the address of a server.
+type Endpoint struct {
 	Address string `xml:"address,attr"`
 }
 
-// Login is who the program is to the broker.
-type Login struct {
+// Credentials authenticate the program to the broker.
+type Credentials struct {
 	Line  int    `xml:"-"`
 	Vhost string `xml:"vhost,attr"`
-	File  string `xml:"file,attr"`
+	File  string `xml:"file,attr"` // "": the default user
 }
 
-// TLS names PEM files.
+// TLS names the PEM files of connections to the broker.
 type TLS struct {
-	Line        int    `xml:"-"`
-	CA          string `xml:"ca,attr"`
-	Certificate string `xml:"certificate,attr"`
-	Key         string `xml:"key,attr"`
-	Name        string `xml:"name,attr"`
+	Line            int    `xml:"-"`
+	CAFile          string `xml:"ca,attr"`
+	CertificateFile string `xml:"certificate,attr"`
+	KeyFile         string `xml:"key,attr"`
+	ServerName      string `xml:"name,attr"`
 }
 
-// Queue is one that is consumed.
+// Queue is a queue that is consumed.
 type Queue struct {
-	Line          int        `xml:"-"`
-	Arguments     []Argument `xml:"argument"`
-	Name          string     `xml:"name,attr"`
-	Tag           string     `xml:"tag,attr"`
-	DeadLetter    string     `xml:"dead-letter,attr"`
-	DeadLetterKey string     `xml:"dead-letter-key,attr"`
-	Redelivered   string     `xml:"redelivered,attr"`
+	Line                 int        `xml:"-"`
+	Arguments            []Argument `xml:"argument"`
+	Name                 string     `xml:"name,attr"`
+	ConsumerTag          string     `xml:"tag,attr"`
+	DeadLetterExchange   string     `xml:"dead-letter,attr"`
+	DeadLetterRoutingKey string     `xml:"dead-letter-key,attr"`
+	OnRedelivery         string     `xml:"redelivered,attr"` // dead-letter or run
 }
 
-// Argument goes with consuming.
+// Argument is an argument of consuming a queue.
 type Argument struct {
 	Line  int    `xml:"-"`
 	Name  string `xml:"name,attr"`
-	Type  string `xml:"type,attr"`
+	Type  string `xml:"type,attr"` // boolean, integer or string
 	Value string `xml:"value,attr"`
 }
 
-// Fields tell which property or header carries what.
-type Fields struct {
-	Band     string `xml:"band,attr"`
-	Customer string `xml:"customer,attr"`
-	Key      string `xml:"key,attr"`
-	Subject  string `xml:"subject,attr"`
-	Rank     string `xml:"rank,attr"`
-	Origin   string `xml:"origin,attr"`
-	Patience string `xml:"patience,attr"`
+// FieldMapping names the message property or header that carries each field of a request.
+type FieldMapping struct {
+	Class          string `xml:"band,attr"`
+	Tenant         string `xml:"customer,attr"`
+	IdempotencyKey string `xml:"key,attr"`
+	Subject        string `xml:"subject,attr"`
+	Priority       string `xml:"rank,attr"`
+	Origin         string `xml:"origin,attr"`   // when the message was sent
+	CallerTimeout  string `xml:"patience,attr"` // milliseconds
 }
 
-// check says what no schema can, and reads the files.
-func (a *AMQP) check(schema *xsd.Schema) error {
-	if a.LeastCredit > a.MostCredit {
-		return &xsd.Fault{Line: a.Line, Element: "amqp", Found: fmt.Sprintf("least-credit=%d", a.LeastCredit),
-			Want: fmt.Sprintf("at most most-credit=%d", a.MostCredit)}
+// complete checks the constraints that the schema cannot express, fills in missing elements and reads the files.
+func (a *AMQP) complete(schema *xsd.Schema) error {
+	if a.MinCredit > a.MaxCredit {
+		return &xsd.ValidationError{Line: a.Line, Element: "amqp", Found: fmt.Sprintf("least-credit=%d", a.MinCredit),
+			Expected: fmt.Sprintf("at most most-credit=%d", a.MaxCredit)}
 	}
-	if a.Fields == nil { // the schema's own defaults
-		root, err := schema.Read([]byte(`<thymechute xmlns="urn:thymechute:operator:1"><amqp><broker address="a:1"/>` +
-			`<queue name="q" dead-letter="d"/><fields/></amqp></thymechute>`))
+	if a.Fields == nil {
+		defaults, err := defaultFieldMapping(schema)
 		if err != nil {
 			return err
 		}
-		var f File
-		bind(root, reflect.ValueOf(&f).Elem())
-		a.Fields = f.AMQP.Fields
+		a.Fields = defaults
+	}
+	if a.Credentials == nil {
+		a.Credentials = &Credentials{Vhost: "/"}
+	}
+	if err := a.completeQueues(); err != nil {
+		return err
 	}
-	if a.Login == nil {
-		a.Login = &Login{Vhost: "/"}
+	if err := a.loadCredentials(); err != nil {
+		return err
+	}
+	return a.loadTLS()
+}
+
+// defaultFieldMapping is the schema's own defaults, taken from a file with an empty element.
+func defaultFieldMapping(schema *xsd.Schema) (*FieldMapping, error) {
+	settings, err := decode(schema, []byte(`<thymechute xmlns="urn:thymechute:operator:1"><amqp><broker address="a:1"/>`+
+		`<queue name="q" dead-letter="d"/><fields/></amqp></thymechute>`))
+	if err != nil {
+		return nil, err
 	}
-	names := map[string]bool{}
-	for i := range a.Queues {
-		q := &a.Queues[i]
-		if names[q.Name] {
-			return &xsd.Fault{Line: q.Line, Element: "queue", Found: "a second " + q.Name, Want: "each queue once"}
+	return settings.AMQP.Fields, nil
+}
+
+func (a *AMQP) completeQueues() error {
+	seen := map[string]bool{}
+	for n := range a.Queues {
+		q := &a.Queues[n]
+		if seen[q.Name] {
+			return &xsd.ValidationError{Line: q.Line, Element: "queue", Found: "a second " + q.Name, Expected: "each queue once"}
 		}
-		if names[q.Name] = true; q.DeadLetterKey == "" {
-			q.DeadLetterKey = q.Name
+		seen[q.Name] = true
+		if q.DeadLetterRoutingKey == "" {
+			q.DeadLetterRoutingKey = q.Name
 		}
-		for _, g := range q.Arguments {
-			if _, err := g.Typed(); err != nil {
+		for _, argument := range q.Arguments {
+			if _, err := argument.TypedValue(); err != nil {
 				return err
 			}
 		}
 	}
-	if err := a.Login.read(a); err != nil {
-		return err
-	}
-	return a.TLS.read(a)
+	return nil
 }
 
-// Typed is the value as its type says.
-func (g Argument) Typed() (any, error) {
-	switch g.Type {
+// TypedValue is the value as a bool, int64 or string, by its type. Errors: an *xsd.ValidationError.
+func (a Argument) TypedValue() (any, error) {
+	switch a.Type {
 	case "boolean":
-		if g.Value != "true" && g.Value != "false" {
-			return nil, &xsd.Fault{Line: g.Line, Element: "argument", Found: "value " + g.Value, Want: "true or false"}
+		if a.Value != "true" && a.Value != "false" {
+			return nil, a.invalidValue("true or false")
 		}
-		return g.Value == "true", nil
+		return a.Value == "true", nil
 	case "integer":
-		x, err := strconv.ParseInt(g.Value, 10, 64)
+		value, err := strconv.ParseInt(a.Value, 10, 64)
 		if err != nil {
-			return nil, &xsd.Fault{Line: g.Line, Element: "argument", Found: "value " + g.Value, Want: "a whole number"}
+			return nil, a.invalidValue("a whole number")
 		}
-		return x, nil
+		return value, nil
 	}
-	return g.Value, nil
+	return a.Value, nil
+}
+
+func (a Argument) invalidValue(expected string) error {
+	return &xsd.ValidationError{Line: a.Line, Element: "argument", Found: "value " + a.Value, Expected: expected}
 }
--- a/internal/operator/fleet.go
+++ b/internal/operator/fleet.go
@@ -1,5 +1,3 @@
-// This file owns the elements fleet and log.
-
 package operator
 
 import (
@@ -10,59 +8,60 @@
 	"thymechute/internal/xsd"
 )
 
-// Fleet is membership with the other instances (internal/fleet/membership).
+// Fleet configures membership with the other instances (internal/fleet/membership).
 type Fleet struct {
-	Line      int      `xml:"-"`
-	Seeds     []Broker `xml:"seed"`
-	Bind      string   `xml:"bind,attr"`
-	Advertise string   `xml:"advertise,attr"`
-	Zone      string   `xml:"zone,attr"`
-	Region    string   `xml:"region,attr"` // "": not told
-	Most      int      `xml:"most,attr"`
-	ProbeMS   int      `xml:"probe-ms,attr"`
-	SyncMS    int      `xml:"sync-ms,attr"`
-	Log       *Log     `xml:"log"`
+	Line            int        `xml:"-"`
+	Seeds           []Endpoint `xml:"seed"` // members to join by
+	Bind            string     `xml:"bind,attr"`
+	Advertise       string     `xml:"advertise,attr"` // "": as Bind
+	Zone            string     `xml:"zone,attr"`
+	Region          string     `xml:"region,attr"` // "": none
+	MaxMembers      int        `xml:"most,attr"`
+	ProbeIntervalMS int        `xml:"probe-ms,attr"`
+	SyncIntervalMS  int        `xml:"sync-ms,attr"`
+	Log             *Log       `xml:"log"` // nil: none
 }
 
-// Log is the fleet's agreed log (internal/fleet/consensus).
+// Log configures the fleet's replicated log (internal/fleet/consensus).
 type Log struct {
-	Line      int    `xml:"-"`
-	Bind      string `xml:"bind,attr"`
-	Advertise string `xml:"advertise,attr"`
-	Voters    int    `xml:"voters,attr"`
-	LeaseMS   int    `xml:"lease-ms,attr"`
-	Found     string `xml:"found,attr"`
+	Line            int    `xml:"-"`
+	Bind            string `xml:"bind,attr"`
+	Advertise       string `xml:"advertise,attr"` // "": as Bind
+	MaxVoters       int    `xml:"voters,attr"`
+	LeaseDurationMS int    `xml:"lease-ms,attr"`
+	BootstrapTime   string `xml:"found,attr"`
 
-	FoundAt time.Time `xml:"-"` // from Found; zero: this member founds none
+	BootstrapAt time.Time `xml:"-"` // BootstrapTime; zero: this member does not bootstrap the log
 }
 
-// mostPlaceBytes is the longest zone or region that a member's record carries (internal/fleet/membership).
-const mostPlaceBytes = 64
+// maxLocationBytes is the longest zone or region that a member's record carries (internal/fleet/membership).
+const maxLocationBytes = 64
 
-// check says what no schema can, of the log too.
-func (f *Fleet) check() error {
-	for _, place := range []struct{ name, value string }{{"zone", f.Zone}, {"region", f.Region}} {
-		if len(place.value) > mostPlaceBytes {
-			return &xsd.Fault{Line: f.Line, Element: "fleet", Found: fmt.Sprintf("%s=%q", place.name, place.value),
-				Want: fmt.Sprintf("at most %d bytes", mostPlaceBytes)}
+// validate checks the constraints that the schema cannot express, those of the log included.
+func (f *Fleet) validate() error {
+	for _, location := range []struct{ attribute, value string }{{"zone", f.Zone}, {"region", f.Region}} {
+		if len(location.value) > maxLocationBytes {
+			return &xsd.ValidationError{Line: f.Line, Element: "fleet", Found: fmt.Sprintf("%s=%q", location.attribute, location.value),
+				Expected: fmt.Sprintf("at most %d bytes", maxLocationBytes)}
 		}
 	}
 	if f.Log == nil {
 		return nil
 	}
-	return f.Log.check()
+	return f.Log.complete()
 }
 
-// check says what no schema can.
-func (l *Log) check() (err error) {
-	if l.Voters%2 == 0 {
-		return &xsd.Fault{Line: l.Line, Element: "log", Found: fmt.Sprintf("voters=%q", strconv.Itoa(l.Voters)), Want: "3 or 5"}
+// complete checks the constraints that the schema cannot express, and parses the bootstrap time.
+func (l *Log) complete() (err error) {
+	if l.MaxVoters%2 == 0 {
+		return &xsd.ValidationError{Line: l.Line, Element: "log", Found: fmt.Sprintf("voters=%q", strconv.Itoa(l.MaxVoters)), Expected: "3 or 5"}
 	}
-	if l.Found == "" {
+	if l.BootstrapTime == "" {
 		return nil
 	}
-	if l.FoundAt, err = time.Parse(time.RFC3339, l.Found); err != nil {
-		return &xsd.Fault{Line: l.Line, Element: "log", Found: fmt.Sprintf("found=%q", l.Found), Want: "a time as 2026-12-02T03:04:05Z"}
+	if l.BootstrapAt, err = time.Parse(time.RFC3339, l.BootstrapTime); err != nil {
+		return &xsd.ValidationError{Line: l.Line, Element: "log", Found: fmt.Sprintf("found=%q", l.BootstrapTime),
+			Expected: "a time as 2026-12-02T03:04:05Z"}
 	}
 	return nil
 }
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -1,8 +1,8 @@
-// Package operator is the one place where the operator's own file (deploy/thymechute.xml) becomes values of the
-// program. The schema beside it is the one list of names, types, bounds and defaults; the structures here only give
-// them Go names, and a test holds the two against each other in both directions. What no schema can say (one bound
-// against another, files that must be readable) is checked here, with the line that it stands on. It must never
-// hold a default of its own, log a credential, or touch anything that runs.
+// Package operator reads the operator's settings file (deploy/thymechute.xml) into typed values. The schema beside the file,
+// deploy/thymechute.xsd, is the only list of names, types, limits and defaults: the structs here only name its elements and
+// attributes, and a test compares both in either direction. Constraints that the schema cannot express (one limit against
+// another, files that must be readable) are checked here and reported with the line of the element. Credentials never appear in
+// an error.
 package operator
 
 import (
@@ -14,46 +14,56 @@
 	"thymechute/internal/xsd"
 )
 
-// File is the whole of it; what is nil is off.
-type File struct {
+// Settings are the contents of the settings file; what is nil is disabled.
+type Settings struct {
 	AMQP  *AMQP  `xml:"amqp"`
 	Fleet *Fleet `xml:"fleet"`
 }
 
-// Load reads the file at the path and all that it names. An error is one line: line, element, found, expected.
-func Load(path string) (*File, error) {
+// Load reads the settings file at a path and the files that it names. An error is one line: path, line, element, what was
+// found and what is expected.
+func Load(path string) (*Settings, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
 		return nil, fmt.Errorf("settings: found %w, expected a file that can be read", err)
 	}
-	f, err := Read(text)
+	settings, err := Parse(text)
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", path, err)
 	}
-	return f, nil
+	return settings, nil
 }
 
-// Read takes the text of the file; every error is a *xsd.Fault.
-func Read(text []byte) (*File, error) {
-	schema, err := xsd.Parse(deploy.Schema)
+// Parse parses the text of a settings file and reads the files that it names. Errors: an *xsd.ValidationError.
+func Parse(text []byte) (*Settings, error) {
+	schema, err := xsd.Compile(deploy.Schema)
 	if err != nil {
 		return nil, err
 	}
-	root, err := schema.Read(text)
+	settings, err := decode(schema, text)
 	if err != nil {
 		return nil, err
 	}
-	f := &File{}
-	bind(root, reflect.ValueOf(f).Elem())
-	if f.AMQP != nil {
-		if err := f.AMQP.check(schema); err != nil {
+	if settings.AMQP != nil {
+		if err := settings.AMQP.complete(schema); err != nil {
 			return nil, err
 		}
 	}
-	if f.Fleet != nil {
-		if err := f.Fleet.check(); err != nil {
+	if settings.Fleet != nil {
+		if err := settings.Fleet.validate(); err != nil {
 			return nil, err
 		}
 	}
-	return f, nil
+	return settings, nil
+}
+
+// decode validates a text against the schema and decodes it.
+func decode(schema *xsd.Schema, text []byte) (*Settings, error) {
+	root, err := schema.Parse(text)
+	if err != nil {
+		return nil, err
+	}
+	settings := &Settings{}
+	bind(root, reflect.ValueOf(settings).Elem())
+	return settings, nil
 }
--- a/internal/operator/operator_test.go
+++ b/internal/operator/operator_test.go
@@ -14,67 +14,67 @@
 
 const head, tail = `<thymechute xmlns="urn:thymechute:operator:1">` + "\n", "\n</thymechute>"
 
-// The schema and the structures name the same things, of the same kinds: neither can drift.
-func TestSchemaAndStructuresAgree(t *testing.T) {
+// The schema and the structs declare the same elements and attributes, of the same kinds.
+func TestSchemaMatchesStructs(t *testing.T) {
 	type entry struct {
-		many bool
-		kind string
+		isRepeatable bool
+		kind         string
 	}
-	told, held := map[string]entry{}, map[string]entry{}
-	schema, err := xsd.Parse(deploy.Schema)
+	declared, implemented := map[string]entry{}, map[string]entry{}
+	schema, err := xsd.Compile(deploy.Schema)
 	if err != nil {
 		t.Fatal(err)
 	}
-	schema.Walk(func(path string, many bool, kind xsd.Kind) { told[path] = entry{many, string(kind)} })
-	kinds := map[reflect.Kind]xsd.Kind{reflect.String: xsd.Text, reflect.Int: xsd.Whole, reflect.Float64: xsd.Decimal, reflect.Bool: xsd.Flag}
-	var walk func(at string, of reflect.Type)
-	walk = func(at string, of reflect.Type) {
-		for i := range of.NumField() {
-			f := of.Field(i)
-			name, attr := tag(f)
+	schema.Walk(func(d xsd.Declaration) { declared[d.Path] = entry{d.IsRepeatable, string(d.Kind)} })
+	kinds := map[reflect.Kind]xsd.Kind{reflect.String: xsd.String, reflect.Int: xsd.Integer, reflect.Float64: xsd.Decimal, reflect.Bool: xsd.Boolean}
+	var walk func(path string, structType reflect.Type)
+	walk = func(path string, structType reflect.Type) {
+		for i := range structType.NumField() {
+			f := structType.Field(i)
+			name, isAttribute := fieldTag(f)
 			switch {
 			case name == "-":
-			case attr:
-				held[at+"@"+name] = entry{false, string(kinds[f.Type.Kind()])}
+			case isAttribute:
+				implemented[path+"@"+name] = entry{false, string(kinds[f.Type.Kind()])}
 			default:
-				held[at+"/"+name] = entry{f.Type.Kind() == reflect.Slice, ""}
-				walk(at+"/"+name, f.Type.Elem())
+				implemented[path+"/"+name] = entry{f.Type.Kind() == reflect.Slice, ""}
+				walk(path+"/"+name, f.Type.Elem())
 			}
 		}
 	}
-	walk("thymechute", reflect.TypeFor[File]())
-	for path, e := range told {
-		if held[path] != e {
-			t.Errorf("%s: the schema says %v, the program %v", path, e, held[path])
+	walk("thymechute", reflect.TypeFor[Settings]())
+	for path, e := range declared {
+		if implemented[path] != e {
+			t.Errorf("%s: the schema says %v, the program %v", path, e, implemented[path])
 		}
 	}
-	for path := range held {
-		if _, ok := told[path]; !ok {
+	for path := range implemented {
+		if _, ok := declared[path]; !ok {
 			t.Errorf("%s: not in the schema", path)
 		}
 	}
 }
 
-func TestExampleIsRead(t *testing.T) {
+func TestLoadExample(t *testing.T) {
 	f, err := Load("../../deploy/thymechute.xml")
 	if err != nil {
 		t.Fatal(err)
 	}
 	a := f.AMQP
-	if a.HeartbeatS != 10 || a.MostCredit != 256 || a.Fields.Band != "type" || a.Queues[0].DeadLetterKey != "readings" ||
-		a.Queues[0].Redelivered != "dead-letter" || a.User != "guest" || a.Login.Vhost != "/" {
+	if a.HeartbeatSeconds != 10 || a.MaxCredit != 256 || a.Fields.Class != "type" || a.Queues[0].DeadLetterRoutingKey != "readings" ||
+		a.Queues[0].OnRedelivery != "dead-letter" || a.Username != "guest" || a.Credentials.Vhost != "/" {
 		t.Errorf("%+v", a)
 	}
 }
 
-func TestAbsentIsOff(t *testing.T) {
-	if f, err := Read([]byte(head + tail)); err != nil || f.AMQP != nil {
+func TestAbsentElementIsDisabled(t *testing.T) {
+	if f, err := Parse([]byte(head + tail)); err != nil || f.AMQP != nil {
 		t.Errorf("%+v, %v", f, err)
 	}
 }
 
-// Every fault is one line that names the line, the element, what was found and what is expected.
-func TestFaults(t *testing.T) {
+// Every error is one line with the line, the element, what was found and what is expected.
+func TestParseReportsInvalidSettings(t *testing.T) {
 	login := filepath.Join(t.TempDir(), "login")
 	if err := os.WriteFile(login, []byte("very secret words"), 0o600); err != nil {
 		t.Fatal(err)
@@ -104,40 +104,40 @@
 		`<amqp>` + broker + `<queue name="&e;" dead-letter="d"/></amqp>`:                   "expected well-formed XML",
 		`<amqp>` + broker + `<queue name="q" dead-letter="d"><argument name="x" type="integer" value="many"/></queue></amqp>`: "found value many",
 	} {
-		_, err := Read([]byte(head + text + tail))
-		var f *xsd.Fault
-		if !errors.As(err, &f) || !strings.Contains(err.Error(), want) || strings.Contains(err.Error(), "\n") {
+		_, err := Parse([]byte(head + text + tail))
+		var validation *xsd.ValidationError
+		if !errors.As(err, &validation) || !strings.Contains(err.Error(), want) || strings.Contains(err.Error(), "\n") {
 			t.Errorf("%s:\n%v, want %q", text, err, want)
 		}
 		if err != nil && strings.Contains(err.Error(), "secret") {
-			t.Errorf("a credential is told: %v", err)
+			t.Errorf("the error contains a credential: %v", err)
 		}
 	}
 }
 
-func TestFleetIsReadWithItsDefaults(t *testing.T) {
-	f, err := Read([]byte(head + `<fleet bind="127.0.0.1:7946"><seed address="127.0.0.1:7947"/></fleet>` + tail))
+func TestParseFleetDefaults(t *testing.T) {
+	f, err := Parse([]byte(head + `<fleet bind="127.0.0.1:7946"><seed address="127.0.0.1:7947"/></fleet>` + tail))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if g := f.Fleet; g == nil || g.Bind != "127.0.0.1:7946" || len(g.Seeds) != 1 || g.Most != 1024 || g.ProbeMS != 1000 ||
-		g.SyncMS != 5000 || g.Zone != "zone" || g.Region != "" || f.AMQP != nil {
+	if g := f.Fleet; g == nil || g.Bind != "127.0.0.1:7946" || len(g.Seeds) != 1 || g.MaxMembers != 1024 || g.ProbeIntervalMS != 1000 ||
+		g.SyncIntervalMS != 5000 || g.Zone != "zone" || g.Region != "" || f.AMQP != nil {
 		t.Fatalf("%+v", f.Fleet)
 	}
-	_, err = Read([]byte(head + `<fleet bind="127.0.0.1:7946" most="0"/>` + tail))
+	_, err = Parse([]byte(head + `<fleet bind="127.0.0.1:7946" most="0"/>` + tail))
 	if err == nil || !strings.Contains(err.Error(), "most") || !strings.Contains(err.Error(), "line") {
-		t.Fatalf("a view of no members: %v", err)
+		t.Fatalf("a fleet of no members: %v", err)
 	}
 }
 
-// The names of a zone and a region are held to the bytes that a member's record carries, before anything starts.
-func TestZoneAndRegionAreReadAndBounded(t *testing.T) {
+// Zone and region are limited to the bytes that a member's record carries.
+func TestParseZoneAndRegionLimits(t *testing.T) {
 	with := func(attributes string) string {
 		return head + `<fleet bind="127.0.0.1:7946"` + attributes + `/>` + tail
 	}
 	long, wide := strings.Repeat("r", 64), strings.Repeat("é", 32)
 	for _, place := range []string{"eu", long, wide} {
-		f, err := Read([]byte(with(` zone="` + place + `" region="` + place + `"`)))
+		f, err := Parse([]byte(with(` zone="` + place + `" region="` + place + `"`)))
 		if err != nil || f.Fleet.Zone != place || f.Fleet.Region != place {
 			t.Errorf("%q: %v, %+v", place, err, f)
 		}
@@ -148,27 +148,27 @@
 			long + "r": `line 2, fleet: found ` + name + `="rrr`,
 			wide + "é": `line 2, fleet: found ` + name + `="` + wide + `é", expected at most 64 bytes`,
 		} {
-			_, err := Read([]byte(with(` ` + name + `="` + value + `"`)))
-			var fault *xsd.Fault
-			if !errors.As(err, &fault) || !strings.Contains(err.Error(), want) || strings.Contains(err.Error(), "\n") {
+			_, err := Parse([]byte(with(` ` + name + `="` + value + `"`)))
+			var validation *xsd.ValidationError
+			if !errors.As(err, &validation) || !strings.Contains(err.Error(), want) || strings.Contains(err.Error(), "\n") {
 				t.Errorf("%s of %d bytes: %v, want %q", name, len(value), err, want)
 			}
 		}
 	}
 }
 
-func TestLogOfTheFleetIsReadAndChecked(t *testing.T) {
+func TestParseFleetLog(t *testing.T) {
 	with := func(attributes string) string {
 		return head + `<fleet bind="127.0.0.1:7946"><log bind="127.0.0.1:7947"` + attributes + `/></fleet>` + tail
 	}
-	f, err := Read([]byte(with("")))
+	f, err := Parse([]byte(with("")))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if l := f.Fleet.Log; l == nil || l.Bind != "127.0.0.1:7947" || l.Voters != 5 || l.LeaseMS != 2000 || !l.FoundAt.IsZero() {
+	if l := f.Fleet.Log; l == nil || l.Bind != "127.0.0.1:7947" || l.MaxVoters != 5 || l.LeaseDurationMS != 2000 || !l.BootstrapAt.IsZero() {
 		t.Errorf("%+v", f.Fleet.Log)
 	}
-	if f, err = Read([]byte(with(` found="2026-12-02T03:04:05+01:00"`))); err != nil || f.Fleet.Log.FoundAt.Unix() != 1796177045 {
+	if f, err = Parse([]byte(with(` found="2026-12-02T03:04:05+01:00"`))); err != nil || f.Fleet.Log.BootstrapAt.Unix() != 1796177045 {
 		t.Errorf("%+v, %v", f.Fleet.Log, err)
 	}
 	for attributes, want := range map[string]string{
@@ -177,7 +177,7 @@
 		` lease-ms="10"`:  `line 2, log: found lease-ms="10"`,
 		` found="always"`: `line 2, log: found found="always", expected a time as`,
 	} {
-		if _, err := Read([]byte(with(attributes))); err == nil || !strings.Contains(err.Error(), want) {
+		if _, err := Parse([]byte(with(attributes))); err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("%s: %v, want %q", attributes, err, want)
 		}
 	}
--- a/internal/xsd/compile.go
+++ b/internal/xsd/compile.go
@@ -1,5 +1,3 @@
-// This file owns the compilation of a schema.
-
 package xsd
 
 import (
@@ -8,161 +6,210 @@
 	"strings"
 )
 
-// Parse compiles a schema. An error names the line and what is not understood.
-func Parse(text []byte) (*Schema, error) {
-	root, err := read(text)
+// compiler compiles the named types of a schema, each once.
+type compiler struct {
+	definitions  map[string]*Node // by name
+	complexTypes map[string]*complexType
+	simpleTypes  map[string]*simpleType
+}
+
+// Compile compiles a schema. Errors: a *ValidationError with the line of what is not supported.
+func Compile(text []byte) (*Schema, error) {
+	root, err := parseDocument(text)
 	if err != nil {
 		return nil, err
 	}
-	if root.space != space || root.Name != "schema" {
-		return nil, &Fault{root.Line, root.Name, "another element", "xs:schema"}
+	if root.namespace != schemaNamespace || root.Name != "schema" {
+		return nil, &ValidationError{root.Line, root.Name, "another element", "xs:schema"}
 	}
-	c := compiler{types: map[string]*Node{}, made: map[string]*complex{}, simples: map[string]*simple{}}
-	var top *Node
-	for _, n := range root.Nodes {
+	c := compiler{definitions: map[string]*Node{}, complexTypes: map[string]*complexType{}, simpleTypes: map[string]*simpleType{}}
+	rootElement, err := c.define(root)
+	if err != nil {
+		return nil, err
+	}
+	rootType, err := c.elementType(rootElement)
+	if err != nil {
+		return nil, err
+	}
+	if err := c.compileAll(); err != nil {
+		return nil, err
+	}
+	return &Schema{root.Attributes["targetNamespace"], rootElement.Attributes["name"], rootType}, nil
+}
+
+// define collects the definitions of types, and returns the declaration of the root element.
+func (c *compiler) define(schema *Node) (rootElement *Node, err error) {
+	for _, n := range schema.Children {
+		name := n.Attributes["name"]
 		switch n.Name {
 		case "element":
-			if top != nil {
-				return nil, &Fault{n.Line, "element", "a second root", "one"}
+			if rootElement != nil {
+				return nil, &ValidationError{n.Line, "element", "a second root", "one"}
 			}
-			top = n
+			rootElement = n
 		case "complexType", "simpleType":
-			if c.types[n.Attr["name"]] != nil {
-				return nil, &Fault{n.Line, n.Name, "a second " + n.Attr["name"], "one"}
+			if c.definitions[name] != nil {
+				return nil, &ValidationError{n.Line, n.Name, "a second " + name, "one"}
 			}
-			c.types[n.Attr["name"]] = n
+			c.definitions[name] = n
 		default:
-			return nil, unknown(n)
+			return nil, unsupported(n)
 		}
 	}
-	if top == nil {
-		return nil, &Fault{root.Line, "schema", "no element", "a root"}
-	}
-	of, err := c.complex(top)
-	if err != nil {
-		return nil, err
+	if rootElement == nil {
+		return nil, &ValidationError{schema.Line, "schema", "no element", "a root"}
 	}
-	for name, n := range c.types { // what nothing refers to is read too: it must not look as if it held
+	return rootElement, nil
+}
+
+// compileAll compiles the definitions that nothing refers to as well, so that they cannot contain anything unsupported.
+func (c *compiler) compileAll() (err error) {
+	for name, n := range c.definitions {
 		if n.Name == "simpleType" {
-			_, err = c.simple(n, name)
+			_, err = c.simpleType(n, name)
 		} else {
-			_, err = c.named(n, name)
+			_, err = c.complexType(n, name)
 		}
 		if err != nil {
-			return nil, err
+			return err
 		}
 	}
-	return &Schema{root.Attr["targetNamespace"], top.Attr["name"], of}, nil
+	return nil
 }
 
-func unknown(n *Node) error {
-	return &Fault{n.Line, n.Name, "a construct that is not read", "the part of XML Schema that package xsd names"}
+func unsupported(n *Node) error {
+	return &ValidationError{n.Line, n.Name, "a construct that is not read", "the part of XML Schema that package xsd names"}
 }
 
-// only refuses attributes of the schema's own elements that would be passed over.
-func only(n *Node, names ...string) error {
-	for a := range n.Attr {
+// allowAttributes rejects other attributes of a schema's element, which would be ignored otherwise.
+func allowAttributes(n *Node, names ...string) error {
+	for a := range n.Attributes {
 		if !slices.Contains(names, a) {
-			return &Fault{n.Line, n.Name, "attribute " + a, strings.Join(names, ", ")}
+			return &ValidationError{n.Line, n.Name, "attribute " + a, strings.Join(names, ", ")}
 		}
 	}
 	return nil
 }
 
-type compiler struct {
-	types   map[string]*Node
-	made    map[string]*complex
-	simples map[string]*simple
-}
-
-func (c *compiler) complex(n *Node) (*complex, error) {
-	if err := only(n, "name", "type", "minOccurs", "maxOccurs"); err != nil {
+// elementType is the type of a declared element.
+func (c *compiler) elementType(n *Node) (*complexType, error) {
+	if err := allowAttributes(n, "name", "type", "minOccurs", "maxOccurs"); err != nil {
 		return nil, err
 	}
-	of := c.types[n.Attr["type"]]
-	if of == nil || of.Name != "complexType" || len(n.Nodes) > 0 {
-		return nil, &Fault{n.Line, n.Name, "type " + n.Attr["type"], "the name of a complexType here"}
+	typeName := n.Attributes["type"]
+	definition := c.definitions[typeName]
+	if definition == nil || definition.Name != "complexType" || len(n.Children) > 0 {
+		return nil, &ValidationError{n.Line, n.Name, "type " + typeName, "the name of a complexType here"}
 	}
-	return c.named(of, n.Attr["type"])
+	return c.complexType(definition, typeName)
 }
 
-func (c *compiler) named(n *Node, name string) (*complex, error) {
-	if made := c.made[name]; made != nil {
-		return made, nil
+func (c *compiler) complexType(n *Node, name string) (*complexType, error) {
+	if compiled := c.complexTypes[name]; compiled != nil {
+		return compiled, nil
 	}
-	made := &complex{}
-	c.made[name] = made
-	if err := only(n, "name"); err != nil {
+	compiled := &complexType{}
+	c.complexTypes[name] = compiled // before its particles, which may refer to it
+	if err := allowAttributes(n, "name"); err != nil {
 		return nil, err
 	}
-	for _, k := range n.Nodes {
-		switch k.Name {
+	for _, child := range n.Children {
+		switch child.Name {
 		case "sequence", "all":
-			if err := only(k); err != nil || made.parts != nil {
-				return nil, unknown(k)
+			if compiled.particles != nil {
+				return nil, unsupported(child)
 			}
-			made.ordered = k.Name == "sequence"
-			for _, e := range k.Nodes {
-				if e.Name != "element" {
-					return nil, unknown(e)
-				}
-				of, err := c.complex(e)
-				if err != nil {
-					return nil, err
-				}
-				p := part{e.Attr["name"], of, 1, 1}
-				if p.least, err = occurs(e, "minOccurs"); err != nil {
-					return nil, err
-				}
-				if p.most, err = occurs(e, "maxOccurs"); err != nil {
-					return nil, err
-				}
-				made.parts = append(made.parts, p)
+			if err := c.compileParticles(child, compiled); err != nil {
+				return nil, err
 			}
 		case "attribute":
-			a, err := c.attribute(k)
+			a, err := c.attributeUse(child)
 			if err != nil {
 				return nil, err
 			}
-			made.attrs = append(made.attrs, a)
+			compiled.attributes = append(compiled.attributes, a)
 		default:
-			return nil, unknown(k)
+			return nil, unsupported(child)
 		}
 	}
-	return made, nil
+	return compiled, nil
 }
 
-func occurs(n *Node, name string) (int, error) {
-	text, ok := n.Attr[name]
-	if !ok {
+// compileParticles compiles the elements of a sequence or all.
+func (c *compiler) compileParticles(group *Node, into *complexType) error {
+	if allowAttributes(group) != nil {
+		return unsupported(group)
+	}
+	into.isSequence = group.Name == "sequence"
+	for _, n := range group.Children {
+		p, err := c.particle(n)
+		if err != nil {
+			return err
+		}
+		into.particles = append(into.particles, p)
+	}
+	return nil
+}
+
+func (c *compiler) particle(n *Node) (p particle, err error) {
+	if n.Name != "element" {
+		return p, unsupported(n)
+	}
+	p.name = n.Attributes["name"]
+	if p.contentType, err = c.elementType(n); err != nil {
+		return p, err
+	}
+	if p.minOccurs, err = occurs(n, "minOccurs"); err != nil {
+		return p, err
+	}
+	p.maxOccurs, err = occurs(n, "maxOccurs")
+	return p, err
+}
+
+func occurs(n *Node, attribute string) (int, error) {
+	text, found := n.Attributes[attribute]
+	if !found {
 		return 1, nil
 	}
-	x, err := strconv.Atoi(text)
-	if err != nil || x < 0 || x > mostNodes {
-		return 0, &Fault{n.Line, n.Name, name + " " + text, "a number: whatever comes more than once has a bound"}
+	count, err := strconv.Atoi(text)
+	if err != nil || count < 0 || count > maxElements {
+		return 0, &ValidationError{n.Line, n.Name, attribute + " " + text, "a number: whatever comes more than once has a bound"}
 	}
-	return x, nil
+	return count, nil
 }
 
-func (c *compiler) attribute(n *Node) (a attribute, err error) {
-	if err = only(n, "name", "type", "use", "default"); err != nil {
+func (c *compiler) attributeUse(n *Node) (a attributeUse, err error) {
+	if err := allowAttributes(n, "name", "type", "use", "default"); err != nil {
 		return a, err
 	}
-	a.name, a.required = n.Attr["name"], n.Attr["use"] == "required"
-	if use := n.Attr["use"]; use != "" && use != "required" && use != "optional" || len(n.Nodes) > 0 {
-		return a, unknown(n)
+	use := n.Attributes["use"]
+	if use != "" && use != "required" && use != "optional" || len(n.Children) > 0 {
+		return a, unsupported(n)
 	}
-	if of := c.types[n.Attr["type"]]; of != nil && of.Name == "simpleType" {
-		a.of, err = c.simple(of, n.Attr["type"])
-	} else if kind, ok := builtin(n.Attr["type"]); ok {
-		a.of = &simple{kind: kind, short: -1, length: -1}
-	} else {
-		err = &Fault{n.Line, "attribute " + a.name, "type " + n.Attr["type"], "a simpleType here, or xs:string, boolean, integer, decimal"}
+	a.name, a.isRequired = n.Attributes["name"], use == "required"
+	if a.valueType, err = c.attributeType(n); err != nil {
+		return a, err
 	}
-	if text, ok := n.Attr["default"]; ok && err == nil {
-		if a.value = &text; !a.of.holds(text) || a.required {
-			err = &Fault{n.Line, "attribute " + a.name, "default " + text, a.of.wants()}
-		}
+	text, hasDefault := n.Attributes["default"]
+	if !hasDefault {
+		return a, nil
+	}
+	a.defaultValue = &text
+	if a.isRequired || !a.valueType.accepts(text) {
+		return a, &ValidationError{n.Line, "attribute " + a.name, "default " + text, a.valueType.expectation()}
+	}
+	return a, nil
+}
+
+// attributeType is the simple type of a declared attribute, by name or built in.
+func (c *compiler) attributeType(n *Node) (*simpleType, error) {
+	typeName := n.Attributes["type"]
+	if definition := c.definitions[typeName]; definition != nil && definition.Name == "simpleType" {
+		return c.simpleType(definition, typeName)
+	}
+	if kind, ok := builtinKind(typeName); ok {
+		return &simpleType{kind: kind, minLength: unbounded, maxLength: unbounded}, nil
 	}
-	return a, err
+	return nil, &ValidationError{n.Line, "attribute " + n.Attributes["name"], "type " + typeName,
+		"a simpleType here, or xs:string, boolean, integer, decimal"}
 }
--- a/internal/xsd/document.go
+++ b/internal/xsd/document.go
@@ -1,5 +1,3 @@
-// This file owns a document as a tree of elements, within the package's bounds, by no schema yet.
-
 package xsd
 
 import (
@@ -11,76 +9,112 @@
 	"strings"
 )
 
-// Node is an element of a document, with the schema's defaults filled in.
+// Node is an element of a document. After validation its attributes include the schema's defaults.
 type Node struct {
-	Name  string
-	Line  int
-	Attr  map[string]string
-	Nodes []*Node
-	space string
+	Name       string
+	Line       int
+	Attributes map[string]string
+	Children   []*Node
+	namespace  string
+}
+
+// documentParser builds the tree of a document from its tokens.
+type documentParser struct {
+	decoder *xml.Decoder
+	root    *Node
+	open    []*Node // from the root to the current element
+	count   int     // of elements so far
 }
 
-// read takes any XML document as a tree.
-func read(text []byte) (*Node, error) {
-	if len(text) > mostBytes {
-		return nil, &Fault{1, "document", fmt.Sprintf("%d bytes", len(text)), fmt.Sprintf("at most %d", mostBytes)}
+// parseDocument parses a well-formed document within the limits of the package. Errors: a *ValidationError.
+func parseDocument(text []byte) (*Node, error) {
+	if len(text) > maxDocumentBytes {
+		return nil, &ValidationError{1, "document", fmt.Sprintf("%d bytes", len(text)), fmt.Sprintf("at most %d", maxDocumentBytes)}
 	}
-	d := xml.NewDecoder(bytes.NewReader(text))
-	d.CharsetReader = func(string, io.Reader) (io.Reader, error) { return nil, errors.New("only UTF-8 is read") }
-	var open []*Node
-	var root *Node
-	for count := 0; ; {
-		token, err := d.Token()
-		line, _ := d.InputPos()
-		at := "document"
-		if len(open) > 0 {
-			at = open[len(open)-1].Name
-		}
+	p := &documentParser{decoder: xml.NewDecoder(bytes.NewReader(text))}
+	p.decoder.CharsetReader = func(string, io.Reader) (io.Reader, error) { return nil, errors.New("only UTF-8 is read") }
+	for {
+		token, err := p.decoder.Token()
 		if err == io.EOF {
 			break
 		}
 		if err != nil {
-			var s *xml.SyntaxError
-			if errors.As(err, &s) {
-				return nil, &Fault{s.Line, at, s.Msg, "well-formed XML"}
-			}
-			return nil, &Fault{line, at, err.Error(), "well-formed XML"}
+			return nil, p.syntaxError(err)
 		}
-		switch token := token.(type) {
-		case xml.StartElement:
-			if count++; count > mostNodes || len(open) >= mostDepth || root != nil && len(open) == 0 {
-				return nil, &Fault{line, at, "one element more: " + token.Name.Local,
-					fmt.Sprintf("one root, at most %d deep and %d in all", mostDepth, mostNodes)}
-			}
-			n := &Node{Name: token.Name.Local, Line: line, Attr: map[string]string{}, space: token.Name.Space}
-			for _, a := range token.Attr {
-				if a.Name.Space == "xmlns" || a.Name.Local == "xmlns" && a.Name.Space == "" {
-					continue
-				}
-				if _, twice := n.Attr[a.Name.Local]; twice || a.Name.Space != "" {
-					return nil, &Fault{line, n.Name, "attribute " + a.Name.Local, "each once, and none of another name space"}
-				}
-				n.Attr[a.Name.Local] = a.Value
-			}
-			if len(open) > 0 {
-				up := open[len(open)-1]
-				up.Nodes = append(up.Nodes, n)
-			} else {
-				root = n
-			}
-			open = append(open, n)
-		case xml.EndElement:
-			open = open[:len(open)-1]
-		case xml.CharData:
-			if words := strings.TrimSpace(string(token)); words != "" {
-				return nil, &Fault{line, at, fmt.Sprintf("text %.40q", words), "elements only"}
-			}
-		case xml.Directive:
-			return nil, &Fault{line, at, "a declaration <!…>", "none"}
+		if err := p.add(token); err != nil {
+			return nil, err
 		}
 	}
-	if root == nil {
-		return nil, &Fault{1, "document", "nothing", "an element"}
+	if p.root == nil {
+		return nil, &ValidationError{1, "document", "nothing", "an element"}
 	}
-	return root, nil
+	return p.root, nil
+}
+
+func (p *documentParser) line() int {
+	line, _ := p.decoder.InputPos()
+	return line
+}
+
+// element is the name of the current element.
+func (p *documentParser) element() string {
+	if len(p.open) == 0 {
+		return "document"
+	}
+	return p.open[len(p.open)-1].Name
+}
+
+func (p *documentParser) syntaxError(err error) error {
+	var syntax *xml.SyntaxError
+	if errors.As(err, &syntax) {
+		return &ValidationError{syntax.Line, p.element(), syntax.Msg, "well-formed XML"}
+	}
+	return &ValidationError{p.line(), p.element(), err.Error(), "well-formed XML"}
+}
+
+func (p *documentParser) add(token xml.Token) error {
+	switch token := token.(type) {
+	case xml.StartElement:
+		return p.startElement(token)
+	case xml.EndElement:
+		p.open = p.open[:len(p.open)-1]
+	case xml.CharData:
+		if text := strings.TrimSpace(string(token)); text != "" {
+			return &ValidationError{p.line(), p.element(), fmt.Sprintf("text %.40q", text), "elements only"}
+		}
+	case xml.Directive:
+		return &ValidationError{p.line(), p.element(), "a declaration <!…>", "none"}
+	}
+	return nil
+}
+
+func (p *documentParser) startElement(token xml.StartElement) error {
+	p.count++
+	isSecondRoot := p.root != nil && len(p.open) == 0
+	if p.count > maxElements || len(p.open) >= maxDepth || isSecondRoot {
+		return &ValidationError{p.line(), p.element(), "one element more: " + token.Name.Local,
+			fmt.Sprintf("one root, at most %d deep and %d in all", maxDepth, maxElements)}
+	}
+	n := &Node{Name: token.Name.Local, Line: p.line(), Attributes: map[string]string{}, namespace: token.Name.Space}
+	for _, a := range token.Attr {
+		if isNamespaceDeclaration(a) {
+			continue
+		}
+		if _, isDuplicate := n.Attributes[a.Name.Local]; isDuplicate || a.Name.Space != "" {
+			return &ValidationError{n.Line, n.Name, "attribute " + a.Name.Local, "each once, and none of another name space"}
+		}
+		n.Attributes[a.Name.Local] = a.Value
+	}
+	if len(p.open) > 0 {
+		parent := p.open[len(p.open)-1]
+		parent.Children = append(parent.Children, n)
+	} else {
+		p.root = n
+	}
+	p.open = append(p.open, n)
+	return nil
+}
+
+func isNamespaceDeclaration(a xml.Attr) bool {
+	return a.Name.Space == "xmlns" || a.Name.Local == "xmlns" && a.Name.Space == ""
 }
--- a/internal/xsd/schema.go
+++ b/internal/xsd/schema.go
@@ -1,5 +1,3 @@
-// This file owns documents by a compiled schema.
-
 package xsd
 
 import (
@@ -8,115 +6,140 @@
 	"strings"
 )
 
-type attribute struct {
-	name     string
-	of       *simple
-	required bool
-	value    *string // the default
+// Schema is a compiled schema.
+type Schema struct {
+	namespace, rootName string
+	rootType            *complexType
 }
 
-type part struct {
-	name        string
-	of          *complex
-	least, most int
+// complexType is the content of an element: child elements and attributes.
+type complexType struct {
+	isSequence bool // children in the order of the particles; otherwise in any order
+	particles  []particle
+	attributes []attributeUse
 }
 
-type complex struct {
-	ordered bool
-	parts   []part
-	attrs   []attribute
+// particle is a child element and how often it may occur.
+type particle struct {
+	name                 string
+	contentType          *complexType
+	minOccurs, maxOccurs int
 }
 
-// Schema is a compiled one.
-type Schema struct {
-	space, root string
-	of          *complex
+type attributeUse struct {
+	name         string
+	valueType    *simpleType
+	isRequired   bool
+	defaultValue *string // nil: none
 }
 
-// Read takes a document by the schema. Every error is a *Fault.
-func (s *Schema) Read(text []byte) (*Node, error) {
-	root, err := read(text)
+// Parse parses and validates a document, and adds the defaults of missing attributes. Errors: a *ValidationError.
+func (s *Schema) Parse(text []byte) (*Node, error) {
+	root, err := parseDocument(text)
 	if err != nil {
 		return nil, err
 	}
-	if root.Name != s.root || root.space != s.space {
-		return nil, &Fault{root.Line, root.Name, fmt.Sprintf("name space %.80q", root.space), fmt.Sprintf("element %s of %s", s.root, s.space)}
+	if root.Name != s.rootName || root.namespace != s.namespace {
+		return nil, &ValidationError{root.Line, root.Name, fmt.Sprintf("name space %.80q", root.namespace), fmt.Sprintf("element %s of %s", s.rootName, s.namespace)}
 	}
-	return root, s.check(root, s.of)
+	return root, s.validate(root, s.rootType)
 }
 
-func (s *Schema) check(n *Node, of *complex) error {
-	for _, a := range of.attrs {
-		text, ok := n.Attr[a.name]
+func (s *Schema) validate(n *Node, contentType *complexType) error {
+	if err := contentType.validateAttributes(n); err != nil {
+		return err
+	}
+	return s.validateChildren(n, contentType)
+}
+
+func (c *complexType) validateAttributes(n *Node) error {
+	for _, a := range c.attributes {
+		text, found := n.Attributes[a.name]
 		switch {
-		case ok && !a.of.holds(text):
-			return &Fault{n.Line, n.Name, fmt.Sprintf("%s=%.60q", a.name, text), a.of.wants()}
-		case !ok && a.required:
-			return &Fault{n.Line, n.Name, "no " + a.name, a.of.wants()}
-		case !ok && a.value != nil:
-			n.Attr[a.name] = *a.value
+		case found && !a.valueType.accepts(text):
+			return &ValidationError{n.Line, n.Name, fmt.Sprintf("%s=%.60q", a.name, text), a.valueType.expectation()}
+		case !found && a.isRequired:
+			return &ValidationError{n.Line, n.Name, "no " + a.name, a.valueType.expectation()}
+		case !found && a.defaultValue != nil:
+			n.Attributes[a.name] = *a.defaultValue
 		}
 	}
-	for name := range n.Attr {
-		if !slices.ContainsFunc(of.attrs, func(a attribute) bool { return a.name == name }) {
-			var names []string
-			for _, a := range of.attrs {
-				names = append(names, a.name)
-			}
-			return &Fault{n.Line, n.Name, "attribute " + name, "one of: " + strings.Join(names, ", ")}
+	for name := range n.Attributes {
+		if !slices.ContainsFunc(c.attributes, func(a attributeUse) bool { return a.name == name }) {
+			return &ValidationError{n.Line, n.Name, "attribute " + name, "one of: " + c.attributeNames()}
 		}
 	}
-	seen, at := make([]int, len(of.parts)), 0
-	for _, k := range n.Nodes {
-		i := slices.IndexFunc(of.parts, func(p part) bool { return p.name == k.Name })
-		if i < 0 || k.space != s.space || of.ordered && i < at {
-			return &Fault{k.Line, n.Name, "element " + k.Name, of.wants()}
+	return nil
+}
+
+func (c *complexType) attributeNames() string {
+	var names []string
+	for _, a := range c.attributes {
+		names = append(names, a.name)
+	}
+	return strings.Join(names, ", ")
+}
+
+func (s *Schema) validateChildren(n *Node, contentType *complexType) error {
+	occurrences, previous := make([]int, len(contentType.particles)), 0
+	for _, child := range n.Children {
+		index := slices.IndexFunc(contentType.particles, func(p particle) bool { return p.name == child.Name })
+		if index < 0 || child.namespace != s.namespace || contentType.isSequence && index < previous {
+			return &ValidationError{child.Line, n.Name, "element " + child.Name, contentType.expectation()}
 		}
-		at = i
-		if seen[i]++; seen[i] > of.parts[i].most {
-			return &Fault{k.Line, n.Name, fmt.Sprintf("element %s the %dth time", k.Name, seen[i]), fmt.Sprintf("at most %d", of.parts[i].most)}
+		previous = index
+		p := contentType.particles[index]
+		if occurrences[index]++; occurrences[index] > p.maxOccurs {
+			return &ValidationError{child.Line, n.Name, fmt.Sprintf("element %s the %dth time", child.Name, occurrences[index]),
+				fmt.Sprintf("at most %d", p.maxOccurs)}
 		}
-		if err := s.check(k, of.parts[i].of); err != nil {
+		if err := s.validate(child, p.contentType); err != nil {
 			return err
 		}
 	}
-	for i, p := range of.parts {
-		if seen[i] < p.least {
-			return &Fault{n.Line, n.Name, fmt.Sprintf("element %s %d times", p.name, seen[i]), fmt.Sprintf("at least %d", p.least)}
+	for index, p := range contentType.particles {
+		if occurrences[index] < p.minOccurs {
+			return &ValidationError{n.Line, n.Name, fmt.Sprintf("element %s %d times", p.name, occurrences[index]),
+				fmt.Sprintf("at least %d", p.minOccurs)}
 		}
 	}
 	return nil
 }
 
-func (c *complex) wants() string {
-	if len(c.parts) == 0 {
+// expectation describes the children that are allowed.
+func (c *complexType) expectation() string {
+	if len(c.particles) == 0 {
 		return "no element"
 	}
 	var names []string
-	for _, p := range c.parts {
+	for _, p := range c.particles {
 		names = append(names, p.name)
 	}
-	if c.ordered {
+	if c.isSequence {
 		return "in this order: " + strings.Join(names, ", ")
 	}
 	return "one of: " + strings.Join(names, ", ")
 }
 
-// Walk names every element and attribute that a document may have, by its path (a/b, a/b@c). Whether an element may
-// come more than once is told by many; an attribute has a kind.
-func (s *Schema) Walk(visit func(path string, many bool, kind Kind)) {
-	var walk func(at string, of *complex, depth int)
-	walk = func(at string, of *complex, depth int) {
-		for _, a := range of.attrs {
-			visit(at+"@"+a.name, false, a.of.kind)
-		}
-		for _, p := range of.parts {
-			path := at + "/" + p.name
-			visit(path, p.most > 1, "")
-			if depth < mostDepth {
-				walk(path, p.of, depth+1)
-			}
+// Declaration is an element or attribute that a document may have.
+type Declaration struct {
+	Path         string // as a/b for an element and a/b@c for an attribute
+	IsRepeatable bool   // an element that may occur more than once
+	Kind         Kind   // of an attribute; empty for an element
+}
+
+// Walk calls visit for every element below the root and every attribute.
+func (s *Schema) Walk(visit func(Declaration)) { s.rootType.walk(s.rootName, 0, visit) }
+
+func (c *complexType) walk(path string, depth int, visit func(Declaration)) {
+	for _, a := range c.attributes {
+		visit(Declaration{Path: path + "@" + a.name, Kind: a.valueType.kind})
+	}
+	for _, p := range c.particles {
+		childPath := path + "/" + p.name
+		visit(Declaration{Path: childPath, IsRepeatable: p.maxOccurs > 1})
+		if depth < maxDepth {
+			p.contentType.walk(childPath, depth+1, visit)
 		}
 	}
-	walk(s.root, s.of, 0)
 }
--- a/internal/xsd/xsd.go
+++ b/internal/xsd/xsd.go
@@ -1,25 +1,26 @@
-// Package xsd reads the part of W3C XML Schema 1.0 that the operator's file is written in, and documents by it:
-// one root element, named types, sequence and all, attributes with defaults, and simple types by restriction. No
-// pure Go validator is served by the registry. A schema that uses anything else is refused whole, so that nothing
-// stands in it that isn't checked. It must never fetch anything, expand an entity, or let a document grow past its
-// bounds: mostBytes, mostDepth, mostNodes. It keeps no table.
+// Package xsd validates XML documents against a subset of W3C XML Schema 1.0, the one that the operator's settings file needs:
+// one root element, named types, sequence and all, attributes with defaults, and simple types by restriction. A schema that
+// uses anything else is rejected as a whole, so that no constraint in it goes unchecked.
+//
+// Documents are bounded by maxDocumentBytes, maxDepth and maxElements. Entities are not expanded and nothing is fetched. A
+// Schema is immutable and safe for concurrent use.
 package xsd
 
 import "fmt"
 
 const (
-	mostBytes = 1 << 20
-	mostDepth = 16
-	mostNodes = 10000
-	space     = "http://www.w3.org/2001/XMLSchema"
+	maxDocumentBytes = 1 << 20
+	maxDepth         = 16    // of nested elements
+	maxElements      = 10000 // in a document
+	schemaNamespace  = "http://www.w3.org/2001/XMLSchema"
 )
 
-// Fault is what is wrong at one line of a document.
-type Fault struct {
-	Line                 int
-	Element, Found, Want string
+// ValidationError is what is wrong at one line of a document or schema.
+type ValidationError struct {
+	Line                     int // from 1
+	Element, Found, Expected string
 }
 
-func (f *Fault) Error() string {
-	return fmt.Sprintf("line %d, %s: found %s, expected %s", f.Line, f.Element, f.Found, f.Want)
+func (e *ValidationError) Error() string {
+	return fmt.Sprintf("line %d, %s: found %s, expected %s", e.Line, e.Element, e.Found, e.Expected)
 }
--- a/internal/xsd/xsd_test.go
+++ b/internal/xsd/xsd_test.go
@@ -5,10 +5,10 @@
 	"testing"
 )
 
-const before = `<xs:schema xmlns:xs="http://www.w3.org/2001/XMLSchema" targetNamespace="u"><xs:element name="r" type="r"/>`
+const schemaPrefix = `<xs:schema xmlns:xs="http://www.w3.org/2001/XMLSchema" targetNamespace="u"><xs:element name="r" type="r"/>`
 
 // What is not understood is refused: a facet passed over would look as if it held.
-func TestSchemaIsReadWholeOrNotAtAll(t *testing.T) {
+func TestCompileRejectsUnsupportedSchemas(t *testing.T) {
 	for _, text := range []string{
 		`<xs:complexType name="r"><xs:choice/></xs:complexType>`,
 		`<xs:complexType name="r" mixed="true"/>`,
@@ -21,14 +21,14 @@
 		`<xs:import namespace="x"/>`,
 		``,
 	} {
-		if _, err := Parse([]byte(before + text + `</xs:schema>`)); err == nil {
+		if _, err := Compile([]byte(schemaPrefix + text + `</xs:schema>`)); err == nil {
 			t.Errorf("taken: %s", text)
 		}
 	}
 }
 
-func FuzzRead(f *testing.F) {
-	s, err := Parse([]byte(before + `<xs:complexType name="r"><xs:all><xs:element name="e" type="r" minOccurs="0"/></xs:all>` +
+func FuzzParse(f *testing.F) {
+	s, err := Compile([]byte(schemaPrefix + `<xs:complexType name="r"><xs:all><xs:element name="e" type="r" minOccurs="0"/></xs:all>` +
 		`<xs:attribute name="n" type="t" default="3"/><xs:attribute name="d" type="xs:decimal"/></xs:complexType>` +
 		`<xs:simpleType name="t"><xs:restriction base="xs:integer"><xs:minInclusive value="1"/><xs:maxInclusive value="8"/></xs:restriction></xs:simpleType></xs:schema>`))
 	if err != nil {
@@ -39,18 +39,18 @@
 	f.Add([]byte(strings.Repeat(`<r xmlns="u">`, 40)))
 	f.Add([]byte(`<r xmlns="u" n="1e999999999" d="1/3"/>`))
 	f.Fuzz(func(t *testing.T, text []byte) {
-		n, err := s.Read(text)
+		n, err := s.Parse(text)
 		if err != nil {
-			if _, ok := err.(*Fault); !ok || strings.Contains(err.Error(), "\n") && !strings.Contains(string(text), "\n") {
+			if _, ok := err.(*ValidationError); !ok || strings.Contains(err.Error(), "\n") && !strings.Contains(string(text), "\n") {
 				t.Errorf("%v", err)
 			}
 			return
 		}
-		for ; n != nil; n = n.Nodes[0] {
-			if len(n.Attr["n"]) == 0 || strings.Trim(n.Attr["n"], "+0") > "8" {
-				t.Errorf("n=%q", n.Attr["n"])
+		for ; n != nil; n = n.Children[0] {
+			if len(n.Attributes["n"]) == 0 || strings.Trim(n.Attributes["n"], "+0") > "8" {
+				t.Errorf("n=%q", n.Attributes["n"])
 			}
-			if len(n.Nodes) == 0 {
+			if len(n.Children) == 0 {
 				break
 			}
 		}
