--- /dev/null
+++ b/internal/invariant/checker.go
@@ -0,0 +1,204 @@
+package invariant
+
+import (
+	"fmt"
+	"maps"
+	"slices"
+	"time"
+)
+
+// Checker checks events as they are reported. It holds an entry for each item and attempt of the run. It is not safe for
+// concurrent use. Times are since the start of the run.
+type Checker struct {
+	keyWindow  time.Duration
+	items      map[string]*workItem
+	attempts   map[string]*attempt // by ID
+	instances  map[string]*instance
+	violations []Violation
+	outcomes   map[Outcome]int
+
+	DuplicateOutcomes     int // answers to attempts that were answered or never received
+	LateOutcomes          int // answers after the deadline
+	DoubleRunsPerInstance int // repeated runs of an item at the same instance
+	DoubleRunsAll         int // the same, at any instance
+}
+
+type workItem struct {
+	name             string
+	idempotency      Idempotency
+	startsByInstance map[string][]time.Duration
+}
+
+type attempt struct {
+	Attempt
+	outcome Outcome // "": none yet
+	hasRun  bool    // the item started at the instance while this attempt was open
+}
+
+type instance struct {
+	drainDeadline time.Duration // 0: not draining
+	openAttempts  map[string]struct{}
+}
+
+// New makes an empty checker. An idempotent item may not run twice at one instance within the key window.
+func New(keyWindow time.Duration) *Checker {
+	return &Checker{
+		keyWindow: keyWindow,
+		items:     map[string]*workItem{},
+		attempts:  map[string]*attempt{},
+		instances: map[string]*instance{},
+		outcomes:  map[Outcome]int{},
+	}
+}
+
+func (c *Checker) report(rule Rule, item, detail string, args ...any) {
+	c.violations = append(c.violations, Violation{rule, item, fmt.Sprintf(detail, args...)})
+}
+
+func (c *Checker) instance(name string) *instance {
+	i := c.instances[name]
+	if i == nil {
+		i = &instance{openAttempts: map[string]struct{}{}}
+		c.instances[name] = i
+	}
+	return i
+}
+
+func (c *Checker) item(name string, idempotency Idempotency) *workItem {
+	item := c.items[name]
+	if item == nil {
+		item = &workItem{name: name, idempotency: idempotency, startsByInstance: map[string][]time.Duration{}}
+		c.items[name] = item
+	}
+	return item
+}
+
+// Received reports an attempt.
+func (c *Checker) Received(a Attempt) {
+	c.item(a.Item, a.Idempotency)
+	if c.attempts[a.ID] != nil {
+		c.report(AnsweredOnce, a.Item, "attempt %s received twice", a.ID)
+		return
+	}
+	c.attempts[a.ID] = &attempt{Attempt: a}
+	c.instance(a.Instance).openAttempts[a.ID] = struct{}{}
+}
+
+// Started reports that an instance runs an item.
+func (c *Checker) Started(at time.Duration, instanceName, itemName string, idempotency Idempotency) {
+	item := c.item(itemName, idempotency)
+	if idempotency != Safe {
+		c.checkOtherInstances(item, instanceName)
+		c.checkSameInstance(at, item, instanceName, idempotency)
+	}
+	item.startsByInstance[instanceName] = append(item.startsByInstance[instanceName], at)
+	for id := range c.instance(instanceName).openAttempts {
+		if a := c.attempts[id]; a.Item == itemName {
+			a.hasRun = true
+		}
+	}
+}
+
+func (c *Checker) checkOtherInstances(item *workItem, instanceName string) {
+	for other, starts := range item.startsByInstance {
+		if other != instanceName && len(starts) > 0 {
+			c.DoubleRunsAll++
+			c.report(NoDuplicateEffect, item.name, "ran at %s and at %s", other, instanceName)
+			return
+		}
+	}
+}
+
+func (c *Checker) checkSameInstance(at time.Duration, item *workItem, instanceName string, idempotency Idempotency) {
+	for _, earlier := range item.startsByInstance[instanceName] {
+		if idempotency == NonIdempotent || at-earlier < c.keyWindow {
+			c.DoubleRunsPerInstance++
+			c.DoubleRunsAll++
+			c.report(NoDuplicateEffect, item.name, "ran at %s at %v and again at %v", instanceName, earlier, at)
+			return
+		}
+	}
+}
+
+// Completed reports the answer to an attempt.
+func (c *Checker) Completed(at time.Duration, attemptID string, outcome Outcome) {
+	a := c.attempts[attemptID]
+	switch {
+	case a == nil:
+		c.DuplicateOutcomes++
+		c.report(AnsweredOnce, attemptID, "answered and never received")
+		return
+	case a.outcome != "":
+		c.DuplicateOutcomes++
+		c.report(AnsweredOnce, a.Item, "attempt %s ended as %s and as %s", attemptID, a.outcome, outcome)
+		return
+	case outcome != CallerGone && at > a.Deadline:
+		c.LateOutcomes++
+		c.report(AnsweredOnce, a.Item, "attempt %s answered %v late", attemptID, at-a.Deadline)
+	case outcome == Rejected && a.hasRun && c.items[a.Item].idempotency != Safe:
+		c.report(NoDuplicateEffect, a.Item, "rejected though it ran")
+	}
+	a.outcome = outcome
+	c.outcomes[outcome]++
+	delete(c.instance(a.Instance).openAttempts, attemptID)
+}
+
+// Draining reports that an instance has been notified of its shutdown; what arrives after the grace period may not run.
+func (c *Checker) Draining(at time.Duration, instanceName string, grace time.Duration) {
+	c.instance(instanceName).drainDeadline = at + grace
+}
+
+// Arrived reports an item that arrived at an instance, and whether it was run.
+func (c *Checker) Arrived(at time.Duration, instanceName, itemName string, execution Execution) {
+	i := c.instance(instanceName)
+	if execution == Executed && i.drainDeadline > 0 && at > i.drainDeadline {
+		c.report(DrainsCompletely, itemName, "arrived %v after the grace of %s and ran", at-i.drainDeadline, instanceName)
+	}
+}
+
+// Stopped reports the end of an instance's process. The callers of its open attempts are gone.
+func (c *Checker) Stopped(at time.Duration, instanceName string, cause StopCause) {
+	i := c.instance(instanceName)
+	for _, id := range slices.Sorted(maps.Keys(i.openAttempts)) {
+		if cause == Shutdown {
+			c.report(DrainsCompletely, c.attempts[id].Item, "attempt %s unanswered at the stop of %s", id, instanceName)
+		}
+		c.Completed(at, id, CallerGone)
+	}
+	i.drainDeadline = 0
+}
+
+// CheckMemory checks the highest memory use of an instance against its limit, both in bytes.
+func (c *Checker) CheckMemory(instanceName string, highest, limit int64) {
+	if highest > limit {
+		c.report(MemoryBounded, instanceName, "%d bytes, over its %d", highest, limit)
+	}
+}
+
+// Finish ends the run: attempts that are still open were never answered.
+func (c *Checker) Finish() {
+	for _, id := range slices.Sorted(maps.Keys(c.attempts)) {
+		if a := c.attempts[id]; a.outcome == "" {
+			c.report(AnsweredOnce, a.Item, "attempt %s at %s never answered", id, a.Instance)
+		}
+	}
+}
+
+// Violations are all that were found, in the order of detection.
+func (c *Checker) Violations() []Violation { return c.violations }
+
+// OutcomeCount is the number of attempts that ended with an outcome.
+func (c *Checker) OutcomeCount(outcome Outcome) int { return c.outcomes[outcome] }
+
+// AttemptCount is the number of attempts received.
+func (c *Checker) AttemptCount() int { return len(c.attempts) }
+
+// ExecutedItems is the number of items that ran at least once.
+func (c *Checker) ExecutedItems() (count int) {
+	for _, item := range c.items {
+		if len(item.startsByInstance) > 0 {
+			count++
+		}
+	}
+	return count
+}
--- /dev/null
+++ b/internal/invariant/invariant.go
@@ -0,0 +1,76 @@
+// Package invariant checks the four rules of an instance (see Rule) against recorded events of a run, of any front end, reported
+// in the order in which they happened. A work item is identified by its caller (a message ID, an idempotency key); an attempt is one
+// reception of it by one instance. What was not recorded did not happen.
+package invariant
+
+import (
+	"fmt"
+	"time"
+)
+
+// Idempotency tells whether a work item may run again.
+type Idempotency string
+
+// The kinds of work items. An Idempotent item has a key, by which an instance must recognize it for the key window.
+const (
+	Safe          Idempotency = "safe"
+	Idempotent    Idempotency = "idempotent"
+	NonIdempotent Idempotency = "non-idempotent"
+)
+
+// Outcome is how an attempt ended.
+type Outcome string
+
+// The final answers, and their absence where the caller was known to be gone.
+const (
+	Succeeded  Outcome = "succeeded"
+	Rejected   Outcome = "rejected"
+	Failed     Outcome = "failed"
+	CallerGone Outcome = "caller gone"
+)
+
+// Execution tells whether an item that arrived was run.
+type Execution bool
+
+// Whether an item was run.
+const (
+	Skipped  Execution = false
+	Executed Execution = true
+)
+
+// StopCause is why an instance stopped.
+type StopCause int
+
+// The causes of a stop. Only a shutdown has to complete all attempts first.
+const (
+	Shutdown StopCause = iota
+	Killed
+)
+
+// Rule is the number of a rule.
+type Rule int
+
+// The rules.
+const (
+	AnsweredOnce      Rule = 1 + iota // every attempt is answered exactly once by its deadline, unless its caller is gone
+	NoDuplicateEffect                 // no item runs again where its idempotency forbids it, or is rejected after it has run
+	DrainsCompletely                  // a draining instance answers all attempts and runs nothing that arrives after its grace period
+	MemoryBounded                     // an instance stays within its memory limit
+)
+
+// Violation is a rule that was broken.
+type Violation struct {
+	Rule         Rule
+	Item, Detail string
+}
+
+func (v Violation) String() string { return fmt.Sprintf("rule %d: %s: %s", v.Rule, v.Item, v.Detail) }
+
+// Attempt is one reception of a work item by an instance. Times are since the start of the run.
+type Attempt struct {
+	ID          string // unique in the run
+	Item        string
+	Instance    string
+	Idempotency Idempotency
+	Deadline    time.Duration
+}
--- a/internal/lab/amqp.go
+++ b/internal/lab/amqp.go
@@ -51,7 +51,7 @@
 			s.Ready++
 		}
 		recorded.mu.Lock()
-		done := recorded.book.Count(invariant.Fulfilled)
+		done := recorded.book.OutcomeCount(invariant.Succeeded)
 		recorded.mu.Unlock()
 		// A consumer whose acks were lost has its credit used up for good; brokers end such a one after a while.
 		if n := recorded.b.Counted("delivered"); n != handed {
--- a/internal/lab/amqpbroker.go
+++ b/internal/lab/amqpbroker.go
@@ -30,21 +30,21 @@
 	address string
 	start   time.Time
 	mu      sync.Mutex
-	book    *invariant.Book
-	marks   map[string]invariant.How // what a published copy says of a try's end
+	book    *invariant.Checker
+	marks   map[string]invariant.Outcome // what a published copy says of a try's end
 	ended   map[string]bool
 	dead    int
 }
 
 // kinds is what the recorded rules know of a class.
-func kinds(class string) invariant.Kind {
+func kinds(class string) invariant.Idempotency {
 	switch class {
 	case rig.Trace:
-		return invariant.Pure
+		return invariant.Safe
 	case rig.Excursion:
-		return invariant.Receipted
+		return invariant.Idempotent
 	}
-	return invariant.Effectful
+	return invariant.NonIdempotent
 }
 
 func newRecordedBroker(faults ...broker.Fault) (*recordedBroker, error) {
@@ -52,7 +52,7 @@
 	if err != nil {
 		return nil, err
 	}
-	r := &recordedBroker{b: b, start: time.Now(), book: invariant.New(rig.Window), marks: map[string]invariant.How{}, ended: map[string]bool{}}
+	r := &recordedBroker{b: b, start: time.Now(), book: invariant.New(rig.Window), marks: map[string]invariant.Outcome{}, ended: map[string]bool{}}
 	if err := b.Depot("given-up", nil); err != nil {
 		return nil, err
 	}
@@ -73,25 +73,25 @@
 		}
 		if e.Queue == "dead" {
 			r.dead++
-			r.marks[e.Peer+e.ID] = invariant.Scrapped
+			r.marks[e.Peer+e.ID] = invariant.Failed
 		} else {
-			r.marks[e.Peer+e.ID] = invariant.TurnedBack
+			r.marks[e.Peer+e.ID] = invariant.Rejected
 		}
 	case "delivered":
-		r.book.Read(at, e.Peer, e.ID, try, kinds(e.Type), at+rig.CallerTimeout)
+		r.book.Received(invariant.Attempt{ID: try, Item: e.ID, Instance: e.Peer, Idempotency: kinds(e.Type), Deadline: at + rig.CallerTimeout})
 	case "acked", "ack-dropped":
-		how := invariant.Fulfilled
+		how := invariant.Succeeded
 		if mark := r.marks[e.Peer+e.ID]; mark != "" {
 			how = mark
 			delete(r.marks, e.Peer+e.ID)
 		}
 		r.ended[try] = true
-		r.book.Answered(at, try, how)
+		r.book.Completed(at, try, how)
 	case "requeued", "rejected":
-		r.book.Answered(at, try, invariant.Scrapped)
+		r.book.Completed(at, try, invariant.Failed)
 	case "gone":
 		if !r.ended[try] { // else its ack was lost, and it was answered
-			r.book.Answered(at, try, invariant.Gone)
+			r.book.Completed(at, try, invariant.CallerGone)
 		}
 		delete(r.ended, try)
 		delete(r.marks, e.Peer+e.ID) // the copy went out, and the message will come again
@@ -160,28 +160,28 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	b := r.book
-	b.Close(time.Since(r.start))
-	b.Memory("instances", most, rig.MemoryMB<<20)
+	b.Finish()
+	b.CheckMemory("instances", most, rig.MemoryMB<<20)
 	to.Put("messages", float64(size))
-	to.Put("read", float64(b.Tries()))
-	to.Put("fulfilled", float64(b.Count(invariant.Fulfilled)))
-	to.Put("turned_back", float64(b.Count(invariant.TurnedBack)))
-	to.Put("scrapped", float64(b.Count(invariant.Scrapped)))
-	to.Put("caller_gone", float64(b.Count(invariant.Gone)))
+	to.Put("read", float64(b.AttemptCount()))
+	to.Put("fulfilled", float64(b.OutcomeCount(invariant.Succeeded)))
+	to.Put("turned_back", float64(b.OutcomeCount(invariant.Rejected)))
+	to.Put("scrapped", float64(b.OutcomeCount(invariant.Failed)))
+	to.Put("caller_gone", float64(b.OutcomeCount(invariant.CallerGone)))
 	to.Put("dead_lettered", float64(r.dead))
-	to.Put("ran_messages", float64(b.Ran()))
+	to.Put("ran_messages", float64(b.ExecutedItems()))
 	to.Put("acks_dropped", float64(r.b.Counted("ack-dropped")))
 	to.Put("connections_lost", float64(r.b.Counted("lost")))
 	to.Zero("unsettled_at_broker", s.Ready+s.Out)
-	to.Zero("ended_twice", b.EndedTwice+unknown)
-	to.Zero("late", b.Late)
-	to.Zero("double_runs_one_instance", b.DoubleRunsOne)
+	to.Zero("ended_twice", b.DuplicateOutcomes+unknown)
+	to.Zero("late", b.LateOutcomes)
+	to.Zero("double_runs_one_instance", b.DoubleRunsPerInstance)
 	to.Zero("double_runs_all", b.DoubleRunsAll)
-	to.Zero("breaches", len(b.Breaches()))
-	for _, x := range b.Breaches()[:min(len(b.Breaches()), 5)] {
+	to.Zero("breaches", len(b.Violations()))
+	for _, x := range b.Violations()[:min(len(b.Violations()), 5)] {
 		to.Fault("%s", x.String())
 	}
-	if lost := size - b.Ran() - r.dead; lost > 0 {
+	if lost := size - b.ExecutedItems() - r.dead; lost > 0 {
 		to.Fault("%d messages neither ran nor are dead letters", lost)
 	}
 	to.Put("most_memory_mb", float64(most)/(1<<20))
