--- a/internal/lab/emulator/configuration_changes.go
+++ b/internal/lab/emulator/configuration_changes.go
@@ -105,7 +105,7 @@
 }
 
 func (s *configurationSimulation) submitTo(c *configurationControlNode, change configurationChange) {
-	token, isValid := c.holder.May(c.clock(), configurationDuty)
+	token, isValid := c.elector.Token(c.clock(), configurationDuty)
 	command, err := c.ControlNode.Propose(s.now, configuration.Lease{Token: token, Valid: isValid}, change.edits)
 	hasNoQuorum := c.isolatedSince > 0 && s.now-c.isolatedSince > isolationThreshold
 	if err != nil {
@@ -120,5 +120,5 @@
 	if hasNoQuorum {
 		s.checker.result.AcceptedWithoutQuorum++
 	}
-	c.holder.Decide(c.clock(), configurationDuty, string(command.Encode()))
+	c.elector.Decide(c.clock(), configurationDuty, string(command.Encode()))
 }
--- a/internal/lab/emulator/configuration_checker.go
+++ b/internal/lab/emulator/configuration_checker.go
@@ -40,10 +40,10 @@
 // commit checks an entry as it is committed, and reports whether it makes a new version.
 func (c *configurationChecker) commit(index uint64, e configurationEntry, requestedAt time.Duration) (isEffective bool) {
 	outcome := c.table.Apply(index, e.Command)
-	if e.Kind == lease.Claim && outcome.Accepted {
+	if e.Kind == lease.Acquire && outcome.Accepted {
 		c.result.LeaseChanges++
 	}
-	if e.Kind != lease.Do {
+	if e.Kind != lease.Decide {
 		return false
 	}
 	if e.isStale {
--- a/internal/lab/emulator/configuration_control.go
+++ b/internal/lab/emulator/configuration_control.go
@@ -10,7 +10,7 @@
 // configurationDuty is the duty whose lease holder may change the configuration.
 const configurationDuty = "configuration"
 
-var configurationLease = lease.Lease{Length: 2 * time.Second, Drift: 0.01, Margin: 20 * time.Millisecond}
+var configurationLease = lease.Config{Duration: 2 * time.Second, MaxDrift: 0.01, SafetyMargin: 20 * time.Millisecond}
 
 // configurationControlNode is a control node with its copy of the log and its part in the lease. It is the lease.Host of its
 // process.
@@ -19,7 +19,7 @@
 	process        *configurationProcess
 	store          *configuration.Store
 	table          *lease.Table
-	holder         *lease.Holder
+	elector        *lease.Elector
 	appliedEntries int
 	token          uint64 // of the last lease that it held
 	startedAt      time.Duration
@@ -40,9 +40,9 @@
 	p.isUp, p.isPaused = true, false
 	p.activeVersion, c.startedAt, c.token = c.store.State().Version(), s.now, 0
 	c.ControlNode = configuration.NewControlNode(s.now, p, c.store)
-	c.holder = lease.NewHolder(c, c.table, configurationLease, p.name, uint64(p.incarnation))
-	c.holder.Placed(configurationDuty, p.index)
-	c.holder.CaughtUp(0)
+	c.elector = lease.NewElector(c, c.table, configurationLease, p.name, uint64(p.incarnation))
+	c.elector.SetClaimPosition(configurationDuty, p.index)
+	c.elector.SetCaughtUp(0)
 	p.traffic.reset(s.now)
 	p.traffic.markStarted(s.now)
 }
@@ -57,11 +57,11 @@
 	c.process.simulation.propose(c.process, command)
 }
 
-// Holds implements lease.Host. The token is kept for commands that are proposed without checking the lease.
-func (c *configurationControlNode) Holds(_ string, token uint64) { c.token = token }
+// LeaseAcquired implements lease.Host. The token is kept for commands that are proposed without checking the lease.
+func (c *configurationControlNode) LeaseAcquired(_ string, token uint64) { c.token = token }
 
-// Lost implements lease.Host. The token stays, see Holds.
-func (c *configurationControlNode) Lost(string) {}
+// LeaseLost implements lease.Host. The token stays, see LeaseAcquired.
+func (c *configurationControlNode) LeaseLost(string) {}
 
 // proposeWithoutLeaseCheck proposes under the last lease, as a node does that checked it, was paused and goes on.
 func (c *configurationControlNode) proposeWithoutLeaseCheck() {
@@ -75,7 +75,7 @@
 		return
 	}
 	command := configuration.Command{Base: active, Version: v, Changes: []configuration.Change{{Resource: r}}}
-	c.Propose(lease.Command{Kind: lease.Do, Duty: configurationDuty, Member: c.process.name, Life: uint64(c.process.incarnation),
+	c.Propose(lease.Command{Kind: lease.Decide, Duty: configurationDuty, Member: c.process.name, Incarnation: uint64(c.process.incarnation),
 		Token: c.token, Body: string(command.Encode())})
 }
 
@@ -87,8 +87,8 @@
 	c := p.control
 	for ; c.appliedEntries < upTo; c.appliedEntries++ {
 		e := s.log.entries[c.appliedEntries]
-		outcome := c.holder.Applied(c.clock(), uint64(c.appliedEntries+1), e.Command)
-		if e.Kind == lease.Claim && outcome.Accepted {
+		outcome := c.elector.Apply(c.clock(), uint64(c.appliedEntries+1), e.Command)
+		if e.Kind == lease.Acquire && outcome.Accepted {
 			c.LeaseGranted(outcome.Token)
 		}
 		if e.change == nil {
--- a/internal/lab/emulator/configuration_faults.go
+++ b/internal/lab/emulator/configuration_faults.go
@@ -150,7 +150,7 @@
 // pauseLeaseHolder pauses the lease holder past its lease; it goes on without checking the lease.
 func (s *configurationSimulation) pauseLeaseHolder() {
 	for _, p := range s.controlProcesses() {
-		if _, isHolder := p.control.holder.May(p.control.clock(), configurationDuty); !isHolder || !p.isUp {
+		if _, isHolder := p.control.elector.Token(p.control.clock(), configurationDuty); !isHolder || !p.isUp {
 			continue
 		}
 		p.isPaused = true
--- a/internal/lab/emulator/configuration_log.go
+++ b/internal/lab/emulator/configuration_log.go
@@ -83,7 +83,7 @@
 // appendEntry commits a command and sends it to the control nodes. Some commands are committed a second time later.
 func (s *configurationSimulation) appendEntry(c lease.Command) {
 	entry := configurationEntry{Command: c}
-	if c.Kind == lease.Do {
+	if c.Kind == lease.Decide {
 		change, err := configuration.DecodeCommand([]byte(c.Body))
 		if err != nil {
 			return
@@ -126,7 +126,7 @@
 		} else if p.control.isolatedSince == 0 {
 			p.control.isolatedSince = s.now
 		}
-		p.control.holder.Tick(p.control.clock())
+		p.control.elector.Tick(p.control.clock())
 	}
 }
 
