--- a/cmd/thymechute/consensus.go
+++ b/cmd/thymechute/consensus.go
@@ -46,7 +46,7 @@
 	if settings.Advertise == "" {
 		record.Log = settings.Bind
 	}
-	if now := time.Now(); !settings.FoundAt.IsZero() && now.Sub(settings.FoundAt).Abs() < bootstrapWindow {
+	if now := time.Now(); !settings.BootstrapAt.IsZero() && now.Sub(settings.BootstrapAt).Abs() < bootstrapWindow {
 		c.bootstrapAt = now.Add(bootstrapDelay)
 	}
 	return c
@@ -55,7 +55,7 @@
 // start starts the replica. Errors: an address that cannot be bound or resolved.
 func (c *consensusNode) start(settings *operator.Log, m *membership.Member, incarnation uint64) error {
 	c.member = m
-	duration := time.Duration(settings.LeaseMS) * time.Millisecond
+	duration := time.Duration(settings.LeaseDurationMS) * time.Millisecond
 	leases := lease.Config{Duration: duration, MaxDrift: maxClockDrift, SafetyMargin: duration / 50}
 	config := consensus.Config{Process: c.process, Bind: settings.Bind, Advertise: settings.Advertise, Duties: duties,
 		HeartbeatTimeout: duration * 3 / 10}
@@ -64,7 +64,7 @@
 		return err
 	}
 	c.driver.Store(driver)
-	driver.ManageVoters(c.peers, quorum.Config{MaxVoters: settings.Voters, MinAge: duration, HoldDown: 2 * duration}, c.logVoterChange)
+	driver.ManageVoters(c.peers, quorum.Config{MaxVoters: settings.MaxVoters, MinAge: duration, HoldDown: 2 * duration}, c.logVoterChange)
 	return nil
 }
 
