--- /dev/null
+++ b/internal/loop/accept.go
@@ -0,0 +1,101 @@
+package loop
+
+import (
+	"context"
+	"errors"
+	"net"
+	"os"
+	"syscall"
+	"time"
+
+	"go.uber.org/zap"
+	"golang.org/x/sys/unix"
+)
+
+// acceptRetryDelay is the pause after a failed accept, mostly for want of descriptors.
+const acceptRetryDelay = 5 * time.Millisecond
+
+// acceptedMarker is the context with which accepted connections join the loop.
+type acceptedMarker struct{}
+
+// listen opens the address with SO_REUSEPORT, as a supervisor may keep it bound between two incarnations.
+func listen(address string) (*net.TCPListener, error) {
+	config := net.ListenConfig{Control: func(_, _ string, raw syscall.RawConn) error {
+		return setReusePort(raw)
+	}}
+	listener, err := config.Listen(context.Background(), "tcp", address)
+	if err != nil {
+		return nil, err
+	}
+	return listener.(*net.TCPListener), nil
+}
+
+func setReusePort(raw syscall.RawConn) error {
+	var optionErr error
+	controlErr := raw.Control(func(fd uintptr) {
+		optionErr = unix.SetsockoptInt(int(fd), unix.SOL_SOCKET, unix.SO_REUSEPORT, 1)
+	})
+	return errors.Join(optionErr, controlErr)
+}
+
+// acceptConns passes accepted connections to the loop until closeListener sets a deadline in the past. What the kernel
+// has accepted by then joins too: closing the listener over it would reset connections that may hold requests.
+func (l *Loop) acceptConns() {
+	for {
+		c, err := l.listener.Accept()
+		if errors.Is(err, os.ErrDeadlineExceeded) {
+			l.drainAcceptQueue()
+			l.listener.Close()
+			l.Post(func() { l.listening = false })
+			return
+		}
+		if err == nil {
+			_, err = l.client.EnrollContext(c, acceptedMarker{})
+		}
+		if err != nil {
+			l.log.Warn("accept failed", zap.Error(err))
+			time.Sleep(acceptRetryDelay)
+		}
+	}
+}
+
+// drainAcceptQueue accepts until the listener's queue is empty. A connection that was aborted in the queue does not stop
+// it.
+func (l *Loop) drainAcceptQueue() {
+	raw, err := l.listener.SyscallConn()
+	for err == nil || errors.Is(err, unix.ECONNABORTED) || errors.Is(err, unix.EINTR) {
+		var c net.Conn
+		c, err = acceptNonblocking(raw)
+		if err == nil {
+			_, err = l.client.EnrollContext(c, acceptedMarker{})
+		}
+	}
+	if !errors.Is(err, unix.EAGAIN) {
+		l.log.Warn("accept failed", zap.Error(err))
+	}
+}
+
+func acceptNonblocking(raw syscall.RawConn) (c net.Conn, err error) {
+	controlErr := raw.Control(func(fd uintptr) { c, err = acceptFrom(int(fd)) })
+	return c, errors.Join(controlErr, err)
+}
+
+func acceptFrom(listener int) (net.Conn, error) {
+	fd, _, err := unix.Accept4(listener, unix.SOCK_NONBLOCK|unix.SOCK_CLOEXEC)
+	if err != nil {
+		return nil, err
+	}
+	file := os.NewFile(uintptr(fd), "accepted")
+	defer file.Close()
+	return net.FileConn(file)
+}
+
+// closeListener starts closing the listener; it is closed once l.listening is false.
+func (l *Loop) closeListener() {
+	if l.listenerClosing {
+		return
+	}
+	l.listenerClosing = true
+	l.log.Info("no longer listening")
+	_ = l.listener.SetDeadline(time.Unix(1, 0))
+}
--- a/internal/loop/conn.go
+++ b/internal/loop/conn.go
@@ -1,14 +1,6 @@
-// This file owns the life of a connection. What we dialled closes at once: nobody there is owed an answer. What we
-// accepted ends by one path, whatever the reason: open; draining (Close was called or its Read failed: nothing more
-// is read by the peer, what it owes is still written); half-closed (all is written and our side is shut; what comes
-// is dropped, so that closing over it does not reset the connection and take answers with it); closed. The steps are
-// bounded: draining by the peer, which owes nothing for ever, and by what all together may leave unread; the rest by
-// lingerFor, mostDropped and mostEnding connections at a time, of which the oldest goes.
-
 package loop
 
 import (
-	"errors"
 	"net"
 	"time"
 
@@ -18,184 +10,193 @@
 )
 
 const (
-	lingerFor   = time.Second // the other side has so long to read what is left and to end
-	mostDropped = 256 << 10   // bytes, before the end as well as after it, that end a half-closed connection
+	lingerTimeout     = time.Second // the peer has so long to read the rest and to close its side
+	maxDiscarded      = 256 << 10   // bytes received after Close, over which a half-closed connection is closed
+	maxRetainedBuffer = 16 << 10    // bytes; larger output buffers are released once they are empty
 )
 
-// state is how far a connection is with its life.
-type state int
+// connState is the state of a connection; it only moves forward.
+type connState int
 
 const (
-	open state = iota
-	draining
-	halfClosed
-	closed
+	// stateOpen delivers input and sends output.
+	stateOpen connState = iota
+	// stateDraining discards input; pending replies are still sent.
+	stateDraining
+	// stateHalfClosed has sent everything and shut down its side. Input is discarded until the peer closes, as closing
+	// over unread input would reset the connection and lose replies.
+	stateHalfClosed
+	// stateClosed is the end.
+	stateClosed
 )
 
+// conn is a connection on the loop. A dialled one closes at once, as no reply is pending on it. An accepted one closes
+// through the states above. Draining is bounded by the handler, which must answer everything in the end, and by the
+// limits on unsent output; the rest by lingerTimeout, maxDiscarded and Config.MaxLingering.
 type conn struct {
-	l       *Loop
-	g       gnet.Conn
-	peer    Peer
-	caller  Caller // the peer of what we accepted; none on what we dialled
-	out     []byte // emptied each round
-	dirty   bool
-	state   state
-	until   time.Time // nothing is owed: it closes then at the latest
-	dropped int
+	loop          *Loop
+	socket        gnet.Conn
+	handler       Handler
+	serverHandler ServerHandler // handler, if the connection was accepted; otherwise nil
+	output        []byte        // emptied by each tick
+	dirty         bool          // in Loop.dirty
+	state         connState
+	lingerUntil   time.Time // once nothing is pending: when it is closed at the latest
+	discarded     int       // bytes received after Close
 }
 
-// nobody sits on a connection for which there is no room.
-type nobody struct{}
-
-func (nobody) Opened(Wire)       {}
-func (nobody) Read([]byte) error { return nil }
-func (nobody) Closed(error)      {}
-func (nobody) Owes() bool        { return false }
-
-// OnOpen greets a connection of either kind.
-func (l *Loop) OnOpen(g gnet.Conn) (out []byte, action gnet.Action) {
-	c := &conn{l: l, g: g}
-	switch of := g.Context().(type) {
-	case Peer:
-		c.peer = of
-	case accepted:
-		if c.caller = l.host.Accept(); c.caller == nil {
-			c.caller = nobody{}
-			c.Close()
-		}
-		c.peer, l.callers[c], l.joined = c.caller, struct{}{}, true
+// OnOpen implements gnet.EventHandler: it calls the handler's Opened, with a new handler for an accepted connection.
+func (l *Loop) OnOpen(socket gnet.Conn) (out []byte, action gnet.Action) {
+	c := &conn{loop: l, socket: socket}
+	switch origin := socket.Context().(type) {
+	case Handler:
+		c.handler = origin
+	case acceptedMarker:
+		c.assignServerHandler()
 	default:
-		return nil, gnet.None // the socket of find
+		return nil, gnet.None // the socket of attachEventLoop
 	}
-	g.SetContext(c)
-	Guard(l.log, "open", func() { c.peer.Opened(c) })
-	l.mark()
+	socket.SetContext(c)
+	WithRecover(l.log, "open", func() { c.handler.Opened(c) })
+	l.scheduleTick()
 	return nil, gnet.None
 }
 
-// OnTraffic hands over what came.
-func (l *Loop) OnTraffic(g gnet.Conn) gnet.Action {
-	c, ok := g.Context().(*conn)
-	data, _ := g.Next(-1)
+func (c *conn) assignServerHandler() {
+	c.serverHandler = c.loop.host.Accept()
+	if c.serverHandler == nil {
+		c.serverHandler = discardHandler{}
+		c.Close()
+	}
+	c.handler = c.serverHandler
+	c.loop.acceptedConns[c] = struct{}{}
+	c.loop.hasUnreadConns = true
+}
+
+// OnTraffic implements gnet.EventHandler: it passes input to the handler, or discards it once the connection closes.
+func (l *Loop) OnTraffic(socket gnet.Conn) gnet.Action {
+	c, ok := socket.Context().(*conn)
+	data, _ := socket.Next(-1)
 	if !ok {
 		return gnet.None
 	}
-	if c.state != open {
-		if c.dropped += len(data); c.dropped > mostDropped && c.state == halfClosed { // before that answers are owed
-			return gnet.Close
-		}
-		return gnet.None
+	if c.state != stateOpen {
+		return c.discard(data)
 	}
-	l.read = true
-	l.mark()
-	err := errors.New("peer failed")
-	Guard(l.log, "read", func() { err = c.peer.Read(data) })
+	l.hasReceived = true
+	l.scheduleTick()
+	err := errHandlerPanicked
+	WithRecover(l.log, "receive", func() { err = c.handler.Received(data) })
 	if err == nil {
 		return gnet.None
 	}
-	l.log.Warn("connection closed", zap.Error(err), zap.Stringer("peer", g.RemoteAddr()))
+	l.log.Warn("connection closed", zap.Error(err), zap.Stringer("remote_addr", socket.RemoteAddr()))
 	c.Close()
-	if c.caller == nil { // its peer starts anew at once, with what was missed
+	if c.serverHandler == nil { // its handler may reconnect at once
 		c.flush()
 	}
 	return gnet.None
 }
 
-// OnClose tells the peer.
-func (l *Loop) OnClose(g gnet.Conn, err error) gnet.Action {
-	if c, ok := g.Context().(*conn); ok && l.phase != Ended {
-		delete(l.stuck, c)
-		delete(l.ending, c)
-		delete(l.callers, c)
-		if err == nil {
-			err = net.ErrClosed
-		}
-		c.state = closed
-		Guard(l.log, "close", func() { c.peer.Closed(&Broken{true, err}) })
-		l.mark()
+// discard counts input that is not delivered any more. While replies are pending no amount of it closes the connection.
+func (c *conn) discard(data []byte) gnet.Action {
+	c.discarded += len(data)
+	if c.discarded > maxDiscarded && c.state == stateHalfClosed {
+		return gnet.Close
 	}
 	return gnet.None
 }
 
-// Write puts bytes down for the end of the round.
-func (c *conn) Write(p []byte) {
-	if c.state < halfClosed {
-		c.out = append(c.out, p...)
-		c.touch()
+// OnClose implements gnet.EventHandler: it calls the handler's Closed.
+func (l *Loop) OnClose(socket gnet.Conn, err error) gnet.Action {
+	c, ok := socket.Context().(*conn)
+	if !ok || l.phase == PhaseStopped {
+		return gnet.None
 	}
+	delete(l.blocked, c)
+	delete(l.lingering, c)
+	delete(l.acceptedConns, c)
+	if err == nil {
+		err = net.ErrClosed
+	}
+	c.state = stateClosed
+	WithRecover(l.log, "close", func() { c.handler.Closed(&ConnError{Connected: true, Err: err}) })
+	l.scheduleTick()
+	return gnet.None
 }
 
-// Close ends the connection once nothing is owed on it.
-func (c *conn) Close() {
-	if c.state == open {
-		c.state = draining
-		c.touch()
+// Write implements Conn.
+func (c *conn) Write(p []byte) {
+	if c.state >= stateHalfClosed {
+		return
 	}
+	c.output = append(c.output, p...)
+	c.markDirty()
 }
 
-func (c *conn) touch() {
-	if !c.dirty {
-		c.dirty = true
-		c.l.dirty = append(c.l.dirty, c)
-		c.l.mark()
+// Close implements Conn.
+func (c *conn) Close() {
+	if c.state != stateOpen {
+		return
 	}
+	c.state = stateDraining
+	c.markDirty()
 }
 
-func (c *conn) flush() {
-	c.dirty = false
-	if c.state < halfClosed && len(c.out) > 0 {
-		_, _ = c.g.Write(c.out) // closes the connection itself if it fails
-	}
-	if c.out = c.out[:0]; cap(c.out) > keptBuffer {
-		c.out = nil
-	}
-	if c.state == closed {
+// markDirty has the connection flushed by the next tick.
+func (c *conn) markDirty() {
+	if c.dirty {
 		return
 	}
-	if c.g.OutboundBuffered() > 0 {
-		c.l.stuck[c] = struct{}{}
-	}
-	if c.state == draining {
-		c.finish()
-	}
+	c.dirty = true
+	c.loop.dirty = append(c.loop.dirty, c)
+	c.loop.scheduleTick()
 }
 
-// finish goes as far towards the end as what is owed and unwritten allows.
-func (c *conn) finish() {
-	if c.caller == nil {
-		_ = c.l.el.Close(c.g)
+// advanceClose moves a draining connection as far towards its end as pending replies and unsent output allow.
+func (c *conn) advanceClose() {
+	if c.serverHandler == nil {
+		c.closeNow()
 		return
 	}
-	if c.caller.Owes() {
+	if c.serverHandler.HasPending() {
 		return
 	}
-	if c.until.IsZero() {
-		c.until = time.Now().Add(c.l.linger)
-		c.l.ending[c] = struct{}{}
+	if c.lingerUntil.IsZero() {
+		c.lingerUntil = time.Now().Add(c.loop.lingerTimeout)
+		c.loop.lingering[c] = struct{}{}
 	}
-	if c.g.OutboundBuffered() > 0 {
+	if c.socket.OutboundBuffered() > 0 {
 		return
 	}
-	if c.state = halfClosed; unix.Shutdown(c.g.Fd(), unix.SHUT_WR) != nil {
-		_ = c.l.el.Close(c.g)
+	c.state = stateHalfClosed
+	if unix.Shutdown(c.socket.Fd(), unix.SHUT_WR) != nil {
+		c.closeNow()
 	}
 }
 
-// sweepEnding closes what has had its time, and the oldest beyond the room for them; it tells when the next has.
-func (l *Loop) sweepEnding(now time.Time) (next time.Time) {
+func (c *conn) closeNow() { _ = c.loop.eventLoop.Close(c.socket) }
+
+// closeExpired closes the lingering connections whose time is over, and the oldest ones over the limit. It returns when
+// the next one expires, or the zero time if none lingers.
+func (l *Loop) closeExpired(now time.Time) (next time.Time) {
 	for {
-		var oldest *conn
-		for c := range l.ending {
-			if oldest == nil || c.until.Before(oldest.until) {
-				oldest = c
-			}
-		}
+		oldest := l.oldestLingering()
 		if oldest == nil {
 			return time.Time{}
 		}
-		if len(l.ending) <= l.mostEnding && now.Before(oldest.until) {
-			return oldest.until
+		if len(l.lingering) <= l.maxLingering && now.Before(oldest.lingerUntil) {
+			return oldest.lingerUntil
+		}
+		oldest.closeNow()
+	}
+}
+
+func (l *Loop) oldestLingering() (oldest *conn) {
+	for c := range l.lingering {
+		if oldest == nil || c.lingerUntil.Before(oldest.lingerUntil) {
+			oldest = c
 		}
-		_ = l.el.Close(oldest.g)
 	}
+	return oldest
 }
--- /dev/null
+++ b/internal/loop/conn_test.go
@@ -0,0 +1,234 @@
+package loop
+
+import (
+	"bytes"
+	"errors"
+	"io"
+	"net"
+	"os"
+	"runtime"
+	"strings"
+	"testing"
+	"time"
+
+	"pgregory.net/rapid"
+
+	"thymechute/internal/testutil"
+)
+
+// connModel is the state machine test's model of one connection.
+type connModel struct {
+	*testHost
+	client   net.Conn
+	handler  *echoHandler
+	sent     []byte // and delivered to the handler
+	closing  bool   // by the server
+	pending  []byte // replies to all input delivered, in order
+	received []byte // of them, by the client
+	state    connState
+}
+
+func (m *connModel) send(t *rapid.T, text string) {
+	server, before := m.handler.conn.(*conn), 0
+	m.runOnLoop(func() { before = server.discarded })
+	if _, err := m.client.Write([]byte(text)); err != nil {
+		t.Fatalf("the client can't write: %v", err)
+	}
+	if m.closing {
+		m.await(func() bool { return server.discarded == before+len(text) || len(m.handler.received) != len(m.sent) })
+		return
+	}
+	if at := strings.IndexByte(text, '!'); at >= 0 {
+		m.closing = true
+	} else {
+		for _, b := range []byte(text) {
+			m.pending = append(m.pending, bytes.Repeat([]byte{b}, max(m.replyWidth, 1))...)
+		}
+	}
+	m.sent = append(m.sent, text...)
+	m.await(func() bool { return len(m.handler.received) >= len(m.sent) })
+}
+
+// In any order of sends, replies, reads and closes: the handler receives nothing after the close, the client gets all replies to
+// delivered input, complete and in order, then the end of the stream and no reset; and the state only moves forward.
+func TestConnectionStateMachine(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) {
+		host := newTestHost(t, replyOnDemand, 64<<20)
+		defer host.stop()
+		host.replyWidth = rapid.SampledFrom([]int{1, 1, 30 << 10}).Draw(t, "width")
+		m := &connModel{testHost: host, client: host.dial(rapid.SampledFrom([]int{0, 4 << 10}).Draw(t, "buffer"))}
+		defer m.client.Close()
+		m.handler = testutil.Next(host.t, host.opened, "a connection")
+		server := m.handler.conn.(*conn)
+		m.runOnLoop(func() { host.loop.lingerTimeout = testTimeout }) // the client is as slow as the test
+		t.Repeat(map[string]func(*rapid.T){
+			"send": func(t *rapid.T) {
+				if len(m.pending) < 100<<10 { // over it the connection would close by itself
+					m.send(t, rapid.StringMatching("[a-z]{1,3}").Draw(t, "text"))
+				}
+			},
+			"protocol error": func(t *rapid.T) { m.send(t, "!") },
+			"reply":          func(*rapid.T) { m.runOnLoop(m.handler.reply) },
+			"close": func(*rapid.T) {
+				m.runOnLoop(m.handler.conn.Close)
+				m.closing = true
+			},
+			"shutdown": func(*rapid.T) {
+				m.phase.Store(int32(PhaseClosingConns))
+				m.await(func() bool { return server.state > stateOpen })
+				m.closing = true
+			},
+			"read": func(t *rapid.T) {
+				p := make([]byte, rapid.IntRange(1, 8<<10).Draw(t, "bytes"))
+				_ = m.client.SetReadDeadline(time.Now().Add(time.Millisecond))
+				n, err := m.client.Read(p)
+				if m.received = append(m.received, p[:n]...); err != nil && !errors.Is(err, os.ErrDeadlineExceeded) && err != io.EOF {
+					t.Fatal(err)
+				}
+			},
+			"": func(t *rapid.T) {
+				if !bytes.HasPrefix(m.pending, m.received) {
+					t.Fatalf("got %d bytes that are no replies", len(m.received))
+				}
+				m.runOnLoop(func() {
+					if !bytes.Equal(m.handler.received, m.sent) {
+						t.Fatalf("the handler received %q of %q", m.handler.received, m.sent)
+					}
+					if server.state < m.state || server.state == stateOpen && m.closing {
+						t.Fatalf("state %d after %d, closing %v", server.state, m.state, m.closing)
+					}
+					if m.state = server.state; server.state == stateHalfClosed && (m.handler.HasPending() || server.socket.OutboundBuffered() > 0) {
+						t.Fatal("half-closed over pending replies")
+					}
+				})
+			},
+		})
+		if !m.closing {
+			m.runOnLoop(m.handler.conn.Close)
+		}
+		m.runOnLoop(m.handler.reply)
+		_ = m.client.SetReadDeadline(time.Now().Add(testTimeout))
+		rest, err := io.ReadAll(m.client)
+		if m.received = append(m.received, rest...); err != nil || !bytes.Equal(m.received, m.pending) {
+			t.Fatalf("received %d bytes of %d, %v", len(m.received), len(m.pending), err)
+		}
+		m.client.Close()
+		if testutil.Next(host.t, host.closed, "its close") != m.handler {
+			t.Fatal("another connection closed")
+		}
+	})
+}
+
+// Input after a protocol error, however much, loses no pending reply.
+func TestFloodAfterProtocolErrorKeepsPendingReplies(t *testing.T) {
+	host := startHost(t, replyOnDemand)
+	c, e := host.dialWithPending(0, "abc")
+	send(t, c, "!")
+	for range 8 {
+		send(t, c, strings.Repeat("x", maxDiscarded/4))
+	}
+	host.await(func() bool { return e.conn.(*conn).discarded > maxDiscarded })
+	host.runOnLoop(e.reply)
+	if got, err := io.ReadAll(c); string(got) != "abc" {
+		t.Errorf("got %q, %v", got, err)
+	}
+}
+
+// A client with too much unsent output is not read from any more, but gets its pending replies once it reads.
+func TestSlowReaderGetsPendingReplies(t *testing.T) {
+	host := startHost(t, replyOnDemand)
+	host.smallBuffers()
+	c, e := host.dialWithPending(4<<10, "abc")
+	answer := bytes.Repeat([]byte("x"), maxUnsentPerConn+(64<<10))
+	host.runOnLoop(func() { e.conn.Write(answer) })
+	host.await(func() bool { return e.conn.(*conn).state == stateDraining })
+	send(t, c, "def") // discarded
+	host.runOnLoop(e.reply)
+	if got := readAll(t, c); got != string(answer)+"abc" {
+		t.Errorf("received %d bytes, want %d", len(got), len(answer)+3)
+	}
+	if string(e.received) != "abc" {
+		t.Errorf("its handler received %q", e.received)
+	}
+}
+
+// Total unsent output stays within its bound: memory takes precedence over the replies of clients that do not read.
+func TestTotalUnsentBytesAreBounded(t *testing.T) {
+	host := newTestHost(t, replyOnDemand, 4<<20) // an eighth is 512 KiB
+	defer host.stop()
+	host.smallBuffers()
+	var all []*echoHandler
+	for range 6 {
+		host.dial(4 << 10)
+		e := testutil.Next(t, host.opened, "a connection")
+		host.runOnLoop(func() { e.conn.Write(make([]byte, maxUnsentPerConn-1)) })
+		all = append(all, e)
+	}
+	host.await(func() bool {
+		unsent, openConns := 0, 0
+		for _, e := range all {
+			if server := e.conn.(*conn); server.state != stateClosed {
+				openConns++
+				unsent += server.socket.OutboundBuffered()
+			}
+		}
+		return unsent <= host.loop.maxTotalUnsent && openConns >= 2
+	})
+}
+
+// After Run no goroutine and no descriptor is left, however the connections closed.
+func TestNoGoroutineOrDescriptorLeaks(t *testing.T) {
+	count := func() (int, int) {
+		fds, err := os.ReadDir("/proc/self/fd")
+		if err != nil {
+			t.Skip(err)
+		}
+		return runtime.NumGoroutine(), len(fds)
+	}
+	run := func() {
+		host := newTestHost(t, replyAtOnce, 64<<20)
+		for n := range 30 {
+			d := net.Dialer{}
+			c, err := d.Dial("tcp", host.address)
+			if err != nil {
+				t.Fatal(err)
+			}
+			e := testutil.Next(t, host.opened, "a connection")
+			send(t, c, "abc")
+			host.await(func() bool { return len(e.received) == 3 })
+			switch n % 3 {
+			case 0:
+				host.runOnLoop(e.conn.Close)
+			case 1:
+				_ = c.(*net.TCPConn).SetLinger(0) // a reset
+			}
+			c.Close()
+			testutil.Next(t, host.closed, "its close")
+		}
+		host.stop()
+	}
+	run() // gnet keeps some for good
+	goroutines, fds := count()
+	run()
+	for end := time.Now().Add(testTimeout); ; time.Sleep(time.Millisecond) {
+		g, f := count()
+		if g <= goroutines && f <= fds {
+			return
+		}
+		if time.Now().After(end) {
+			buf := make([]byte, 1<<16)
+			t.Fatalf("%d goroutines, %d before; %d descriptors, %d before: %s", g, goroutines, f, fds, buf[:runtime.Stack(buf, true)])
+		}
+	}
+}
+
+// A connection that has just joined is read from once before shutdown: the poll after it joined delivers its input.
+func TestNewConnectionsAreReadBeforeShutdown(t *testing.T) {
+	l := &Loop{hasUnreadConns: true, tickQueued: true}
+	if l.allAcceptedRead() {
+		t.Error("reported before a new connection was read from")
+	}
+	if !l.allAcceptedRead() {
+		t.Error("never reported")
+	}
+}
--- a/internal/loop/loop.go
+++ b/internal/loop/loop.go
@@ -1,10 +1,12 @@
-// Package loop owns the sockets: one gnet event loop, on whose goroutine everything of the instance happens. It
-// hands bytes to the peer of their connection, gathers what is ready, then calls the host's Round once for all of
-// it, and writes out what the peers have put down by then. Connections are accepted and dialled on goroutines of
-// their own and join the loop when they stand. It must never block, decide, or know what the bytes mean; an
-// error or a panic in a peer ends that peer's connection and nothing else. Its tables: dirty (emptied each round),
-// stuck (bounded by mostUnsent each and an eighth of the memory in all; emptied as the peers read), callers (what we
-// accepted; bounded by the host's Accept and by ending) and ending (bounded by what Run is given, emptied by time).
+// Package loop runs one gnet event loop, on whose goroutine all state of a service instance lives. It delivers
+// received bytes to the Handler of each connection, calls Host.Tick once for everything that was ready, and then
+// writes what the handlers have buffered. Connections are accepted and dialled on goroutines of their own and join
+// the loop once they are established.
+//
+// Nothing on the loop may block. An error or a panic in a handler closes that handler's connection and nothing else.
+//
+// All tables are bounded: connections with unsent output by maxUnsentPerConn each and an eighth of the memory limit
+// in total, accepted connections by Host.Accept, and closing connections by Config.MaxLingering and lingerTimeout.
 package loop
 
 import (
@@ -19,253 +21,172 @@
 )
 
 const (
-	mostUnsent  = 256 << 10             // bytes that one peer may leave unread before its connection ends
-	keptBuffer  = 16 << 10              // output buffers over it are given back when they are empty
-	lateWake    = 50 * time.Millisecond // a wake so late tells of a standstill
-	mostGathers = 64                    // rounds put off after a standstill while still more comes in
-	readBuffer  = 64 << 10              // what one connection may bring at a time
+	readBufferSize   = 64 << 10  // bytes read from one connection at a time
+	unsentPart       = 8         // unsent output of all connections may take one part in so many of the memory
+	initialTickDelay = time.Hour // until the first tick has set a time of its own
 )
 
-// Wire is a connection as its peer sees it. All calls are made on the loop.
-type Wire interface {
-	Write(p []byte) // copied, and sent at the end of the round
-	Close()         // no more is read; the connection ends after what is written and owed, as conn.go says
-}
-
-// Peer is what sits on a connection. All calls are made on the loop.
-type Peer interface {
-	Opened(w Wire)
-	Read(p []byte) error // p is valid in the call only; an error closes the connection
-	Closed(err error)    // the last call; without Opened before it no connection came to be
-}
-
-// Caller is what sits on a connection that we accepted.
-type Caller interface {
-	Peer
-	Owes() bool // an answer is still to be written
-}
-
-// Phase is how far a host is with its life.
+// Phase is how far the shutdown of a host has come. Phases are ordered; a host only moves forward.
 type Phase int
 
-// The phases.
 const (
-	Serving   Phase = iota
-	Unlisting       // what is accepted by now is still taken, nothing after it
-	Ending          // the host owes nothing: once the sockets owe nothing either, Run returns
-	Ended           // Run returns, whatever is owed
+	// PhaseServing accepts and serves connections.
+	PhaseServing Phase = iota
+	// PhaseClosingListener serves connections established so far and accepts none after them.
+	PhaseClosingListener
+	// PhaseClosingConns closes the accepted connections once their handlers have nothing pending; Run then returns.
+	PhaseClosingConns
+	// PhaseStopped makes Run return at once, whatever is pending.
+	PhaseStopped
 )
 
-// Host is told of the rounds.
+// Host is the application that a Loop drives. All calls are made on the loop.
 type Host interface {
-	Accept() Caller            // nil: no room
-	Round() (time.Time, Phase) // all that was ready has been read; when to come again at the latest
+	// Accept returns the handler of a new connection, or nil if there is no capacity for it.
+	Accept() ServerHandler
+	// Tick runs after everything that was ready has been received. It returns the latest time of the next tick and
+	// the current phase.
+	Tick() (next time.Time, phase Phase)
 }
 
-// Broken is why a connection ended, and how far it had come.
-type Broken struct {
-	Connected bool
-	Err       error
+// Config is what Run needs.
+type Config struct {
+	Address      string      // to listen on, host:port
+	Host         Host        // the application
+	MemoryLimit  int64       // bytes of the whole instance; bounds the unsent output
+	MaxLingering int         // accepted connections that may be closing at a time
+	Log          *zap.Logger // for connection errors and panics
+	OnStart      func(*Loop) // called once on the loop, before anything else
 }
 
-func (b *Broken) Error() string {
-	if b.Connected {
-		return "connection broken: " + b.Err.Error()
-	}
-	return "no connection: " + b.Err.Error()
-}
-
-func (b *Broken) Unwrap() error { return b.Err }
-
-// Loop is the engine; its fields belong to the loop's goroutine.
+// Loop is a running event loop. Its fields belong to the loop's goroutine.
 type Loop struct {
 	gnet.BuiltinEventEngine
-	host   Host
-	log    *zap.Logger
-	client *gnet.Client // gnet's engine without a listener of its own: see docs/design.md
-	el     gnet.EventLoop
-	ended  chan struct{}
-
-	listener  *net.TCPListener
-	unlisting bool // its end has begun
-	listening bool // it has not ended
-	joined    bool // a connection, since the last round that asked
-
-	queued  bool // a round is
-	read    bool // something came since the last round
-	gathers int
-	wake    time.Time
-	timer   *time.Timer
-	phase   Phase
-	dirty   []*conn // have output or are to be closed
-	stuck   map[*conn]struct{}
-	unsent  int // bytes that all together may leave unread
-
-	callers    map[*conn]struct{}
-	ending     map[*conn]struct{} // of them, those on which nothing is owed any more
-	mostEnding int
-	linger     time.Duration
-}
-
-// Run serves on the address, within the memory, until the host has ended; mostEnding is how many connections may be on
-// their way to the end at a time. first is called once on the loop before anything else.
-func Run(address string, host Host, memory int64, mostEnding int, log *zap.Logger, first func(*Loop)) error {
-	listener, err := listen(address)
+	host      Host
+	log       *zap.Logger
+	client    *gnet.Client // an engine without a listener, so that the listener can be closed before the engine
+	eventLoop gnet.EventLoop
+	stopped   chan struct{} // closed at PhaseStopped
+
+	listener        *net.TCPListener
+	listenerClosing bool
+	listening       bool // the accept goroutine has not ended yet
+	hasUnreadConns  bool // a connection was accepted since allAcceptedRead was last asked
+
+	tickQueued  bool
+	hasReceived bool // input was received since the last tick
+	deferrals   int  // ticks deferred in a row
+	nextTick    time.Time
+	tickTimer   *time.Timer
+	phase       Phase
+
+	dirty          []*conn            // with buffered output or to be closed; emptied by each tick
+	blocked        map[*conn]struct{} // whose peer has not read all output yet
+	maxTotalUnsent int                // bytes, of all connections together
+
+	acceptedConns map[*conn]struct{}
+	lingering     map[*conn]struct{} // accepted connections that are closing and have nothing pending
+	maxLingering  int
+	lingerTimeout time.Duration
+}
+
+// Run listens on the configured address and drives the host until its phase is PhaseStopped, or PhaseClosingConns with
+// all connections closed. It returns an error if the address can't be listened on or the engine does not start or stop.
+func Run(config Config) error {
+	listener, err := listen(config.Address)
 	if err != nil {
 		return err
 	}
-	l := &Loop{host: host, log: log, listener: listener, listening: true, ended: make(chan struct{}), stuck: map[*conn]struct{}{},
-		unsent: int(memory / 8), callers: map[*conn]struct{}{}, ending: map[*conn]struct{}{}, mostEnding: mostEnding, linger: lingerFor}
-	l.client, err = gnet.NewClient(l, gnet.WithNumEventLoop(1), gnet.WithReadBufferCap(readBuffer),
-		gnet.WithLogger(log.Sugar()), gnet.WithTCPNoDelay(gnet.TCPNoDelay))
-	if err == nil {
-		err = l.client.Start()
-	}
-	if err == nil {
-		err = l.find()
-	}
-	if err != nil {
+	l := newLoop(config, listener)
+	if err := l.startEngine(); err != nil {
 		listener.Close()
 		return err
 	}
-	l.Do(func() {
-		l.timer = time.AfterFunc(time.Hour, func() { l.Do(nil) })
-		first(l)
+	l.Post(func() {
+		l.tickTimer = time.AfterFunc(initialTickDelay, func() { l.Post(nil) })
+		config.OnStart(l)
 	})
-	go l.accept()
-	<-l.ended
+	go l.acceptConns()
+	<-l.stopped
 	return l.client.Stop()
 }
 
-// Do runs f on the loop, and a round after it. It may be called from any goroutine.
-func (l *Loop) Do(f func()) {
-	_ = l.el.Execute(context.Background(), gnet.RunnableFunc(func(context.Context) error {
-		if f != nil {
-			Guard(l.log, "task", f)
-		}
-		l.round()
-		return nil
-	}))
-}
-
-// Guard keeps a panic from going further than the connection, task or event that it came from.
-func Guard(log *zap.Logger, what string, f func()) {
-	defer func() {
-		if p := recover(); p != nil {
-			log.Error("panic", zap.String("in", what), zap.String("cause", fmt.Sprint(p)), zap.ByteString("stack", debug.Stack()))
-		}
-	}()
-	f()
-}
-
-// mark asks for a round after all that is ready now: gnet runs tasks behind the events of the poll they are in.
-func (l *Loop) mark() {
-	if !l.queued {
-		l.queued = true
-		_ = l.el.Execute(context.Background(), gnet.RunnableFunc(func(context.Context) error {
-			l.queued = false
-			l.round()
-			return nil
-		}))
-	}
-}
-
-func (l *Loop) round() {
-	if l.phase == Ended {
-		return
-	}
-	if l.putOff(time.Now()) {
-		l.mark()
-		return
-	}
-	phase := l.phase
-	Guard(l.log, "round", func() { l.wake, phase = l.host.Round() })
-	if l.flush(); phase >= Unlisting {
-		l.endListening()
-	}
-	if phase >= Ending && l.settled() {
-		for c := range l.callers {
-			c.Close()
-		}
-		l.flush()
-	}
-	if next := l.sweepEnding(time.Now()); !next.IsZero() && next.Before(l.wake) {
-		l.wake = next
-	}
-	if phase == Ending && !l.owes() {
-		phase = Ended
+func newLoop(config Config, listener *net.TCPListener) *Loop {
+	return &Loop{
+		host:           config.Host,
+		log:            config.Log,
+		stopped:        make(chan struct{}),
+		listener:       listener,
+		listening:      true,
+		blocked:        map[*conn]struct{}{},
+		maxTotalUnsent: int(config.MemoryLimit / unsentPart),
+		acceptedConns:  map[*conn]struct{}{},
+		lingering:      map[*conn]struct{}{},
+		maxLingering:   config.MaxLingering,
+		lingerTimeout:  lingerTimeout,
+	}
+}
+
+func (l *Loop) startEngine() (err error) {
+	l.client, err = gnet.NewClient(l,
+		gnet.WithNumEventLoop(1),
+		gnet.WithReadBufferCap(readBufferSize),
+		gnet.WithLogger(l.log.Sugar()),
+		gnet.WithTCPNoDelay(gnet.TCPNoDelay),
+	)
+	if err != nil {
+		return err
 	}
-	if l.phase = phase; phase == Ended {
-		l.log.Info("ended", zap.Int("connections left", len(l.callers)))
-		close(l.ended)
-		return
+	if err := l.client.Start(); err != nil {
+		return err
 	}
-	l.timer.Reset(max(time.Until(l.wake), 0))
+	return l.attachEventLoop()
 }
 
-// settled tells whether all that joined has been read once: the poll behind its joining brings what it holds.
-func (l *Loop) settled() bool {
-	if l.joined {
-		l.joined = false
-		l.mark()
-		return false
+// attachEventLoop obtains gnet's event loop, which gnet exposes only through a connection on it. The datagram socket
+// for this sends nothing and is closed at once.
+func (l *Loop) attachEventLoop() error {
+	c, err := net.Dial("udp", l.listener.Addr().String())
+	if err != nil {
+		return err
 	}
-	return !l.listening
+	socket, err := l.client.Enroll(c)
+	if err != nil {
+		return err
+	}
+	l.eventLoop = socket.EventLoop()
+	return socket.Close()
 }
 
-// owes tells whether a connection that the system accepted has not come to its end yet.
-func (l *Loop) owes() bool { return l.listening || len(l.callers) > 0 }
-
-// flush writes what was put down, and ends what is to be.
-func (l *Loop) flush() {
-	for n := 0; n < len(l.dirty); n++ { // flushing may close, and closing may write elsewhere
-		l.dirty[n].flush()
-	}
-	l.dirty = l.dirty[:0]
-	if len(l.stuck) > 0 {
-		l.unstick()
-	}
+// Post runs task on the loop, followed by a tick; a nil task runs the tick alone. It may be called from any goroutine
+// and does not wait.
+func (l *Loop) Post(task func()) {
+	l.execute(func() {
+		if task != nil {
+			WithRecover(l.log, "task", task)
+		}
+		l.tick()
+	})
 }
 
-// putOff tells whether more is read before this round: after a standstill all that waits is, so that the pause is
-// not taken for load.
-func (l *Loop) putOff(now time.Time) bool {
-	off := l.read && l.gathers < mostGathers && !l.wake.IsZero() && now.Sub(l.wake) > lateWake
-	if l.read = false; !off {
-		l.gathers = 0
-		return false
-	}
-	l.gathers++
-	return true
+func (l *Loop) execute(task func()) {
+	_ = l.eventLoop.Execute(context.Background(), gnet.RunnableFunc(func(context.Context) error {
+		task()
+		return nil
+	}))
 }
 
-// unstick ends the connections that leave too much unread: nothing more is read from them, what they still owe is
-// written, and they close by their time. While all together hold too much the worst closes at once: memory goes first.
-func (l *Loop) unstick() {
-	for {
-		var worst *conn
-		most, all := 0, 0
-		for c := range l.stuck {
-			n := c.g.OutboundBuffered()
-			if n == 0 {
-				if delete(l.stuck, c); c.state == draining {
-					c.finish()
-				}
-				continue
-			}
-			if n > mostUnsent && c.state == open {
-				l.log.Warn("connection ends", zap.String("error", "peer does not read"), zap.Int("unsent", n))
-				c.Close()
-			}
-			if all += n; n > most {
-				worst, most = c, n
-			}
-		}
-		if all <= l.unsent {
+// WithRecover calls f and logs a panic in it, so that the panic ends no more than the operation it came from.
+func WithRecover(log *zap.Logger, operation string, f func()) {
+	defer func() {
+		cause := recover()
+		if cause == nil {
 			return
 		}
-		l.log.Warn("connection closed", zap.String("error", "peers do not read"), zap.Int("unsent", most), zap.Int("of all", all))
-		delete(l.stuck, worst)
-		_ = l.el.Close(worst.g)
-	}
+		log.Error("panic recovered",
+			zap.String("operation", operation),
+			zap.String("cause", fmt.Sprint(cause)),
+			zap.ByteString("stack", debug.Stack()))
+	}()
+	f()
 }
