--- a/internal/lab/emulator/configuration_network.go
+++ b/internal/lab/emulator/configuration_network.go
@@ -28,22 +28,30 @@
 	maxRegionDelayMS     = 150
 )
 
+// linkState tells whether messages pass between two regions.
+type linkState int
+
+const (
+	linkUp linkState = iota
+	linkCut
+)
+
 // configurationNetwork is the links between processes: their delays, and which are cut.
 type configurationNetwork struct {
-	delay     [][]time.Duration // one way, by region
-	regionCut [][]bool          // by pair of regions
-	zoneCut   []bool            // from all other zones and the control nodes
+	delay       [][]time.Duration // one way, by pair of regions
+	regionLinks [][]linkState     // by pair of regions
+	zoneCut     []bool            // from all other zones and the control nodes
 }
 
 func newConfigurationNetwork(scenario ConfigurationScenario, random *rand.Rand) configurationNetwork {
 	n := configurationNetwork{
-		delay:     make([][]time.Duration, scenario.Regions),
-		regionCut: make([][]bool, scenario.Regions),
-		zoneCut:   make([]bool, scenario.Zones),
+		delay:       make([][]time.Duration, scenario.Regions),
+		regionLinks: make([][]linkState, scenario.Regions),
+		zoneCut:     make([]bool, scenario.Zones),
 	}
 	for a := range scenario.Regions {
 		n.delay[a] = make([]time.Duration, scenario.Regions)
-		n.regionCut[a] = make([]bool, scenario.Regions)
+		n.regionLinks[a] = make([]linkState, scenario.Regions)
 		n.delay[a][a] = delayWithinRegion
 		for b := range a {
 			n.delay[a][b] = time.Duration(minRegionDelayMS+random.IntN(maxRegionDelayMS-minRegionDelayMS+1)) * time.Millisecond
@@ -55,7 +63,7 @@
 
 // isReachable reports whether a message from one process reaches the other now.
 func (n *configurationNetwork) isReachable(a, b *configurationProcess) bool {
-	if n.regionCut[a.region][b.region] {
+	if n.regionLinks[a.region][b.region] == linkCut {
 		return false
 	}
 	return a.zone == b.zone || !n.isInCutZone(a) && !n.isInCutZone(b)
@@ -67,26 +75,26 @@
 
 // isIsolated reports whether nobody outside its zone or region reaches a process.
 func (n *configurationNetwork) isIsolated(p *configurationProcess) bool {
-	for region, isCut := range n.regionCut[p.region] {
-		if region != p.region && !isCut {
+	for region, link := range n.regionLinks[p.region] {
+		if region != p.region && link == linkUp {
 			return n.isInCutZone(p)
 		}
 	}
 	return true
 }
 
-// setRegionCut cuts a region from all others, or connects it again.
-func (n *configurationNetwork) setRegionCut(region int, isCut bool) {
-	for other := range n.regionCut {
+// setRegionLinks sets the links between a region and all others.
+func (n *configurationNetwork) setRegionLinks(region int, state linkState) {
+	for other := range n.regionLinks {
 		if other != region {
-			n.setPairCut(region, other, isCut)
+			n.setLink(region, other, state)
 		}
 	}
 }
 
-// setPairCut cuts two regions from each other, or connects them again.
-func (n *configurationNetwork) setPairCut(a, b int, isCut bool) {
-	n.regionCut[a][b], n.regionCut[b][a] = isCut, isCut
+// setLink sets the link between two regions.
+func (n *configurationNetwork) setLink(a, b int, state linkState) {
+	n.regionLinks[a][b], n.regionLinks[b][a] = state, state
 }
 
 // send counts a message's bytes and schedules its arrival, unless it is lost.
--- a/internal/lab/emulator/configuration_partitions.go
+++ b/internal/lab/emulator/configuration_partitions.go
@@ -13,10 +13,10 @@
 func (s *configurationSimulation) partitionRegion(region int) {
 	since := s.now
 	isAffected := func(p *configurationProcess) bool { return p.region == region }
-	s.network.setRegionCut(region, true)
+	s.network.setRegionLinks(region, linkCut)
 	s.markUnreachable(isAffected)
 	s.after(s.scenario.regionPartition, func() {
-		s.network.setRegionCut(region, false)
+		s.network.setRegionLinks(region, linkUp)
 		s.markHealed(since, isAffected)
 	})
 }
@@ -37,8 +37,8 @@
 func (s *configurationSimulation) partitionRegionPair() {
 	a := s.leader().region
 	b := (a + 1 + s.random.IntN(s.scenario.Regions-1)) % s.scenario.Regions
-	s.network.setPairCut(a, b, true)
-	s.after(s.scenario.zonePartition, func() { s.network.setPairCut(a, b, false) })
+	s.network.setLink(a, b, linkCut)
+	s.after(s.scenario.zonePartition, func() { s.network.setLink(a, b, linkUp) })
 }
 
 func (s *configurationSimulation) markUnreachable(isAffected func(*configurationProcess) bool) {
--- a/internal/xsd/schema.go
+++ b/internal/xsd/schema.go
@@ -40,7 +40,8 @@
 		return nil, err
 	}
 	if root.Name != s.rootName || root.namespace != s.namespace {
-		return nil, &ValidationError{root.Line, root.Name, fmt.Sprintf("name space %.80q", root.namespace), fmt.Sprintf("element %s of %s", s.rootName, s.namespace)}
+		return nil, &ValidationError{root.Line, root.Name, fmt.Sprintf("name space %.80q", root.namespace),
+			fmt.Sprintf("element %s of %s", s.rootName, s.namespace)}
 	}
 	return root, s.validate(root, s.rootType)
 }
