--- a/internal/decide/configuration/export_test.go
+++ b/internal/decide/configuration/export_test.go
@@ -1,5 +1,11 @@
 package configuration
 
+import (
+	"encoding/binary"
+
+	"github.com/cespare/xxhash/v2"
+)
+
 // WithoutFencing runs f while the Store accepts older tokens and versions: a mutation that a check must detect.
 func WithoutFencing(f func()) { withMutation(&skipFencing, f) }
 
@@ -18,15 +24,29 @@
 // BucketIndex is the index of a resource's bucket.
 func BucketIndex(r *Resource) uint16 { return uint16(bucketIndex(r)) }
 
-// AppendChecksum returns a message's body with its checksum.
-func AppendChecksum(body []byte) []byte { return appendChecksum(body[:len(body):len(body)], body) }
+// AppendChecksum returns a message's body with its checksum, computed apart from the encoder that the tests check.
+func AppendChecksum(body []byte) []byte {
+	return binary.LittleEndian.AppendUint32(body[:len(body):len(body)], uint32(xxhash.Sum64(body)))
+}
 
 // RelayBudgetBytes is the most that a relay sends in a minute.
 const RelayBudgetBytes = relayBudgetBytes
 
-// DigestReplyOf is what a server with the state would reply, at a position that the caller chooses.
+// DigestReplyOf is what a server with the state would reply, at a position that the caller chooses. It compares
+// apart from the server's own comparison, so that the two check each other.
 func DigestReplyOf(s *State, request DigestRequest, position Position) DigestReply {
-	return DigestReply{Position: position, Groups: s.differingGroups(request)}
+	reply := DigestReply{Position: position}
+	for n, group := range s.groups {
+		if uint32(group.digest) == request.Groups[n] {
+			continue
+		}
+		digests := GroupDigests{Group: uint8(n)}
+		for k, bucket := range group.buckets {
+			digests.Buckets[k] = uint32(bucket.digest)
+		}
+		reply.Groups = append(reply.Groups, digests)
+	}
+	return reply
 }
 
 // RepairReplyOf is what a server with the state would reply, at a position that the caller chooses.
