--- a/cmd/thymechute/serve.go
+++ b/cmd/thymechute/serve.go
@@ -36,7 +36,7 @@
 
 // host puts the instance and its front before the loop.
 type host struct {
-	*rpc.Front
+	*rpc.Server
 	*node.Instance
 }
 
@@ -49,7 +49,7 @@
 func (t timed) After(wait time.Duration, what func()) { t.after(wait, what) }
 
 // serve runs one instance until its end.
-func serve(g config.Given, o *operator.File, signals <-chan os.Signal) error {
+func serve(g config.Given, o *operator.Settings, signals <-chan os.Signal) error {
 	runtime.GOMAXPROCS(max(int(math.Ceil(g.Cores)), 1))
 	debug.SetMemoryLimit(int64(float64(g.Memory) * memoryPart))
 	debug.SetGCPercent(moreHeap)
@@ -72,8 +72,8 @@
 	inForce := inForce{settings: g.Settings, version: inst.Version()}
 	g.Settings = settings.Settings{} // later ones take their place in inForce
 	part := (sockets - own) / 8
-	front := rpc.NewFront(inst, stubParts*part, part, log)
-	return loop.Run(g.Listen, host{front, inst}, g.Memory, part, log, func(l *loop.Loop) {
+	front := rpc.NewServer(inst, stubParts*part, part, log)
+	return loop.Run(loop.Config{Address: g.Listen, Host: host{front, inst}, MemoryLimit: g.Memory, MaxLingering: part, Log: log, OnStart: func(l *loop.Loop) {
 		dial := func(network string, address *string) func(loop.Handler) { // the address may change
 			return func(p loop.Handler) { l.Dial(network, *address, dialFor, p) }
 		}
@@ -88,7 +88,7 @@
 		inst.Connect(cores, calls, reports, fronts...)
 		cores.Open()
 		take := func(later config.Given, delta settings.Delta) error {
-			if !delta.Empty() {
+			if !delta.IsEmpty() {
 				if err := inst.Apply(delta); err != nil {
 					return err
 				}
@@ -116,7 +116,7 @@
 				go fl.leave(log) // off the loop: it waits up to a second for the others to hear
 			}
 		}()
-	})
+	}})
 }
 
 // move goes to another address.
--- a/internal/lab/scale/decisions/roll.go
+++ b/internal/lab/scale/decisions/roll.go
@@ -38,7 +38,7 @@
 	for n := range members {
 		members[n] = emulator.RolloutMember{Zone: l.zoneName(n), IsUpdated: n%2 == 1, IsLost: loss.takes(n), IsUpdatedByLoss: loss.Kind != "region"}
 	}
-	emulator.SpreadVoters(members, wantedVoters)
+	emulator.SpreadVoters(members, targetVoters)
 	return members
 }
 
@@ -84,7 +84,7 @@
 	k.Want(wantedRelease)
 	k.Held()
 	entry := func(body string) lease.Command {
-		return lease.Command{Kind: lease.Do, Duty: rolling.Duty, Member: processName(0, 0), Life: 0x18f3a2b4c5000000, Seq: 99999, Token: 7, Body: body}
+		return lease.Command{Kind: lease.Decide, Duty: rolling.Duty, Member: processName(0, 0), Incarnation: 0x18f3a2b4c5000000, Seq: 99999, Token: 7, Body: body}
 	}
 	k.Tick(time.Second)
 	if len(bodies) == 1 {
--- a/internal/settingsjson/read.go
+++ b/internal/settingsjson/read.go
@@ -171,16 +171,16 @@
 	if missing(raw) {
 		return tenant
 	}
-	entry := jsonline.New(raw)
+	entry := jsonline.NewReader(raw)
 	var name, quota []byte
-	err := entry.Object(func(key []byte) (err error) {
+	err := entry.ReadObject(func(key []byte) (err error) {
 		switch string(key) {
 		case "name":
-			name, err = entry.Raw()
+			name, err = entry.ReadRaw()
 		case "quota_per_s":
-			quota, err = entry.Raw()
+			quota, err = entry.ReadRaw()
 		default:
-			_, err = entry.Raw()
+			_, err = entry.ReadRaw()
 		}
 		return err
 	})
@@ -188,7 +188,7 @@
 		r.fail(fmt.Sprint("tenants.", place), compact(raw), "an object")
 	}
 	if !missing(name) {
-		text, err := jsonline.New(name).Text()
+		text, err := jsonline.NewReader(name).ReadString()
 		if err != nil {
 			r.fail(fmt.Sprintf("tenants.%d.name", place), compact(name), "a text")
 		}
@@ -287,8 +287,8 @@
 		return
 	}
 	key := func() string { return fmt.Sprintf("%s.%d.name", list, place) }
-	if len(name) > settings.MaxName {
-		r.fail(key(), fmt.Sprint(len(name), " bytes"), fmt.Sprintf("at most %d", settings.MaxName))
+	if len(name) > settings.MaxNameBytes {
+		r.fail(key(), fmt.Sprint(len(name), " bytes"), fmt.Sprintf("at most %d", settings.MaxNameBytes))
 	}
 	if seen.again(name) && standing(name) {
 		r.fail(key(), fmt.Sprintf("%.60q a second time", name), "a name that stands once")
