--- a/cmd/thymechute/consensus_test.go
+++ b/cmd/thymechute/consensus_test.go
@@ -17,7 +17,7 @@
 // logFleet is several programs with a replicated log, behind the fault network.
 type logFleet struct {
 	t            *testing.T
-	net          *faultnet.Net
+	net          *faultnet.Network
 	names        []string
 	environments map[string]*testutil.Environment
 	settings     map[string]string
@@ -45,7 +45,7 @@
 		own, front := fmt.Sprintf("127.0.%d.%d", octet, n+1), fmt.Sprintf("127.0.%d.%d", octet+1, n+1)
 		p := ports{testutil.FreePort(t, own), testutil.FreePort(t, front), testutil.FreePort(t, own), testutil.FreePort(t, front)}
 		for _, pair := range [][2]string{{p.bind, p.front}, {p.logBind, p.logFront}} {
-			if err := f.net.Front(name, pair[0], pair[1]); err != nil {
+			if err := f.net.StartProxy(name, pair[0], pair[1]); err != nil {
 				t.Fatal(err)
 			}
 		}
--- a/internal/fake/catalog/catalog.go
+++ b/internal/fake/catalog/catalog.go
@@ -1,9 +1,10 @@
-// Package catalog is a stand-in for the catalog that client stubs learn of instances from: it takes the reports of the
-// platform's protocol ("alive NAME passing", one datagram, no answer), keeps an entry 3 s after its last report, and
-// counts what came. The protocol's page does not state how a list reaches a client stub; List is the smallest that
-// would do, a line of name and address each. It must never answer a report, nor be linked by the instance.
+// Package catalog is a fake of the catalog from which client stubs learn of instances. It receives the reports of the platform's
+// protocol ("alive NAME passing", one UDP datagram, no answer), keeps an entry until entryTTL after its last report, and counts
+// what it received. The protocol's page does not state how a list reaches a client stub; EncodeList is the smallest encoding
+// that would do.
 //
-// Its table: entries by name (mostEntries; a name beyond that is counted as refused), emptied by time when listed.
+// Its table is the entries by name (maxEntries; reports of further names are rejected), expired when they are listed. A mutex
+// guards it; a goroutine reads the socket until Close.
 package catalog
 
 import (
@@ -18,29 +19,29 @@
 )
 
 const (
-	mostEntries = 1 << 14
-	entryLasts  = 3 * time.Second
-	longest     = 2048    // bytes of a report
-	readBuffer  = 4 << 20 // bytes: reports that come while this process does not run
+	maxEntries        = 1 << 14
+	entryTTL          = 3 * time.Second
+	maxReportBytes    = 2048
+	socketBufferBytes = 4 << 20 // for reports that arrive while this process is not scheduled
 )
 
-// Counts are what came since the start.
+// Counts are the datagrams received so far.
 type Counts struct {
-	Reports, Bytes int // datagrams that were reports, and the bytes in them (without headers of UDP and IP)
-	Faulty         int // datagrams that were none
-	Refused        int // for want of room
+	Reports, Bytes int // accepted reports, and their bytes without UDP and IP headers
+	Malformed      int // datagrams that are no report
+	Rejected       int // reports of names beyond maxEntries
 }
 
-// Catalog is the stand-in.
+// Catalog is the fake catalog.
 type Catalog struct {
-	socket *net.UDPConn
-	done   sync.WaitGroup
-	mu     sync.Mutex
-	counts Counts
-	seen   map[string]time.Time
+	socket     *net.UDPConn
+	done       sync.WaitGroup
+	mu         sync.Mutex
+	counts     Counts
+	lastReport map[string]time.Time
 }
 
-// Start listens at a loopback address.
+// Start listens at a loopback address and returns the bound address.
 func Start(address string) (*Catalog, string, error) {
 	at, err := netip.ParseAddrPort(address)
 	if err != nil || !at.Addr().IsLoopback() {
@@ -50,65 +51,76 @@
 	if err != nil {
 		return nil, "", err
 	}
-	_ = socket.SetReadBuffer(readBuffer)
-	c := &Catalog{socket: socket, seen: map[string]time.Time{}}
+	_ = socket.SetReadBuffer(socketBufferBytes)
+	c := &Catalog{socket: socket, lastReport: map[string]time.Time{}}
 	c.done.Add(1)
 	go c.read()
 	return c, socket.LocalAddr().String(), nil
 }
 
-// Close ends it.
+// Close ends the catalog.
 func (c *Catalog) Close() {
 	c.socket.Close()
 	c.done.Wait()
 }
 
+// read records the datagrams of the socket until it is closed.
 func (c *Catalog) read() {
 	defer c.done.Done()
-	buffer := make([]byte, longest)
+	buffer := make([]byte, maxReportBytes)
 	for {
 		n, _, err := c.socket.ReadFromUDPAddrPort(buffer)
 		if err != nil {
 			return
 		}
-		c.take(time.Now(), string(buffer[:n]))
+		c.record(time.Now(), string(buffer[:n]))
 	}
 }
 
-func (c *Catalog) take(now time.Time, report string) {
+// record counts a datagram, and renews the entry of the report's name.
+func (c *Catalog) record(now time.Time, report string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	words := strings.Fields(report)
-	if len(words) != 3 || words[0] != "alive" || words[2] != "passing" && words[2] != "critical" {
-		c.counts.Faulty++
+	name, ok := parseReport(report)
+	if !ok {
+		c.counts.Malformed++
 		return
 	}
-	if _, known := c.seen[words[1]]; !known && len(c.seen) >= mostEntries {
-		c.counts.Refused++
+	if _, known := c.lastReport[name]; !known && len(c.lastReport) >= maxEntries {
+		c.counts.Rejected++
 		return
 	}
-	c.seen[words[1]] = now
+	c.lastReport[name] = now
 	c.counts.Reports++
 	c.counts.Bytes += len(report)
 }
 
-// Counts are what came so far.
+// parseReport returns the instance name of a report.
+func parseReport(report string) (name string, ok bool) {
+	words := strings.Fields(report)
+	if len(words) != 3 || words[0] != "alive" || words[2] != "passing" && words[2] != "critical" {
+		return "", false
+	}
+	return words[1], true
+}
+
+// Counts returns the counts so far.
 func (c *Catalog) Counts() Counts {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.counts
 }
 
-// Names are those of the entries that stand at the time, in order; the others go.
+// Names returns the names of the entries that have not expired at the time, sorted, and removes the expired ones.
 func (c *Catalog) Names(now time.Time) []string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	maps.DeleteFunc(c.seen, func(_ string, last time.Time) bool { return now.Sub(last) > entryLasts })
-	return slices.Sorted(maps.Keys(c.seen))
+	maps.DeleteFunc(c.lastReport, func(_ string, last time.Time) bool { return now.Sub(last) > entryTTL })
+	return slices.Sorted(maps.Keys(c.lastReport))
 }
 
-// List is the entries with their addresses, a line each.
-func List(names []string, address func(name string) string) []byte {
+// EncodeList encodes a list of instances: a line of name and address each.
+func EncodeList(names []string, address func(name string) string) []byte {
 	var list []byte
 	for _, name := range names {
 		list = fmt.Appendf(list, "%s %s\n", name, address(name))
--- a/internal/fake/catalog/catalog_test.go
+++ b/internal/fake/catalog/catalog_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-func started(t *testing.T) (*Catalog, net.Conn) {
+func startCatalog(t *testing.T) (*Catalog, net.Conn) {
 	t.Helper()
 	c, address, err := Start("127.0.0.1:0")
 	if err != nil {
@@ -23,10 +23,10 @@
 	return c, sender
 }
 
-func (c *Catalog) until(t *testing.T, datagrams int) Counts {
+func (c *Catalog) waitForDatagrams(t *testing.T, datagrams int) Counts {
 	t.Helper()
 	for end := time.Now().Add(10 * time.Second); time.Now().Before(end); time.Sleep(time.Millisecond) {
-		if counts := c.Counts(); counts.Reports+counts.Faulty+counts.Refused == datagrams {
+		if counts := c.Counts(); counts.Reports+counts.Malformed+counts.Rejected == datagrams {
 			return counts
 		}
 	}
@@ -35,13 +35,13 @@
 }
 
 func TestReportsAreCountedAndListed(t *testing.T) {
-	c, sender := started(t)
+	c, sender := startCatalog(t)
 	reports := []string{"alive n2 passing", "alive n1 critical", "alive n2 passing", "alive n3", "gone n1 passing", "alive n1 well"}
 	for _, report := range reports {
 		fmt.Fprint(sender, report)
 	}
-	counts := c.until(t, len(reports))
-	if want := (Counts{Reports: 3, Bytes: len(reports[0]) + len(reports[1]) + len(reports[2]), Faulty: 3}); counts != want {
+	counts := c.waitForDatagrams(t, len(reports))
+	if want := (Counts{Reports: 3, Bytes: len(reports[0]) + len(reports[1]) + len(reports[2]), Malformed: 3}); counts != want {
 		t.Errorf("%+v, expected %+v", counts, want)
 	}
 	if names := c.Names(time.Now()); !slices.Equal(names, []string{"n1", "n2"}) {
@@ -49,11 +49,11 @@
 	}
 }
 
-func TestEntryLapsesThreeSecondsAfterItsLastReport(t *testing.T) {
-	c := &Catalog{seen: map[string]time.Time{}}
+func TestEntryExpiresThreeSecondsAfterItsLastReport(t *testing.T) {
+	c := &Catalog{lastReport: map[string]time.Time{}}
 	start := time.Now()
-	c.take(start, "alive n1 passing")
-	c.take(start.Add(2*time.Second), "alive n2 passing")
+	c.record(start, "alive n1 passing")
+	c.record(start.Add(2*time.Second), "alive n2 passing")
 	if names := c.Names(start.Add(3 * time.Second)); len(names) != 2 {
 		t.Errorf("listed %v after 3 s", names)
 	}
@@ -63,24 +63,24 @@
 }
 
 func TestEntriesAreBounded(t *testing.T) {
-	c := &Catalog{seen: map[string]time.Time{}}
-	for n := range mostEntries + 1 {
-		c.take(time.Time{}, fmt.Sprintf("alive n%d passing", n))
+	c := &Catalog{lastReport: map[string]time.Time{}}
+	for n := range maxEntries + 1 {
+		c.record(time.Time{}, fmt.Sprintf("alive n%d passing", n))
 	}
-	c.take(time.Time{}, "alive n0 passing")
-	if counts := c.Counts(); counts.Refused != 1 || counts.Reports != mostEntries+1 || len(c.seen) != mostEntries {
-		t.Errorf("%+v with %d entries", counts, len(c.seen))
+	c.record(time.Time{}, "alive n0 passing")
+	if counts := c.Counts(); counts.Rejected != 1 || counts.Reports != maxEntries+1 || len(c.lastReport) != maxEntries {
+		t.Errorf("%+v with %d entries", counts, len(c.lastReport))
 	}
 }
 
-func TestListIsALineEach(t *testing.T) {
-	list := List([]string{"n1", "n2"}, func(name string) string { return "10.0.0." + name[1:] + ":8080" })
+func TestEncodeList(t *testing.T) {
+	list := EncodeList([]string{"n1", "n2"}, func(name string) string { return "10.0.0." + name[1:] + ":8080" })
 	if string(list) != "n1 10.0.0.1:8080\nn2 10.0.0.2:8080\n" {
 		t.Errorf("%q", list)
 	}
 }
 
-func TestOnlyLoopback(t *testing.T) {
+func TestStartAcceptsOnlyLoopback(t *testing.T) {
 	for _, address := range []string{"0.0.0.0:0", "10.0.0.1:8761", "nowhere"} {
 		if c, _, err := Start(address); err == nil {
 			c.Close()
--- a/internal/fake/crashdisk/crashdisk.go
+++ b/internal/fake/crashdisk/crashdisk.go
@@ -1,379 +1,162 @@
-// Package crashdisk is a stand-in for a folder on a disk that loses power: it keeps what is there apart from what
-// would outlive a crash, and loses, tears or keeps the rest as a told generator says. Any call can be made to fail,
-// and the disk to be full. It is as hard as internal/state/disk allows, not as kind as any one file system: names
-// that were not synced come back or go one by one. It must never act by chance that can't be told again. Its tables
-// grow with what is written, for as long as the test runs.
+// Package crashdisk is a fake of a directory on a disk that loses power. It implements disk.Directory in memory and tracks what
+// would survive a crash: Crash loses, truncates or keeps the rest as a given generator decides, so that a test can replay it.
+// Any call can be made to fail, and the disk to be full. It is as adversarial as the contract of internal/state/disk allows, not
+// as benign as any one file system: each name change that was not synced is kept or undone on its own.
+//
+// A Disk is safe for concurrent use, by one mutex. Its tables hold all files with their synced contents and grow with what is
+// written, without bound.
 package crashdisk
 
 import (
 	"errors"
 	"fmt"
-	"io"
-	"os"
-	"sort"
+	"maps"
+	"slices"
 	"sync"
-	"syscall"
 
 	"thymechute/internal/state/disk"
 )
 
-// ErrCrashed is the answer to all calls on what was open when the disk crashed.
+// ErrCrashed is the error of all calls on a directory or file that was opened before a crash.
 var ErrCrashed = errors.New("the disk has crashed since")
 
-// Chance is the generator that decides what a crash keeps: 0 to under n.
-type Chance func(n int) int
+// ErrNoSuchByte is the error of CorruptByte for a position that the file does not have.
+var ErrNoSuchByte = errors.New("no such byte")
 
-type inode struct {
-	now    []byte
-	safe   []byte // what the last good Sync made sure
-	doomed int    // a Sync failed: bytes from here to doomedTo are never made sure, though later ones may be
-	upTo   int
-}
+// unlimited is the capacity of a disk that is never full.
+const unlimited = -1
+
+// corruptedBit is the bit that CorruptByte flips.
+const corruptedBit = 0x40
+
+// Random decides what a crash keeps. It returns a number from 0 to below n.
+type Random func(n int) int
 
-type name struct {
+// Disk is a fake disk with one directory.
+type Disk struct {
+	mu              sync.Mutex
+	entries         map[string]*inode
+	syncedEntries   map[string]*inode
+	unsyncedChanges []renames // since the last Sync of the directory
+	incarnation     int       // crashes so far
+	locked          bool
+	calls           int
+	failures        map[int]error // by number of the call, from 1
+	capacity        int           // bytes of all files together; negative for no limit
+}
+
+// renames are changes of names that a crash keeps or undoes together.
+type renames []entryChange
+
+// entryChange makes a name refer to an inode, or removes it where inode is nil.
+type entryChange struct {
 	name  string
-	inode *inode // nil: removed
+	inode *inode
 }
 
-// Disk is one folder on it.
-type Disk struct {
-	mu      sync.Mutex
-	now     map[string]*inode
-	safe    map[string]*inode
-	pending [][]name // changes of names since the last Sync; those of one rename go together
-	life    int      // crashes so far
-	locked  bool
-	calls   int
-	fail    map[int]error // by number of the call, from 1
-	room    int           // bytes; negative: no bound
+func (c entryChange) apply(entries map[string]*inode) {
+	if c.inode == nil {
+		delete(entries, c.name)
+	} else {
+		entries[c.name] = c.inode
+	}
+}
+
+func (changes renames) apply(entries map[string]*inode) {
+	for _, change := range changes {
+		change.apply(entries)
+	}
 }
 
-// New makes an empty one.
+// New creates an empty disk of unlimited capacity.
 func New() *Disk {
-	return &Disk{now: map[string]*inode{}, safe: map[string]*inode{}, fail: map[int]error{}, room: -1}
+	return &Disk{entries: map[string]*inode{}, syncedEntries: map[string]*inode{}, failures: map[int]error{}, capacity: unlimited}
 }
 
-// FailAt has the nth call from now on fail; a failing Append writes half, a failing Sync dooms what it should have kept.
+// FailAt makes the n-th call from now fail with err. A failing Append writes half of its bytes; a failing Sync of a file loses
+// the bytes that it should have made durable, whatever later calls do.
 func (d *Disk) FailAt(n int, err error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.fail[d.calls+n] = err
+	d.failures[d.calls+n] = err
 }
 
-// Calls is how many calls there were: a test that crashes at every step counts by it.
-func (d *Disk) Calls() int {
+// CallCount is the number of calls so far, for tests that crash at every call.
+func (d *Disk) CallCount() int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.calls
 }
 
-// Room bounds the bytes of all files together; negative: not at all.
-func (d *Disk) Room(bytes int) {
+// SetCapacity bounds the bytes of all files together; a negative number removes the bound.
+func (d *Disk) SetCapacity(bytes int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.room = bytes
+	d.capacity = bytes
 }
 
-// Flip changes one byte, as a bad sector does.
-func (d *Disk) Flip(file string, at int) error {
+// CorruptByte flips a bit of one byte, durable or not, as a bad sector does. It returns ErrNoSuchByte.
+func (d *Disk) CorruptByte(file string, at int) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	n := d.now[file]
-	if n == nil || at < 0 || at >= len(n.now) {
-		return fmt.Errorf("flip: found no byte %d of %s", at, file)
+	n := d.entries[file]
+	if n == nil || at < 0 || at >= len(n.data) {
+		return fmt.Errorf("corrupt byte %d of %q: %w", at, file, ErrNoSuchByte)
 	}
-	n.now[at] ^= 0x40
-	if at < len(n.safe) {
-		n.safe[at] ^= 0x40
+	n.data[at] ^= corruptedBit
+	if at < len(n.synced) {
+		n.synced[at] ^= corruptedBit
 	}
 	return nil
 }
 
-// Crash loses what was not made sure, or part of it, and ends all that is open. What is left is sure.
-func (d *Disk) Crash(chance Chance) {
+// Crash loses what is not durable, or a part of it as random decides, and ends everything that is open. What remains is
+// durable.
+func (d *Disk) Crash(random Random) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	for _, change := range d.pending {
-		if chance(2) == 0 {
-			for _, n := range change {
-				set(d.safe, n)
-			}
+	for _, changes := range d.unsyncedChanges {
+		if random(2) == 0 {
+			changes.apply(d.syncedEntries)
 		}
 	}
-	d.pending = nil
-	d.now = map[string]*inode{}
-	kept := map[*inode]*inode{}
-	for _, file := range sorted(d.safe) {
-		old := d.safe[file]
-		if kept[old] == nil {
-			b := old.after(chance)
-			kept[old] = &inode{now: b, safe: append([]byte(nil), b...)}
+	d.unsyncedChanges = nil
+	d.entries = map[string]*inode{}
+	survivors := map[*inode]*inode{}
+	for _, file := range sortedNames(d.syncedEntries) {
+		before := d.syncedEntries[file]
+		if survivors[before] == nil {
+			survivors[before] = newInode(before.afterCrash(random))
 		}
-		d.now[file] = kept[old]
-	}
-	d.safe = map[string]*inode{}
-	for file, n := range d.now {
-		d.safe[file] = n
+		d.entries[file] = survivors[before]
 	}
-	d.life++
+	d.syncedEntries = maps.Clone(d.entries)
+	d.incarnation++
 	d.locked = false
 }
 
-// after is what a crash leaves of a file: what is sure, and any beginning of what was appended behind it, of which the
-// last part may be rubbish. A cut that was not synced may be undone.
-func (n *inode) after(chance Chance) []byte {
-	b := append([]byte(nil), n.safe...)
-	if len(n.now) < len(n.safe) {
-		if chance(2) == 0 {
-			b = b[:len(n.now)]
-		}
-		return b
-	}
-	more := n.now[len(n.safe):]
-	keep := chance(len(more) + 1)
-	b = append(b, more[:keep]...)
-	if rubbish := chance(3); rubbish == 0 && keep < len(more) { // the size was written, and the bytes were not
-		b = append(b, make([]byte, chance(len(more)-keep+1))...)
-	}
-	if n.upTo > n.doomed { // pages that a failed Sync has dropped read as zeros, whatever came later
-		for i := n.doomed; i < min(n.upTo, len(b)); i++ {
-			b[i] = 0
-		}
-	}
-	return b
-}
+func sortedNames(entries map[string]*inode) []string { return slices.Sorted(maps.Keys(entries)) }
 
-func set(names map[string]*inode, n name) {
-	if n.inode == nil {
-		delete(names, n.name)
-	} else {
-		names[n.name] = n.inode
-	}
-}
-
-func sorted(names map[string]*inode) (all []string) {
-	for n := range names {
-		all = append(all, n)
-	}
-	sort.Strings(all)
-	return all
-}
-
-// call counts one and tells whether it fails. The lock is held.
-func (d *Disk) call(life int) error {
-	if life != d.life {
-		return ErrCrashed
-	}
-	d.calls++
-	return d.fail[d.calls]
-}
-
-// Folder is the folder as a process of this life sees it.
-func (d *Disk) Folder() disk.Directory {
+// Directory opens the directory, as a process that starts now. It is usable until the next crash.
+func (d *Disk) Directory() disk.Directory {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return &folder{d, d.life}
-}
-
-type folder struct {
-	d    *Disk
-	life int
-}
-
-// do runs f under the lock, unless the call fails.
-func (f *folder) do(names []string, act func() error) error {
-	f.d.mu.Lock()
-	defer f.d.mu.Unlock()
-	for _, n := range names {
-		if err := disk.ValidateName(n); err != nil {
-			return err
-		}
-	}
-	if err := f.d.call(f.life); err != nil {
-		return err
-	}
-	return act()
-}
-
-func (f *folder) Names() (names []string, err error) {
-	err = f.do(nil, func() error {
-		names = sorted(f.d.now)
-		return nil
-	})
-	return names, err
-}
-
-func (f *folder) change(all ...name) {
-	for _, n := range all {
-		set(f.d.now, n)
-	}
-	f.d.pending = append(f.d.pending, all)
-}
-
-func (f *folder) Create(file string) (disk.File, error) {
-	n := &inode{}
-	err := f.do([]string{file}, func() error {
-		if f.d.now[file] != nil {
-			return os.ErrExist
-		}
-		f.change(name{file, n})
-		return nil
-	})
-	if err != nil {
-		return nil, err
-	}
-	return &open{f, n}, nil
+	return &directory{d, d.incarnation}
 }
 
-func (f *folder) Open(file string) (disk.File, error) {
-	var n *inode
-	err := f.do([]string{file}, func() error {
-		if n = f.d.now[file]; n == nil {
-			return os.ErrNotExist
-		}
-		return nil
-	})
-	if err != nil {
-		return nil, err
-	}
-	return &open{f, n}, nil
-}
-
-func (f *folder) Rename(from, to string) error {
-	return f.do([]string{from, to}, func() error {
-		n := f.d.now[from]
-		if n == nil {
-			return os.ErrNotExist
-		}
-		if from != to {
-			f.change(name{from, nil}, name{to, n})
-		}
-		return nil
-	})
-}
-
-func (f *folder) Remove(file string) error {
-	return f.do([]string{file}, func() error {
-		if f.d.now[file] == nil {
-			return os.ErrNotExist
-		}
-		f.change(name{file, nil})
-		return nil
-	})
-}
-
-func (f *folder) Sync() error {
-	return f.do(nil, func() error {
-		for _, change := range f.d.pending {
-			for _, n := range change {
-				set(f.d.safe, n)
-			}
-		}
-		f.d.pending = nil
-		return nil
-	})
-}
-
-func (f *folder) Lock() (func() error, error) {
-	err := f.do(nil, func() error {
-		if f.d.locked {
-			return disk.ErrLocked
-		}
-		f.d.locked = true
-		return nil
-	})
-	if err != nil {
-		return nil, err
-	}
-	return func() error {
-		f.d.mu.Lock()
-		defer f.d.mu.Unlock()
-		if f.life == f.d.life {
-			f.d.locked = false
-		}
-		return nil
-	}, nil
-}
-
-type open struct {
-	f *folder
-	n *inode
-}
-
-func (o *open) ReadAt(p []byte, at int64) (n int, err error) {
-	err = o.f.do(nil, func() error {
-		if at < 0 || at >= int64(len(o.n.now)) {
-			return io.EOF
-		}
-		if n = copy(p, o.n.now[at:]); n < len(p) {
-			return io.EOF
-		}
-		return nil
-	})
-	return n, err
-}
-
-func (o *open) Size() (size int64, err error) {
-	err = o.f.do(nil, func() error {
-		size = int64(len(o.n.now))
-		return nil
-	})
-	return size, err
-}
-
-func (o *open) Append(p []byte) (int, error) {
-	d := o.f.d
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	err := d.call(o.f.life)
-	if errors.Is(err, ErrCrashed) {
-		return 0, err
-	}
-	n := len(p)
-	if err != nil {
-		n /= 2
-	}
-	if used := d.used(); d.room >= 0 && used+n > d.room {
-		n, err = max(d.room-used, 0), syscall.ENOSPC
+// countCall counts a call and returns the error it must fail with; the lock is held.
+func (d *Disk) countCall(incarnation int) error {
+	if incarnation != d.incarnation {
+		return ErrCrashed
 	}
-	o.n.now = append(o.n.now, p[:n]...)
-	return n, err
+	d.calls++
+	return d.failures[d.calls]
 }
 
-func (d *Disk) used() (bytes int) {
-	for _, n := range d.now {
-		bytes += len(n.now)
+// usedBytes is the size of all files; the lock is held.
+func (d *Disk) usedBytes() (bytes int) {
+	for _, n := range d.entries {
+		bytes += len(n.data)
 	}
 	return bytes
 }
-
-func (o *open) Truncate(size int64) error {
-	return o.f.do(nil, func() error {
-		if size < 0 || size > int64(len(o.n.now)) {
-			return os.ErrInvalid
-		}
-		o.n.now = o.n.now[:size:size]
-		return nil
-	})
-}
-
-func (o *open) Sync() error {
-	d := o.f.d
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	err := d.call(o.f.life)
-	if errors.Is(err, ErrCrashed) {
-		return err
-	}
-	if err != nil {
-		if o.n.upTo <= o.n.doomed {
-			o.n.doomed = min(len(o.n.safe), len(o.n.now))
-		}
-		o.n.upTo = len(o.n.now)
-		return err
-	}
-	o.n.safe = append([]byte(nil), o.n.now...)
-	return nil
-}
-
-func (o *open) Close() error { return nil }
--- a/internal/fake/crashdisk/crashdisk_test.go
+++ b/internal/fake/crashdisk/crashdisk_test.go
@@ -25,8 +25,8 @@
 	return b
 }
 
-// As long as nothing crashes or fails, the stand-in does what a real folder does.
-func TestAsARealFolder(t *testing.T) {
+// Without crashes and failures, the fake behaves as a real directory.
+func TestMatchesRealDirectory(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		path, err := os.MkdirTemp("", "disk")
 		if err != nil {
@@ -37,7 +37,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		both := []disk.Directory{real, New().Folder()}
+		both := []disk.Directory{real, New().Directory()}
 		for range rapid.IntRange(1, 30).Draw(t, "steps") {
 			file := rapid.SampledFrom([]string{"a", "b", ".c", "d/e"}).Draw(t, "file")
 			to := rapid.SampledFrom([]string{"a", "b"}).Draw(t, "to")
@@ -72,23 +72,23 @@
 				}
 			}
 			if did[0] != did[1] {
-				t.Fatalf("step %d of %s: %s, and the stand-in %s", step, file, did[0], did[1])
+				t.Fatalf("step %d of %s: %s, and the fake %s", step, file, did[0], did[1])
 			}
 		}
 	})
 }
 
-// Whatever a crash keeps: what was synced is there, and behind it nothing but a beginning of what was appended, and zeros.
-func TestCrashKeepsWhatIsSure(t *testing.T) {
+// After a crash, synced data is there, followed by nothing but a prefix of the appended data, and zeros.
+func TestCrashKeepsSyncedData(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		d := New()
-		f := d.Folder()
+		f := d.Directory()
 		file, err := f.Create("log")
 		if err != nil || f.Sync() != nil {
 			t.Fatal(err)
 		}
 		var all []byte
-		sure := 0
+		synced := 0
 		for range rapid.IntRange(0, 20).Draw(t, "steps") {
 			p := rapid.SliceOfN(rapid.ByteRange(1, 255), 1, 20).Draw(t, "text")
 			if _, err := file.Append(p); err != nil {
@@ -99,29 +99,29 @@
 				if err := file.Sync(); err != nil {
 					t.Fatal(err)
 				}
-				sure = len(all)
+				synced = len(all)
 			}
 		}
 		d.Crash(func(n int) int { return rapid.IntRange(0, n-1).Draw(t, "chance") })
 		if _, err := file.Append(nil); !errors.Is(err, ErrCrashed) {
 			t.Fatalf("still open: %v", err)
 		}
-		again, err := d.Folder().Open("log")
+		again, err := d.Directory().Open("log")
 		if err != nil {
 			t.Fatal(err)
 		}
 		got := read(t, again)
 		text := bytes.TrimRight(got, "\x00")
-		if len(text) < sure || !bytes.HasPrefix(all, text) || len(got) > len(all) {
-			t.Fatalf("%d sure of %q, got %q", sure, all, got)
+		if len(text) < synced || !bytes.HasPrefix(all, text) || len(got) > len(all) {
+			t.Fatalf("%d bytes synced of %q, got %q", synced, all, got)
 		}
 	})
 }
 
-func TestNamesThatWereNotSyncedMayGoOrStay(t *testing.T) {
+func TestCrashKeepsOrUndoesUnsyncedNames(t *testing.T) {
 	for keep, want := range map[int]string{0: "[b]", 1: "[a]"} {
 		d := New()
-		f := d.Folder()
+		f := d.Directory()
 		if _, err := f.Create("a"); err != nil || f.Sync() != nil {
 			t.Fatal(err)
 		}
@@ -129,16 +129,16 @@
 			t.Fatal(err)
 		}
 		d.Crash(func(n int) int { return min(keep, n-1) })
-		if names, _ := d.Folder().Names(); fmt.Sprint(names) != want {
+		if names, _ := d.Directory().Names(); fmt.Sprint(names) != want {
 			t.Errorf("chance %d: %v, want %s", keep, names, want)
 		}
 	}
 }
 
-// After a Sync that failed a later good one proves nothing of what the first should have kept.
-func TestFailedSyncLosesItsPages(t *testing.T) {
+// After a failed Sync, a later successful one does not make durable what the first should have.
+func TestFailedSyncLosesData(t *testing.T) {
 	d := New()
-	f := d.Folder()
+	f := d.Directory()
 	file, _ := f.Create("log")
 	_ = f.Sync()
 	_, _ = file.Append([]byte("sure"))
@@ -153,25 +153,25 @@
 		t.Fatal(err)
 	}
 	d.Crash(func(int) int { return 0 })
-	again, _ := d.Folder().Open("log")
+	again, _ := d.Directory().Open("log")
 	if got := string(read(t, again)); got != "sure\x00\x00\x00\x00later" {
 		t.Errorf("%q", got)
 	}
 }
 
-func TestFailingAppendFullDiskAndLock(t *testing.T) {
+func TestAppendFailureFullDiskAndLock(t *testing.T) {
 	d := New()
-	f := d.Folder()
+	f := d.Directory()
 	file, _ := f.Create("log")
 	d.FailAt(1, syscall.EIO)
 	if n, err := file.Append([]byte("1234")); n != 2 || !errors.Is(err, syscall.EIO) {
 		t.Errorf("%d, %v", n, err)
 	}
-	d.Room(5)
+	d.SetCapacity(5)
 	if n, err := file.Append([]byte("5678")); n != 3 || !errors.Is(err, syscall.ENOSPC) {
 		t.Errorf("%d, %v", n, err)
 	}
-	d.Room(-1)
+	d.SetCapacity(-1)
 	if n, err := file.Append([]byte("9")); n != 1 || err != nil || string(read(t, file)) != "125679" {
 		t.Errorf("%d, %v", n, err)
 	}
@@ -187,12 +187,12 @@
 		t.Error(err)
 	}
 	d.Crash(func(int) int { return 0 })
-	if _, err := d.Folder().Lock(); err != nil {
+	if _, err := d.Directory().Lock(); err != nil {
 		t.Errorf("a crash does not unlock: %v", err)
 	}
 }
 
-func TestRealFolderIsLockedOnce(t *testing.T) {
+func TestRealDirectoryIsLockedOnce(t *testing.T) {
 	path := t.TempDir()
 	f, err := disk.Open(path)
 	if err != nil {
@@ -213,6 +213,6 @@
 		t.Error(err)
 	}
 	if _, err := disk.Open(path + "/none"); err == nil {
-		t.Error("a folder that is not there")
+		t.Error("a directory that does not exist: no error")
 	}
 }
--- a/internal/fake/faultnet/address_test.go
+++ b/internal/fake/faultnet/address_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// An address is free for both protocols, and never at a port that a connection on its way may be given.
+// An address is free for both protocols, and its port is outside the ephemeral range.
 func TestFreeAddress(t *testing.T) {
 	for range 50 {
 		address, err := FreeAddress("127.0.90.1")
@@ -14,8 +14,8 @@
 			t.Fatal(err)
 		}
 		at := netip.MustParseAddrPort(address)
-		if at.Addr() != netip.MustParseAddr("127.0.90.1") || at.Port() < firstPort || at.Port() >= portsEnd {
-			t.Errorf("%s, expected 127.0.90.1 and a port from %d to before %d", address, firstPort, portsEnd)
+		if at.Addr() != netip.MustParseAddr("127.0.90.1") || at.Port() < minPort || at.Port() >= portsEnd {
+			t.Errorf("%s, expected 127.0.90.1 and a port from %d to before %d", address, minPort, portsEnd)
 		}
 		l, err := net.Listen("tcp", address)
 		if err != nil {
--- a/internal/fake/faultnet/faultnet_test.go
+++ b/internal/fake/faultnet/faultnet_test.go
@@ -21,7 +21,7 @@
 	return l, u
 }
 
-func frontOf(t *testing.T, n *Net, name, ip string, member net.Listener) string {
+func startProxy(t *testing.T, n *Network, name, ip string, member net.Listener) string {
 	t.Helper()
 	probe, err := net.Listen("tcp", ip+":0")
 	if err != nil {
@@ -29,27 +29,27 @@
 	}
 	front := probe.Addr().String()
 	probe.Close()
-	if err := n.Front(name, member.Addr().String(), front); err != nil {
+	if err := n.StartProxy(name, member.Addr().String(), front); err != nil {
 		t.Fatal(err)
 	}
 	return front
 }
 
-// got reads one datagram within a short bound, or says none came.
-func got(u net.PacketConn) bool {
+// received reports whether a datagram arrives within 300 ms.
+func received(u net.PacketConn) bool {
 	_ = u.SetReadDeadline(time.Now().Add(300 * time.Millisecond))
 	buf := make([]byte, 16)
 	_, _, err := u.ReadFrom(buf)
 	return err == nil
 }
 
-func TestCutsAreOneWayForDatagramsAndBothForStreams(t *testing.T) {
+func TestCutIsOneWayForDatagramsAndBothWaysForStreams(t *testing.T) {
 	n := New(1)
 	defer n.Close()
 	la, ua := listen(t, "127.0.3.1")
 	lb, ub := listen(t, "127.0.3.2")
-	fa := frontOf(t, n, "a", "127.0.4.1", la)
-	fb := frontOf(t, n, "b", "127.0.4.2", lb)
+	fa := startProxy(t, n, "a", "127.0.4.1", la)
+	fb := startProxy(t, n, "b", "127.0.4.2", lb)
 	send := func(from net.PacketConn, to string) {
 		addr, _ := net.ResolveUDPAddr("udp", to)
 		if _, err := from.WriteTo([]byte("ping"), addr); err != nil {
@@ -57,20 +57,20 @@
 		}
 	}
 	send(ua, fb)
-	if !got(ub) {
+	if !received(ub) {
 		t.Fatal("a to b: nothing came before any cut")
 	}
 	n.Cut("a", "b")
 	send(ua, fb)
-	if got(ub) {
+	if received(ub) {
 		t.Fatal("a to b came through the cut")
 	}
 	send(ub, fa)
-	if !got(ua) {
+	if !received(ua) {
 		t.Fatal("b to a: nothing came, but the cut is one way")
 	}
-	if passed, held := n.Counts("a", "b"); passed != 1 || held != 1 {
-		t.Fatalf("a to b passed %d, held %d; want 1 and 1", passed, held)
+	if forwarded, dropped := n.Counts("a", "b"); forwarded != 1 || dropped != 1 {
+		t.Fatalf("a to b: %d forwarded, %d dropped; want 1 and 1", forwarded, dropped)
 	}
 
 	// a stream from b to a carries a's replies too, so the cut a to b refuses it
@@ -111,10 +111,10 @@
 	}
 }
 
-func TestFrontsStayOnLoopback(t *testing.T) {
+func TestProxyAcceptsOnlyLoopback(t *testing.T) {
 	n := New(1)
 	defer n.Close()
-	if err := n.Front("a", "10.0.0.1:7000", "127.0.0.1:0"); err == nil {
-		t.Fatal("a member outside loopback was taken")
+	if err := n.StartProxy("a", "10.0.0.1:7000", "127.0.0.1:0"); err == nil {
+		t.Fatal("a member outside loopback: no error")
 	}
 }
--- /dev/null
+++ b/internal/fake/faultnet/rules.go
@@ -0,0 +1,118 @@
+package faultnet
+
+import "math/rand/v2"
+
+// lossStream is the generator's stream for losses; with the seed it determines them.
+const lossStream = 0xfa17
+
+// pair is two members, in the direction from the sender to the receiver.
+type pair struct{ from, to string }
+
+func (p pair) reversed() pair { return pair{p.to, p.from} }
+
+// transport is how members send to each other.
+type transport int
+
+const (
+	datagram transport = iota
+	stream             // a connection; it carries data in both directions
+)
+
+// rules decide what passes between members.
+type rules struct {
+	cuts      map[pair]bool
+	loss      map[pair]float64 // rate of lost datagrams, 0 to 1
+	random    *rand.Rand
+	forwarded map[pair]int // datagrams and connections
+	dropped   map[pair]int
+}
+
+func newRules(seed uint64) rules {
+	return rules{cuts: map[pair]bool{}, loss: map[pair]float64{}, random: rand.New(rand.NewPCG(seed, lossStream)),
+		forwarded: map[pair]int{}, dropped: map[pair]int{}}
+}
+
+// admit reports whether a datagram or a new connection passes, and counts it. What comes from no member never passes.
+func (r *rules) admit(p pair, kind transport) bool {
+	admitted := p.from != "" && !r.isCut(p, kind) && !r.isLost(p, kind)
+	if admitted {
+		r.forwarded[p]++
+	} else {
+		r.dropped[p]++
+	}
+	return admitted
+}
+
+func (r *rules) isCut(p pair, kind transport) bool {
+	return r.cuts[p] || kind == stream && r.cuts[p.reversed()]
+}
+
+// isLost draws whether a datagram is lost.
+func (r *rules) isLost(p pair, kind transport) bool {
+	return kind == datagram && r.loss[p] > 0 && r.random.Float64() < r.loss[p]
+}
+
+// Cut drops everything from one member to another, in this direction only, and closes the connections between them.
+func (n *Network) Cut(from, to string) {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	cut := pair{from, to}
+	n.cuts[cut] = true
+	for p := range n.pipes {
+		if between := (pair{p.from, p.to}); between == cut || between == cut.reversed() {
+			p.close()
+		}
+	}
+}
+
+// Isolate cuts a member off from all others, in both directions.
+func (n *Network) Isolate(name string, others []string) {
+	for _, other := range others {
+		if other != name {
+			n.Cut(name, other)
+			n.Cut(other, name)
+		}
+	}
+}
+
+// Partition cuts every pair of members of different groups, in both directions. Members of no group are unaffected.
+func (n *Network) Partition(groups ...[]string) {
+	for i, group := range groups {
+		for j, other := range groups {
+			if i != j {
+				n.cutAll(group, other)
+			}
+		}
+	}
+}
+
+// cutAll cuts each member of one group from each of another, in this direction.
+func (n *Network) cutAll(from, to []string) {
+	for _, sender := range from {
+		for _, receiver := range to {
+			n.Cut(sender, receiver)
+		}
+	}
+}
+
+// SetLoss sets the rate (0 to 1) at which datagrams from one member to another are lost.
+func (n *Network) SetLoss(from, to string, rate float64) {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	n.loss[pair{from, to}] = min(max(rate, 0), 1)
+}
+
+// Heal removes every cut and loss.
+func (n *Network) Heal() {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	clear(n.cuts)
+	clear(n.loss)
+}
+
+// Counts returns how many datagrams and connections from one member to another were forwarded and dropped so far.
+func (n *Network) Counts(from, to string) (forwarded, dropped int) {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	return n.forwarded[pair{from, to}], n.dropped[pair{from, to}]
+}
--- a/internal/fake/runtime/runtime.go
+++ b/internal/fake/runtime/runtime.go
@@ -1,14 +1,13 @@
-// Package runtime is a stand-in for the runtime that owns an instance's cores: it takes the runtime's line protocol
-// on loopback, starts what it is told, and ends it after the time of its work. It keeps running when the program
-// beside it dies, as the real one does, and tells what a new link has missed. Its tables: runs (mostRuns), notices
-// told and not yet known to be read (mostNotices, the oldest go). It must never start one task twice, nor be linked
-// by the instance.
+// Package runtime is a fake of the runtime that owns an instance's cores. It serves the runtime's line protocol on loopback,
+// runs the tasks it is given, and ends each after its run time. Like the real runtime it keeps running when the program beside
+// it dies, and sends a new connection the notifications that it has missed. It never runs a task twice at a time.
+//
+// Its tables are the tasks that run (maxRuns; a further start is dropped) and the notifications, kept for connections that may
+// have missed them (maxNotifications; the oldest half goes). One mutex guards them; Work and the observers are called with it
+// held. Each connection has a goroutine, ended by Close.
 package runtime
 
 import (
-	"bufio"
-	"encoding/base64"
-	"encoding/json"
 	"fmt"
 	"net"
 	"net/netip"
@@ -16,37 +15,37 @@
 	"time"
 )
 
+// Bounds of the tables, and of a line of the protocol.
 const (
-	mostRuns    = 1 << 16
-	mostNotices = 1 << 16
-	longestLine = 64 << 10
+	maxRuns          = 1 << 16
+	maxNotifications = 1 << 16
+	maxLineBytes     = 64 << 10
 )
 
-// Work tells how long a run of the body takes, and what comes of it.
-type Work func(band string, body []byte) (span time.Duration, result []byte)
+// Work decides how long a task runs, and its result. A run time of 0 ends the task at once.
+type Work func(class string, body []byte) (runTime time.Duration, result []byte)
 
-// Runtime is the stand-in.
+// Runtime is the fake runtime.
 type Runtime struct {
-	work    Work
-	started func(band string, body []byte) // told of every run, in order
-	ended   func(body []byte, took time.Duration)
+	work       Work
+	onStart    func(class string, body []byte)
+	onEnd      func(body []byte, took time.Duration)
+	startTime  time.Time
+	listener   net.Listener
+	goroutines sync.WaitGroup
 
-	mu      sync.Mutex
-	listen  net.Listener
-	conn    net.Conn
-	out     *bufio.Writer
-	began   time.Time
-	old     bool
-	index   uint64 // of the last notice
-	first   uint64 // of the first kept
-	notices [][]byte
-	runs    map[string]*time.Timer
-	done    sync.WaitGroup
-	closed  bool
+	mu            sync.Mutex
+	closed        bool
+	connection    *connection // the newest that has sent sync
+	synced        bool        // a connection has sent sync before
+	lastIndex     uint64      // of the last notification
+	firstIndex    uint64      // of the first notification that is kept
+	notifications [][]byte
+	runs          map[string]*time.Timer // by task
 }
 
-// Start listens at a loopback address.
-func Start(address string, work Work, started func(band string, body []byte)) (*Runtime, string, error) {
+// Start listens at a loopback address and returns the bound address. onStart is called for every task, in order, before work.
+func Start(address string, work Work, onStart func(class string, body []byte)) (*Runtime, string, error) {
 	if a, err := netip.ParseAddrPort(address); err != nil || !a.Addr().IsLoopback() {
 		return nil, "", fmt.Errorf("runtime: found %q, expected a loopback address and a port", address)
 	}
@@ -54,155 +53,50 @@
 	if err != nil {
 		return nil, "", err
 	}
-	r := &Runtime{work: work, started: started, listen: l, began: time.Now(), runs: map[string]*time.Timer{}, first: 1}
-	r.done.Add(1)
-	go func() {
-		defer r.done.Done()
-		for {
-			c, err := l.Accept()
-			if err != nil {
-				return
-			}
-			r.done.Add(1)
-			go r.serve(c)
-		}
-	}()
+	r := &Runtime{work: work, onStart: onStart, listener: l, startTime: time.Now(), runs: map[string]*time.Timer{}, firstIndex: 1}
+	r.goroutines.Add(1)
+	go r.acceptLoop()
 	return r, l.Addr().String(), nil
 }
 
-// Ended tells from now on of every run that ended by itself, just before its notice is written: its body, and the time since its
-// start was read. It is called in turn, and must not block.
-func (r *Runtime) Ended(ended func(body []byte, took time.Duration)) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	r.ended = ended
+func (r *Runtime) acceptLoop() {
+	defer r.goroutines.Done()
+	for {
+		c, err := r.listener.Accept()
+		if err != nil {
+			return
+		}
+		r.goroutines.Add(1)
+		go r.serve(c)
+	}
 }
 
-// Close ends it with all its runs.
-func (r *Runtime) Close() {
+// OnEnd sets an observer of tasks that end by themselves, called just before the notification with the task's body and the time
+// since its start command was read. Calls do not overlap; the observer must not block.
+func (r *Runtime) OnEnd(observer func(body []byte, took time.Duration)) {
 	r.mu.Lock()
-	r.closed = true
-	for _, t := range r.runs {
-		t.Stop()
-	}
-	if r.conn != nil {
-		r.conn.Close()
-	}
-	r.mu.Unlock()
-	r.listen.Close()
-	r.done.Wait()
+	defer r.mu.Unlock()
+	r.onEnd = observer
 }
 
-// Running is how many runs are on the cores.
-func (r *Runtime) Running() int {
+// RunCount is the number of tasks that run.
+func (r *Runtime) RunCount() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return len(r.runs)
 }
 
-type command struct {
-	Verb, Task, Handler, Nonce string
-	Bytes                      []byte
-	Index                      uint64
-}
-
-func (r *Runtime) serve(c net.Conn) {
-	defer r.done.Done()
-	defer c.Close()
-	in := bufio.NewScanner(c)
-	in.Buffer(nil, longestLine)
-	for in.Scan() {
-		var m command
-		if json.Unmarshal(in.Bytes(), &m) != nil {
-			return
-		}
-		r.mu.Lock()
-		if r.closed {
-			r.mu.Unlock()
-			return
-		}
-		r.take(c, m)
-		if r.conn == c && r.out != nil {
-			_ = r.out.Flush()
-		}
-		r.mu.Unlock()
-	}
-}
-
-func (r *Runtime) take(c net.Conn, m command) {
-	if m.Verb == "sync" { // the newest link is the one
-		if r.conn != nil && r.conn != c {
-			r.conn.Close()
-		}
-		r.conn, r.out = c, bufio.NewWriter(c)
-		state := "new"
-		if r.old {
-			state = "old"
-		}
-		r.old = true
-		fmt.Fprintf(r.out, `{"verb":"ready","outcome":%q,"spent":%d}`+"\n", state, time.Since(r.began).Milliseconds())
-		for n := max(m.Index+1, r.first); n <= r.index; n++ {
-			_, _ = r.out.Write(r.notices[n-r.first])
-		}
-		return
-	}
-	if r.conn != c {
-		return
-	}
-	switch m.Verb {
-	case "start":
-		if r.runs[m.Task] != nil || len(r.runs) >= mostRuns {
-			return
-		}
-		r.started(m.Handler, m.Bytes)
-		span, result := r.work(m.Handler, m.Bytes)
-		began := time.Now()
-		if span <= 0 {
-			r.tellEnd(m.Bytes, began)
-			r.end(m.Task, "good", 0, result)
-			return
-		}
-		r.runs[m.Task] = time.AfterFunc(span, func() {
-			r.mu.Lock()
-			defer r.mu.Unlock()
-			if r.runs[m.Task] != nil && !r.closed {
-				delete(r.runs, m.Task)
-				r.tellEnd(m.Bytes, began)
-				r.end(m.Task, "good", span, result)
-				if r.out != nil {
-					_ = r.out.Flush()
-				}
-			}
-		})
-	case "stop":
-		if t := r.runs[m.Task]; t != nil {
-			t.Stop()
-			delete(r.runs, m.Task)
-			r.end(m.Task, "cut", 0, nil)
-		}
-	case "gauges":
-		fmt.Fprintf(r.out, `{"verb":"load","nonce":%q,"readings":[%g,%d]}`+"\n", m.Nonce, 0.1, len(r.runs))
-	case "selftest":
-		fmt.Fprintf(r.out, `{"verb":"verdict","nonce":%q,"outcome":"good"}`+"\n", m.Nonce)
-	}
-}
-
-func (r *Runtime) tellEnd(body []byte, began time.Time) {
-	if r.ended != nil {
-		r.ended(body, time.Since(began))
-	}
-}
-
-// end is a notice, kept for a link that may have missed it.
-func (r *Runtime) end(task, how string, took time.Duration, result []byte) {
-	r.index++
-	line := fmt.Appendf(nil, `{"verb":"end","index":%d,"task":%q,"outcome":%q,"spent":%g,"bytes":%q}`+"\n",
-		r.index, task, how, float64(took)/1e6, base64.StdEncoding.EncodeToString(result))
-	if r.notices = append(r.notices, line); len(r.notices) > mostNotices {
-		r.notices = append([][]byte(nil), r.notices[mostNotices/2:]...)
-		r.first = r.index - uint64(len(r.notices)) + 1
+// Close stops all tasks and ends the runtime.
+func (r *Runtime) Close() {
+	r.mu.Lock()
+	r.closed = true
+	for _, timer := range r.runs {
+		timer.Stop()
 	}
-	if r.out != nil {
-		_, _ = r.out.Write(line)
+	if r.connection != nil {
+		r.connection.net.Close()
 	}
+	r.mu.Unlock()
+	r.listener.Close()
+	r.goroutines.Wait()
 }
--- a/internal/lab/rig/fleet.go
+++ b/internal/lab/rig/fleet.go
@@ -35,7 +35,7 @@
 	binds           map[string]string // fleet address of each name, kept over restarts: 127.0.1.N
 	fronts          map[string]string // the address of its proxy, which it advertises: 127.0.2.N
 	first           string            // the first member's proxy: the seed of all
-	Net             *faultnet.Net
+	Net             *faultnet.Network
 	closers         []func()
 }
 
@@ -73,7 +73,7 @@
 		if err != nil {
 			return err
 		}
-		if err := f.Net.Front(name, bind, front); err != nil {
+		if err := f.Net.StartProxy(name, bind, front); err != nil {
 			return err
 		}
 		f.binds[name], f.fronts[name] = bind, front
--- a/internal/lab/scale/instance/reports.go
+++ b/internal/lab/scale/instance/reports.go
@@ -118,9 +118,9 @@
 		m.result.Fault("%d of %d hollow instances listed", len(names), size)
 	}
 	if m.result.Single["list_bytes_subset"] == 0 {
-		m.result.Put("list_bytes_subset", float64(len(fakecatalog.List(names[:min(subsetListed, size)], listedAddress))))
+		m.result.Put("list_bytes_subset", float64(len(fakecatalog.EncodeList(names[:min(subsetListed, size)], listedAddress))))
 	}
-	return counts, fakecatalog.List(names, listedAddress), m.ctx.Err()
+	return counts, fakecatalog.EncodeList(names, listedAddress), m.ctx.Err()
 }
 
 // listedAddress is one of usual length.
--- a/internal/lab/scale/instance/rig.go
+++ b/internal/lab/scale/instance/rig.go
@@ -56,7 +56,7 @@
 	if r.runtime, r.deployment.runtime, err = runtime.Start("127.0.0.1:0", work, func(string, []byte) {}); err != nil {
 		return 0, err
 	}
-	r.runtime.Ended(r.ended)
+	r.runtime.OnEnd(r.ended)
 	if r.catalog, r.deployment.catalog, err = catalog.Start("127.0.0.1:0"); err != nil {
 		return 0, err
 	}
--- a/internal/testutil/pack.go
+++ b/internal/testutil/pack.go
@@ -21,7 +21,7 @@
 
 // Pack is such processes; L is a line of theirs.
 type Pack[L any] struct {
-	Net    *faultnet.Net
+	Net    *faultnet.Network
 	t      testing.TB
 	octet  int // members bind 127.0.octet.n, their proxies stand at 127.0.octet+1.n
 	ports  int
@@ -70,7 +70,7 @@
 		for k := range p.ports {
 			p.binds[name] = append(p.binds[name], FreePort(p.t, fmt.Sprintf("127.0.%d.%d", p.octet, n)))
 			p.fronts[name] = append(p.fronts[name], FreePort(p.t, fmt.Sprintf("127.0.%d.%d", p.octet+1, n)))
-			if err := p.Net.Front(name, p.binds[name][k], p.fronts[name][k]); err != nil {
+			if err := p.Net.StartProxy(name, p.binds[name][k], p.fronts[name][k]); err != nil {
 				p.t.Fatal(err)
 			}
 		}
