--- a/internal/decide/quorum/quorum_test.go
+++ b/internal/decide/quorum/quorum_test.go
@@ -193,7 +193,7 @@
 	}
 	s.Members[1].UnreachableFor, s.Members[2].UnreachableFor = time.Hour, time.Hour
 	c := NextChange(s.withoutLearners(), config)
-	if c.Kind != NoChange || !strings.Contains(c.Reason, "quorum lost") || !strings.Contains(c.Reason, "p1, p2") {
+	if c.Kind != NoChange || !c.IsQuorumLost() || !strings.Contains(c.Reason, "quorum lost") || !strings.Contains(c.Reason, "p1, p2") {
 		t.Errorf("%+v", c)
 	}
 }
--- a/internal/fleet/consensus/log.go
+++ b/internal/fleet/consensus/log.go
@@ -40,11 +40,11 @@
 
 // Config of a Log.
 type Config struct {
-	Process   string // identity of this process, unique to its incarnation
-	Bind      string // host:port, TCP; connections are dialed from the same host
-	Advertise string // host:port at which the others reach it; empty: Bind
-	Bootstrap bool   // starts a new log with this process as its only server: once in a fleet's life, never again
-	Duties    []string
+	Process   string   // identity of this process, unique to its incarnation
+	Bind      string   // host:port, TCP; connections are dialed from the same host
+	Advertise string   // host:port at which the others reach it; empty: Bind
+	Bootstrap bool     // starts a new log with this process as its only server: once in a fleet's life, never again
+	Duties    []string // whose leases the log grants; the same in all members
 	// StateMachine is built from the entries beside the leases, and is part of snapshots; nil for none.
 	StateMachine StateMachine
 	// HeartbeatTimeout is after how long a silent leader is replaced: at least 50 ms; 0 stands for 500 ms.
--- a/internal/lab/emulator/configuration_log.go
+++ b/internal/lab/emulator/configuration_log.go
@@ -69,7 +69,7 @@
 
 func (c *configurationControl) clock() time.Duration { return c.p.s.now - c.started }
 
-// Propose, Holds and Lost make it the lease.Host of its process.
+// Propose implements lease.Host.
 func (c *configurationControl) Propose(command lease.Command) { c.p.s.propose(c.p, command) }
 
 // LeaseAcquired keeps the token, for what it does without looking.
