--- a/cmd/thymechute/serve.go
+++ b/cmd/thymechute/serve.go
@@ -72,7 +72,7 @@
 	inForce := inForce{settings: g.Settings, version: inst.Version()}
 	g.Settings = settings.Settings{} // later ones take their place in inForce
 	part := (sockets - own) / 8
-	front := rpc.NewServer(inst, stubParts*part, part, log)
+	front := rpc.NewServer(rpc.Config{Admission: inst, MaxConns: stubParts * part, SpareConns: part, Log: log})
 	return loop.Run(loop.Config{Address: g.Listen, Host: host{front, inst}, MemoryLimit: g.Memory, MaxLingering: part, Log: log, OnStart: func(l *loop.Loop) {
 		dial := func(network string, address *string) func(loop.Handler) { // the address may change
 			return func(p loop.Handler) { l.Dial(network, *address, dialFor, p) }
--- a/internal/rpc/conn.go
+++ b/internal/rpc/conn.go
@@ -1,10 +1,7 @@
-// This file owns one connection of a stub: its open requests, what it brings, its end.
-
 package rpc
 
 import (
 	"errors"
-	"fmt"
 	"time"
 
 	"thymechute/internal/jsonline"
@@ -12,65 +9,83 @@
 	"thymechute/internal/node"
 )
 
-// conn is one connection of a stub. It has brought nothing whole yet, or is idle, or in use: three different things
-// where room or time is short. It ends in two steps: noticed (told closing, still read, so that a request which
-// crosses the notice is served), then ended (nothing more is read; what is open gets its answers, and loop closes the
-// connection behind the last of them). A fault that can't be answered ends it without the first step.
+const (
+	maxPendingRequests = 32                      // per connection
+	maxProtocolErrors  = 8                       // per connection; one more closes it
+	requestTimeout     = 1500 * time.Millisecond // for the first request, and for the rest of a partial message
+	closingGracePeriod = 250 * time.Millisecond  // between a closing notification and the close, for crossing requests
+)
+
+// conn handles one connection of a client stub. It closes in two steps: it is notified (requests that cross the
+// notification are still served), then closing (nothing more is received, and the loop closes the connection after the
+// last pending response). A protocol error that can't be answered skips the first step.
 type conn struct {
 	server         *Server
 	transport      loop.Conn
 	lines          jsonline.LineSplitter
-	pending        map[string]struct{}
-	lastActive     time.Time // opened, a request read or answered
-	partialSince   time.Time // of a message that is not whole; zero: none
-	notifiedAt     time.Time // when it was told closing; zero: not yet
-	hasRequested   bool      // a whole request has come
+	pending        map[string]struct{} // IDs of requests without a response; at most maxPendingRequests
+	lastActive     time.Time           // when it was opened, or a request was received or answered
+	partialSince   time.Time           // when a message that is incomplete began; zero: none
+	notifiedAt     time.Time           // of the closing notification; zero: not sent
+	hasRequested   bool                // a complete request was received
 	closing        bool
 	protocolErrors int
 }
 
-func (c *conn) Opened(w loop.Conn) {
-	c.transport, c.lastActive = w, time.Now()
-	full := c.server.atCapacity()
+// Opened implements loop.Handler.
+func (c *conn) Opened(transport loop.Conn) {
+	c.transport = transport
+	c.lastActive = time.Now()
+	atCapacity := c.server.atCapacity()
 	c.server.conns[c] = struct{}{}
-	if c.server.draining || full {
+	if c.server.draining || atCapacity {
 		c.notifyClosing(c.lastActive)
 	}
 }
 
-// HasPending tells whether a request that was read has no answer yet.
+// HasPending reports whether a request has no response yet.
 func (c *conn) HasPending() bool { return len(c.pending) > 0 }
 
-// Closed: the other side ended the connection, or it left too much unread.
+// Closed implements loop.Handler: the client closed the connection, or left too much output unread.
 func (c *conn) Closed(error) {
 	c.unregister()
 	if c.HasPending() {
-		c.server.admission.CallerGone(c)
+		c.server.config.Admission.CallerGone(c)
 	}
 }
 
-// notifyClosing tells the stub to send no more here; a well-behaved one closes the connection once all is answered.
+// notifyClosing asks the client to send nothing more here; it should close the connection after the last response.
 func (c *conn) notifyClosing(now time.Time) {
-	if c.notifiedAt.IsZero() && !c.closing {
-		c.notifiedAt = now
-		c.server.notifiedConns++
-		c.transport.Write(closingNotification)
+	if c.closing || !c.isUnnotified() {
+		return
 	}
+	c.notifiedAt = now
+	c.server.notifiedConns++
+	c.transport.Write(closingNotification)
+}
+
+func (c *conn) isUnnotified() bool { return c.notifiedAt.IsZero() }
+
+// isIdle reports whether nothing has been pending for longer than the timeout.
+func (c *conn) isIdle(now time.Time, timeout time.Duration) bool {
+	return !c.HasPending() && now.Sub(c.lastActive) > timeout
 }
 
-// isStalled: it has been without a whole request, or with part of one, for too long.
+// isStalled reports whether the first request, or the rest of a partial message, is overdue.
 func (c *conn) isStalled(now time.Time) bool {
-	return !c.partialSince.IsZero() && now.Sub(c.partialSince) > requestTimeout || !c.hasRequested && now.Sub(c.lastActive) > requestTimeout
+	isPartialOverdue := !c.partialSince.IsZero() && now.Sub(c.partialSince) > requestTimeout
+	isFirstOverdue := !c.hasRequested && now.Sub(c.lastActive) > requestTimeout
+	return isPartialOverdue || isFirstOverdue
 }
 
-// close lets nothing more in. What is open stays owed.
+// close stops receiving; pending requests are still answered.
 func (c *conn) close() {
 	c.closing = true
 	c.transport.Close()
 	c.releaseIfDone()
 }
 
-// releaseIfDone gives the place of an ended connection back once nothing is open on it.
+// releaseIfDone frees the place of a closing connection once nothing is pending.
 func (c *conn) releaseIfDone() {
 	if c.closing && !c.HasPending() {
 		c.unregister()
@@ -82,32 +97,18 @@
 		return
 	}
 	delete(c.server.conns, c)
-	if !c.notifiedAt.IsZero() {
+	if !c.isUnnotified() {
 		c.server.notifiedConns--
 	}
 }
 
-// Received takes what came. A fault is answered under its id; without one, or with too many, the connection ends.
+// Received implements loop.Handler. A protocol error is answered under the message's ID; without an ID, or after too many
+// errors, the connection closes.
 func (c *conn) Received(p []byte) error {
-	whole := false
-	err := c.lines.Feed(p, func(text []byte) error {
-		whole = true
-		q, err := Decode(text)
-		if err == nil {
-			err = c.handle(q)
-		}
-		if err == nil {
-			return nil
-		}
-		var f *ProtocolError
-		if !errors.As(err, &f) {
-			return err
-		}
-		c.transport.Write(AppendError(nil, q.ID, f))
-		if c.protocolErrors++; q.ID == "" || c.protocolErrors > maxProtocolErrors {
-			return err
-		}
-		return nil
+	hasMessage := false
+	err := c.lines.Feed(p, func(line []byte) error {
+		hasMessage = true
+		return c.handleLine(line)
 	})
 	if err != nil {
 		c.close()
@@ -115,36 +116,69 @@
 	}
 	if !c.lines.HasPartial() {
 		c.partialSince = time.Time{}
-	} else if whole || c.partialSince.IsZero() {
+	} else if hasMessage || c.partialSince.IsZero() {
 		c.partialSince = time.Now()
 	}
 	return nil
 }
 
-func (c *conn) handle(q Message) error {
-	if q.IsNotification { // nothing is answered to one, and none has a meaning here; but a class or a check wants an answer
-		if q.Request.Class == methodHealthCheck || c.server.admission.HasClass(q.Request.Class) {
-			return &ProtocolError{codeInvalidRequest, errors.New("expected an id")}
-		}
+// handleLine returns an error if the connection must close.
+func (c *conn) handleLine(line []byte) error {
+	message, err := Decode(line)
+	if err == nil {
+		err = c.handle(message)
+	}
+	if err == nil {
 		return nil
 	}
-	if _, twice := c.pending[q.ID]; twice { // whichever of the two an error under this id would be taken for
-		return errors.New("two requests under one id")
+	var protocolErr *ProtocolError
+	if !errors.As(err, &protocolErr) {
+		return err
+	}
+	c.transport.Write(AppendError(nil, message.ID, protocolErr))
+	c.protocolErrors++
+	if message.ID == "" || c.protocolErrors > maxProtocolErrors {
+		return err
+	}
+	return nil
+}
+
+func (c *conn) handle(message Message) error {
+	if message.IsNotification {
+		return c.checkNotification(message.Method)
+	}
+	if _, inUse := c.pending[message.ID]; inUse {
+		return errIDInUse
 	}
 	if len(c.pending) >= maxPendingRequests {
-		return &ProtocolError{codeInvalidRequest, fmt.Errorf("over %d open requests", maxPendingRequests)}
+		return &ProtocolError{codeInvalidRequest, errTooManyPending}
 	}
-	c.hasRequested, c.lastActive = true, time.Now()
-	c.pending[q.ID] = struct{}{}
-	if q.IsHealthCheck {
-		c.server.admission.CheckHealth(c, q.ID, q.IsDeepCheck)
+	c.hasRequested = true
+	c.lastActive = time.Now()
+	c.pending[message.ID] = struct{}{}
+	if message.IsHealthCheck {
+		c.server.config.Admission.CheckHealth(c, message.ID, message.IsDeepCheck)
 		return nil
 	}
-	err := c.server.admission.Admit(c, q.ID, q.Request)
-	if err == nil {
-		return nil
+	err := c.server.config.Admission.Admit(c, message.ID, message.Request)
+	if err != nil {
+		delete(c.pending, message.ID)
+		return rejectedRequest(err)
 	}
-	delete(c.pending, q.ID)
+	return nil
+}
+
+// checkNotification rejects notifications by the names of methods that need a response. All others are ignored, as none
+// is defined.
+func (c *conn) checkNotification(method string) error {
+	if method == methodHealthCheck || c.server.config.Admission.HasClass(method) {
+		return &ProtocolError{codeInvalidRequest, errIDExpected}
+	}
+	return nil
+}
+
+// rejectedRequest returns the protocol error for an error of Admission.Admit.
+func rejectedRequest(err error) *ProtocolError {
 	switch {
 	case errors.Is(err, node.ErrUnknownClass):
 		return &ProtocolError{codeMethodNotFound, err}
@@ -154,16 +188,16 @@
 	return &ProtocolError{codeInvalidRequest, err}
 }
 
-// Answer writes a final answer.
-func (c *conn) Answer(tag string, a node.Answer) {
+// Answer implements node.Responder.
+func (c *conn) Answer(tag string, answer node.Answer) {
 	c.complete(tag)
-	c.transport.Write(AppendResponse(nil, tag, a))
+	c.transport.Write(AppendResponse(nil, tag, answer))
 }
 
-// HealthChecked answers a health check.
-func (c *conn) HealthChecked(tag string, good bool, free float64) {
+// HealthChecked implements node.Responder.
+func (c *conn) HealthChecked(tag string, isServing bool, advertised float64) {
 	c.complete(tag)
-	c.transport.Write(AppendHealthStatus(nil, tag, good, free))
+	c.transport.Write(AppendHealthStatus(nil, tag, isServing, advertised))
 }
 
 func (c *conn) complete(tag string) {
--- /dev/null
+++ b/internal/rpc/params.go
@@ -0,0 +1,159 @@
+package rpc
+
+import (
+	"math"
+	"time"
+
+	"thymechute/internal/jsonline"
+)
+
+const (
+	maxBodySize      = 2 << 10          // bytes of a request's body, decoded
+	maxMemoryKB      = 2000             // exclusive bound of a request's memory, in kB
+	maxCallerNumber  = 1e9              // of a stub
+	maxTimestamp     = 1e14             // Unix milliseconds; rejects other units before they are converted
+	maxRequestAge    = 30 * time.Second // an older time of receipt would be taken for a wait of that length
+	maxClockSkew     = 5 * time.Second  // by which a time of receipt may be in the future
+	maxTrackedFields = 64               // per message; of more, duplicates are not detected
+	maxPlainIDLength = 64               // bytes of a request ID
+)
+
+// requiredFields are the params that every request must have.
+var requiredFields = []string{"rid", "t0", "peer", "mem", "prio", "doc"}
+
+// paramsDecoder decodes the params of one message.
+type paramsDecoder struct {
+	reader  *jsonline.Reader
+	message *Message
+	seen    map[string]bool // names of fields; bounded by maxTrackedFields
+}
+
+func (m *Message) decodeParams(text []byte) error {
+	d := paramsDecoder{
+		reader:  jsonline.NewReader(text),
+		message: m,
+		seen:    map[string]bool{},
+	}
+	if err := d.reader.ReadObject(d.decodeField); err != nil {
+		return err
+	}
+	if m.IsHealthCheck {
+		return nil
+	}
+	for _, name := range requiredFields {
+		if !d.seen[name] {
+			return &FieldError{name, errMissingField}
+		}
+	}
+	if !isPlainID(m.Request.ID) {
+		return &FieldError{"rid", errNotPlainID}
+	}
+	return nil
+}
+
+func (d *paramsDecoder) decodeField(name []byte) error {
+	if d.seen[string(name)] {
+		return &FieldError{string(name), errDuplicateField}
+	}
+	if len(d.seen) < maxTrackedFields {
+		d.seen[string(name)] = true
+	}
+	if err := d.decodeValue(name); err != nil {
+		return &FieldError{string(name), err}
+	}
+	return nil
+}
+
+// decodeValue reads the value of a field. Unknown fields are ignored.
+func (d *paramsDecoder) decodeValue(name []byte) (err error) {
+	request := &d.message.Request
+	switch string(name) {
+	case "rid":
+		return readString(d.reader, &request.ID)
+	case "t0":
+		request.ReceivedAt, err = readTimestamp(d.reader)
+	case "peer":
+		request.Caller, err = readCaller(d.reader)
+	case "acct":
+		return readString(d.reader, &request.Tenant)
+	case "again":
+		request.Retry, err = d.reader.ReadBool()
+	case "mem":
+		request.MemoryKB, err = readMemory(d.reader)
+	case "prio":
+		request.Priority, err = readPriority(d.reader)
+	case "token":
+		return readString(d.reader, &request.Key)
+	case "obj":
+		return readString(d.reader, &request.Subject)
+	case "doc":
+		request.Body, err = d.reader.ReadBase64(maxBodySize)
+	case "full":
+		d.message.IsDeepCheck, err = d.reader.ReadBool()
+	default:
+		_, err = d.reader.ReadRaw()
+	}
+	return err
+}
+
+// readTimestamp reads a time in Unix milliseconds, which must be about now.
+func readTimestamp(reader *jsonline.Reader) (time.Time, error) {
+	millis, err := reader.ReadNumber()
+	if err != nil {
+		return time.Time{}, err
+	}
+	if millis < 0 || millis > maxTimestamp {
+		return time.Time{}, errNotTimestamp
+	}
+	at := time.UnixMicro(int64(millis * 1e3))
+	age := time.Since(at)
+	if age > maxRequestAge || age < -maxClockSkew {
+		return time.Time{}, errNotRecent
+	}
+	return at, nil
+}
+
+func readCaller(reader *jsonline.Reader) (int, error) {
+	number, err := reader.ReadNumber()
+	if err != nil {
+		return 0, err
+	}
+	if number != math.Trunc(number) || number < 0 || number > maxCallerNumber {
+		return 0, errNotCaller
+	}
+	return int(number), nil
+}
+
+func readMemory(reader *jsonline.Reader) (float64, error) {
+	kilobytes, err := reader.ReadNumber()
+	if err != nil {
+		return 0, err
+	}
+	if kilobytes <= 0 || kilobytes >= maxMemoryKB {
+		return 0, errMemoryRange
+	}
+	return kilobytes, nil
+}
+
+func readPriority(reader *jsonline.Reader) (float64, error) {
+	priority, err := reader.ReadNumber()
+	if err != nil {
+		return 0, err
+	}
+	if priority < 0 || priority >= 1 {
+		return 0, errNotPriority
+	}
+	return priority, nil
+}
+
+// isPlainID reports whether an ID can be passed on in line protocols, where a blank would end it.
+func isPlainID(id string) bool {
+	for _, c := range []byte(id) {
+		isDigit := c >= '0' && c <= '9'
+		isLetter := c >= 'a' && c <= 'z' || c >= 'A' && c <= 'Z'
+		if !isDigit && !isLetter && c != '-' {
+			return false
+		}
+	}
+	return len(id) > 0 && len(id) <= maxPlainIDLength
+}
--- /dev/null
+++ b/internal/rpc/server.go
@@ -0,0 +1,166 @@
+// Package rpc serves the client stubs' protocol, JSON-RPC 2.0 with one message a line: it decodes lines into requests and
+// health checks for an Admission, and encodes its answers.
+//
+// A Server owns the stubs' connections, at most Config.MaxConns + Config.SpareConns, and the IDs of their pending requests,
+// at most maxPendingRequests each. Whatever a client sends affects no connection but its own. Everything runs on the
+// event loop; nothing is safe for use from other goroutines.
+package rpc
+
+import (
+	"time"
+
+	"go.uber.org/zap"
+
+	"thymechute/internal/jsonline"
+	"thymechute/internal/loop"
+	"thymechute/internal/node"
+)
+
+const (
+	maxLineLength  = 8 << 10                // bytes of a message
+	sweepInterval  = 100 * time.Millisecond // between two looks at idle connections
+	minIdleTimeout = 10 * time.Millisecond  // lower settings are raised to it
+	maxIdleTimeout = time.Minute            // higher settings are lowered to it
+)
+
+// Admission decides on requests. Answers come back through the node.Responder by the tag given with the request.
+type Admission interface {
+	// HasClass reports whether a request class is configured.
+	HasClass(class string) bool
+	// Admit takes a request. An error, such as node.ErrUnknownClass, means that no answer follows.
+	Admit(responder node.Responder, tag string, request node.Request) error
+	// CallerGone tells that no answer can be delivered any more.
+	CallerGone(responder node.Responder)
+	// CheckHealth takes a health check; a full one tests the parts as well.
+	CheckHealth(responder node.Responder, tag string, full bool)
+}
+
+// Config is what NewServer needs.
+type Config struct {
+	Admission  Admission
+	MaxConns   int // connections that have not been sent a closing notification
+	SpareConns int // connections over MaxConns, which have been sent one
+	Log        *zap.Logger
+}
+
+// Server owns the connections of client stubs.
+type Server struct {
+	config        Config
+	conns         map[*conn]struct{} // not closing, or with pending requests
+	notifiedConns int                // those of conns that were sent a closing notification
+	idleTimeout   time.Duration
+	draining      bool
+	nextSweep     time.Time
+	overLimit     int // connections over MaxConns since the last log line
+}
+
+// NewServer returns a server without connections, with the longest idle timeout.
+func NewServer(config Config) *Server {
+	return &Server{
+		config:      config,
+		conns:       map[*conn]struct{}{},
+		idleTimeout: maxIdleTimeout,
+	}
+}
+
+// Accept returns the handler of a new connection, or nil if there is no capacity. At MaxConns the least needed connection
+// is sent a closing notification; a request that crosses it is still served. If all are in use, the new connection is
+// notified once it is open, and its requests are served as well. With all spare connections in use the least needed one
+// closes at once, or, if all have pending requests, the new one.
+func (s *Server) Accept() loop.ServerHandler {
+	if s.atCapacity() {
+		s.overLimit++
+		if c := s.evictionCandidate((*conn).isUnnotified); c != nil {
+			c.notifyClosing(time.Now())
+		}
+	}
+	if len(s.conns) >= s.config.MaxConns+s.config.SpareConns {
+		c := s.evictionCandidate(func(*conn) bool { return true })
+		if c == nil {
+			return nil
+		}
+		c.close()
+	}
+	return &conn{
+		server:  s,
+		lines:   jsonline.LineSplitter{MaxLength: maxLineLength},
+		pending: map[string]struct{}{},
+	}
+}
+
+// evictionCandidate returns the least needed of the eligible connections without pending requests, or nil: one that never
+// sent a request before others, then the one idle longest.
+func (s *Server) evictionCandidate(isEligible func(*conn) bool) (least *conn) {
+	for c := range s.conns {
+		if c.HasPending() || c.closing || !isEligible(c) {
+			continue
+		}
+		if least == nil || c.isLessNeededThan(least) {
+			least = c
+		}
+	}
+	return least
+}
+
+func (c *conn) isLessNeededThan(other *conn) bool {
+	if c.hasRequested != other.hasRequested {
+		return !c.hasRequested
+	}
+	return c.lastActive.Before(other.lastActive)
+}
+
+// atCapacity reports whether MaxConns connections have not been notified.
+func (s *Server) atCapacity() bool { return len(s.conns)-s.notifiedConns >= s.config.MaxConns }
+
+// SetIdleTimeout sets after which time a connection without pending requests closes.
+func (s *Server) SetIdleTimeout(timeout time.Duration) {
+	s.idleTimeout = min(max(timeout, minIdleTimeout), maxIdleTimeout)
+}
+
+// Drain sends all connections, and those opened from now on, a closing notification.
+func (s *Server) Drain() {
+	s.draining = true
+	for c := range s.conns {
+		c.notifyClosing(time.Now())
+	}
+}
+
+// HasPending reports false: responses are sent by the tick in which they are written.
+func (s *Server) HasPending() bool { return false }
+
+// Sweep notifies idle and stalled connections, and closes them once nothing can cross the notification any more. While
+// draining it closes only stalled ones, as clients close the others themselves.
+func (s *Server) Sweep(now time.Time) {
+	if now.Before(s.nextSweep) {
+		return
+	}
+	s.nextSweep = now.Add(sweepInterval)
+	for c := range s.conns {
+		s.sweepConn(c, now)
+	}
+	if s.overLimit > 0 {
+		s.config.Log.Warn("connection limit reached",
+			zap.Int("connections_over_limit", s.overLimit),
+			zap.Int("limit", s.config.MaxConns))
+		s.overLimit = 0
+	}
+}
+
+func (s *Server) sweepConn(c *conn, now time.Time) {
+	if c.closing {
+		return
+	}
+	isStalled := c.isStalled(now)
+	if c.isUnnotified() {
+		if isStalled || c.isIdle(now, s.idleTimeout) {
+			c.notifyClosing(now)
+		}
+		return
+	}
+	if now.Sub(c.notifiedAt) <= closingGracePeriod {
+		return
+	}
+	if isStalled || !s.draining && c.isIdle(now, closingGracePeriod) {
+		c.close()
+	}
+}
