--- a/internal/lab/amqp.go
+++ b/internal/lab/amqp.go
@@ -1,6 +1,3 @@
-// This file owns the consumer's experiment: two instances at a broker that loses acks, cuts connections in mid-batch,
-// restarts once, and an instance that is killed and comes back cold.
-
 package lab
 
 import (
@@ -13,94 +10,170 @@
 )
 
 const (
-	longest = 5 * time.Minute        // a run, whatever happens
-	backlog = 20000                  // messages ready at a time
-	stalled = 200 * time.Millisecond // without a delivery, while a consumer holds messages
+	maxReadyMessages = 20_000                 // published ahead of the consumers
+	stallTimeout     = 200 * time.Millisecond // without a delivery while consumers have unacked messages
+	drainedTime      = 300 * time.Millisecond // for which the queue must stay empty to count as drained
+	progressInterval = 5 * time.Second
+	minCostSize      = 500 // messages
 )
 
-// AMQP is the whole experiment with so many messages; progress is told line by line.
+// AMQP is the experiment on the AMQP consumer: two instances at a broker that loses acks, closes connections within a batch and
+// restarts once, with one instance killed and started anew; then the CPU cost beside the JSON-RPC front.
 func AMQP(program, folder string, seed uint64, size int, progress func(string)) (*Report, error) {
-	r := &Report{}
-	if err := amqpFaults(r, program, folder, seed, size, progress); err != nil {
-		return r, err
+	r := run{program, folder, seed, size, progress}
+	report := &Report{}
+	if err := r.amqpFaults(report); err != nil {
+		return report, err
 	}
-	return r, amqpCost(r, program, folder, seed, max(size/5, 500), progress)
+	r.size = max(size/5, minCostSize)
+	return report, r.amqpCost(report)
 }
 
-func amqpFaults(r *Report, program, folder string, seed uint64, size int, progress func(string)) error {
-	recorded, err := newRecordedBroker(broker.Fault{Point: "settle", Nth: 1 + int(seed%20), Every: 20, Action: "drop"},
-		broker.Fault{Point: "deliver", Nth: max(size/200, 500) + int(seed%7), Every: max(size/200, 500), Action: "cut-after"})
+// amqpFaults runs the part with faults.
+func (r run) amqpFaults(report *Report) error {
+	recorded, err := newRecordedBroker(r.amqpFaultScript()...)
+	if err != nil {
+		return err
+	}
+	defer recorded.broker.Close()
+	pair, err := recorded.launchPair(r, ` least-credit="32"`)
+	defer pair.end()
 	if err != nil {
 		return err
 	}
-	defer recorded.b.Close()
-	instances, runtimes, stop, err := recorded.launch(program, folder, ` least-credit="32"`, seed)
-	defer stop()
+	r.progress(fmt.Sprintf("%d messages, half of them %s", r.size, rig.Excursion))
+	f := &faultRun{run: r, recorded: recorded, pair: pair, lastDelivery: time.Now(), lastProgress: time.Now()}
+	begin := time.Now()
+	drainError, err := f.untilDrained(begin.Add(maxRunTime))
 	if err != nil {
 		return err
 	}
-	progress(fmt.Sprintf("%d messages, half of them %s", size, rig.Excursion))
-	began, end := time.Now(), time.Now().Add(longest)
-	killed, restarted, most := false, false, int64(0)
-	handed, moved := 0, time.Now() // deliveries, and when there was the last
-	put, drained, said := 0, time.Time{}, time.Now()
+	if drainError != "" {
+		report.Fault("%s", drainError)
+	}
+	took := time.Since(begin)
+	f.noteMemory(pair.memory())
+	pair.drain(report)
+	recorded.report(report, r.size, f.maxMemory)
+	report.Put("drain_s", took.Seconds())
+	return nil
+}
+
+// amqpFaultScript drops every twentieth ack and closes the connection after some deliveries, at places that the seed determines.
+func (r run) amqpFaultScript() []broker.Fault {
+	const ackInterval = 20
+	cutInterval := max(r.size/200, 500)
+	return []broker.Fault{
+		{Point: broker.AtSettle, Nth: 1 + int(r.seed%ackInterval), Every: ackInterval, Action: broker.Drop},
+		{Point: broker.AtDeliver, Nth: cutInterval + int(r.seed%7), Every: cutInterval, Action: broker.CutAfter},
+	}
+}
+
+// faultRun is the state of the part with faults.
+type faultRun struct {
+	run
+	recorded     *recordedBroker
+	pair         *instancePair
+	published    int
+	deliveries   int
+	lastDelivery time.Time
+	lastProgress time.Time
+	drainedSince time.Time // zero while messages are left
+	killed       bool
+	restarted    bool
+	maxMemory    int64 // bytes, of either instance
+}
+
+// untilDrained publishes all messages and injects the faults until the queue is drained. A queue that is not drained at the end
+// gives drainError.
+func (f *faultRun) untilDrained(end time.Time) (drainError string, err error) {
 	for {
-		s := recorded.b.QueueState("readings")
-		for ; put < size && s.Ready < backlog; put++ {
-			recorded.put(put)
-			s.Ready++
-		}
-		recorded.mu.Lock()
-		done := recorded.book.OutcomeCount(invariant.Succeeded)
-		recorded.mu.Unlock()
-		// A consumer whose acks were lost has its credit used up for good; brokers end such a one after a while.
-		if n := recorded.b.EventCount("delivered"); n != handed {
-			handed, moved = n, time.Now()
-		} else if s.Consumers > 0 && s.Unacked > 0 && time.Since(moved) > stalled { // none that only pauses
-			recorded.b.CutNewest()
-			moved = time.Now()
-		}
-		if time.Since(said) > 5*time.Second {
-			said = time.Now()
-			progress(fmt.Sprintf("%d fulfilled, %d connections lost, %+v", done, recorded.b.EventCount("lost"), s))
-		}
-		if !killed && done > size/3 {
-			killed = true
-			progress("n2 is killed and starts cold")
-			most = max(most, instances[1].Memory())
-			instances[1].Kill()
-			if instances[1], err = rig.Launch(program, folder, "n2", runtimes[1], recorded.settings(folder), rig.MemoryMB, seed+9); err != nil {
-				return err
-			}
+		state := f.publish(f.recorded.broker.QueueState(readingsQueue))
+		f.cutStalledConnection(state)
+		succeeded := f.recorded.outcomeCount(invariant.Succeeded)
+		f.reportProgress(succeeded, state)
+		if err := f.killOnce(succeeded); err != nil {
+			return "", err
 		}
-		if !restarted && done > size/2 {
-			restarted = true
-			progress("the broker restarts")
-			recorded.b.Restart()
-		}
-		switch {
-		case put < size || s.Ready > 0 || s.Unacked > 0:
-			drained = time.Time{}
-		case drained.IsZero():
-			drained = time.Now()
-		}
-		if !drained.IsZero() && time.Since(drained) > 300*time.Millisecond {
-			break
+		f.restartOnce(succeeded)
+		if f.isDrained(state) {
+			return "", nil
 		}
 		if time.Now().After(end) {
-			r.Fault("not drained after %v: %+v", longest, s)
-			break
+			return notDrained(state), nil
 		}
-		time.Sleep(20 * time.Millisecond)
+		time.Sleep(pollInterval)
 	}
-	took := time.Since(began)
-	for _, i := range instances {
-		most = max(most, i.Memory())
-		if err := i.Drain(); err != nil {
-			r.Fault("%s", err.Error())
-		}
+}
+
+// publish fills the queue up to maxReadyMessages.
+func (f *faultRun) publish(state broker.QueueState) broker.QueueState {
+	for ; f.published < f.size && state.Ready < maxReadyMessages; f.published++ {
+		f.recorded.publishNext(f.published)
+		state.Ready++
 	}
-	recorded.report(r, size, most)
-	r.Put("drain_s", took.Seconds())
-	return nil
+	return state
+}
+
+// cutStalledConnection closes a connection whose acks were lost: they use up its prefetch limit for good, and brokers close such
+// a connection after a timeout.
+func (f *faultRun) cutStalledConnection(state broker.QueueState) {
+	deliveries := f.recorded.broker.EventCount(broker.EventDelivered)
+	if deliveries != f.deliveries {
+		f.deliveries, f.lastDelivery = deliveries, time.Now()
+		return
+	}
+	if state.Consumers > 0 && state.Unacked > 0 && time.Since(f.lastDelivery) > stallTimeout {
+		f.recorded.broker.CutNewest()
+		f.lastDelivery = time.Now()
+	}
+}
+
+func (f *faultRun) reportProgress(succeeded int, state broker.QueueState) {
+	if time.Since(f.lastProgress) <= progressInterval {
+		return
+	}
+	f.lastProgress = time.Now()
+	f.progress(fmt.Sprintf("%d succeeded, %d connections lost, %+v", succeeded, f.recorded.broker.EventCount(broker.EventConnLost), state))
+}
+
+// killOnce kills the second instance after a third of the messages, and starts it anew without its state.
+func (f *faultRun) killOnce(succeeded int) (err error) {
+	if f.killed || succeeded <= f.size/3 {
+		return nil
+	}
+	f.killed = true
+	f.progress("n2 is killed and starts without state")
+	f.noteMemory(f.pair.instances[1].Memory())
+	f.pair.instances[1].Kill()
+	f.pair.instances[1], err = f.launch(instanceName(1), f.pair.runtimes[1], settingsPath(f.folder), f.seed+9)
+	return err
+}
+
+// restartOnce restarts the broker after half of the messages.
+func (f *faultRun) restartOnce(succeeded int) {
+	if f.restarted || succeeded <= f.size/2 {
+		return
+	}
+	f.restarted = true
+	f.progress("the broker restarts")
+	f.recorded.broker.Restart()
+}
+
+// isDrained reports whether all messages were published and the queue has been empty for drainedTime.
+func (f *faultRun) isDrained(state broker.QueueState) bool {
+	if f.published < f.size || state.Ready > 0 || state.Unacked > 0 {
+		f.drainedSince = time.Time{}
+		return false
+	}
+	if f.drainedSince.IsZero() {
+		f.drainedSince = time.Now()
+	}
+	return time.Since(f.drainedSince) > drainedTime
+}
+
+func (f *faultRun) noteMemory(bytes int64) { f.maxMemory = max(f.maxMemory, bytes) }
+
+func notDrained(state broker.QueueState) string {
+	return fmt.Sprintf("not drained after %v: %+v", maxRunTime, state)
 }
--- /dev/null
+++ b/internal/lab/amqp_cost.go
@@ -0,0 +1,105 @@
+package lab
+
+import (
+	"fmt"
+	"time"
+
+	"thymechute/internal/fake/broker"
+	"thymechute/internal/fake/runtime"
+	"thymechute/internal/lab/rig"
+)
+
+// front is a protocol by which an instance takes requests.
+type front string
+
+const (
+	frontAMQP front = "amqp"
+	frontRPC  front = "json-rpc"
+)
+
+// roundsPerFront is how often each front is measured; the fronts alternate.
+const roundsPerFront = 2
+
+// warmUpPart is the part of a round's size that is sent before the measurement.
+const warmUpPart = 4
+
+// cost is what the work of a round took.
+type cost struct{ cpu, elapsed time.Duration }
+
+func (c cost) plus(other cost) cost {
+	return cost{c.cpu + other.cpu, c.elapsed + other.elapsed}
+}
+
+// amqpCost measures the CPU time of the same work by AMQP and by JSON-RPC.
+func (r run) amqpCost(report *Report) error {
+	r.size -= r.size % rpcConns // the same for both fronts
+	costs := map[front]cost{}
+	round := 0
+	for range roundsPerFront {
+		for _, by := range []front{frontAMQP, frontRPC} {
+			r.progress(fmt.Sprintf("cost, round %d: %s", round+1, by))
+			measured, err := r.costRound(by, r.seed+uint64(round))
+			if err != nil {
+				return err
+			}
+			costs[by] = costs[by].plus(measured)
+			round++
+		}
+	}
+	items := float64(roundsPerFront * r.size)
+	amqp, rpc := costs[frontAMQP], costs[frontRPC]
+	report.Put("amqp_cpu_ms_per_item", milliseconds(amqp.cpu)/items)
+	report.Put("rpc_cpu_ms_per_item", milliseconds(rpc.cpu)/items)
+	report.Put("amqp_per_rpc_cpu_ratio", amqp.cpu.Seconds()/rpc.cpu.Seconds())
+	report.Put("amqp_items_per_s", items/amqp.elapsed.Seconds())
+	report.Put("rpc_items_per_s", items/rpc.elapsed.Seconds())
+	return nil
+}
+
+// costRound measures one front with an instance of its own. The broker is there in either case.
+func (r run) costRound(by front, seed uint64) (cost, error) {
+	recorded, err := newRecordedBroker()
+	if err != nil {
+		return cost{}, err
+	}
+	defer recorded.broker.Close()
+	recorded.broker.Watch(func(broker.Event) {}) // the checker is not part of the cost
+	fake, address, err := runtime.Start("127.0.0.1:0", rig.Instant, func(string, []byte) {})
+	if err != nil {
+		return cost{}, err
+	}
+	defer fake.Close()
+	settings := ""
+	if by == frontAMQP {
+		if settings, err = recorded.writeSettings(r.folder, fmt.Sprintf(` least-credit="%d"`, rpcConns*rpcOpenRequests)); err != nil {
+			return cost{}, err
+		}
+	}
+	instance, err := r.launch("cost", address, settings, seed)
+	if err != nil {
+		return cost{}, err
+	}
+	defer instance.Kill()
+	if by == frontRPC {
+		return measureRPC(instance, r.size)
+	}
+	return measureAMQP(instance, recorded, r.size), nil
+}
+
+// measureAMQP publishes size messages and waits until all are settled. The prefetch limit is at least the number of requests that
+// measureRPC keeps open.
+func measureAMQP(instance *rig.Instance, recorded *recordedBroker, size int) cost {
+	timeout := time.AfterFunc(maxRunTime, recorded.broker.Close)
+	defer timeout.Stop()
+	recorded.publishAndSettle(size / warmUpPart)
+	cpu, begin := instance.CPU(), time.Now()
+	recorded.publishAndSettle(size)
+	return cost{instance.CPU() - cpu, time.Since(begin)}
+}
+
+func (r *recordedBroker) publishAndSettle(count int) {
+	for n := range count {
+		r.publish(rig.Trace, n)
+	}
+	r.broker.WaitForQueue(readingsQueue, func(s broker.QueueState) bool { return s.Ready+s.Unacked == 0 })
+}
--- a/internal/lab/lab_test.go
+++ b/internal/lab/lab_test.go
@@ -6,8 +6,8 @@
 	"thymechute/internal/testutil"
 )
 
-// A small size of each experiment: the claim holds, and its figures are there.
-func TestExperimentsAtASmallSize(t *testing.T) {
+// At a small size, the claims of the AMQP experiments hold and their figures are present.
+func TestAMQPExperiments(t *testing.T) {
 	folder := t.TempDir()
 	program := testutil.Built(t)
 	for name, run := range map[string]Experiment{
@@ -19,19 +19,19 @@
 		for _, f := range r.Faults {
 			t.Errorf("%s: %s", name, f)
 		}
-		held := map[string]float64{}
+		figures := map[string]float64{}
 		for _, f := range r.Figures {
-			held[f.Name] = f.Value
+			figures[f.Name] = f.Value
 		}
-		if held["read"] < 1500 || held["fulfilled"] == 0 || held["acks_dropped"] == 0 || held["most_memory_mb"] == 0 {
-			t.Errorf("%s: %v", name, held)
+		if figures["read"] < 1500 || figures["fulfilled"] == 0 || figures["acks_dropped"] == 0 || figures["most_memory_mb"] == 0 {
+			t.Errorf("%s: %v", name, figures)
 		}
 	}
 }
 
-// The fleet rig at a small size: six processes through kill -9, a pause, a cold restart, a member cut off, a one-way
-// cut, a partition and notices agree after each, and nobody is declared gone by the one-way cut.
-func TestFleetAtASmallSize(t *testing.T) {
+// Six processes agree after each of kill -9, a pause, a restart without state, an isolated member, a one-way cut, a partition
+// and a graceful shutdown.
+func TestFleetSteps(t *testing.T) {
 	if testing.Short() {
 		t.Skip("starts processes")
 	}
@@ -44,11 +44,11 @@
 	for _, f := range r.Faults {
 		t.Error(f)
 	}
-	held := map[string]float64{}
+	figures := map[string]float64{}
 	for _, f := range r.Figures {
-		held[f.Name] = f.Value
+		figures[f.Name] = f.Value
 	}
-	if _, ok := held["smaller_side_still_holds"]; !ok || held["converge_ms_p99"] == 0 {
-		t.Errorf("figures missing: %v", held)
+	if _, ok := figures["smaller_side_still_holds"]; !ok || figures["converge_ms_p99"] == 0 {
+		t.Errorf("figures missing: %v", figures)
 	}
 }
--- /dev/null
+++ b/internal/lab/recorded_broker.go
@@ -0,0 +1,183 @@
+package lab
+
+import (
+	"fmt"
+	"os"
+	"path/filepath"
+	"sync"
+	"time"
+
+	"thymechute/internal/fake/broker"
+	"thymechute/internal/invariant"
+	"thymechute/internal/lab/rig"
+)
+
+const (
+	readingsQueue      = "readings"
+	deadLetterQueue    = "dead"
+	deadLetterExchange = "given-up"
+	maxReportedFaults  = 5 // violations that a report spells out
+)
+
+const settingsFile = `<thymechute xmlns="urn:thymechute:operator:1">
+  <amqp%s>
+    <broker address="%s"/>
+    <queue name="readings" dead-letter="given-up"/>
+  </amqp>
+</thymechute>
+`
+
+// recordedBroker is a fake broker whose events are checked against the invariants.
+type recordedBroker struct {
+	broker  *broker.Broker
+	address string
+	start   time.Time
+
+	mu           sync.Mutex
+	checker      *invariant.Checker
+	republished  map[messageKey]invariant.Outcome // what a consumer's publication tells of the message that it acks next
+	acked        map[string]bool                  // attempts, until their connection ends
+	deadLettered int
+}
+
+// messageKey is a message at one consumer.
+type messageKey struct{ peer, id string }
+
+// idempotencyOf is the idempotency of a class of messages.
+func idempotencyOf(class string) invariant.Idempotency {
+	switch class {
+	case rig.Trace:
+		return invariant.Safe
+	case rig.Excursion:
+		return invariant.Idempotent
+	}
+	return invariant.NonIdempotent
+}
+
+func newRecordedBroker(faults ...broker.Fault) (*recordedBroker, error) {
+	b, err := broker.New(faults...)
+	if err != nil {
+		return nil, err
+	}
+	r := &recordedBroker{broker: b, start: time.Now(), checker: invariant.New(rig.Window),
+		republished: map[messageKey]invariant.Outcome{}, acked: map[string]bool{}}
+	if err := b.DeclareReadings(deadLetterExchange, nil); err != nil {
+		return nil, err
+	}
+	b.Watch(r.observe)
+	r.address, err = b.Start("127.0.0.1:0")
+	return r, err
+}
+
+// observe passes an event of the broker to the checker.
+func (r *recordedBroker) observe(e broker.Event) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	now, attempt := time.Since(r.start), fmt.Sprintf("%d/%d", e.Conn, e.Tag)
+	key := messageKey{e.Peer, e.ID}
+	switch e.Kind {
+	case broker.EventPublished:
+		r.observePublished(e, key)
+	case broker.EventDelivered:
+		r.checker.Received(invariant.Attempt{ID: attempt, Item: e.ID, Instance: e.Peer, Idempotency: idempotencyOf(e.Type),
+			Deadline: now + rig.CallerTimeout})
+	case broker.EventAcked, broker.EventAckDropped:
+		outcome := invariant.Succeeded
+		if republished := r.republished[key]; republished != "" {
+			outcome = republished
+			delete(r.republished, key)
+		}
+		r.acked[attempt] = true
+		r.checker.Completed(now, attempt, outcome)
+	case broker.EventRequeued, broker.EventRejected:
+		r.checker.Completed(now, attempt, invariant.Failed)
+	case broker.EventReturned:
+		if !r.acked[attempt] { // otherwise its ack was dropped
+			r.checker.Completed(now, attempt, invariant.CallerGone)
+		}
+		delete(r.acked, attempt)
+		delete(r.republished, key) // the message will be delivered again
+	}
+}
+
+// observePublished records a message that a consumer publishes before it acks the original: as a dead letter, or for a retry.
+func (r *recordedBroker) observePublished(e broker.Event, key messageKey) {
+	if e.Conn == 0 {
+		return
+	}
+	if e.Queue == deadLetterQueue {
+		r.deadLettered++
+		r.republished[key] = invariant.Failed
+	} else {
+		r.republished[key] = invariant.Rejected
+	}
+}
+
+// observeStart is the fake runtime's observer for the tasks of an instance.
+func (r *recordedBroker) observeStart(instance string) func(class string, body []byte) {
+	return func(class string, body []byte) {
+		r.mu.Lock()
+		defer r.mu.Unlock()
+		r.checker.Started(time.Since(r.start), instance, string(body), idempotencyOf(class))
+	}
+}
+
+func (r *recordedBroker) outcomeCount(outcome invariant.Outcome) int {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return r.checker.OutcomeCount(outcome)
+}
+
+func settingsPath(folder string) string { return filepath.Join(folder, "amqp.xml") }
+
+// writeSettings writes the operator's file, with further attributes of its amqp element.
+func (r *recordedBroker) writeSettings(folder, attributes string) (path string, err error) {
+	path = settingsPath(folder)
+	return path, os.WriteFile(path, fmt.Appendf(nil, settingsFile, attributes, r.address), 0o600)
+}
+
+// publishNext publishes the n-th message, from 0; the classes alternate.
+func (r *recordedBroker) publishNext(n int) {
+	classes := []string{rig.Excursion, rig.Trace}
+	r.publish(classes[n%len(classes)], n)
+}
+
+func (r *recordedBroker) publish(class string, n int) {
+	id := fmt.Sprintf("m%d", n)
+	props := broker.Props{broker.Type: class, broker.MessageID: id, broker.Headers: broker.Table{"customer": "acme"}}
+	r.broker.Publish("", readingsQueue, props, []byte(id))
+}
+
+// report adds the figures and the violations to a report, once the instances have ended. maxMemory is in bytes.
+func (r *recordedBroker) report(report *Report, size int, maxMemory int64) {
+	state, unknownTags := r.broker.QueueState(readingsQueue), r.broker.EventCount(broker.EventUnknownTag)
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	c := r.checker
+	c.Finish()
+	c.CheckMemory("instances", maxMemory, rig.MemoryMB*bytesPerMB)
+	report.Put("messages", float64(size))
+	report.Put("read", float64(c.AttemptCount()))
+	report.Put("fulfilled", float64(c.OutcomeCount(invariant.Succeeded)))
+	report.Put("turned_back", float64(c.OutcomeCount(invariant.Rejected)))
+	report.Put("scrapped", float64(c.OutcomeCount(invariant.Failed)))
+	report.Put("caller_gone", float64(c.OutcomeCount(invariant.CallerGone)))
+	report.Put("dead_lettered", float64(r.deadLettered))
+	report.Put("ran_messages", float64(c.ExecutedItems()))
+	report.Put("acks_dropped", float64(r.broker.EventCount(broker.EventAckDropped)))
+	report.Put("connections_lost", float64(r.broker.EventCount(broker.EventConnLost)))
+	report.Zero("unsettled_at_broker", state.Ready+state.Unacked)
+	report.Zero("ended_twice", c.DuplicateOutcomes+unknownTags)
+	report.Zero("late", c.LateOutcomes)
+	report.Zero("double_runs_one_instance", c.DoubleRunsPerInstance)
+	report.Zero("double_runs_all", c.DoubleRunsAll)
+	violations := c.Violations()
+	report.Zero("breaches", len(violations))
+	for _, violation := range violations[:min(len(violations), maxReportedFaults)] {
+		report.Fault("%s", violation.String())
+	}
+	if lost := size - c.ExecutedItems() - r.deadLettered; lost > 0 {
+		report.Fault("%d messages neither ran nor are dead letters", lost)
+	}
+	report.Put("most_memory_mb", megabytes(maxMemory))
+}
