--- a/cmd/thymechute/serve.go
+++ b/cmd/thymechute/serve.go
@@ -22,7 +22,7 @@
 	"thymechute/internal/node"
 	"thymechute/internal/operator"
 	"thymechute/internal/rpc"
-	link "thymechute/internal/runtime"
+	"thymechute/internal/runtimelink"
 	"thymechute/policy/settings"
 )
 
@@ -78,7 +78,7 @@
 			return func(p loop.Peer) { l.Dial(network, *address, dialFor, p) }
 		}
 		after := func(wait time.Duration, f func()) { time.AfterFunc(wait, func() { l.Do(f) }) }
-		cores := link.NewLink(inst, dial("tcp", &g.Runtime), after, g.Seed, log)
+		cores := runtimelink.NewLink(inst, dial("tcp", &g.Runtime), after, g.Seed, log)
 		calls := index.NewPool(inst, dial("tcp", &g.Index), part, log)
 		reports := catalog.New(g.Name, dial("udp", &g.Catalog))
 		fronts := []node.Front{front}
--- a/internal/catalog/catalog.go
+++ b/internal/catalog/catalog.go
@@ -8,6 +8,7 @@
 	"time"
 
 	"thymechute/internal/loop"
+	"thymechute/internal/node"
 )
 
 const reportEvery = 300 * time.Millisecond
@@ -24,7 +25,7 @@
 func New(name string, dial func(loop.Peer)) *Reporter { return &Reporter{name: name, dial: dial} }
 
 // Sweep reports if it is time to.
-func (r *Reporter) Sweep(now time.Time, good bool) {
+func (r *Reporter) Sweep(now time.Time, status node.HealthStatus) {
 	if now.Before(r.next) {
 		return
 	}
@@ -37,7 +38,7 @@
 	}
 	r.next = now.Add(reportEvery)
 	state := " passing"
-	if !good {
+	if status != node.Healthy {
 		state = " critical"
 	}
 	r.socket.wire.Write([]byte("alive " + r.name + state))
--- a/internal/catalog/catalog_test.go
+++ b/internal/catalog/catalog_test.go
@@ -7,6 +7,7 @@
 	"time"
 
 	"thymechute/internal/loop"
+	"thymechute/internal/node"
 	"thymechute/internal/testutil"
 )
 
@@ -14,19 +15,19 @@
 	var dialled []*socket
 	r := New("n3", func(p loop.Peer) { dialled = append(dialled, p.(*socket)) })
 	now, w := time.Now(), &testutil.Wire{}
-	r.Sweep(now, true)
+	r.Sweep(now, node.Healthy)
 	dialled[0].Opened(w)
 	for at := now; at.Before(now.Add(3 * time.Second)); at = at.Add(20 * time.Millisecond) {
-		r.Sweep(at, true)
+		r.Sweep(at, node.Healthy)
 	}
 	if n := strings.Count(w.Out, "alive n3 passing"); n < 9 { // a quarter may be lost
 		t.Errorf("%d reports in 3 s", n)
 	}
 	r.Move()
-	r.Sweep(now.Add(4*time.Second), false)
+	r.Sweep(now.Add(4*time.Second), node.Unhealthy)
 	again := &testutil.Wire{}
 	dialled[1].Opened(again)
-	if r.Sweep(now.Add(4*time.Second), false); !w.Closed || again.Out != "alive n3 critical" {
+	if r.Sweep(now.Add(4*time.Second), node.Unhealthy); !w.Closed || again.Out != "alive n3 critical" {
 		t.Errorf("closed %v, wrote %q", w.Closed, again.Out)
 	}
 }
@@ -37,13 +38,13 @@
 	r := New("n3", func(p loop.Peer) { dialled = append(dialled, p.(*socket)) })
 	now := time.Now()
 	for n := range 3 {
-		r.Sweep(now, true)
+		r.Sweep(now, node.Healthy)
 		if len(dialled) != n+1 {
 			t.Fatalf("dialled %d times after %d errors", len(dialled), n)
 		}
 		w := &testutil.Wire{}
 		dialled[n].Opened(w)
-		if r.Sweep(now, true); w.Out != "alive n3 passing" {
+		if r.Sweep(now, node.Healthy); w.Out != "alive n3 passing" {
 			t.Errorf("wrote %q after %d errors", w.Out, n)
 		}
 		dialled[n].Closed(&loop.Broken{Connected: true, Err: errors.New("connection refused")})
--- a/internal/front/amqp/front.go
+++ b/internal/front/amqp/front.go
@@ -27,8 +27,8 @@
 
 // Admission is where work items go.
 type Admission interface {
-	Admit(asker node.Responder, tag string, ask node.Request) error
-	CallerGone(asker node.Responder)
+	Admit(responder node.Responder, id node.MessageID, incoming node.Request) error
+	CallerGone(responder node.Responder)
 	Load() node.Load
 }
 
@@ -239,8 +239,8 @@
 		if ask.CallerTimeout > 0 {
 			m.until = m.came.Add(ask.CallerTimeout)
 		}
-		ask.ID = f.rid + strconv.Itoa(f.serial) + "-" + strconv.FormatUint(m.tag, 36)
-		err = f.door.Admit(s, strconv.FormatUint(m.tag, 10), ask)
+		ask.ID = node.TaskID(f.rid + strconv.Itoa(f.serial) + "-" + strconv.FormatUint(m.tag, 36))
+		err = f.door.Admit(s, node.MessageID(strconv.FormatUint(m.tag, 10)), ask)
 	}
 	if err != nil {
 		f.counts.Unreadable++
@@ -250,8 +250,8 @@
 }
 
 // Answer is a work item's end, on the session that brought it.
-func (f *Front) answer(s *session, tag string, a node.Answer) {
-	n, err := strconv.ParseUint(tag, 10, 64)
+func (f *Front) answer(s *session, id node.MessageID, a node.Answer) {
+	n, err := strconv.ParseUint(string(id), 10, 64)
 	m := f.open[n]
 	if err != nil || f.now != s || m == nil {
 		return
@@ -362,7 +362,7 @@
 }
 
 // Answer is a work item's end.
-func (s *session) Answer(tag string, a node.Answer) { s.answered(s, tag, a) }
+func (s *session) Answer(id node.MessageID, a node.Answer) { s.answered(s, id, a) }
 
 // HealthChecked: no health check comes by this way.
-func (s *session) HealthChecked(string, bool, float64) {}
+func (s *session) HealthChecked(node.MessageID, node.HealthCheckResult) {}
--- a/internal/front/amqp/session.go
+++ b/internal/front/amqp/session.go
@@ -57,7 +57,7 @@
 	bound    int            // messages that may be unsettled
 	hand     func(f func()) // on to the loop
 	taken    func([]event)  // on the loop
-	answered func(*session, string, node.Answer)
+	answered func(*session, node.MessageID, node.Answer)
 	orders   chan order
 	steps    chan order    // consume and pause, which wait for the broker: acks must not stand behind them
 	over     chan struct{} // closed when the loop wants no more of it
@@ -82,7 +82,7 @@
 
 // open starts one; bound is how many messages may be unsettled at a time.
 func open(told *operator.AMQP, name, address string, bound int, hand func(func()), taken func([]event),
-	answered func(*session, string, node.Answer)) *session {
+	answered func(*session, node.MessageID, node.Answer)) *session {
 	s := &session{told: told, name: name, bound: bound, hand: hand, taken: taken, answered: answered, orders: make(chan order, 2*bound+64), steps: make(chan order, 64),
 		over: make(chan struct{}), numbers: map[uint64]uint64{}}
 	go s.live(address)
--- a/internal/index/index.go
+++ b/internal/index/index.go
@@ -18,6 +18,7 @@
 	"go.uber.org/zap"
 
 	"thymechute/internal/loop"
+	"thymechute/internal/node"
 	"thymechute/policy"
 )
 
@@ -31,13 +32,14 @@
 
 // Sink is told how calls end.
 type Sink interface {
-	CallReturned(rid string, o policy.Outcome, took time.Duration, reply []byte)
+	CallReturned(id node.TaskID, result node.CallResult)
 }
 
 // Reply is one message from the index.
 type Reply struct {
-	Rid, Word string
-	Body      []byte // points into what was read
+	Rid  node.TaskID
+	Word string
+	Body []byte // points into what was read
 }
 
 var errShort = errors.New("not whole yet")
@@ -55,7 +57,7 @@
 	if end > longestHead || len(words) < 2 || text[max(end-1, 0)] != '\r' {
 		return r, 0, errors.New("index: expected an id and a word, ended by CR LF")
 	}
-	r.Rid, r.Word, n = string(words[0]), string(words[1]), end+1
+	r.Rid, r.Word, n = node.TaskID(words[0]), string(words[1]), end+1
 	if r.Word != "HIT" {
 		return r, n, nil
 	}
@@ -81,7 +83,7 @@
 }
 
 type call struct {
-	rid          string
+	rid          node.TaskID
 	began, until time.Time
 	body         []byte // emptied when it is written
 	on           *conn  // none: waits for one
@@ -96,7 +98,7 @@
 	most  int
 	conns map[*conn]struct{}
 	idle  []*conn // those of them without a call, the latest used last
-	calls map[string]*call
+	calls map[node.TaskID]*call
 	queue []*call // without a connection; emptied as one comes free, and by their time
 	odd   int
 }
@@ -106,18 +108,18 @@
 	p       *Pool
 	wire    loop.Wire // none before it stands
 	call    *call
-	carried map[string]struct{}
+	carried map[node.TaskID]struct{}
 	rest    []byte // bounded by one reply; emptied by the next
 	used    time.Time
 }
 
 // NewPool makes a pool of so many connections at most; dial opens one.
 func NewPool(sink Sink, dial func(loop.Peer), most int, log *zap.Logger) *Pool {
-	return &Pool{sink: sink, dial: dial, most: most, log: log, calls: map[string]*call{}, conns: map[*conn]struct{}{}}
+	return &Pool{sink: sink, dial: dial, most: most, log: log, calls: map[node.TaskID]*call{}, conns: map[*conn]struct{}{}}
 }
 
 // Call issues a call for a work item.
-func (p *Pool) Call(rid string, patience time.Duration, body []byte) {
+func (p *Pool) Call(rid node.TaskID, patience time.Duration, body []byte) {
 	now := time.Now()
 	c := &call{rid: rid, began: now, until: now.Add(patience), body: body}
 	p.calls[rid] = c
@@ -138,13 +140,13 @@
 // fill opens connections for the calls that wait, as far as there is place.
 func (p *Pool) fill() {
 	for len(p.queue) > 0 && len(p.conns) < p.most {
-		k := &conn{p: p, call: p.queue[0], carried: map[string]struct{}{}}
+		k := &conn{p: p, call: p.queue[0], carried: map[node.TaskID]struct{}{}}
 		k.call.on, p.conns[k], p.queue = k, struct{}{}, p.queue[1:]
 		p.dial(k)
 	}
 }
 
-func (k *conn) had(rid string) bool {
+func (k *conn) had(rid node.TaskID) bool {
 	_, ok := k.carried[rid]
 	return ok
 }
@@ -188,7 +190,7 @@
 }
 
 // Abandon ends a call without a reply; closing its connection gives it up below too.
-func (p *Pool) Abandon(rid string) {
+func (p *Pool) Abandon(rid node.TaskID) {
 	c := p.calls[rid]
 	if c == nil {
 		return
@@ -216,7 +218,7 @@
 			o = policy.TimedOut
 		}
 		p.Abandon(rid)
-		p.sink.CallReturned(rid, o, now.Sub(c.began), nil)
+		p.sink.CallReturned(rid, node.CallResult{Outcome: o, Duration: now.Sub(c.began)})
 	}
 	for len(p.idle) > 0 && now.Sub(p.idle[0].used) > idleAfter {
 		p.drop(p.idle[0])
@@ -256,7 +258,7 @@
 	p := k.p
 	if c := k.call; c != nil {
 		if p.odd++; p.odd <= mostOdd {
-			p.log.Warn("index: call lost", zap.Error(err), zap.String("id", c.rid), zap.Bool("sent", c.sent))
+			p.log.Warn("index: call lost", zap.Error(err), zap.String("id", string(c.rid)), zap.Bool("sent", c.sent))
 		}
 		o := policy.ConnectFailed
 		if c.sent {
@@ -264,7 +266,7 @@
 		}
 		k.call = nil
 		delete(p.calls, c.rid)
-		p.sink.CallReturned(c.rid, o, time.Since(c.began), nil)
+		p.sink.CallReturned(c.rid, node.CallResult{Outcome: o, Duration: time.Since(c.began)})
 	}
 	k.wire = nil
 	p.drop(k)
@@ -295,12 +297,12 @@
 	o, known := outcomes[r.Word]
 	if !known || c == nil || !c.sent || c.rid != r.Rid {
 		if p.odd++; p.odd <= mostOdd {
-			p.log.Warn("index: reply to no call", zap.String("id", r.Rid), zap.String("word", r.Word))
+			p.log.Warn("index: reply to no call", zap.String("id", string(r.Rid)), zap.String("word", r.Word))
 		}
 		return
 	}
 	delete(p.calls, c.rid)
-	p.sink.CallReturned(c.rid, o, time.Since(c.began), bytes.Clone(r.Body))
+	p.sink.CallReturned(c.rid, node.CallResult{Outcome: o, Duration: time.Since(c.began), Reply: bytes.Clone(r.Body)})
 	if _, ok := p.conns[k]; ok {
 		k.release()
 	} else { // the address has changed meanwhile
--- a/internal/index/index_test.go
+++ b/internal/index/index_test.go
@@ -10,14 +10,15 @@
 	"go.uber.org/zap"
 
 	"thymechute/internal/loop"
+	"thymechute/internal/node"
 	"thymechute/internal/testutil"
 	"thymechute/policy"
 )
 
 type sink struct{ got []string }
 
-func (s *sink) CallReturned(rid string, o policy.Outcome, _ time.Duration, reply []byte) {
-	s.got = append(s.got, fmt.Sprintf("%s %d %s", rid, o, reply))
+func (s *sink) CallReturned(id node.TaskID, result node.CallResult) {
+	s.got = append(s.got, fmt.Sprintf("%s %d %s", id, result.Outcome, result.Reply))
 }
 
 // pool is one that notes what it dials; stand lets it stand.
@@ -158,7 +159,7 @@
 
 func TestNewAddressIsDialledOnceForEachCallThatWaits(t *testing.T) {
 	p, _, dialled := pool(4)
-	for _, rid := range []string{"a", "b", "c", "d", "e"} { // four on their way, e waits for a place
+	for _, rid := range []node.TaskID{"a", "b", "c", "d", "e"} { // four on their way, e waits for a place
 		p.Call(rid, time.Second, nil)
 	}
 	p.Move()
--- a/internal/lab/scale/instance/reports.go
+++ b/internal/lab/scale/instance/reports.go
@@ -12,6 +12,7 @@
 	fakecatalog "thymechute/internal/fake/catalog"
 	"thymechute/internal/lab/scale"
 	"thymechute/internal/loop"
+	"thymechute/internal/node"
 )
 
 const (
@@ -107,7 +108,7 @@
 			due = int(float64(size) * float64(since) / float64(reportGap))
 		}
 		for _, reporter := range reporters[:due] {
-			reporter.Sweep(now, true)
+			reporter.Sweep(now, node.Healthy)
 		}
 		time.Sleep(sweepGap)
 	}
--- /dev/null
+++ b/internal/node/admission.go
@@ -0,0 +1,138 @@
+package node
+
+import (
+	"time"
+
+	"thymechute/policy"
+	"thymechute/policy/settings"
+)
+
+// Admit takes in a request that has been read; its answer goes to the responder under the message id. The error is an
+// *AdmissionError; no answer follows it.
+func (n *Instance) Admit(responder Responder, id MessageID, incoming Request) error {
+	n.lastArrival = n.now
+	class, ok := n.classes.find(incoming.Class)
+	if !ok {
+		return &AdmissionError{Reason: ErrUnknownClass, Value: incoming.Class}
+	}
+	tenant, ok := n.findTenant(incoming.Tenant)
+	if !ok {
+		return &AdmissionError{Reason: ErrUnknownTenant, Value: incoming.Tenant}
+	}
+	if _, ok := n.byTaskID[incoming.ID]; ok {
+		return &AdmissionError{Reason: ErrDuplicateID, Value: string(incoming.ID)}
+	}
+	key := n.keyOf(class, incoming)
+	if n.controller == nil || n.isFull(class, key) {
+		responder.Answer(id, Answer{Status: Rejected, RetryAfter: n.retryAfter(), Advertised: n.advertised})
+		return nil
+	}
+	requestID := n.allocate()
+	n.requests[requestID] = requestState{
+		inFlight:  true,
+		responder: responder,
+		messageID: id,
+		taskID:    incoming.ID,
+		class:     class,
+		tenant:    tenant,
+		body:      incoming.Body,
+		key:       key,
+	}
+	n.byTaskID[incoming.ID] = requestID
+	n.addReferences(class, tenant)
+	n.inFlight++
+	n.enqueue(func() { n.submit(requestID, incoming) })
+	return nil
+}
+
+// HasClass tells whether requests of this class are admitted.
+func (n *Instance) HasClass(class string) bool {
+	_, ok := n.classes.find(class)
+	return ok
+}
+
+// findTenant returns the tenant's index, noTenant for the empty name.
+func (n *Instance) findTenant(name string) (tenant int, ok bool) {
+	tenant, ok = n.tenants.find(name)
+	if !ok && name == "" {
+		return noTenant, true
+	}
+	return tenant, ok
+}
+
+// isFull tells whether a table has no capacity for a request of this class and key.
+func (n *Instance) isFull(class int, key string) bool {
+	if n.inFlight*requestBytes >= n.tableBytes {
+		return true
+	}
+	return n.keyBytes >= n.tableBytes && n.idempotencyOf(class) == settings.Idempotent && n.keys[key] == nil
+}
+
+// allocate returns a free slot of the table of requests.
+func (n *Instance) allocate() policy.RequestID {
+	if last := len(n.freeIDs) - 1; last >= 0 {
+		id := n.freeIDs[last]
+		n.freeIDs = n.freeIDs[:last]
+		return id
+	}
+	n.requests = append(n.requests, requestState{})
+	return policy.RequestID(len(n.requests) - 1)
+}
+
+// retryAfter is the Retry-After of what the instance itself rejects.
+func (n *Instance) retryAfter() time.Duration {
+	if n.server.RetryAfter.Off() {
+		return 0
+	}
+	return min(fullRetryAfter, n.server.MaxRetryAfter.Seconds(0))
+}
+
+// submit hands an admitted request to the controller, after a look at the keys.
+func (n *Instance) submit(id policy.RequestID, incoming Request) {
+	request := &n.requests[id]
+	work := policy.Request{
+		Class:     request.class,
+		Tenant:    request.tenant,
+		Caller:    incoming.Caller,
+		Retry:     incoming.Retry,
+		Priority:  incoming.Priority,
+		MemoryKB:  incoming.MemoryKB,
+		ReadDelay: min(max(time.Since(incoming.ReceivedAt), 0), maxReadDelay),
+	}
+	if incoming.CallerTimeout > 0 { // one that is over must not become 0, which means unknown: the controller ends it
+		work.CallerTimeout = max(incoming.CallerTimeout-work.ReadDelay, 1)
+	}
+	original, conflict := n.findOriginal(request, incoming, n.now-work.ReadDelay)
+	if conflict {
+		request.cause = KeyConflict
+		n.respond(id, Answer{Status: Failed})
+		n.Release(id)
+		return
+	}
+	work.Original = original
+	n.controller.Admit(n.now, id, work)
+}
+
+// CallerGone marks all requests of this responder as abandoned by their caller.
+func (n *Instance) CallerGone(responder Responder) {
+	for index := range n.requests {
+		id := policy.RequestID(index)
+		request := &n.requests[id]
+		if !request.inFlight || request.responder != responder {
+			continue
+		}
+		request.responder = nil
+		taskID := request.taskID
+		n.enqueue(func() {
+			if n.isCurrent(taskID, id) && !n.requests[id].answered {
+				n.controller.CallerGone(n.now, id)
+			}
+		})
+	}
+}
+
+// isCurrent tells whether the slot still belongs to the request of that task id: slots are used again.
+func (n *Instance) isCurrent(taskID TaskID, id policy.RequestID) bool {
+	current, ok := n.byTaskID[taskID]
+	return ok && current == id
+}
--- a/internal/node/drain.go
+++ b/internal/node/drain.go
@@ -1,6 +1,3 @@
-// This file owns the drain, from the notice to the end. It must never let the process end while something is owed and
-// the kill is not near.
-
 package node
 
 import (
@@ -12,78 +9,92 @@
 	"thymechute/policy"
 )
 
-// Drain is the notice that this instance will be killed after its stop time. A second one changes nothing.
+// Drain starts the graceful shutdown: the process will be killed once the stop timeout is over. Later calls have no effect.
 func (n *Instance) Drain() {
-	n.put(func() {
+	n.enqueue(func() {
 		if n.draining {
 			return
 		}
 		n.draining = true
-		n.killAt, n.graceEnd, n.lastRead = n.now+n.stop, n.now, n.now // what crosses the notice is on its way
-		if n.mod != nil {
+		n.stopDeadline = n.now + n.stopTimeout
+		n.graceEnd = n.now
+		n.lastArrival = n.now // requests may be on their way at the notice
+		if n.controller != nil {
 			n.graceEnd += n.server.DrainGrace.Seconds(0)
-			n.mod.Drain(n.now, n.stop)
+			n.controller.Drain(n.now, n.stopTimeout)
 		}
-		n.endChecks(func(check) bool { return true }) // nothing is healthy here any more
-		for _, f := range n.fronts {
-			f.Drain()
+		n.failHealthChecks(anyHealthCheck)
+		for _, front := range n.fronts {
+			front.Drain()
 		}
 	})
 }
 
-// phase: a draining instance stops listening once its grace is over, nothing comes and nothing is owed, or the kill is
-// near; it ends when what crossed that is answered. What is owed a little before the kill is answered then.
+// phase returns the phase of the graceful shutdown. The listener closes once the grace period is over, nothing arrives and
+// nothing is pending, or shortly before the stop deadline. The connections end when the requests that crossed that are
+// answered. Just before the deadline all that is pending is answered and the loop ends.
 func (n *Instance) phase() loop.Phase {
-	owes := n.owes()
+	pending := n.hasPendingWork()
 	switch {
 	case !n.draining:
 		return loop.Serving
-	case n.now >= n.killAt-lastBreath:
-		n.answerRest()
+	case n.now >= n.stopDeadline-exitMargin:
+		n.answerRemaining()
 		return loop.Ended
-	case n.now >= n.killAt-lastCall: // the connections still end as all do, behind the last answers
-		n.answerRest()
+	case n.now >= n.stopDeadline-lastAnswerMargin: // connections still close in order, behind the last answers
+		n.answerRemaining()
 		return loop.Ending
-	case n.closedAt == 0:
-		if n.now < n.killAt-closeBefore && (n.now < n.graceEnd || n.now-n.lastRead <= quietBefore || owes) {
+	case n.listenerClosedAt == 0:
+		if n.keepsListening(pending) {
 			return loop.Serving
 		}
-		n.closedAt = n.now
-	case n.now-n.closedAt > closeFor && !owes:
+		n.listenerClosedAt = n.now
+	case n.now-n.listenerClosedAt > listenerCloseLinger && !pending:
 		return loop.Ending
 	}
 	return loop.Unlisting
 }
 
-// owed tells whether somebody waits for this request's answer.
-func (it *item) owed() bool { return it.live && !it.answered && it.asker != nil }
+// keepsListening tells whether a draining instance still accepts connections.
+func (n *Instance) keepsListening(pending bool) bool {
+	if n.now >= n.stopDeadline-listenerCloseMargin {
+		return false
+	}
+	return n.now < n.graceEnd || n.now-n.lastArrival <= quietInterval || pending
+}
 
-// owes is what stands between a draining instance and its end: requests and checks without an answer, what came or was
-// brought about and is not handed on yet, and what a front has not delivered. What the sockets owe loop knows.
-func (n *Instance) owes() bool {
-	return len(n.inbox) > 0 || len(n.later) > 0 || len(n.checks) > 0 ||
-		slices.ContainsFunc(n.items, func(it item) bool { return it.owed() }) || slices.ContainsFunc(n.fronts, Front.HasPending)
+// awaitsAnswer tells whether a caller waits for the request's answer.
+func (r *requestState) awaitsAnswer() bool { return r.inFlight && !r.answered && r.responder != nil }
+
+// hasPendingWork tells whether anything keeps a draining instance from its end: requests and health checks without an
+// answer, unhandled events, and answers that a front has not delivered. Unwritten output is the event loop's to wait for.
+func (n *Instance) hasPendingWork() bool {
+	if len(n.events) > 0 || len(n.completions) > 0 || len(n.healthChecks) > 0 {
+		return true
+	}
+	return slices.ContainsFunc(n.requests, func(r requestState) bool { return r.awaitsAnswer() }) ||
+		slices.ContainsFunc(n.fronts, Front.HasPending)
 }
 
-// answerRest answers all that is owed when the kill is near: what never ran is refused first, the rest failed.
-func (n *Instance) answerRest() {
-	refused, failed := 0, 0
-	for index := range n.items {
-		w := policy.RequestID(index)
-		if it := &n.items[w]; it.owed() && !it.started && it.waitsFor == nil {
-			n.answer(w, Answer{Status: Rejected, RetryAfter: n.pause()})
-			refused++
-		}
+// answerRemaining answers all requests and health checks: requests that never ran are rejected, the others fail.
+func (n *Instance) answerRemaining() {
+	rejected := n.answerAll(Answer{Status: Rejected, RetryAfter: n.retryAfter()}, func(r *requestState) bool {
+		return !r.started && r.coalescedOn == nil
+	})
+	failed := n.answerAll(Answer{Status: Failed}, func(*requestState) bool { return true })
+	n.failHealthChecks(anyHealthCheck)
+	if rejected+failed > 0 {
+		n.log.Warn("requests answered at the stop deadline", zap.Int("rejected", rejected), zap.Int("failed", failed))
 	}
-	for index := range n.items {
-		w := policy.RequestID(index)
-		if n.items[w].owed() {
-			n.answer(w, Answer{Status: Failed})
-			failed++
+}
+
+// answerAll gives the answer to all matching requests that await one, and returns their number.
+func (n *Instance) answerAll(answer Answer, matches func(*requestState) bool) (count int) {
+	for index := range n.requests {
+		if request := &n.requests[index]; request.awaitsAnswer() && matches(request) {
+			n.respond(policy.RequestID(index), answer)
+			count++
 		}
 	}
-	n.endChecks(func(check) bool { return true })
-	if refused+failed > 0 {
-		n.log.Warn("answered at the kill", zap.Int("refused", refused), zap.Int("failed", failed))
-	}
+	return count
 }
--- /dev/null
+++ b/internal/node/drain_test.go
@@ -0,0 +1,83 @@
+package node
+
+import (
+	"testing"
+	"time"
+
+	"go.uber.org/zap"
+
+	"thymechute/internal/loop"
+	"thymechute/internal/testutil"
+)
+
+// A deep check in progress is answered at the drain notice: no self-test can make a draining instance healthy.
+func TestDrainAnswersDeepChecks(t *testing.T) {
+	n, peers := newReady(nil)
+	n.healthCached = false
+	n.CheckHealth(peers, "1", DeepCheck)
+	peers.expect(t, 1, "test")
+	n.Drain()
+	n.Round()
+	peers.expect(t, 1, "checked 1 false")
+	n.SelfTestEnded("check1", Healthy)
+	peers.expect(t, 1, "checked")
+}
+
+// Every front is drained, and answers that one still has to deliver are waited for, up to the stop deadline.
+func TestDrainReachesAllFrontsAndWaitsForPendingAnswers(t *testing.T) {
+	n, peers := newReady(nil)
+	peers.pending = true
+	n.Drain()
+	n.Round()
+	peers.expect(t, 2, "drain")
+	n.now, n.lastArrival = n.graceEnd+time.Second, n.graceEnd
+	if n.phase() != loop.Serving {
+		t.Error("the listener closes though a front has pending answers")
+	}
+	if peers.pending = false; n.phase() != loop.Unlisting {
+		t.Error("the listener stays open though nothing is pending")
+	}
+	peers.pending, n.now = true, n.stopDeadline-lastAnswerMargin
+	if n.phase() != loop.Ending {
+		t.Error("a front that stays pending keeps the connections open")
+	}
+	if n.now = n.stopDeadline - exitMargin; n.phase() != loop.Ended {
+		t.Error("a front that stays pending outlasts the stop deadline")
+	}
+}
+
+func TestListenerClosesBeforeTheStopDeadline(t *testing.T) {
+	n, peers := newReady(nil)
+	n.admitRequest(peers, "a", "unsafe", "", 0)
+	n.Drain()
+	if _, phase := n.Round(); phase != loop.Serving {
+		t.Fatalf("phase %v at the drain notice", phase)
+	}
+	for _, at := range []struct {
+		left time.Duration
+		want loop.Phase
+	}{{listenerCloseMargin + 100*time.Millisecond, loop.Serving}, {listenerCloseMargin - 100*time.Millisecond, loop.Unlisting},
+		{lastAnswerMargin, loop.Ending}, {exitMargin, loop.Ended}} {
+		n.now, n.lastArrival = n.stopDeadline-at.left, n.stopDeadline-at.left
+		if got := n.phase(); got != at.want {
+			t.Errorf("%v before the stop deadline: phase %v, want %v", at.left, got, at.want)
+		}
+	}
+}
+
+// Requests that cross the drain notice are still accepted, also without a grace period and before the runtime is ready.
+func TestListenerStaysOpenJustAfterTheDrainNotice(t *testing.T) {
+	peers := &recorder{}
+	n := New(testutil.TypedSettings(nil), 7, 3*time.Second, 192<<20, zap.NewNop())
+	n.Connect(peers, peers, discardReporter{}, recordingFront{peers})
+	n.start = n.start.Add(-time.Minute)
+	n.Round()
+	n.Drain()
+	if _, phase := n.Round(); phase != loop.Serving {
+		t.Errorf("phase %v at the drain notice", phase)
+	}
+	n.start = n.start.Add(-2 * quietInterval)
+	if _, phase := n.Round(); phase != loop.Unlisting {
+		t.Errorf("phase %v when nothing arrives any more", phase)
+	}
+}
--- /dev/null
+++ b/internal/node/host.go
@@ -0,0 +1,135 @@
+package node
+
+import (
+	"slices"
+	"time"
+
+	"go.uber.org/zap"
+
+	"thymechute/policy"
+)
+
+// respond gives the request's final answer to its caller, unless it was answered already.
+func (n *Instance) respond(id policy.RequestID, answer Answer) {
+	request := &n.requests[id]
+	if request.answered {
+		return
+	}
+	request.answered = true
+	if request.responder == nil {
+		return
+	}
+	answer.Advertised = n.advertised
+	if answer.Status == Failed {
+		answer.Cause = request.cause
+	}
+	request.responder.Answer(request.messageID, answer)
+}
+
+// abandonCall gives up the call that the request has in flight, if any.
+func (n *Instance) abandonCall(request *requestState) {
+	if request.callInFlight {
+		request.callInFlight = false
+		n.dependency.Abandon(request.taskID)
+	}
+}
+
+// Start starts the request's run at the runtime; where the link is down, once it is up.
+func (n *Instance) Start(id policy.RequestID) {
+	request := &n.requests[id]
+	request.started = true
+	if n.runtime.Up() {
+		n.sendStart(request)
+	}
+}
+
+func (n *Instance) sendStart(request *requestState) {
+	request.startSent = true
+	n.runtime.Start(request.taskID, n.classes.at(request.class).Name, request.body)
+}
+
+// Stop stops the request's run; where the link is down, once it is up.
+func (n *Instance) Stop(id policy.RequestID) {
+	request := &n.requests[id]
+	request.stopped = true
+	if n.runtime.Up() {
+		n.runtime.Stop(request.taskID)
+	}
+}
+
+// Reject answers a request that has not run.
+func (n *Instance) Reject(id policy.RequestID, rejection policy.Rejection) {
+	n.respond(id, Answer{
+		Status:           Rejected,
+		RetryAfter:       rejection.RetryAfter,
+		NoRetryElsewhere: rejection.NoRetryElsewhere,
+	})
+}
+
+// Fail answers the request with an error and gives up its call in flight.
+func (n *Instance) Fail(id policy.RequestID) {
+	n.respond(id, Answer{Status: Failed})
+	n.abandonCall(&n.requests[id])
+}
+
+// Call issues the call that the request's run waits at.
+func (n *Instance) Call(id policy.RequestID, timeout time.Duration) {
+	request := &n.requests[id]
+	request.callInFlight = true
+	n.dependency.Call(request.taskID, timeout, request.callBody)
+}
+
+// SkipCall panics. The controller never calls it, as withoutDegradedAnswers leaves no class a weight for answers without
+// their call.
+func (n *Instance) SkipCall(policy.RequestID) {
+	panic("node: the runtime's protocol has no command to continue a run without its call")
+}
+
+// SetHealth sets the verdict for health checks.
+func (n *Instance) SetHealth(health policy.Health) {
+	n.healthy = health.Healthy
+	n.healthCached = health.Cached
+}
+
+// SetIdleTimeout closes callers' connections that were idle for so long.
+func (n *Instance) SetIdleTimeout(timeout time.Duration) {
+	for _, front := range n.fronts {
+		front.SetIdleTimeout(timeout)
+	}
+}
+
+// Advertise sets the load value that all answers carry.
+func (n *Instance) Advertise(value float64) { n.advertised = value }
+
+// Wake asks for a tick at that time.
+func (n *Instance) Wake(at time.Duration) { n.nextTick = at }
+
+// Release removes a request that the controller has finished; its slot may be used again.
+func (n *Instance) Release(id policy.RequestID) {
+	request := &n.requests[id]
+	n.releaseKey(id)
+	if entry := request.coalescedOn; entry != nil {
+		entry.waiters = slices.DeleteFunc(entry.waiters, func(waiter policy.RequestID) bool { return waiter == id })
+	}
+	n.abandonCall(request)
+	delete(n.byTaskID, request.taskID)
+	n.dropReferences(request.class, request.tenant)
+	*request = requestState{}
+	n.inFlight--
+	n.freeIDs = append(n.freeIDs, id)
+}
+
+// releaseKey ends the request's ownership of its key; a run that never ended counts as failed.
+func (n *Instance) releaseKey(id policy.RequestID) {
+	entry := n.keys[n.requests[id].key]
+	if entry == nil || entry.owner != id {
+		return
+	}
+	entry.owner = policy.OriginalGone
+	if !entry.completed {
+		n.completeKey(entry, RunResult{Outcome: policy.Failed})
+	}
+}
+
+// Log writes one structured line of the controller.
+func (n *Instance) Log(message string, fields ...zap.Field) { n.log.Info(message, fields...) }
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -1,14 +1,19 @@
-// Package node is the instance: it keeps the requests that were read, their keys and results, and carries what
-// happens to the decision module and what the module does to the runtime, the index and the callers. It knows
-// requests, not messages: every protocol comes in by the same admission (Arrive, Gone, Check) and answers through its own
-// Asker. It must never decide what runs, waits or is rejected, never block, and never be entered from
-// another goroutine than the loop's. Its tables: items (a quarter of the memory; emptied by the module's Release),
-// keys (a quarter; emptied by the module's Forget and by time), classes and tenants (the settings' bounds; emptied by a
-// delta that removes them and the end of their work), inbox and later (emptied each round).
+// Package node connects the overload controller (package policy) of one server to the runtime that executes requests,
+// to the dependency that the requests call, to the callers' protocols and to the service catalog.
+//
+// An Instance admits requests (Admit), passes events to the controller and carries out the controller's decisions as its
+// policy.Host. It makes no decision of its own about what runs, waits or is rejected, except where a table is full or no
+// controller exists yet.
+//
+// Concurrency: an Instance belongs to the event loop. All methods must be called on the loop's goroutine, and none blocks.
+// Events are queued and handed to the controller in order by Round.
+//
+// Tables and bounds: requests in flight (a quarter of the memory limit; an entry ends with the controller's Release),
+// idempotency keys with their results (a quarter; an entry ends with the controller's ForgetKey or expires), classes and
+// tenants (the bounds of package settings), deep health checks (maxHealthChecks).
 package node
 
 import (
-	"errors"
 	"hash/maphash"
 	"time"
 
@@ -18,133 +23,121 @@
 	"thymechute/policy/settings"
 )
 
-const (
-	itemBytes   = 8 << 10                // of memory that a request may take, with its body and its call's
-	entryBytes  = 512                    // an entry for a key, besides its result
-	mostChecks  = 64                     // deep ones at a time
-	fullPause   = 500 * time.Millisecond // where there is no room
-	afterEnd    = 2 * time.Second        // a key outlives its end by this, for what is read late
-	sweepEvery  = 500 * time.Millisecond // keys
-	oldGauges   = 200 * time.Millisecond // readings older than this are not offered
-	quietBefore = 200 * time.Millisecond // nothing may have come for so long before an early end
-	closeBefore = 300 * time.Millisecond // before the kill: no further connection
-	closeFor    = 100 * time.Millisecond // what crossed the listener's end is answered for so long
-	lastCall    = 60 * time.Millisecond  // before the kill: the last answers
-	lastBreath  = 25 * time.Millisecond  // before the kill: the end at the latest
-	silence     = 60 * time.Millisecond  // a machine of which nothing is heard for so long stands still
-	mostSilence = 105 * time.Millisecond // how late a Tick may be for it
-	wakeGap     = 20 * time.Millisecond  // to the next Tick where the module asked for none
-	verdictFor  = 5 * time.Second        // a self-test may take
-	longestWait = time.Hour
-	ageSlack    = 100 * time.Millisecond // the runtime's age comes rounded
-)
+// requestState is a request in flight. Its index in Instance.requests is its policy.RequestID.
+type requestState struct {
+	responder      Responder // nil: the caller is gone
+	messageID      MessageID
+	taskID         TaskID
+	class          int
+	tenant         int // noTenant: none
+	body           []byte
+	key            string    // of its entry in Instance.keys; empty: none
+	coalescedOn    *keyEntry // whose result it waits for; nil: none
+	callBody       []byte    // body of the call that the run waits at
+	pendingReply   []byte    // reply to that call that could not be delivered yet
+	inFlight       bool      // false: the slot is free
+	started        bool      // by the controller
+	startSent      bool      // the start command was written to a link
+	startConfirmed bool      // the runtime has sent a notice about it
+	stopped        bool      // by the controller
+	callInFlight   bool
+	answered       bool
+	cause          Cause // of its failure
+}
 
-// noTenant stands for the tenant of a request that is of nobody.
-const noTenant = -1
+// Instance is one server.
+type Instance struct {
+	log             *zap.Logger
+	server          settings.Server
+	settingsVersion uint64
+	seed            uint64
+	stopTimeout     time.Duration // from the drain notice to the stop deadline
+	tableBytes      int           // bound of requests, and of keys, in bytes
 
-// Errors of admission; nothing was taken in.
-var (
-	ErrUnknownClass  = errors.New("unknown class")
-	ErrUnknownTenant = errors.New("unknown tenant")
-	ErrDuplicateID   = errors.New("id is in use")
-)
+	runtime        Runtime
+	dependency     Dependency
+	fronts         []Front
+	healthReporter HealthReporter
+	controller     *policy.Instance // nil until the runtime was ready once
 
-type item struct {
-	asker     Responder // nil: nobody waits
-	tag, rid  string
-	class     int
-	tenant    int // noTenant: of nobody
-	body      []byte
-	key       string    // of its entry; empty: none
-	waitsFor  *keyEntry // whose result it waits for
-	call      []byte    // body of the call that it stands at
-	give      []byte    // reply to it that no link has taken yet
-	live      bool
-	started   bool // by the module
-	sent      bool // the command was handed to a link
-	confirmed bool // the runtime has spoken of it
-	stopped   bool
-	calling   bool
-	answered  bool
-	why       Cause // it failed, if it did
-}
+	start       time.Time     // zero of the instance's clock
+	now         time.Duration // time of the current round
+	events      []func()      // received since the last round, in order
+	completions []func()      // for the controller, once its current call has returned
+	nextTick    time.Duration
+	nextSweep   time.Duration
+	lastEventAt time.Duration
+	lastArrival time.Duration
 
-// keyEntry is what is known of a key. It stands until its end, whether or not its try is still here.
-type keyEntry struct {
-	w         policy.RequestID // of the try that has the entry; policy.GoneForerunner once that is released
-	class     int
-	end       time.Duration
-	window    time.Duration // by which its end counts
-	over      bool          // the run has ended, or never will
-	ok        bool
-	body      uint64 // digest: all tries of one request carry the same body
-	result    []byte
-	coalesced []policy.RequestID
-}
+	classes    *resourceTable[settings.Class]
+	tenants    *resourceTable[settings.Tenant]
+	requests   []requestState
+	freeIDs    []policy.RequestID // free slots of requests
+	inFlight   int
+	byTaskID   map[TaskID]policy.RequestID
+	keys       map[string]*keyEntry
+	keyBytes   int // taken by keys
+	digestSeed maphash.Seed
 
-// Instance is one server.
-type Instance struct {
-	log     *zap.Logger
-	server  settings.Server
-	version uint64 // of the settings in force
-	seed    uint64
-	stop    time.Duration // from notice to kill
-	room    int           // bytes for items, and as many for keys
-	kept    int           // of it, taken by keys
-	classes *table[settings.Class]
-	tenants *table[settings.Tenant]
-	runtime Runtime
-	below   Dependency
-	fronts  []Front
-	reports HealthReporter
+	healthy       bool
+	healthCached  bool // deep checks are answered without a self-test
+	advertised    float64
+	healthChecks  map[string]healthCheck // by the id of their self-test
+	selfTestCount int
 
-	mod     *policy.Instance // none before the runtime was up once
-	start   time.Time
-	now     time.Duration // of the round
-	items   []item
-	spare   []policy.RequestID
-	live    int
-	byRid   map[string]policy.RequestID
-	keys    map[string]*keyEntry
-	inbox   []func() // what came since the last round, in order
-	later   []func() // what the module must hear after what it is at
-	checks  map[string]check
-	digests maphash.Seed
-	tests   int // self-tests asked for so far
+	gauges             policy.Gauges
+	gaugesAt           time.Duration
+	gaugesRequestedAt  time.Duration // of the earliest request without an answer
+	runtimeStart       time.Time     // latest possible time of the runtime's start
+	firstReady         time.Duration
+	runtimeReused      bool // the runtime is older than this instance
+	earlierIncarnation bool // the runtime has named a run of an earlier incarnation of this instance
 
-	good, stored     bool
-	free             float64
-	gauges           policy.Gauges
-	gaugesAt, wake   time.Duration
-	swept, lastRead  time.Duration
-	began            time.Time     // of the runtime, at the latest
-	first            time.Duration // when it was up
-	old, before      bool          // it had worked before; for a life of this instance that is known of
 	draining         bool
-	killAt, graceEnd time.Duration
-	closedAt         time.Duration // the listener; 0: not yet
-	asked, heard     time.Duration // for readings, the earliest unanswered; anything from anybody
-}
-
-type check struct {
-	asker Responder
-	tag   string
-	until time.Duration
+	stopDeadline     time.Duration
+	graceEnd         time.Duration
+	listenerClosedAt time.Duration // 0: still listening
 }
 
-// New makes an instance that waits for its runtime. Its tables follow from the memory it may have.
-func New(s settings.Settings, seed uint64, stop time.Duration, memory int64, log *zap.Logger) *Instance {
+// New returns an instance that waits for its runtime. The stop timeout is the time from the drain notice to the kill; the
+// memory limit, in bytes, bounds the tables.
+func New(s settings.Settings, seed uint64, stopTimeout time.Duration, memoryLimit int64, log *zap.Logger) *Instance {
 	classes := make([]settings.Class, 0, len(s.Classes))
 	for _, class := range s.Classes {
-		classes = append(classes, withRuntime(class))
+		classes = append(classes, withoutDegradedAnswers(class))
+	}
+	return &Instance{
+		log:             log,
+		server:          s.Server,
+		settingsVersion: firstSettingsVersion,
+		seed:            seed,
+		stopTimeout:     stopTimeout,
+		tableBytes:      int(memoryLimit / 4),
+		start:           time.Now(),
+		classes:         newResourceTable(classes),
+		tenants:         newResourceTable(s.Tenants),
+		byTaskID:        map[TaskID]policy.RequestID{},
+		keys:            map[string]*keyEntry{},
+		digestSeed:      maphash.MakeSeed(),
+		advertised:      noAdvertisedValue,
+		healthChecks:    map[string]healthCheck{},
+		gauges:          noGauges,
 	}
-	n := &Instance{log: log, server: s.Server, version: firstVersion, seed: seed, stop: stop, room: int(memory / 4), free: -1, start: time.Now(),
-		classes: newTable(classes), tenants: newTable(s.Tenants), byRid: map[string]policy.RequestID{},
-		keys: map[string]*keyEntry{}, digests: maphash.MakeSeed(), checks: map[string]check{}, gauges: noReadings}
-	return n
 }
 
-// Connect joins the instance to its sides.
-func (n *Instance) Connect(r Runtime, b Dependency, c HealthReporter, fronts ...Front) {
-	n.runtime, n.below, n.reports, n.fronts = r, b, c, fronts
+// Connect sets the instance's neighbours; it must be called once, before the first Round.
+func (n *Instance) Connect(runtime Runtime, dependency Dependency, reporter HealthReporter, fronts ...Front) {
+	n.runtime = runtime
+	n.dependency = dependency
+	n.healthReporter = reporter
+	n.fronts = fronts
+}
+
+// Load returns how much of the instance's capacity is in use.
+func (n *Instance) Load() Load {
+	return Load{
+		Ready:    n.controller != nil && n.runtime.Up(),
+		Requests: n.inFlight,
+		Capacity: n.tableBytes / requestBytes,
+	}
 }
--- /dev/null
+++ b/internal/node/recorder_test.go
@@ -0,0 +1,99 @@
+package node
+
+import (
+	"fmt"
+	"strings"
+	"testing"
+	"time"
+
+	"go.uber.org/zap"
+
+	"thymechute/internal/testutil"
+	"thymechute/policy/settings"
+)
+
+// recorder stands for all neighbours of an instance and records what they are told.
+type recorder struct {
+	down    bool
+	pending bool
+	lines   []string
+}
+
+func (r *recorder) record(format string, args ...any) {
+	r.lines = append(r.lines, fmt.Sprintf(format, args...))
+}
+func (r *recorder) Up() bool { return !r.down }
+func (r *recorder) Start(id TaskID, class string, body []byte) {
+	r.record("start %s %s %s", id, class, body)
+}
+func (r *recorder) Stop(id TaskID)                       { r.record("stop %s", id) }
+func (r *recorder) DeliverReply(id TaskID, reply []byte) { r.record("give %s %s", id, reply) }
+func (r *recorder) RequestGauges()                       { r.record("gauges") }
+func (r *recorder) SelfTest(string)                      { r.record("test") }
+func (r *recorder) Call(id TaskID, _ time.Duration, body []byte) {
+	r.record("call %s %s", id, body)
+}
+func (r *recorder) Abandon(id TaskID)                { r.record("give up %s", id) }
+func (r *recorder) SetIdleTimeout(time.Duration)     {}
+func (r *recorder) Drain()                           { r.record("drain") }
+func (r *recorder) Sweep(time.Time) (next time.Time) { return }
+func (r *recorder) HealthChecked(id MessageID, result HealthCheckResult) {
+	r.record("checked %s %v", id, result.Status == Healthy)
+}
+func (r *recorder) Answer(id MessageID, answer Answer) {
+	r.record("answer %s %d %s", id, answer.Status, answer.Result)
+}
+
+func (r *recorder) expect(t *testing.T, n int, text string) {
+	t.Helper()
+	if got := strings.Count("\n"+strings.Join(r.lines, "\n")+"\n", "\n"+text); got != n {
+		t.Errorf("%q: %d times, want %d, in %q", text, got, n, r.lines)
+	}
+}
+
+type recordingFront struct{ *recorder }
+
+func (recordingFront) Sweep(time.Time)    {}
+func (f recordingFront) HasPending() bool { return f.pending }
+
+type discardReporter struct{}
+
+func (discardReporter) Sweep(time.Time, HealthStatus) {}
+
+// newReady returns an instance with a ready runtime and the classes safe, keyed and unsafe.
+func newReady(change func(*settings.Settings)) (*Instance, *recorder) {
+	peers := &recorder{}
+	n := New(testutil.TypedSettings(change), 7, 3*time.Second, 192<<20, zap.NewNop())
+	n.Connect(peers, peers, discardReporter{}, recordingFront{peers}, recordingFront{peers})
+	n.RuntimeReady(RuntimeState{RequestedAt: time.Now()})
+	n.Round()
+	return n, peers
+}
+
+// applySettings applies the delta between two settings.
+func (n *Instance) applySettings(t *testing.T, before, after settings.Settings) {
+	t.Helper()
+	delta, err := settings.Compare(n.Version(), before, after, func() {})
+	if err == nil {
+		err = n.Apply(delta)
+	}
+	if err != nil {
+		t.Fatal(err)
+	}
+}
+
+// admitRequest admits a request that reached the machine so long ago.
+func (n *Instance) admitRequest(responder Responder, id TaskID, class, key string, ago time.Duration) {
+	if err := n.Admit(responder, MessageID(id), Request{ID: id, Class: class, Key: key, MemoryKB: 1, ReceivedAt: time.Now().Add(-ago), Body: []byte("x")}); err != nil {
+		panic(err)
+	}
+	n.Round()
+}
+
+// admitRedelivered admits a request that may have run elsewhere.
+func (n *Instance) admitRedelivered(responder Responder, id TaskID, class, key, body string) {
+	if err := n.Admit(responder, MessageID(id), Request{ID: id, Class: class, Key: key, MemoryKB: 1, MayHaveRunElsewhere: true, ReceivedAt: time.Now(), Body: []byte(body)}); err != nil {
+		panic(err)
+	}
+	n.Round()
+}
--- /dev/null
+++ b/internal/node/resource_table.go
@@ -0,0 +1,157 @@
+package node
+
+import "thymechute/policy/settings"
+
+// resource is a class or a tenant.
+type resource interface{ ResourceName() string }
+
+// resourceTable gives the resources of one kind stable indices. A resource keeps its index while it is in force, and after its
+// removal as long as a request or key refers to it; then the index is free for another. So it has at most as many rows as
+// resources were in force or referred to at one time.
+type resourceTable[T resource] struct {
+	active   map[string]int32 // in force; at most settings.MaxClasses or settings.MaxTenants
+	retired  map[string]int32 // removed, with references left
+	rows     []resourceRow[T]
+	freeRows []int32
+}
+
+type resourceRow[T resource] struct {
+	value      T
+	references int32 // requests and keys
+	retired    bool
+}
+
+// newResourceTable returns a table of the resources, with their places as indices. A resource without a name has no index,
+// as no request can name it.
+func newResourceTable[T resource](resources []T) *resourceTable[T] {
+	t := &resourceTable[T]{
+		active:  make(map[string]int32, len(resources)),
+		retired: map[string]int32{},
+		rows:    make([]resourceRow[T], 0, len(resources)),
+	}
+	for _, value := range resources {
+		if value.ResourceName() != "" {
+			t.set(value)
+		}
+	}
+	return t
+}
+
+// find returns the index of the resource in force under the name.
+func (t *resourceTable[T]) find(name string) (int, bool) {
+	index, ok := t.active[name]
+	return int(index), ok
+}
+
+// at returns the resource of an index, in force or retired.
+func (t *resourceTable[T]) at(index int) *T { return &t.rows[index].value }
+
+// lookup returns the resource of that name, in force or retired; nil: none.
+func (t *resourceTable[T]) lookup(name string) *T {
+	index, ok := t.active[name]
+	if !ok {
+		index, ok = t.retired[name]
+	}
+	if !ok {
+		return nil
+	}
+	return t.at(int(index))
+}
+
+// set puts a resource in force, under its present index if it has one, and returns the index.
+func (t *resourceTable[T]) set(value T) int {
+	index := t.activate(value.ResourceName())
+	row := &t.rows[index]
+	row.value = value
+	row.retired = false
+	return int(index)
+}
+
+// activate returns the index of the active name.
+func (t *resourceTable[T]) activate(name string) int32 {
+	index, ok := t.active[name]
+	if ok {
+		return index
+	}
+	index, ok = t.retired[name]
+	if ok {
+		delete(t.retired, name)
+	} else {
+		index = t.allocate()
+	}
+	t.active[name] = index
+	return index
+}
+
+// allocate returns the index of a free row.
+func (t *resourceTable[T]) allocate() int32 {
+	if last := len(t.freeRows) - 1; last >= 0 {
+		index := t.freeRows[last]
+		t.freeRows = t.freeRows[:last]
+		return index
+	}
+	t.rows = append(t.rows, resourceRow[T]{})
+	return int32(len(t.rows) - 1)
+}
+
+// remove takes a resource out of force. Freed tells that nothing referred to it, and its index is free.
+func (t *resourceTable[T]) remove(name string) (index int, freed bool) {
+	active, ok := t.active[name]
+	if !ok {
+		return -1, false
+	}
+	delete(t.active, name)
+	row := &t.rows[active]
+	row.retired = true
+	if row.references > 0 {
+		t.retired[name] = active
+		return int(active), false
+	}
+	t.freeRow(active)
+	return int(active), true
+}
+
+// addReference counts a request or key of the resource.
+func (t *resourceTable[T]) addReference(index int) { t.rows[index].references++ }
+
+// dropReference undoes addReference. Freed tells that it was the last of a retired resource, whose index is free now.
+func (t *resourceTable[T]) dropReference(index int) (freed bool) {
+	row := &t.rows[index]
+	row.references--
+	if row.references > 0 || !row.retired {
+		return false
+	}
+	delete(t.retired, row.value.ResourceName())
+	t.freeRow(int32(index))
+	return true
+}
+
+func (t *resourceTable[T]) freeRow(index int32) {
+	t.rows[index] = resourceRow[T]{}
+	t.freeRows = append(t.freeRows, index)
+}
+
+// values returns the resources by their indices, those of free rows empty.
+func (t *resourceTable[T]) values() []T {
+	values := make([]T, len(t.rows))
+	for index := range t.rows {
+		values[index] = t.rows[index].value
+	}
+	return values
+}
+
+// growth returns by how many the changes raise the number of resources in force.
+func (t *resourceTable[T]) growth(changes settings.Changes[T]) int {
+	added := 0
+	for _, value := range changes.Set {
+		if _, ok := t.active[value.ResourceName()]; !ok {
+			added++
+		}
+	}
+	for _, name := range changes.Removed {
+		if _, ok := t.active[name]; ok {
+			added--
+		}
+	}
+	return added
+}
--- /dev/null
+++ b/internal/node/round.go
@@ -0,0 +1,121 @@
+package node
+
+import (
+	"time"
+
+	"thymechute/internal/loop"
+)
+
+// enqueue keeps an event for the next round.
+func (n *Instance) enqueue(event func()) { n.events = append(n.events, event) }
+
+// Round hands all events to the controller and lets it act. It returns when the next round is due and the phase that the
+// event loop shall be in.
+func (n *Instance) Round() (time.Time, loop.Phase) {
+	clock := time.Now()
+	n.now = clock.Sub(n.start)
+	nextTimeout := n.dependency.Sweep(clock)
+	n.handleEvents()
+	if n.controller == nil {
+		n.healthReporter.Sweep(clock, Unhealthy)
+		n.sweepFronts(clock)
+		return clock.Add(defaultTickInterval), n.phase()
+	}
+	nextTick := n.tickIfDue()
+	n.controller.Dispatch(n.now)
+	n.handleCompletions()
+	if n.now >= n.nextSweep {
+		n.sweep()
+	}
+	n.healthReporter.Sweep(clock, HealthOf(n.healthy && !n.draining))
+	n.sweepFronts(clock)
+	return earliest(nextTimeout, n.start.Add(nextTick)), n.phase()
+}
+
+// handleEvents runs the queued events. A panic of one does not keep the next from being handled.
+func (n *Instance) handleEvents() {
+	events := n.events
+	n.events = nil
+	if len(events) > 0 {
+		n.lastEventAt = n.now
+	}
+	for _, event := range events {
+		loop.Guard(n.log, "event", event)
+	}
+}
+
+// handleCompletions ends coalesced requests; what the controller then does may complete more of them.
+func (n *Instance) handleCompletions() {
+	for len(n.completions) > 0 {
+		completions := n.completions
+		n.completions = nil
+		for _, complete := range completions {
+			loop.Guard(n.log, "completion", complete)
+		}
+		n.controller.Dispatch(n.now)
+	}
+}
+
+// earliest returns the earlier of an optional time (zero: none) and another.
+func earliest(optional, other time.Time) time.Time {
+	if optional.IsZero() || other.Before(optional) {
+		return other
+	}
+	return optional
+}
+
+func (n *Instance) sweepFronts(now time.Time) {
+	for _, front := range n.fronts {
+		front.Sweep(now)
+	}
+}
+
+// tickIfDue ticks if it is time to, and returns when the next tick is due.
+func (n *Instance) tickIfDue() time.Duration {
+	if n.now < n.nextTick {
+		return n.nextTick
+	}
+	if due := n.tickDue(); n.now < due {
+		return due
+	}
+	n.tick()
+	return n.nextTick
+}
+
+func (n *Instance) tick() {
+	gauges := n.gauges
+	if n.now-n.gaugesAt > maxGaugeAge {
+		gauges = noGauges
+	}
+	n.nextTick = n.now + defaultTickInterval
+	n.controller.Tick(n.now, gauges)
+	if n.runtime.Up() {
+		n.requestGauges()
+	}
+}
+
+// requestGauges asks for the gauges of the next tick: no tick waits for them.
+func (n *Instance) requestGauges() {
+	if n.gaugesRequestedAt <= n.gaugesAt {
+		n.gaugesRequestedAt = n.now
+	}
+	n.runtime.RequestGauges()
+}
+
+// tickDue returns when the pending tick is due. It is deferred while the machine is stalled, which shows in gauges that
+// are outstanding and no other events: timers of the whole machine stand still then, and that is no load. The deferral is
+// shorter than the margin of every deadline, and a tick that late tells the controller of the stall.
+func (n *Instance) tickDue() time.Duration {
+	outstanding := n.runtime.Up() && n.gaugesRequestedAt > n.gaugesAt
+	if outstanding && n.now-max(n.gaugesRequestedAt, n.lastEventAt) > stallThreshold {
+		return n.nextTick + maxTickDelay
+	}
+	return n.nextTick
+}
+
+// sweep drops expired keys and fails health checks past their timeout.
+func (n *Instance) sweep() {
+	n.nextSweep = n.now + sweepInterval
+	n.sweepKeys()
+	n.failHealthChecks(func(check healthCheck) bool { return n.now > check.expiresAt })
+}
--- /dev/null
+++ b/internal/node/round_test.go
@@ -0,0 +1,31 @@
+package node
+
+import (
+	"testing"
+	"time"
+)
+
+// A stalled machine delivers neither gauges nor events. That is no load, and the controller must learn of the stall.
+func TestStalledMachineDefersTick(t *testing.T) {
+	n, peers := newReady(nil)
+	for _, stalled := range []bool{false, true} {
+		n.now = time.Since(n.start)
+		n.nextTick, n.gaugesRequestedAt, n.gaugesAt, n.lastEventAt = n.now, n.now-2*stallThreshold, n.now-3*stallThreshold, n.now
+		if stalled {
+			n.lastEventAt = n.gaugesRequestedAt
+		}
+		if late := n.tickDue() - n.nextTick; (late == maxTickDelay) != stalled || !stalled && late != 0 {
+			t.Errorf("stalled %v: %v late", stalled, late)
+		}
+	}
+	if peers.down = true; n.tickDue() != n.nextTick {
+		t.Error("a link that is down defers ticks")
+	}
+}
+
+func TestPanicOfOneEventDoesNotStopTheNext(t *testing.T) {
+	n, peers := newReady(nil)
+	n.enqueue(func() { panic("no") })
+	n.admitRequest(peers, "a", "safe", "", 0)
+	peers.expect(t, 1, "start a")
+}
--- /dev/null
+++ b/internal/node/runs.go
@@ -0,0 +1,172 @@
+package node
+
+import (
+	"time"
+
+	"go.uber.org/zap"
+
+	"thymechute/policy"
+)
+
+// RuntimeReady is called when a link to the runtime is established, with the runtime's answer. The first one creates the
+// controller; a later one of a younger runtime ends all runs, as they are lost.
+func (n *Instance) RuntimeReady(state RuntimeState) {
+	earliestStart := state.RequestedAt.Add(-state.Age)
+	latestStart := time.Now().Add(-state.Age)
+	n.enqueue(func() {
+		switch {
+		case n.controller != nil:
+			n.checkRestart(earliestStart, latestStart)
+		case !n.draining: // a draining instance without a controller rejects all requests until it ends
+			n.startController(state, latestStart)
+		}
+	})
+}
+
+func (n *Instance) startController(state RuntimeState, runtimeStart time.Time) {
+	n.log.Info("runtime ready", zap.Bool("reused", state.Reused), zap.Duration("age", state.Age))
+	n.start = runtimeStart // the controller's slow start counts from the runtime's start
+	n.runtimeStart = runtimeStart
+	n.runtimeReused = state.Reused
+	n.now = time.Since(n.start)
+	n.firstReady = n.now
+	n.lastEventAt = n.now
+	n.controller = n.newController()
+}
+
+// checkRestart ends all runs where the runtime has started again.
+func (n *Instance) checkRestart(earliestStart, latestStart time.Time) {
+	if !earliestStart.After(n.runtimeStart.Add(runtimeAgeTolerance)) {
+		return
+	}
+	n.log.Warn("runtime restarted, its runs are lost")
+	n.runtimeStart = latestStart
+	for index := range n.requests {
+		if request := &n.requests[index]; request.inFlight && request.startSent {
+			n.endRun(policy.RequestID(index), RunResult{Outcome: policy.Cancelled})
+		}
+	}
+}
+
+// RuntimeResynced is called when a new link has delivered all notices that were missed. Commands that may not have reached
+// the runtime are repeated: a second start or stop has no effect. A reply that was written to a link is not repeated, as
+// the run may wait at its next call by now.
+func (n *Instance) RuntimeResynced() {
+	n.enqueue(func() {
+		for index := range n.requests {
+			if n.requests[index].inFlight {
+				n.repeatCommands(policy.RequestID(index))
+			}
+		}
+	})
+}
+
+func (n *Instance) repeatCommands(id policy.RequestID) {
+	request := &n.requests[id]
+	if request.started && !request.startSent && request.answered {
+		n.endRun(id, RunResult{Outcome: policy.NotStarted})
+		return
+	}
+	if request.started && !request.startConfirmed {
+		n.sendStart(request)
+	}
+	if request.stopped {
+		n.runtime.Stop(request.taskID)
+	}
+	if request.pendingReply != nil {
+		n.runtime.DeliverReply(request.taskID, request.pendingReply)
+		request.pendingReply = nil
+	}
+}
+
+// RunEnded is called when a run has ended.
+func (n *Instance) RunEnded(taskID TaskID, result RunResult) {
+	n.enqueue(func() {
+		if id, ok := n.findRun(taskID); ok {
+			n.endRun(id, result)
+		}
+	})
+}
+
+// findRun returns the started request of that task id. A reused runtime that names an unknown one still executes requests
+// of an earlier incarnation of this instance.
+func (n *Instance) findRun(taskID TaskID) (policy.RequestID, bool) {
+	id, ok := n.byTaskID[taskID]
+	if !ok && n.runtimeReused && !n.earlierIncarnation {
+		n.earlierIncarnation = true
+		n.log.Warn("runtime still executes requests of an earlier incarnation, retries are rejected for one key window",
+			zap.String("task", string(taskID)))
+	}
+	return id, ok && n.requests[id].started
+}
+
+// endRun answers the request, completes its key and tells the controller.
+func (n *Instance) endRun(id policy.RequestID, result RunResult) {
+	request := &n.requests[id]
+	n.abandonCall(request)
+	switch result.Outcome {
+	case policy.OK:
+		n.respond(id, Answer{Status: Served, Result: result.Body})
+	case policy.Cancelled: // the controller answers
+	default:
+		n.respond(id, Answer{Status: Failed})
+	}
+	if entry := n.keys[request.key]; entry != nil && entry.owner == id {
+		n.completeKey(entry, result)
+	}
+	n.controller.RunEnded(n.now, id, result.Outcome, result.Duration)
+}
+
+// CallRequested is called when a run waits at a call with that body.
+func (n *Instance) CallRequested(taskID TaskID, body []byte) {
+	n.enqueue(func() {
+		id, ok := n.findRun(taskID)
+		if !ok {
+			return
+		}
+		request := &n.requests[id]
+		request.startConfirmed = true
+		request.callBody = body
+		request.pendingReply = nil
+		n.controller.CallRequested(n.now, id)
+	})
+}
+
+// CallReturned is called when a call to the dependency has ended.
+func (n *Instance) CallReturned(taskID TaskID, result CallResult) {
+	n.enqueue(func() {
+		id, ok := n.byTaskID[taskID]
+		if !ok || !n.requests[id].callInFlight {
+			return
+		}
+		request := &n.requests[id]
+		request.callInFlight = false
+		if result.Outcome == policy.OK {
+			n.deliverReply(request, result.Reply)
+		}
+		n.controller.CallReturned(n.now, id, result.Outcome, result.Duration)
+	})
+}
+
+func (n *Instance) deliverReply(request *requestState, reply []byte) {
+	if n.runtime.Up() {
+		n.runtime.DeliverReply(request.taskID, reply)
+	} else {
+		request.pendingReply = reply
+	}
+}
+
+// GaugesRead is called with the runtime's gauges, in the order of the settings.
+func (n *Instance) GaugesRead(values []float64) {
+	n.gauges = n.parseGauges(values)
+	n.gaugesAt = time.Since(n.start)
+}
+
+// parseGauges picks the controller's gauges out of the runtime's.
+func (n *Instance) parseGauges(values []float64) policy.Gauges {
+	busy, runnable := n.server.Gauges(values)
+	return policy.Gauges{Busy: busy, Runnable: runnable}
+}
+
+// noGauges are gauges without a reading.
+var noGauges = policy.Gauges{Busy: -1, Runnable: -1}
--- /dev/null
+++ b/internal/node/runs_test.go
@@ -0,0 +1,100 @@
+package node
+
+import (
+	"errors"
+	"testing"
+	"time"
+
+	"thymechute/policy"
+)
+
+// The runtime rounds its age to milliseconds, so a difference of that size is no restart.
+func TestRuntimeRestartNeedsMuchLowerAge(t *testing.T) {
+	n, peers := newReady(nil)
+	n.admitRequest(peers, "a", "safe", "", 0)
+	n.RuntimeReady(RuntimeState{Reused: true, Age: time.Since(n.runtimeStart) - 2*time.Millisecond, RequestedAt: time.Now()})
+	n.Round()
+	peers.expect(t, 0, "answer")
+	n.runtimeStart = n.runtimeStart.Add(-time.Second)
+	n.RuntimeReady(RuntimeState{Reused: true, RequestedAt: time.Now()})
+	n.Round()
+	peers.expect(t, 1, "answer a 2")
+}
+
+func TestCommandsAreRepeatedOnceTheLinkIsUp(t *testing.T) {
+	n, peers := newReady(nil)
+	peers.down = true
+	n.admitRequest(peers, "a", "unsafe", "", 0)
+	n.admitRequest(peers, "b", "unsafe", "", 0)
+	peers.expect(t, 0, "start")
+	n.Fail(n.byTaskID["b"]) // answered before it could start: nothing is left to run
+	peers.down = false
+	n.RuntimeResynced()
+	n.Round()
+	peers.expect(t, 1, "start a unsafe x")
+	peers.expect(t, 0, "start b")
+	n.CallRequested("a", []byte("call"))
+	n.Round()
+	peers.expect(t, 1, "call a call")
+	peers.down = true
+	n.CallReturned("a", CallResult{Outcome: policy.OK, Reply: []byte("reply")})
+	n.Round()
+	peers.down = false
+	n.RuntimeResynced()
+	n.RuntimeResynced()
+	n.Round()
+	peers.expect(t, 1, "start a")
+	peers.expect(t, 1, "give a reply")
+}
+
+// A delay between the runtime's answer and its reading must not make the runtime look younger.
+func TestRuntimeStateReadLateIsNoRestart(t *testing.T) {
+	n, peers := newReady(nil)
+	n.admitRequest(peers, "a", "safe", "", 0)
+	n.runtimeStart = n.runtimeStart.Add(-5 * time.Second)
+	n.RuntimeReady(RuntimeState{Age: 3 * time.Second, RequestedAt: time.Now().Add(-3 * time.Second)})
+	n.Round()
+	peers.expect(t, 0, "answer a")
+	n.RuntimeReady(RuntimeState{Age: 3 * time.Second, RequestedAt: time.Now()})
+	n.Round()
+	peers.expect(t, 1, "answer a 2")
+}
+
+func TestGoneCallersAreNotAnswered(t *testing.T) {
+	n, peers := newReady(nil)
+	other := &recorder{}
+	for _, id := range []TaskID{"a", "b", "c"} {
+		n.admitRequest(other, id, "unsafe", "", 0)
+	}
+	n.CallerGone(other)
+	n.Round()
+	n.RunEnded("a", RunResult{Outcome: policy.OK})
+	n.admitRequest(peers, "d", "unsafe", "", 0)
+	peers.expect(t, 1, "start d") // on the core that c, still queued, was abandoned for
+	peers.expect(t, 0, "start c")
+	if len(other.lines) != 0 {
+		t.Errorf("recorded %q", other.lines)
+	}
+}
+
+func TestExpiredCallerTimeoutIsNotTakenForNone(t *testing.T) {
+	n, peers := newReady(nil)
+	for id, timeout := range map[TaskID]time.Duration{"a": time.Millisecond, "b": time.Minute} {
+		if err := n.Admit(peers, MessageID(id), Request{ID: id, Class: "safe", MemoryKB: 1, ReceivedAt: time.Now().Add(-10 * time.Millisecond), CallerTimeout: timeout}); err != nil {
+			t.Fatal(err)
+		}
+	}
+	n.Round()
+	peers.expect(t, 1, "answer a 1")
+	peers.expect(t, 1, "start b")
+}
+
+// The text of an admission error goes to the caller, and is that of its reason alone.
+func TestAdmissionErrorHasTheTextOfItsReason(t *testing.T) {
+	n, peers := newReady(nil)
+	err := n.Admit(peers, "a", Request{ID: "a", Class: "missing"})
+	var invalid *AdmissionError
+	if !errors.As(err, &invalid) || !errors.Is(err, ErrUnknownClass) || invalid.Value != "missing" || err.Error() != "unknown class" {
+		t.Errorf("%v: %+v", err, invalid)
+	}
+}
--- a/internal/node/settings.go
+++ b/internal/node/settings.go
@@ -1,167 +1,156 @@
-// This file owns the settings in force: a delta comes in whole or not at all, in time that follows its own length. It must
-// never walk the tenants or the classes that a delta does not name.
-
 package node
 
 import (
-	"fmt"
 	"time"
 
 	"thymechute/policy"
 	"thymechute/policy/settings"
 )
 
-// VersionError is a delta that does not start from what is in force.
-type VersionError struct{ From, InForce uint64 }
-
-func (e *VersionError) Error() string {
-	return fmt.Sprintf("settings: found a change of version %d, expected one of %d, which is in force", e.From, e.InForce)
-}
-
-// BoundError is a delta after which there would be too many of one kind.
-type BoundError struct {
-	Kind         string
-	Found, Bound int
-}
+// Version returns the version of the settings in force.
+func (n *Instance) Version() uint64 { return n.settingsVersion }
 
-func (e *BoundError) Error() string {
-	return fmt.Sprintf("settings.%s: found %d, expected at most %d", e.Kind, e.Found, e.Bound)
+// Idempotency returns that of the class in force under this name; empty: unknown class, or none is set.
+func (n *Instance) Idempotency(class string) settings.Idempotency {
+	index, ok := n.classes.find(class)
+	if !ok {
+		return ""
+	}
+	return n.idempotencyOf(index)
 }
 
-// firstVersion is that of the settings with which the instance starts.
-const firstVersion = 1
-
-// Version is of the settings in force.
-func (n *Instance) Version() uint64 { return n.version }
-
-// Apply puts a delta in force, on the loop. What it does not name goes on with its index, its figures and all that was
-// learned of it; what it removes is refused to new requests, and goes once nothing of it is in hand. A key is kept for
-// the longer of its two windows. Errors, of which nothing is taken: VersionError, BoundError, settings.KindChanged.
-func (n *Instance) Apply(d settings.Delta) error {
-	if err := n.refuse(&d); err != nil {
+// Apply puts a delta into force. Resources that it does not name keep their index and the controller's estimates. A removed
+// class or tenant admits no new requests, and its index is freed with its last request and key. An idempotency key lives
+// for the longest of the windows in force during its life. The work follows the delta's length, not that of the settings.
+//
+// Errors: *VersionError, *BoundError, *settings.IdempotencyChangedError; nothing of the delta is in force then.
+func (n *Instance) Apply(delta settings.Delta) error {
+	if err := n.validate(&delta); err != nil {
 		return err
 	}
-	n.version = d.To
-	if d.Server != nil {
-		n.server = *d.Server
-		n.free = -1 // the value in its earlier form must not go on: the module says it anew
-		if n.mod != nil {
-			n.mod.SetServer(n.server)
-		}
+	n.settingsVersion = delta.To
+	if delta.Server != nil {
+		n.applyServer(*delta.Server)
 	}
-	n.applyClasses(d.Classes)
-	n.applyTenants(d.Tenants)
+	n.applyClasses(delta.Classes)
+	n.applyTenants(delta.Tenants)
 	return nil
 }
 
-func (n *Instance) refuse(d *settings.Delta) error {
-	if d.From != n.version {
-		return &VersionError{d.From, n.version}
+// validate returns the error of a delta that must not be applied.
+func (n *Instance) validate(delta *settings.Delta) error {
+	if delta.From != n.settingsVersion {
+		return &VersionError{From: delta.From, InForce: n.settingsVersion}
 	}
-	if found := len(n.classes.inForce) + n.classes.grows(d.Classes); found > settings.MaxClasses {
-		return &BoundError{"classes", found, settings.MaxClasses}
+	if found := len(n.classes.active) + n.classes.growth(delta.Classes); found > settings.MaxClasses {
+		return &BoundError{Kind: "classes", Found: found, Bound: settings.MaxClasses}
 	}
-	if found := len(n.tenants.inForce) + n.tenants.grows(d.Tenants); found > settings.MaxTenants {
-		return &BoundError{"tenants", found, settings.MaxTenants}
+	if found := len(n.tenants.active) + n.tenants.growth(delta.Tenants); found > settings.MaxTenants {
+		return &BoundError{Kind: "tenants", Found: found, Bound: settings.MaxTenants}
 	}
-	for _, now := range d.Classes.Set { // also one that was removed, while something of it is in hand
-		if was := n.classes.known(now.Name); was != nil {
-			if err := settings.CheckIdempotency(*was, now); err != nil {
-				return err
-			}
+	for _, class := range delta.Classes.Set {
+		current := n.classes.lookup(class.Name) // a removed class too, while it has requests or keys
+		if current == nil {
+			continue
+		}
+		if err := settings.CheckIdempotency(*current, class); err != nil {
+			return err
 		}
 	}
 	return nil
 }
 
-func (n *Instance) applyClasses(c settings.Changes[settings.Class]) {
-	for _, name := range c.Removed {
-		if index, freed := n.classes.remove(name); freed && n.mod != nil {
-			n.mod.FreeClass(index)
+func (n *Instance) applyServer(server settings.Server) {
+	n.server = server
+	n.advertised = noAdvertisedValue // its form may have changed: the controller sets it again
+	if n.controller != nil {
+		n.controller.SetServer(server)
+	}
+}
+
+func (n *Instance) applyClasses(changes settings.Changes[settings.Class]) {
+	for _, name := range changes.Removed {
+		if index, freed := n.classes.remove(name); freed && n.controller != nil {
+			n.controller.FreeClass(index)
 		}
 	}
-	longer := false
-	for _, class := range c.Set {
-		was := n.classes.known(class.Name)
-		longer = longer || was != nil && class.KeyWindow.Seconds(0) > was.KeyWindow.Seconds(0)
-		class = withRuntime(class)
+	windowExtended := false
+	for _, class := range changes.Set {
+		current := n.classes.lookup(class.Name)
+		if current != nil && class.KeyWindow.Seconds(0) > current.KeyWindow.Seconds(0) {
+			windowExtended = true
+		}
+		class = withoutDegradedAnswers(class)
 		index := n.classes.set(class)
-		if n.mod != nil {
-			n.mod.SetClass(index, class)
+		if n.controller != nil {
+			n.controller.SetClass(index, class)
 		}
 	}
-	if !longer {
-		return
-	}
-	for _, r := range n.keys { // of work in hand, not of the settings
-		if window := n.window(r.class); window > r.window { // once only, however often it goes there and back
-			r.end, r.window = r.end+window-r.window, window
-		}
+	if windowExtended {
+		n.extendKeys()
 	}
 }
 
-func (n *Instance) applyTenants(c settings.Changes[settings.Tenant]) {
-	for _, name := range c.Removed {
-		if index, freed := n.tenants.remove(name); freed && n.mod != nil {
-			n.mod.FreeTenant(index)
+func (n *Instance) applyTenants(changes settings.Changes[settings.Tenant]) {
+	for _, name := range changes.Removed {
+		if index, freed := n.tenants.remove(name); freed && n.controller != nil {
+			n.controller.FreeTenant(index)
 		}
 	}
-	for _, tenant := range c.Set {
+	for _, tenant := range changes.Set {
 		index := n.tenants.set(tenant)
-		if n.mod != nil {
-			n.mod.SetTenant(index, tenant)
+		if n.controller != nil {
+			n.controller.SetTenant(index, tenant)
 		}
 	}
 }
 
-// withRuntime is a class as the module may take it beside the runtime. The runtime's protocol has no command by which a run
-// goes on without the call that it stands at, so no answer is made without one, whatever the settings would pay for it.
-func withRuntime(class settings.Class) settings.Class {
+// withoutDegradedAnswers returns the class without a weight for answers that skip the call. The runtime's protocol has no
+// command to continue a run without its call, so the controller must never choose that.
+func withoutDegradedAnswers(class settings.Class) settings.Class {
 	class.DegradedWeight = settings.Number{}
 	return class
 }
 
-// newModule makes the decision module by the settings in force.
-func (n *Instance) newModule() *policy.Instance {
-	mod := policy.New(n, n.seed, settings.Settings{Server: n.server, Classes: n.classes.values(), Tenants: n.tenants.values()})
-	for _, index := range n.classes.free {
-		mod.FreeClass(int(index))
+// newController returns a controller for the settings in force.
+func (n *Instance) newController() *policy.Instance {
+	controller := policy.New(n, n.seed, settings.Settings{
+		Server:  n.server,
+		Classes: n.classes.values(),
+		Tenants: n.tenants.values(),
+	})
+	for _, index := range n.classes.freeRows {
+		controller.FreeClass(int(index))
 	}
-	for _, index := range n.tenants.free {
-		mod.FreeTenant(int(index))
+	for _, index := range n.tenants.freeRows {
+		controller.FreeTenant(int(index))
 	}
-	return mod
+	return controller
 }
 
-// hold notes that something of a class and, unless it is negative, of a tenant is in hand.
-func (n *Instance) hold(class, tenant int) {
-	n.classes.use(class)
-	if tenant >= 0 {
-		n.tenants.use(tenant)
+// addReferences counts a request or key of the class and, unless that is noTenant, of the tenant.
+func (n *Instance) addReferences(class, tenant int) {
+	n.classes.addReference(class)
+	if tenant != noTenant {
+		n.tenants.addReference(tenant)
 	}
 }
 
-// letGo notes the end of what hold did, and frees what was removed meanwhile.
-func (n *Instance) letGo(class, tenant int) {
-	if n.classes.done(class) && n.mod != nil {
-		n.mod.FreeClass(class)
+// dropReferences undoes addReferences, and frees what was removed from the settings meanwhile.
+func (n *Instance) dropReferences(class, tenant int) {
+	if n.classes.dropReference(class) && n.controller != nil {
+		n.controller.FreeClass(class)
 	}
-	if tenant >= 0 && n.tenants.done(tenant) && n.mod != nil {
-		n.mod.FreeTenant(tenant)
+	if tenant != noTenant && n.tenants.dropReference(tenant) && n.controller != nil {
+		n.controller.FreeTenant(tenant)
 	}
 }
 
-// kind of a class by its index.
-func (n *Instance) kind(class int) settings.Idempotency { return n.classes.at(class).Idempotency }
-
-// window for which a key of a class is known.
-func (n *Instance) window(class int) time.Duration { return n.classes.at(class).KeyWindow.Seconds(0) }
-
-// readings is a row of gauges as the module takes it.
-func (n *Instance) readings(row []float64) policy.Gauges {
-	busy, runnable := n.server.Gauges(row)
-	return policy.Gauges{Busy: busy, Runnable: runnable}
+func (n *Instance) idempotencyOf(class int) settings.Idempotency {
+	return n.classes.at(class).Idempotency
 }
 
-// noReadings are gauges of which nothing is offered.
-var noReadings = policy.Gauges{Busy: -1, Runnable: -1}
+// keyWindowOf returns how long an idempotency key of the class lives.
+func (n *Instance) keyWindowOf(class int) time.Duration {
+	return n.classes.at(class).KeyWindow.Seconds(0)
+}
--- a/internal/node/settings_test.go
+++ b/internal/node/settings_test.go
@@ -16,8 +16,9 @@
 	"thymechute/policy/settings"
 )
 
-// with is a small site of these classes, by name and kind in turn, each with its place, from 1, as its value.
-func with(classes ...string) settings.Settings {
+// settingsWithClasses returns settings with these classes, given as names and idempotencies in turn, with their places from
+// 1 as weights.
+func settingsWithClasses(classes ...string) settings.Settings {
 	return testutil.TypedSettings(func(s *settings.Settings) {
 		s.Classes = nil
 		for n := 0; n < len(classes); n += 2 {
@@ -28,78 +29,78 @@
 	})
 }
 
-// serving is an instance of these settings whose runtime is up.
-func serving(s settings.Settings) (*Instance, *sides) {
-	out := &sides{}
+// newReadyWith returns an instance of these settings with a ready runtime.
+func newReadyWith(s settings.Settings) (*Instance, *recorder) {
+	peers := &recorder{}
 	n := New(s, 7, 3*time.Second, 192<<20, zap.NewNop())
-	n.Connect(out, out, reports{}, front{out})
-	n.RuntimeReady(false, 0, time.Now())
+	n.Connect(peers, peers, discardReporter{}, recordingFront{peers})
+	n.RuntimeReady(RuntimeState{RequestedAt: time.Now()})
 	n.Round()
-	return n, out
+	return n, peers
 }
 
-func TestLaterSettingsKeepIndicesAndTheWayBackIsTheSame(t *testing.T) {
-	here := with("trace", "repeatable", "excursion", "by_key")
-	there := with("issue", "by_key", "excursion", "by_key", "lookup", "repeatable")
-	n, s := serving(here)
-	n.ask(s, "a", "trace", "", 0)
+func TestDeltaKeepsIndicesAndCanBeReverted(t *testing.T) {
+	before := settingsWithClasses("trace", "repeatable", "excursion", "by_key")
+	after := settingsWithClasses("issue", "by_key", "excursion", "by_key", "lookup", "repeatable")
+	n, peers := newReadyWith(before)
+	n.admitRequest(peers, "a", "trace", "", 0)
 	trace, _ := n.classes.find("trace")
 	excursion, _ := n.classes.find("excursion")
-	n.apply(t, here, there)
-	if n.HasClass("trace") || !n.HasClass("issue") || !n.HasClass("lookup") || n.Version() != firstVersion+1 {
-		t.Errorf("%v", n.classes.inForce)
+	n.applySettings(t, before, after)
+	if n.HasClass("trace") || !n.HasClass("issue") || !n.HasClass("lookup") || n.Version() != firstSettingsVersion+1 {
+		t.Errorf("%v", n.classes.active)
 	}
 	if at, _ := n.classes.find("excursion"); at != excursion || n.classes.at(at).Weight != settings.NumberOf(2) {
 		t.Errorf("excursion at %d, was at %d: %+v", at, excursion, n.classes.at(at))
 	}
-	if issue, _ := n.classes.find("issue"); issue == trace || n.kind(issue) != settings.Idempotent || n.kind(trace) != settings.Safe {
-		t.Error("a class that is in hand lost its index or its kind")
+	if issue, _ := n.classes.find("issue"); issue == trace || n.idempotencyOf(issue) != settings.Idempotent || n.idempotencyOf(trace) != settings.Safe {
+		t.Error("a class that is referred to lost its index or its idempotency")
 	}
-	n.apply(t, there, here)
+	n.applySettings(t, after, before)
 	if at, ok := n.classes.find("trace"); !ok || at != trace || n.classes.at(at).Weight != settings.NumberOf(1) || n.HasClass("issue") {
 		t.Errorf("trace at %d, was at %d", at, trace)
 	}
-	n.RunEnded("a", policy.OK, 0, nil)
+	n.RunEnded("a", RunResult{Outcome: policy.OK})
 	n.Round()
-	s.wants(t, 1, "answer a 0")
-	d, err := settings.Compare(n.Version(), here, with("excursion", "repeatable"), func() {})
+	peers.expect(t, 1, "answer a 0")
+	d, err := settings.Compare(n.Version(), before, settingsWithClasses("excursion", "repeatable"), func() {})
 	var kind *settings.IdempotencyChangedError
 	if !errors.As(err, &kind) {
-		t.Errorf("a class changed its kind: %v", err)
+		t.Errorf("a class changed its idempotency: %v", err)
 	}
 	if err := n.Apply(d); !errors.As(err, &kind) || kind.Class != "excursion" || !n.HasClass("trace") {
-		t.Errorf("a class changed its kind: %v", err)
+		t.Errorf("a class changed its idempotency: %v", err)
 	}
 }
 
-// A class that was removed keeps its kind for as long as something of it is in hand, and no longer.
-func TestARemovedClassMayComeBackAsAnotherKindOnceNothingIsInHand(t *testing.T) {
-	here, without := with("trace", "repeatable", "seal", "by_key"), with("trace", "repeatable")
-	n, s := serving(here)
-	n.ask(s, "a", "seal", "k", 0)
-	n.apply(t, here, without)
-	other, err := settings.Compare(n.Version(), without, with("trace", "repeatable", "seal", "once"), func() {})
+// A removed class keeps its idempotency as long as a request or key refers to it, and no longer.
+func TestRemovedClassMayReturnWithOtherIdempotencyOnceUnreferenced(t *testing.T) {
+	before, without := settingsWithClasses("trace", "repeatable", "seal", "by_key"), settingsWithClasses("trace", "repeatable")
+	n, peers := newReadyWith(before)
+	n.admitRequest(peers, "a", "seal", "k", 0)
+	n.applySettings(t, before, without)
+	other, err := settings.Compare(n.Version(), without, settingsWithClasses("trace", "repeatable", "seal", "once"), func() {})
 	if err != nil {
 		t.Fatal(err)
 	}
 	var kind *settings.IdempotencyChangedError
 	if err := n.Apply(other); !errors.As(err, &kind) {
-		t.Errorf("with a run in hand: %v", err)
+		t.Errorf("with a run in flight: %v", err)
 	}
-	n.RunEnded("a", policy.OK, 0, nil)
+	n.RunEnded("a", RunResult{Outcome: policy.OK})
 	n.Round()
 	if err := n.Apply(other); !errors.As(err, &kind) {
-		t.Errorf("with a key in hand: %v", err)
+		t.Errorf("with a key in the table: %v", err)
 	}
-	n.keys["seal k"].end, n.swept = n.now-2*afterEnd, 0
+	n.keys["seal k"].expiresAt, n.nextSweep = n.now-2*keyLinger, 0
 	n.Round()
 	if err := n.Apply(other); err != nil {
-		t.Errorf("with nothing in hand: %v", err)
+		t.Errorf("unreferenced: %v", err)
 	}
 }
 
-func TestDeltasAreRefusedWhole(t *testing.T) {
-	n, _ := serving(with("trace", "repeatable"))
+func TestInvalidDeltaChangesNothing(t *testing.T) {
+	n, _ := newReadyWith(settingsWithClasses("trace", "repeatable"))
 	many := settings.Changes[settings.Class]{}
 	for at := range settings.MaxClasses {
 		many.Set = append(many.Set, settings.Class{Name: fmt.Sprint("c", at)})
@@ -118,92 +119,92 @@
 			Classes: settings.Changes[settings.Class]{Set: []settings.Class{{Name: "new"}, {Name: "trace", Idempotency: settings.NonIdempotent}}}},
 	} {
 		if err := n.Apply(d); err == nil {
-			t.Errorf("%s: taken", what)
+			t.Errorf("%s: applied", what)
 		}
-		if n.Version() != firstVersion || len(n.classes.inForce) != 1 || len(n.tenants.inForce) != 1 || n.server.FleetSize == server.FleetSize {
-			t.Fatalf("%s: half of it is in force", what)
+		if n.Version() != firstSettingsVersion || len(n.classes.active) != 1 || len(n.tenants.active) != 1 || n.server.FleetSize == server.FleetSize {
+			t.Fatalf("%s: a part of it is in force", what)
 		}
 	}
 	long.Removed = []string{"acme"}
 	if err := n.Apply(settings.Delta{From: 1, To: 2, Classes: fits, Tenants: long}); err != nil {
-		t.Errorf("as many as may be: %v", err)
+		t.Errorf("as many as the bounds allow: %v", err)
 	}
 }
 
-// A delta that comes before the runtime is up holds for the module that starts with it.
-func TestDeltasBeforeTheRuntimeIsUp(t *testing.T) {
-	here, there := with("trace", "repeatable", "seal", "once"), with("seal", "once")
-	there.Tenants = nil
-	s := &sides{}
-	n := New(here, 7, 3*time.Second, 192<<20, zap.NewNop())
-	n.Connect(s, s, reports{}, front{s})
-	n.apply(t, here, there)
-	n.RuntimeReady(false, 0, time.Now())
+// A delta that is applied before the runtime is ready holds for the controller that starts then.
+func TestDeltaBeforeTheRuntimeIsReady(t *testing.T) {
+	before, after := settingsWithClasses("trace", "repeatable", "seal", "once"), settingsWithClasses("seal", "once")
+	after.Tenants = nil
+	peers := &recorder{}
+	n := New(before, 7, 3*time.Second, 192<<20, zap.NewNop())
+	n.Connect(peers, peers, discardReporter{}, recordingFront{peers})
+	n.applySettings(t, before, after)
+	n.RuntimeReady(RuntimeState{RequestedAt: time.Now()})
 	n.Round()
-	n.ask(s, "a", "seal", "", 0)
-	s.wants(t, 1, "start a seal x")
-	if err := n.Admit(s, "b", Request{ID: "b", Class: "trace"}); !errors.Is(err, ErrUnknownClass) {
+	n.admitRequest(peers, "a", "seal", "", 0)
+	peers.expect(t, 1, "start a seal x")
+	if err := n.Admit(peers, "b", Request{ID: "b", Class: "trace"}); !errors.Is(err, ErrUnknownClass) {
 		t.Errorf("%v", err)
 	}
-	n.apply(t, there, here)
-	n.ask(s, "c", "trace", "", 0)
-	s.wants(t, 1, "start c trace x")
+	n.applySettings(t, after, before)
+	n.admitRequest(peers, "c", "trace", "", 0)
+	peers.expect(t, 1, "start c trace x")
 }
 
-// An index that goes to another tenant brings nothing along: the first one's empty bucket does not hold up the second.
-func TestAFreedIndexLeavesNoBucket(t *testing.T) {
-	here := testutil.TypedSettings(func(s *settings.Settings) {
+// An index that is given to another tenant carries no state: the first one's empty token bucket does not limit the second.
+func TestFreedIndexCarriesNoTokenBucket(t *testing.T) {
+	before := testutil.TypedSettings(func(s *settings.Settings) {
 		s.Tenants = []settings.Tenant{{Name: "a", Quota: settings.NumberOf(0.001)}, {Name: "other"}}
 		s.Server.OverQuotaWeight = settings.NumberOf(0.001)
 	})
-	there := here
-	there.Tenants = []settings.Tenant{{Name: "b", Quota: settings.NumberOf(0.001)}, {Name: "other"}}
-	n, s := serving(here)
-	of := func(rid, class, tenant string) {
+	after := before
+	after.Tenants = []settings.Tenant{{Name: "b", Quota: settings.NumberOf(0.001)}, {Name: "other"}}
+	n, peers := newReadyWith(before)
+	admit := func(id TaskID, class, tenant string) {
 		t.Helper()
-		if err := n.Admit(s, rid, Request{ID: rid, Class: class, Tenant: tenant, MemoryKB: 1, ReceivedAt: time.Now(), Body: []byte("x")}); err != nil {
+		if err := n.Admit(peers, MessageID(id), Request{ID: id, Class: class, Tenant: tenant, MemoryKB: 1, ReceivedAt: time.Now(), Body: []byte("x")}); err != nil {
 			t.Fatal(err)
 		}
 		n.Round()
 	}
-	end := func(rid string) {
-		n.RunEnded(rid, policy.OK, time.Millisecond, nil)
+	end := func(id TaskID) {
+		n.RunEnded(id, RunResult{Outcome: policy.OK, Duration: time.Millisecond})
 		n.Round()
 	}
-	for at := range 10 { // more than may come at once
-		rid := fmt.Sprint("a", at)
-		of(rid, "safe", "a")
-		end(rid)
+	for at := range 10 { // more than the burst
+		id := TaskID(fmt.Sprint("a", at))
+		admit(id, "safe", "a")
+		end(id)
 	}
 	was, _ := n.tenants.find("a")
-	n.apply(t, here, there)
+	n.applySettings(t, before, after)
 	if now, ok := n.tenants.find("b"); !ok || now != was {
 		t.Fatalf("b at %d, want %d", now, was)
 	}
-	if err := n.Admit(s, "z", Request{ID: "z", Class: "safe", Tenant: "a"}); !errors.Is(err, ErrUnknownTenant) {
+	if err := n.Admit(peers, "z", Request{ID: "z", Class: "safe", Tenant: "a"}); !errors.Is(err, ErrUnknownTenant) {
 		t.Errorf("a removed tenant: %v", err)
 	}
-	of("x1", "safe", "other")
-	of("x2", "safe", "other") // on both cores
-	of("b1", "safe", "b")     // first, unless it is beyond its quota
-	of("x3", "safe", "other")
+	admit("x1", "safe", "other")
+	admit("x2", "safe", "other") // on both cores
+	admit("b1", "safe", "b")     // first, unless it is over its quota
+	admit("x3", "safe", "other")
 	end("x1")
-	s.wants(t, 1, "start b1")
-	s.wants(t, 0, "start x3")
+	peers.expect(t, 1, "start b1")
+	peers.expect(t, 0, "start x3")
 }
 
-// machine drives an instance and a plain model of what is in force and in hand.
-type machine struct {
-	n       *Instance
-	s       *sides
-	inForce settings.Settings
-	rids    map[string]request
-	next    int
+// model drives an instance beside a simple model of the settings in force and the requests in flight.
+type model struct {
+	instance *Instance
+	peers    *recorder
+	active   settings.Settings
+	requests map[TaskID]modelRequest
+	lastID   int
 }
 
-type request struct{ class, tenant, key string }
+type modelRequest struct{ class, tenant, key string }
 
-func (m *machine) draw(t *rapid.T) settings.Settings {
+func (m *model) drawSettings(t *rapid.T) settings.Settings {
 	return testutil.TypedSettings(func(s *settings.Settings) {
 		s.Server.FleetSize = settings.NumberOf(float64(rapid.IntRange(1, 2).Draw(t, "fleet")))
 		s.Server.MemoryKB = settings.NumberOf(1e6)
@@ -218,139 +219,139 @@
 	})
 }
 
-func (m *machine) change(t *rapid.T) {
-	later := m.draw(t)
-	d, err := settings.Compare(m.n.Version(), m.inForce, later, func() {})
+func (m *model) applyDelta(t *rapid.T) {
+	later := m.drawSettings(t)
+	d, err := settings.Compare(m.instance.Version(), m.active, later, func() {})
 	if err == nil {
-		err = m.n.Apply(d)
+		err = m.instance.Apply(d)
 	}
 	if err != nil {
 		t.Fatal(err)
 	}
-	m.inForce = later
+	m.active = later
 }
 
-// stale is a delta that was made before another came first.
-func (m *machine) stale(t *rapid.T) {
-	d, _ := settings.Compare(m.n.Version()-1, m.inForce, m.draw(t), func() {})
-	if m.n.Apply(d) == nil {
-		t.Fatal("taken")
+// applyStaleDelta tries a delta from a version that is no longer in force.
+func (m *model) applyStaleDelta(t *rapid.T) {
+	d, _ := settings.Compare(m.instance.Version()-1, m.active, m.drawSettings(t), func() {})
+	if m.instance.Apply(d) == nil {
+		t.Fatal("a stale delta was applied")
 	}
 }
 
-func (m *machine) ask(t *rapid.T) {
-	r := request{class: rapid.SampledFrom([]string{"trace", "p", "q", "r"}).Draw(t, "class"),
+func (m *model) admit(t *rapid.T) {
+	r := modelRequest{class: rapid.SampledFrom([]string{"trace", "p", "q", "r"}).Draw(t, "class"),
 		tenant: rapid.SampledFrom([]string{"", "a", "b", "c", "d", "e"}).Draw(t, "tenant"), key: rapid.SampledFrom([]string{"", "k", "l"}).Draw(t, "key")}
-	m.next++
-	rid := fmt.Sprint("i", m.next)
-	err := m.n.Admit(m.s, rid, Request{ID: rid, Class: r.class, Tenant: r.tenant, Key: r.key, MemoryKB: 1, ReceivedAt: time.Now(), Body: []byte("x")})
-	known := slices.ContainsFunc(m.inForce.Classes, func(c settings.Class) bool { return c.Name == r.class })
-	mine := r.tenant == "" || slices.ContainsFunc(m.inForce.Tenants, func(c settings.Tenant) bool { return c.Name == r.tenant })
+	m.lastID++
+	id := TaskID(fmt.Sprint("i", m.lastID))
+	err := m.instance.Admit(m.peers, MessageID(id), Request{ID: id, Class: r.class, Tenant: r.tenant, Key: r.key, MemoryKB: 1, ReceivedAt: time.Now(), Body: []byte("x")})
+	known := slices.ContainsFunc(m.active.Classes, func(c settings.Class) bool { return c.Name == r.class })
+	mine := r.tenant == "" || slices.ContainsFunc(m.active.Tenants, func(c settings.Tenant) bool { return c.Name == r.tenant })
 	if errors.Is(err, ErrUnknownClass) == known || known && errors.Is(err, ErrUnknownTenant) == mine || known && mine && err != nil {
 		t.Fatalf("%+v: %v, class known %v, tenant %v", r, err, known, mine)
 	}
 	if err == nil {
-		m.rids[rid] = r
+		m.requests[id] = r
 	}
-	m.n.Round()
+	m.instance.Round()
 }
 
-func (m *machine) end(t *rapid.T) {
-	if rids := slices.Sorted(maps.Keys(m.n.byRid)); len(rids) > 0 {
-		m.n.RunEnded(rapid.SampledFrom(rids).Draw(t, "rid"), policy.OK, time.Millisecond, []byte("r"))
-		m.n.Round()
+func (m *model) endRun(t *rapid.T) {
+	if ids := slices.Sorted(maps.Keys(m.instance.byTaskID)); len(ids) > 0 {
+		m.instance.RunEnded(rapid.SampledFrom(ids).Draw(t, "id"), RunResult{Outcome: policy.OK, Duration: time.Millisecond, Body: []byte("r")})
+		m.instance.Round()
 	}
 }
 
-// forget lets the keys of what has ended go.
-func (m *machine) forget(*rapid.T) {
-	for _, r := range m.n.keys {
-		r.end = m.n.now - 2*afterEnd
+// expireKeys lets all keys expire, so that those of ended runs are dropped.
+func (m *model) expireKeys(*rapid.T) {
+	for _, r := range m.instance.keys {
+		r.expiresAt = m.instance.now - 2*keyLinger
 	}
-	m.n.swept = 0
-	m.n.Round()
+	m.instance.nextSweep = 0
+	m.instance.Round()
 }
 
-func (m *machine) check(t *rapid.T) {
+func (m *model) check(t *rapid.T) {
 	classes, tenants := map[string]int{}, map[string]int{}
-	for rid := range m.n.byRid {
-		classes[m.rids[rid].class]++
-		if r := m.rids[rid]; r.tenant != "" {
+	for id := range m.instance.byTaskID {
+		classes[m.requests[id].class]++
+		if r := m.requests[id]; r.tenant != "" {
 			tenants[r.tenant]++
 		}
 	}
-	for key := range m.n.keys {
+	for key := range m.instance.keys {
 		classes[key[:len(key)-2]]++ // "class k"
 	}
-	checkTable(t, m.n.classes, m.inForce.Classes, classes)
-	checkTable(t, m.n.tenants, m.inForce.Tenants, tenants)
+	checkTable(t, m.instance.classes, m.active.Classes, classes)
+	checkTable(t, m.instance.tenants, m.active.Tenants, tenants)
 }
 
-// checkTable holds a table against what is in force and how much of each is in hand.
+// checkTable compares a table with the resources in force and the number of references to each.
 func checkTable[T interface {
 	comparable
 	resource
-}](t *rapid.T, table *table[T], inForce []T, inHand map[string]int) {
+}](t *rapid.T, table *resourceTable[T], active []T, references map[string]int) {
 	owner := map[int32]string{}
-	if len(table.inForce) != len(inForce) {
-		t.Fatalf("%v in force, want %v", table.inForce, inForce)
+	if len(table.active) != len(active) {
+		t.Fatalf("%v in force, want %v", table.active, active)
 	}
-	for _, value := range inForce {
-		at, ok := table.inForce[value.ResourceName()]
+	for _, value := range active {
+		at, ok := table.active[value.ResourceName()]
 		if !ok || table.rows[at].value != value || table.rows[at].retired {
 			t.Fatalf("%v: %+v", value, table.rows)
 		}
 		owner[at] = value.ResourceName()
 	}
 	for name, at := range table.retired {
-		if owner[at] != "" || inHand[name] == 0 || table.rows[at].value.ResourceName() != name {
-			t.Fatalf("%s at %d, which is %q's; %d in hand", name, at, owner[at], inHand[name])
+		if owner[at] != "" || references[name] == 0 || table.rows[at].value.ResourceName() != name {
+			t.Fatalf("%s at %d, which is %q's; %d references", name, at, owner[at], references[name])
 		}
 		owner[at] = name
 	}
-	for name, count := range inHand {
-		if table.known(name) == nil {
-			t.Fatalf("%s has %d in hand and no row", name, count)
+	for name, count := range references {
+		if table.lookup(name) == nil {
+			t.Fatalf("%s has %d references and no row", name, count)
 		}
 	}
 	for at, name := range owner {
-		if int(table.rows[at].uses) != inHand[name] {
-			t.Fatalf("%s: %d uses, %d in hand", name, table.rows[at].uses, inHand[name])
+		if int(table.rows[at].references) != references[name] {
+			t.Fatalf("%s: %d references counted, want %d", name, table.rows[at].references, references[name])
 		}
 	}
-	if len(owner)+len(table.free) != len(table.rows) {
-		t.Fatalf("%d rows, %d in use, %d free", len(table.rows), len(owner), len(table.free))
+	if len(owner)+len(table.freeRows) != len(table.rows) {
+		t.Fatalf("%d rows, %d in use, %d free", len(table.rows), len(owner), len(table.freeRows))
 	}
-	for _, at := range table.free {
-		if owner[at] != "" || table.rows[at] != (row[T]{}) {
+	for _, at := range table.freeRows {
+		if owner[at] != "" || table.rows[at] != (resourceRow[T]{}) {
 			t.Fatalf("row %d is free and %q's: %+v", at, owner[at], table.rows[at])
 		}
 	}
 }
 
-// Whatever comes between, an index is of one name while anything of it is in force or in hand, and of nobody after.
-func TestDeltasWithWorkInHand(t *testing.T) {
+// An index belongs to one name while that is in force or referred to, and is free afterwards, whatever the order of events.
+func TestDeltasWithRequestsInFlight(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		m := &machine{rids: map[string]request{}}
-		m.inForce = m.draw(t)
-		m.n, m.s = serving(m.inForce)
-		t.Repeat(map[string]func(*rapid.T){"change": m.change, "stale": m.stale, "ask": m.ask, "end": m.end, "forget": m.forget, "": m.check})
-		for len(m.n.byRid) > 0 {
-			for _, rid := range slices.Sorted(maps.Keys(m.n.byRid)) {
-				m.n.RunEnded(rid, policy.OK, time.Millisecond, nil)
+		m := &model{requests: map[TaskID]modelRequest{}}
+		m.active = m.drawSettings(t)
+		m.instance, m.peers = newReadyWith(m.active)
+		t.Repeat(map[string]func(*rapid.T){"change": m.applyDelta, "stale": m.applyStaleDelta, "ask": m.admit, "end": m.endRun, "forget": m.expireKeys, "": m.check})
+		for len(m.instance.byTaskID) > 0 {
+			for _, id := range slices.Sorted(maps.Keys(m.instance.byTaskID)) {
+				m.instance.RunEnded(id, RunResult{Outcome: policy.OK, Duration: time.Millisecond})
 			}
-			m.n.Round()
+			m.instance.Round()
 		}
-		m.forget(t)
+		m.expireKeys(t)
 		m.check(t)
-		if len(m.n.classes.retired)+len(m.n.tenants.retired) > 0 {
-			t.Fatalf("left behind: %v, %v", m.n.classes.retired, m.n.tenants.retired)
+		if len(m.instance.classes.retired)+len(m.instance.tenants.retired) > 0 {
+			t.Fatalf("still retired: %v, %v", m.instance.classes.retired, m.instance.tenants.retired)
 		}
 	})
 }
 
-func TestLookingUpANameAllocatesNothing(t *testing.T) {
-	n, _ := serving(testutil.TypedSettings(func(s *settings.Settings) { s.Tenants = tenantsOf(60_000) }))
+func TestFindAllocatesNothing(t *testing.T) {
+	n, _ := newReadyWith(testutil.TypedSettings(func(s *settings.Settings) { s.Tenants = tenantsOf(60_000) }))
 	name := fmt.Sprint("tenant-", 59_999)
 	if got := testing.AllocsPerRun(100, func() {
 		if _, ok := n.tenants.find(name); !ok {
@@ -372,11 +373,11 @@
 	return list
 }
 
-// BenchmarkApply is a delta of one tenant changed, one added and one removed, in tables of two sizes.
+// BenchmarkApply measures a delta of one tenant changed, one added and one removed, in tables of two sizes.
 func BenchmarkApply(b *testing.B) {
 	for _, size := range []int{1000, 60_000} {
 		b.Run(fmt.Sprint(size), func(b *testing.B) {
-			n, _ := serving(testutil.TypedSettings(func(s *settings.Settings) { s.Tenants = tenantsOf(size) }))
+			n, _ := newReadyWith(testutil.TypedSettings(func(s *settings.Settings) { s.Tenants = tenantsOf(size) }))
 			for at := 0; b.Loop(); at++ {
 				d := settings.Delta{From: n.Version(), To: n.Version() + 1, Tenants: settings.Changes[settings.Tenant]{
 					Set: []settings.Tenant{{Name: "tenant-7", Quota: settings.NumberOf(float64(at))}, {Name: []string{"x", "y"}[at%2]}}, Removed: []string{[]string{"y", "x"}[at%2]}}}
@@ -388,11 +389,11 @@
 	}
 }
 
-// BenchmarkLookUp is a name found among the tenants.
-func BenchmarkLookUp(b *testing.B) {
+// BenchmarkFind measures finding a tenant by its name.
+func BenchmarkFind(b *testing.B) {
 	for _, size := range []int{1000, 60_000} {
 		b.Run(fmt.Sprint(size), func(b *testing.B) {
-			n, _ := serving(testutil.TypedSettings(func(s *settings.Settings) { s.Tenants = tenantsOf(size) }))
+			n, _ := newReadyWith(testutil.TypedSettings(func(s *settings.Settings) { s.Tenants = tenantsOf(size) }))
 			names := make([]string, 1024)
 			for at := range names {
 				names[at] = fmt.Sprint("tenant-", at*size/len(names))
@@ -407,38 +408,38 @@
 	}
 }
 
-// The runtime has no command by which a run goes on without its call. Settings that pay for an answer without one, from the
-// start or by a later change, must not make the module leave a call out: that run would stand until it is given up.
-func TestNoCallIsLeftOutBesideTheRuntime(t *testing.T) {
-	pays := func(s *settings.Settings) {
+// The runtime has no command to continue a run without its call. Settings with a weight for degraded answers, from the start
+// or by a later delta, must not make the controller skip a call: that run would wait until it is abandoned.
+func TestNoCallIsSkippedBesideTheRuntime(t *testing.T) {
+	degraded := func(s *settings.Settings) {
 		for k := range s.Classes {
 			s.Classes[k].DegradedWeight = settings.NumberOf(0.6)
 		}
 	}
 	without := testutil.TypedSettings(nil)
-	for name, start := range map[string]func() (*Instance, *sides){
-		"from the start": func() (*Instance, *sides) { return up(pays) },
-		"by a later change": func() (*Instance, *sides) {
-			n, s := up(nil)
-			n.apply(t, without, testutil.TypedSettings(pays))
-			return n, s
+	for name, start := range map[string]func() (*Instance, *recorder){
+		"from the start": func() (*Instance, *recorder) { return newReady(degraded) },
+		"by a later change": func() (*Instance, *recorder) {
+			n, peers := newReady(nil)
+			n.applySettings(t, without, testutil.TypedSettings(degraded))
+			return n, peers
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			n, s := start()
-			n.ask(s, "a", "safe", "", 0)
+			n, peers := start()
+			n.admitRequest(peers, "a", "safe", "", 0)
 			n.CallRequested("a", []byte("below"))
 			n.Round()
-			s.wants(t, 1, "call a below")
-			n.CallReturned("a", policy.Failed, 10*time.Millisecond, nil) // where it pays, the module leaves the call out now
+			peers.expect(t, 1, "call a below")
+			n.CallReturned("a", CallResult{Outcome: policy.Failed, Duration: 10 * time.Millisecond}) // with a weight for degraded answers the controller would skip the call now
 			n.Round()
-			s.wants(t, 2, "call a below")
-			n.CallReturned("a", policy.OK, 10*time.Millisecond, []byte("reply"))
+			peers.expect(t, 2, "call a below")
+			n.CallReturned("a", CallResult{Outcome: policy.OK, Duration: 10 * time.Millisecond, Reply: []byte("reply")})
 			n.Round()
-			s.wants(t, 1, "give a reply")
-			n.RunEnded("a", policy.OK, 20*time.Millisecond, []byte("done"))
+			peers.expect(t, 1, "give a reply")
+			n.RunEnded("a", RunResult{Outcome: policy.OK, Duration: 20 * time.Millisecond, Body: []byte("done")})
 			n.Round()
-			s.wants(t, 1, "answer a 0 done")
+			peers.expect(t, 1, "answer a 0 done")
 		})
 	}
 }
--- a/internal/rpc/conn.go
+++ b/internal/rpc/conn.go
@@ -137,10 +137,14 @@
 	c.asked, c.last = true, time.Now()
 	c.open[q.ID] = struct{}{}
 	if q.Check {
-		c.front.admission.CheckHealth(c, q.ID, q.Full)
+		depth := node.ShallowCheck
+		if q.Full {
+			depth = node.DeepCheck
+		}
+		c.front.admission.CheckHealth(c, node.MessageID(q.ID), depth)
 		return nil
 	}
-	err := c.front.admission.Admit(c, q.ID, q.Work)
+	err := c.front.admission.Admit(c, node.MessageID(q.ID), q.Work)
 	if err == nil {
 		return nil
 	}
@@ -155,15 +159,15 @@
 }
 
 // Answer writes a final answer.
-func (c *conn) Answer(tag string, a node.Answer) {
-	c.done(tag)
-	c.wire.Write(AppendAnswer(nil, tag, a))
+func (c *conn) Answer(id node.MessageID, a node.Answer) {
+	c.done(string(id))
+	c.wire.Write(AppendAnswer(nil, string(id), a))
 }
 
 // HealthChecked answers a health check.
-func (c *conn) HealthChecked(tag string, good bool, free float64) {
-	c.done(tag)
-	c.wire.Write(AppendChecked(nil, tag, good, free))
+func (c *conn) HealthChecked(id node.MessageID, result node.HealthCheckResult) {
+	c.done(string(id))
+	c.wire.Write(AppendChecked(nil, string(id), result.Status == node.Healthy, result.Advertised))
 }
 
 func (c *conn) done(tag string) {
--- a/internal/rpc/decode.go
+++ b/internal/rpc/decode.go
@@ -101,7 +101,7 @@
 		}
 		switch string(name) {
 		case "rid":
-			err = word(r, &a.ID)
+			err = word(r, (*string)(&a.ID))
 		case "t0":
 			if x, err = r.Number(); err == nil && (x < 0 || x > 1e14) {
 				err = errors.New("expected Unix milliseconds")
@@ -151,7 +151,7 @@
 			return fmt.Errorf("%s: missing", name)
 		}
 	}
-	if !plain(a.ID) {
+	if !plain(string(a.ID)) {
 		return errors.New("rid: expected 1 to 64 letters or digits")
 	}
 	return nil
--- a/internal/rpc/front.go
+++ b/internal/rpc/front.go
@@ -35,9 +35,9 @@
 // Admission is where requests go.
 type Admission interface {
 	HasClass(class string) bool // such a class is known
-	Admit(asker node.Responder, tag string, ask node.Request) error
-	CallerGone(asker node.Responder)
-	CheckHealth(asker node.Responder, tag string, full bool)
+	Admit(responder node.Responder, id node.MessageID, incoming node.Request) error
+	CallerGone(responder node.Responder)
+	CheckHealth(responder node.Responder, id node.MessageID, depth node.HealthCheckDepth)
 }
 
 // Front owns the stubs' connections.
--- a/internal/rpc/rpc_test.go
+++ b/internal/rpc/rpc_test.go
@@ -57,9 +57,9 @@
 type admission struct{ asked, gone int }
 
 func (d *admission) HasClass(class string) bool                       { return class == "excursion" }
-func (d *admission) Admit(node.Responder, string, node.Request) error { d.asked++; return nil }
+func (d *admission) Admit(node.Responder, node.MessageID, node.Request) error { d.asked++; return nil }
 func (d *admission) CallerGone(node.Responder)                        { d.gone++ }
-func (d *admission) CheckHealth(node.Responder, string, bool)         {}
+func (d *admission) CheckHealth(node.Responder, node.MessageID, node.HealthCheckDepth)         {}
 
 func TestOnlyConnectionsWithNothingOpenAreClosedAsIdle(t *testing.T) {
 	d := &admission{}
@@ -194,7 +194,7 @@
 	}
 	f.Fuzz(func(t *testing.T, text []byte) {
 		q, err := Decode(text)
-		if err == nil && !q.Check && (!plain(q.Work.ID) || len(q.Work.Body) > mostBody || q.ID == "") {
+		if err == nil && !q.Check && (!plain(string(q.Work.ID)) || len(q.Work.Body) > mostBody || q.ID == "") {
 			t.Errorf("%q was taken as %+v", text, q)
 		}
 		if out := AppendFault(nil, q.ID, &Fault{codeParse, errors.New(string(text))}); err != nil && !json.Valid(out) {
--- a/internal/runtime/runtime.go
+++ b/internal/runtimelink/link.go
@@ -1,8 +1,8 @@
-// Package runtime is the link to the runtime that owns the cores: its lines to notices and commands to its lines.
+// Package runtimelink is the link to the runtime that owns the cores: its lines to notices and commands to its lines.
 // The Link keeps one connection, opens it anew after growing, spread waits, and tells each notice once and in
 // order, by the number of the last one read. It must never keep or give again a command: what a broken link may
 // have swallowed is the node's to say again, after CaughtUp. It keeps no table.
-package runtime
+package runtimelink
 
 import (
 	"errors"
@@ -15,6 +15,7 @@
 
 	"thymechute/internal/jsonline"
 	"thymechute/internal/loop"
+	"thymechute/internal/node"
 	"thymechute/policy"
 )
 
@@ -29,11 +30,12 @@
 
 // Notice is a message from the runtime.
 type Notice struct {
-	Verb, Task, Outcome, Nonce string
-	Index                      uint64 // 0: not numbered
-	Spent                      time.Duration
-	Bytes                      []byte
-	Readings                   []float64
+	Verb, Outcome, Nonce string
+	Task                 node.TaskID
+	Index                uint64 // 0: not numbered
+	Spent                time.Duration
+	Bytes                []byte
+	Readings             []float64
 }
 
 // Decode reads one line.
@@ -50,7 +52,7 @@
 		case "verb":
 			err = text(&n.Verb)
 		case "task":
-			err = text(&n.Task)
+			err = text((*string)(&n.Task))
 		case "outcome":
 			err = text(&n.Outcome)
 		case "nonce":
@@ -89,10 +91,10 @@
 }
 
 // AppendCommand writes a command; empty fields are left out, but for bytes, which stand where they are not nil.
-func AppendCommand(out []byte, verb, task, handler string, body []byte, nonce string) []byte {
+func AppendCommand(out []byte, verb string, task node.TaskID, handler string, body []byte, nonce string) []byte {
 	out = jsonline.AppendText(append(out, `{"verb":`...), verb)
 	if task != "" {
-		out = jsonline.AppendText(append(out, `,"task":`...), task)
+		out = jsonline.AppendText(append(out, `,"task":`...), string(task))
 	}
 	if handler != "" {
 		out = jsonline.AppendText(append(out, `,"handler":`...), handler)
@@ -108,12 +110,12 @@
 
 // Sink is told what the runtime says.
 type Sink interface {
-	RuntimeReady(old bool, ago time.Duration, asked time.Time)
+	RuntimeReady(state node.RuntimeState)
 	RuntimeResynced()
-	RunEnded(task string, o policy.Outcome, took time.Duration, result []byte)
-	CallRequested(task string, body []byte)
+	RunEnded(id node.TaskID, result node.RunResult)
+	CallRequested(id node.TaskID, body []byte)
 	GaugesRead(row []float64)
-	SelfTestEnded(tag string, good bool)
+	SelfTestEnded(id string, status node.HealthStatus)
 }
 
 var ends = map[string]policy.Outcome{
@@ -225,15 +227,15 @@
 	case "ready":
 		l.wait = leastWait
 		l.log.Info("runtime link", zap.String("outcome", n.Outcome), zap.Duration("spent", n.Spent))
-		l.sink.RuntimeReady(n.Outcome == "old", n.Spent, l.opened)
+		l.sink.RuntimeReady(node.RuntimeState{Reused: n.Outcome == "old", Age: n.Spent, RequestedAt: l.opened})
 		l.send("gauges", "", "", nil, l.tag) // its answer comes behind the notices that were missed
 	case "end":
 		if o, ok := ends[n.Outcome]; ok {
-			l.sink.RunEnded(n.Task, o, n.Spent, n.Bytes)
+			l.sink.RunEnded(n.Task, node.RunResult{Outcome: o, Duration: n.Spent, Body: n.Bytes})
 			return
 		}
 		l.remark("unknown end", n)
-		l.sink.RunEnded(n.Task, policy.Unknown, n.Spent, nil)
+		l.sink.RunEnded(n.Task, node.RunResult{Outcome: policy.Unknown, Duration: n.Spent})
 	case "wants":
 		l.sink.CallRequested(n.Task, n.Bytes)
 	case "load":
@@ -243,11 +245,11 @@
 		}
 		l.sink.GaugesRead(n.Readings)
 	case "verdict":
-		l.sink.SelfTestEnded(n.Nonce, n.Outcome == "good")
+		l.sink.SelfTestEnded(n.Nonce, node.HealthOf(n.Outcome == "good"))
 	case "nack":
 		l.remark("command not carried out", n)
 		if n.Outcome == "start" {
-			l.sink.RunEnded(n.Task, policy.NotStarted, 0, nil)
+			l.sink.RunEnded(n.Task, node.RunResult{Outcome: policy.NotStarted})
 		}
 	case "info":
 	default:
@@ -257,19 +259,19 @@
 
 func (l *Link) remark(what string, n Notice) {
 	if l.odd++; l.odd <= mostOdd {
-		l.log.Warn("runtime: "+what, zap.String("verb", n.Verb), zap.String("task", n.Task),
+		l.log.Warn("runtime: "+what, zap.String("verb", n.Verb), zap.String("task", string(n.Task)),
 			zap.String("outcome", n.Outcome), zap.Uint64("index", n.Index))
 	}
 }
 
-func (l *Link) send(verb, task, handler string, body []byte, nonce string) {
+func (l *Link) send(verb string, task node.TaskID, handler string, body []byte, nonce string) {
 	if l.wire != nil {
 		l.wire.Write(AppendCommand(nil, verb, task, handler, body, nonce))
 	}
 }
 
 // Start runs a work item.
-func (l *Link) Start(task, band string, body []byte) {
+func (l *Link) Start(task node.TaskID, band string, body []byte) {
 	if body == nil {
 		body = []byte{}
 	}
@@ -277,10 +279,10 @@
 }
 
 // Stop stops a run.
-func (l *Link) Stop(task string) { l.send("stop", task, "", nil, "") }
+func (l *Link) Stop(task node.TaskID) { l.send("stop", task, "", nil, "") }
 
 // DeliverReply hands a run the reply to its call.
-func (l *Link) DeliverReply(task string, reply []byte) {
+func (l *Link) DeliverReply(task node.TaskID, reply []byte) {
 	if reply == nil {
 		reply = []byte{}
 	}
--- a/internal/runtime/runtime_test.go
+++ b/internal/runtimelink/link_test.go
@@ -1,4 +1,4 @@
-package runtime
+package runtimelink
 
 import (
 	"fmt"
@@ -9,6 +9,7 @@
 	"go.uber.org/zap"
 
 	"thymechute/internal/loop"
+	"thymechute/internal/node"
 	"thymechute/internal/testutil"
 	"thymechute/policy"
 )
@@ -16,16 +17,18 @@
 type sink struct{ got []string }
 
 func (s *sink) put(format string, args ...any) { s.got = append(s.got, fmt.Sprintf(format, args...)) }
-func (s *sink) RuntimeReady(old bool, ago time.Duration, _ time.Time) {
-	s.put("ready %v %v", old, ago)
+func (s *sink) RuntimeReady(state node.RuntimeState) {
+	s.put("ready %v %v", state.Reused, state.Age)
 }
 func (s *sink) RuntimeResynced() { s.put("caught up") }
-func (s *sink) RunEnded(task string, o policy.Outcome, _ time.Duration, result []byte) {
-	s.put("end %s %d %s", task, o, result)
+func (s *sink) RunEnded(id node.TaskID, result node.RunResult) {
+	s.put("end %s %d %s", id, result.Outcome, result.Body)
+}
+func (s *sink) CallRequested(id node.TaskID, body []byte) { s.put("wants %s %s", id, body) }
+func (s *sink) GaugesRead(row []float64)                  { s.put("readings %v", row) }
+func (s *sink) SelfTestEnded(id string, status node.HealthStatus) {
+	s.put("verdict %s %v", id, status == node.Healthy)
 }
-func (s *sink) CallRequested(task string, body []byte) { s.put("wants %s %s", task, body) }
-func (s *sink) GaugesRead(row []float64)               { s.put("readings %v", row) }
-func (s *sink) SelfTestEnded(tag string, good bool)    { s.put("verdict %s %v", tag, good) }
 
 func link() (*Link, *sink, *[]time.Duration) {
 	s, waits := &sink{}, &[]time.Duration{}
