--- a/internal/node/drain.go
+++ b/internal/node/drain.go
@@ -37,22 +37,22 @@
 	pending := n.hasPendingWork()
 	switch {
 	case !n.draining:
-		return loop.Serving
+		return loop.PhaseServing
 	case n.now >= n.stopDeadline-exitMargin:
 		n.answerRemaining()
-		return loop.Ended
+		return loop.PhaseStopped
 	case n.now >= n.stopDeadline-lastAnswerMargin: // connections still close in order, behind the last answers
 		n.answerRemaining()
-		return loop.Ending
+		return loop.PhaseClosingConns
 	case n.listenerClosedAt == 0:
 		if n.keepsListening(pending) {
-			return loop.Serving
+			return loop.PhaseServing
 		}
 		n.listenerClosedAt = n.now
 	case n.now-n.listenerClosedAt > listenerCloseLinger && !pending:
-		return loop.Ending
+		return loop.PhaseClosingConns
 	}
-	return loop.Unlisting
+	return loop.PhaseClosingListener
 }
 
 // keepsListening tells whether a draining instance still accepts connections.
--- a/internal/node/drain_test.go
+++ b/internal/node/drain_test.go
@@ -17,7 +17,7 @@
 	n.CheckHealth(peers, "1", DeepCheck)
 	peers.expect(t, 1, "test")
 	n.Drain()
-	n.Round()
+	n.Tick()
 	peers.expect(t, 1, "checked 1 false")
 	n.SelfTestEnded("check1", Healthy)
 	peers.expect(t, 1, "checked")
@@ -28,20 +28,20 @@
 	n, peers := newReady(nil)
 	peers.pending = true
 	n.Drain()
-	n.Round()
+	n.Tick()
 	peers.expect(t, 2, "drain")
 	n.now, n.lastArrival = n.graceEnd+time.Second, n.graceEnd
-	if n.phase() != loop.Serving {
+	if n.phase() != loop.PhaseServing {
 		t.Error("the listener closes though a front has pending answers")
 	}
-	if peers.pending = false; n.phase() != loop.Unlisting {
+	if peers.pending = false; n.phase() != loop.PhaseClosingListener {
 		t.Error("the listener stays open though nothing is pending")
 	}
 	peers.pending, n.now = true, n.stopDeadline-lastAnswerMargin
-	if n.phase() != loop.Ending {
+	if n.phase() != loop.PhaseClosingConns {
 		t.Error("a front that stays pending keeps the connections open")
 	}
-	if n.now = n.stopDeadline - exitMargin; n.phase() != loop.Ended {
+	if n.now = n.stopDeadline - exitMargin; n.phase() != loop.PhaseStopped {
 		t.Error("a front that stays pending outlasts the stop deadline")
 	}
 }
@@ -50,14 +50,14 @@
 	n, peers := newReady(nil)
 	n.admitRequest(peers, "a", "unsafe", "", 0)
 	n.Drain()
-	if _, phase := n.Round(); phase != loop.Serving {
+	if _, phase := n.Tick(); phase != loop.PhaseServing {
 		t.Fatalf("phase %v at the drain notice", phase)
 	}
 	for _, at := range []struct {
 		left time.Duration
 		want loop.Phase
-	}{{listenerCloseMargin + 100*time.Millisecond, loop.Serving}, {listenerCloseMargin - 100*time.Millisecond, loop.Unlisting},
-		{lastAnswerMargin, loop.Ending}, {exitMargin, loop.Ended}} {
+	}{{listenerCloseMargin + 100*time.Millisecond, loop.PhaseServing}, {listenerCloseMargin - 100*time.Millisecond, loop.PhaseClosingListener},
+		{lastAnswerMargin, loop.PhaseClosingConns}, {exitMargin, loop.PhaseStopped}} {
 		n.now, n.lastArrival = n.stopDeadline-at.left, n.stopDeadline-at.left
 		if got := n.phase(); got != at.want {
 			t.Errorf("%v before the stop deadline: phase %v, want %v", at.left, got, at.want)
@@ -71,13 +71,13 @@
 	n := New(testutil.TypedSettings(nil), 7, 3*time.Second, 192<<20, zap.NewNop())
 	n.Connect(peers, peers, discardReporter{}, recordingFront{peers})
 	n.start = n.start.Add(-time.Minute)
-	n.Round()
+	n.Tick()
 	n.Drain()
-	if _, phase := n.Round(); phase != loop.Serving {
+	if _, phase := n.Tick(); phase != loop.PhaseServing {
 		t.Errorf("phase %v at the drain notice", phase)
 	}
 	n.start = n.start.Add(-2 * quietInterval)
-	if _, phase := n.Round(); phase != loop.Unlisting {
+	if _, phase := n.Tick(); phase != loop.PhaseClosingListener {
 		t.Errorf("phase %v when nothing arrives any more", phase)
 	}
 }
--- a/internal/node/host.go
+++ b/internal/node/host.go
@@ -102,7 +102,7 @@
 func (n *Instance) Advertise(value float64) { n.advertised = value }
 
 // Wake asks for a tick at that time.
-func (n *Instance) Wake(at time.Duration) { n.nextTick = at }
+func (n *Instance) Wake(at time.Duration) { n.nextControllerTick = at }
 
 // Release removes a request that the controller has finished; its slot may be used again.
 func (n *Instance) Release(id policy.RequestID) {
--- a/internal/node/idempotency_test.go
+++ b/internal/node/idempotency_test.go
@@ -15,7 +15,7 @@
 	n.admitRequest(peers, "a", "keyed", "one", 0)
 	n.admitRequest(peers, "b", "keyed", "one", 0) // coalesces
 	n.RunEnded("a", RunResult{Outcome: policy.OK, Body: []byte("five!")})
-	n.Round()
+	n.Tick()
 	peers.expect(t, 1, "answer b 0 five!") // though it isn't cached
 	n.admitRequest(peers, "c", "keyed", "one", 0)
 	peers.expect(t, 1, "answer c 2")
@@ -23,7 +23,7 @@
 	otherBytes := n.keyBytes - keyEntryBytes
 	n.admitRequest(peers, "d", "keyed", "two", 0)
 	n.RunEnded("d", RunResult{Outcome: policy.OK, Body: []byte("four")})
-	n.Round()
+	n.Tick()
 	n.admitRequest(peers, "e", "keyed", "two", 0)
 	peers.expect(t, 1, "answer e 0 four")
 	n.admitRequest(peers, "f", "keyed", "three", 0)
@@ -45,7 +45,7 @@
 	n, peers := newReady(func(s *settings.Settings) { s.Classes[1].KeyWindow = settings.NumberOf(0.05) })
 	n.admitRequest(peers, "a", "keyed", "key", 0)
 	n.RunEnded("a", RunResult{Outcome: policy.OK, Body: []byte("one")})
-	n.Round()
+	n.Tick()
 	entry := n.keys["keyed key"]
 	entry.expiresAt = n.now - 50*time.Millisecond // expired when the retry is read, not when it arrived
 	n.admitRequest(peers, "b", "keyed", "key", 100*time.Millisecond)
@@ -62,16 +62,16 @@
 	n.admitRequest(peers, "b", "keyed", "key", 0)
 	n.keys["keyed key"].expiresAt = n.now - 10*keyLinger
 	n.nextSweep = 0
-	n.Round()
+	n.Tick()
 	n.admitRequest(peers, "c", "keyed", "key", 0)
 	if err := n.Admit(peers, "d", Request{ID: "d", Class: "keyed", Key: "key", MemoryKB: 1, ReceivedAt: time.Now(), Body: []byte("another")}); err != nil {
 		t.Fatal(err)
 	}
-	n.Round()
+	n.Tick()
 	peers.expect(t, 1, "answer d 2")
 	peers.expect(t, 1, "start")
 	n.RunEnded("a", RunResult{Outcome: policy.OK, Body: []byte("one")})
-	n.Round()
+	n.Tick()
 	for _, id := range []string{"a", "b", "c"} {
 		peers.expect(t, 1, "answer "+id+" 0 one")
 	}
@@ -85,7 +85,7 @@
 		n, peers := newReady(nil) // with windows of 10 s
 		n.admitRequest(peers, "a", "keyed", "k", 0)
 		n.RunEnded("a", RunResult{Outcome: policy.OK, Duration: time.Millisecond, Body: []byte("r")})
-		n.Round()
+		n.Tick()
 		before, expiresAt := testutil.TypedSettings(nil), time.Duration(0)
 		after := testutil.TypedSettings(func(s *settings.Settings) {
 			s.Classes[1].KeyWindow, s.Server.FleetSize = settings.NumberOf(window), settings.NumberOf(2)
@@ -93,7 +93,7 @@
 		n.advertised = 0.5
 		for range 3 { // applied, reverted, and applied again
 			n.applySettings(t, before, after)
-			n.Round()
+			n.Tick()
 			if entry := n.keys["keyed k"]; expiresAt == 0 {
 				expiresAt = entry.expiresAt
 			} else if entry.expiresAt != expiresAt {
@@ -103,10 +103,10 @@
 				t.Errorf("%v is still advertised, in the earlier form", n.advertised)
 			}
 			n.applySettings(t, after, before)
-			n.Round()
+			n.Tick()
 		}
 		n.applySettings(t, before, after)
-		n.Round()
+		n.Tick()
 		n.start = n.start.Add(-max(time.Duration(window)*time.Second, 10*time.Second) + time.Second)
 		n.admitRequest(peers, "b", "keyed", "k", 0)
 		peers.expect(t, 1, "start a")
@@ -119,14 +119,14 @@
 	n, peers := newReady(nil)
 	n.admitRequest(peers, "a", "keyed", "key", 0)
 	n.RunEnded("a", RunResult{Outcome: policy.OK, Body: []byte("old")})
-	n.Round()
+	n.Tick()
 	n.keys["keyed key"].expiresAt = n.now - time.Second
 	n.admitRequest(peers, "b", "keyed", "key", 0)
 	n.admitRequest(peers, "c", "keyed", "key", 0)
 	peers.expect(t, 1, "start b")
 	peers.expect(t, 0, "answer c")
 	n.RunEnded("b", RunResult{Outcome: policy.OK, Body: []byte("new")})
-	n.Round()
+	n.Tick()
 	peers.expect(t, 1, "answer c 0 new")
 }
 
@@ -134,9 +134,9 @@
 	n, peers := newReady(nil)
 	n.admitRequest(peers, "a", "keyed", "key", 0)
 	n.RunEnded("a", RunResult{Outcome: policy.OK})
-	n.Round()
+	n.Tick()
 	n.keys["keyed key"].expiresAt, n.nextSweep = n.now-2*keyLinger, 0
-	n.Round()
+	n.Tick()
 	if len(n.keys) != 0 {
 		t.Error("the expired key is still in the table")
 	}
@@ -166,7 +166,7 @@
 	peers.expect(t, 1, "start c")
 	n.admitRequest(peers, "d", "keyed", "key", 0)
 	n.RunEnded("d", RunResult{Outcome: policy.OK, Body: []byte("kept")})
-	n.Round()
+	n.Tick()
 	n.admitRedelivered(peers, "e", "keyed", "key", "x")
 	peers.expect(t, 1, "answer e 0 kept")
 }
@@ -177,7 +177,7 @@
 	n, peers := newReady(nil)
 	n.admitRequest(peers, "a", "keyed", "key", 0)
 	n.RunEnded("a", RunResult{Outcome: policy.OK, Body: []byte("kept")})
-	n.Round()
+	n.Tick()
 	n.keys["keyed key"].expiresAt = n.now - time.Millisecond
 	n.admitRedelivered(peers, "b", "keyed", "key", "x")
 	peers.expect(t, 1, "answer b 0 kept")
--- a/internal/node/limits.go
+++ b/internal/node/limits.go
@@ -11,21 +11,21 @@
 
 // Bounds of single values.
 const (
-	fullRetryAfter      = 500 * time.Millisecond // Retry-After where a table is full
-	maxReadDelay        = time.Hour              // read delays are cut to this
-	selfTestTimeout     = 5 * time.Second        // a self-test that takes longer counts as failed
-	maxGaugeAge         = 200 * time.Millisecond // older gauges are not passed on
-	runtimeAgeTolerance = 100 * time.Millisecond // the runtime rounds its age to milliseconds
-	defaultTickInterval = 20 * time.Millisecond  // to the next tick where the controller asks for none
-	keyLinger           = 2 * time.Second        // an expired key stays this long, for requests that are read late
-	sweepInterval       = 500 * time.Millisecond // between two sweeps of keys and health checks
-	stallThreshold      = 60 * time.Millisecond  // the machine counts as stalled after this long without any event
-	maxTickDelay        = 105 * time.Millisecond // how much later a tick may come while the machine is stalled
-	quietInterval       = 200 * time.Millisecond // nothing may have arrived for this long before an early exit
-	listenerCloseMargin = 300 * time.Millisecond // the listener closes this long before the stop deadline
-	listenerCloseLinger = 100 * time.Millisecond // requests that crossed the listener's close are served this long
-	lastAnswerMargin    = 60 * time.Millisecond  // all requests are answered this long before the stop deadline
-	exitMargin          = 25 * time.Millisecond  // the process exits this long before the stop deadline at the latest
+	fullRetryAfter                = 500 * time.Millisecond // Retry-After where a table is full
+	maxReadDelay                  = time.Hour              // read delays are cut to this
+	selfTestTimeout               = 5 * time.Second        // a self-test that takes longer counts as failed
+	maxGaugeAge                   = 200 * time.Millisecond // older gauges are not passed on
+	runtimeAgeTolerance           = 100 * time.Millisecond // the runtime rounds its age to milliseconds
+	defaultControllerTickInterval = 20 * time.Millisecond  // to the next tick where the controller asks for none
+	keyLinger                     = 2 * time.Second        // an expired key stays this long, for requests that are read late
+	sweepInterval                 = 500 * time.Millisecond // between two sweeps of keys and health checks
+	stallThreshold                = 60 * time.Millisecond  // the machine counts as stalled after this long without any event
+	maxControllerTickDelay        = 105 * time.Millisecond // how much later a tick may come while the machine is stalled
+	quietInterval                 = 200 * time.Millisecond // nothing may have arrived for this long before an early exit
+	listenerCloseMargin           = 300 * time.Millisecond // the listener closes this long before the stop deadline
+	listenerCloseLinger           = 100 * time.Millisecond // requests that crossed the listener's close are served this long
+	lastAnswerMargin              = 60 * time.Millisecond  // all requests are answered this long before the stop deadline
+	exitMargin                    = 25 * time.Millisecond  // the process exits this long before the stop deadline at the latest
 )
 
 const (
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -6,7 +6,7 @@
 // controller exists yet.
 //
 // Concurrency: an Instance belongs to the event loop. All methods must be called on the loop's goroutine, and none blocks.
-// Events are queued and handed to the controller in order by Round.
+// Events are queued and handed to the controller in order by Tick.
 //
 // Tables and bounds: requests in flight (a quarter of the memory limit; an entry ends with the controller's Release),
 // idempotency keys with their results (a quarter; an entry ends with the controller's ForgetKey or expires), classes and
@@ -60,14 +60,14 @@
 	healthReporter HealthReporter
 	controller     *policy.Instance // nil until the runtime was ready once
 
-	start       time.Time     // zero of the instance's clock
-	now         time.Duration // time of the current round
-	events      []func()      // received since the last round, in order
-	completions []func()      // for the controller, once its current call has returned
-	nextTick    time.Duration
-	nextSweep   time.Duration
-	lastEventAt time.Duration
-	lastArrival time.Duration
+	start              time.Time     // zero of the instance's clock
+	now                time.Duration // time of the current tick of the loop
+	events             []func()      // received since the last tick, in order
+	completions        []func()      // for the controller, once its current call has returned
+	nextControllerTick time.Duration
+	nextSweep          time.Duration
+	lastEventAt        time.Duration
+	lastArrival        time.Duration
 
 	classes    *resourceTable[settings.Class]
 	tenants    *resourceTable[settings.Tenant]
@@ -125,7 +125,7 @@
 	}
 }
 
-// Connect sets the instance's neighbours; it must be called once, before the first Round.
+// Connect sets the instance's neighbours; it must be called once, before the first Tick.
 func (n *Instance) Connect(runtime Runtime, dependency Dependency, reporter HealthReporter, fronts ...Front) {
 	n.runtime = runtime
 	n.dependency = dependency
--- a/internal/node/recorder_test.go
+++ b/internal/node/recorder_test.go
@@ -66,7 +66,7 @@
 	n := New(testutil.TypedSettings(change), 7, 3*time.Second, 192<<20, zap.NewNop())
 	n.Connect(peers, peers, discardReporter{}, recordingFront{peers}, recordingFront{peers})
 	n.RuntimeReady(RuntimeState{RequestedAt: time.Now()})
-	n.Round()
+	n.Tick()
 	return n, peers
 }
 
@@ -87,7 +87,7 @@
 	if err := n.Admit(responder, MessageID(id), Request{ID: id, Class: class, Key: key, MemoryKB: 1, ReceivedAt: time.Now().Add(-ago), Body: []byte("x")}); err != nil {
 		panic(err)
 	}
-	n.Round()
+	n.Tick()
 }
 
 // admitRedelivered admits a request that may have run elsewhere.
@@ -95,5 +95,5 @@
 	if err := n.Admit(responder, MessageID(id), Request{ID: id, Class: class, Key: key, MemoryKB: 1, MayHaveRunElsewhere: true, ReceivedAt: time.Now(), Body: []byte(body)}); err != nil {
 		panic(err)
 	}
-	n.Round()
+	n.Tick()
 }
--- a/internal/node/runs_test.go
+++ b/internal/node/runs_test.go
@@ -13,11 +13,11 @@
 	n, peers := newReady(nil)
 	n.admitRequest(peers, "a", "safe", "", 0)
 	n.RuntimeReady(RuntimeState{Reused: true, Age: time.Since(n.runtimeStart) - 2*time.Millisecond, RequestedAt: time.Now()})
-	n.Round()
+	n.Tick()
 	peers.expect(t, 0, "answer")
 	n.runtimeStart = n.runtimeStart.Add(-time.Second)
 	n.RuntimeReady(RuntimeState{Reused: true, RequestedAt: time.Now()})
-	n.Round()
+	n.Tick()
 	peers.expect(t, 1, "answer a 2")
 }
 
@@ -30,19 +30,19 @@
 	n.Fail(n.byTaskID["b"]) // answered before it could start: nothing is left to run
 	peers.down = false
 	n.RuntimeResynced()
-	n.Round()
+	n.Tick()
 	peers.expect(t, 1, "start a unsafe x")
 	peers.expect(t, 0, "start b")
 	n.CallRequested("a", []byte("call"))
-	n.Round()
+	n.Tick()
 	peers.expect(t, 1, "call a call")
 	peers.down = true
 	n.CallReturned("a", CallResult{Outcome: policy.OK, Reply: []byte("reply")})
-	n.Round()
+	n.Tick()
 	peers.down = false
 	n.RuntimeResynced()
 	n.RuntimeResynced()
-	n.Round()
+	n.Tick()
 	peers.expect(t, 1, "start a")
 	peers.expect(t, 1, "give a reply")
 }
@@ -53,10 +53,10 @@
 	n.admitRequest(peers, "a", "safe", "", 0)
 	n.runtimeStart = n.runtimeStart.Add(-5 * time.Second)
 	n.RuntimeReady(RuntimeState{Age: 3 * time.Second, RequestedAt: time.Now().Add(-3 * time.Second)})
-	n.Round()
+	n.Tick()
 	peers.expect(t, 0, "answer a")
 	n.RuntimeReady(RuntimeState{Age: 3 * time.Second, RequestedAt: time.Now()})
-	n.Round()
+	n.Tick()
 	peers.expect(t, 1, "answer a 2")
 }
 
@@ -67,7 +67,7 @@
 		n.admitRequest(other, id, "unsafe", "", 0)
 	}
 	n.CallerGone(other)
-	n.Round()
+	n.Tick()
 	n.RunEnded("a", RunResult{Outcome: policy.OK})
 	n.admitRequest(peers, "d", "unsafe", "", 0)
 	peers.expect(t, 1, "start d") // on the core that c, still queued, was abandoned for
@@ -84,7 +84,7 @@
 			t.Fatal(err)
 		}
 	}
-	n.Round()
+	n.Tick()
 	peers.expect(t, 1, "answer a 1")
 	peers.expect(t, 1, "start b")
 }
--- a/internal/node/settings_test.go
+++ b/internal/node/settings_test.go
@@ -35,7 +35,7 @@
 	n := New(s, 7, 3*time.Second, 192<<20, zap.NewNop())
 	n.Connect(peers, peers, discardReporter{}, recordingFront{peers})
 	n.RuntimeReady(RuntimeState{RequestedAt: time.Now()})
-	n.Round()
+	n.Tick()
 	return n, peers
 }
 
@@ -61,7 +61,7 @@
 		t.Errorf("trace at %d, was at %d", at, trace)
 	}
 	n.RunEnded("a", RunResult{Outcome: policy.OK})
-	n.Round()
+	n.Tick()
 	peers.expect(t, 1, "answer a 0")
 	d, err := settings.Compare(n.Version(), before, settingsWithClasses("excursion", "repeatable"), func() {})
 	var kind *settings.IdempotencyChangedError
@@ -88,12 +88,12 @@
 		t.Errorf("with a run in flight: %v", err)
 	}
 	n.RunEnded("a", RunResult{Outcome: policy.OK})
-	n.Round()
+	n.Tick()
 	if err := n.Apply(other); !errors.As(err, &kind) {
 		t.Errorf("with a key in the table: %v", err)
 	}
 	n.keys["seal k"].expiresAt, n.nextSweep = n.now-2*keyLinger, 0
-	n.Round()
+	n.Tick()
 	if err := n.Apply(other); err != nil {
 		t.Errorf("unreferenced: %v", err)
 	}
@@ -140,7 +140,7 @@
 	n.Connect(peers, peers, discardReporter{}, recordingFront{peers})
 	n.applySettings(t, before, after)
 	n.RuntimeReady(RuntimeState{RequestedAt: time.Now()})
-	n.Round()
+	n.Tick()
 	n.admitRequest(peers, "a", "seal", "", 0)
 	peers.expect(t, 1, "start a seal x")
 	if err := n.Admit(peers, "b", Request{ID: "b", Class: "trace"}); !errors.Is(err, ErrUnknownClass) {
@@ -165,11 +165,11 @@
 		if err := n.Admit(peers, MessageID(id), Request{ID: id, Class: class, Tenant: tenant, MemoryKB: 1, ReceivedAt: time.Now(), Body: []byte("x")}); err != nil {
 			t.Fatal(err)
 		}
-		n.Round()
+		n.Tick()
 	}
 	end := func(id TaskID) {
 		n.RunEnded(id, RunResult{Outcome: policy.OK, Duration: time.Millisecond})
-		n.Round()
+		n.Tick()
 	}
 	for at := range 10 { // more than the burst
 		id := TaskID(fmt.Sprint("a", at))
@@ -253,13 +253,13 @@
 	if err == nil {
 		m.requests[id] = r
 	}
-	m.instance.Round()
+	m.instance.Tick()
 }
 
 func (m *model) endRun(t *rapid.T) {
 	if ids := slices.Sorted(maps.Keys(m.instance.byTaskID)); len(ids) > 0 {
 		m.instance.RunEnded(rapid.SampledFrom(ids).Draw(t, "id"), RunResult{Outcome: policy.OK, Duration: time.Millisecond, Body: []byte("r")})
-		m.instance.Round()
+		m.instance.Tick()
 	}
 }
 
@@ -269,7 +269,7 @@
 		r.expiresAt = m.instance.now - 2*keyLinger
 	}
 	m.instance.nextSweep = 0
-	m.instance.Round()
+	m.instance.Tick()
 }
 
 func (m *model) check(t *rapid.T) {
@@ -340,7 +340,7 @@
 			for _, id := range slices.Sorted(maps.Keys(m.instance.byTaskID)) {
 				m.instance.RunEnded(id, RunResult{Outcome: policy.OK, Duration: time.Millisecond})
 			}
-			m.instance.Round()
+			m.instance.Tick()
 		}
 		m.expireKeys(t)
 		m.check(t)
@@ -429,16 +429,16 @@
 			n, peers := start()
 			n.admitRequest(peers, "a", "safe", "", 0)
 			n.CallRequested("a", []byte("below"))
-			n.Round()
+			n.Tick()
 			peers.expect(t, 1, "call a below")
 			n.CallReturned("a", CallResult{Outcome: policy.Failed, Duration: 10 * time.Millisecond}) // with a weight for degraded answers the controller would skip the call now
-			n.Round()
+			n.Tick()
 			peers.expect(t, 2, "call a below")
 			n.CallReturned("a", CallResult{Outcome: policy.OK, Duration: 10 * time.Millisecond, Reply: []byte("reply")})
-			n.Round()
+			n.Tick()
 			peers.expect(t, 1, "give a reply")
 			n.RunEnded("a", RunResult{Outcome: policy.OK, Duration: 20 * time.Millisecond, Body: []byte("done")})
-			n.Round()
+			n.Tick()
 			peers.expect(t, 1, "answer a 0 done")
 		})
 	}
--- a/internal/node/round.go
+++ b/internal/node/tick.go
@@ -6,12 +6,12 @@
 	"thymechute/internal/loop"
 )
 
-// enqueue keeps an event for the next round.
+// enqueue keeps an event for the next tick of the loop.
 func (n *Instance) enqueue(event func()) { n.events = append(n.events, event) }
 
-// Round hands all events to the controller and lets it act. It returns when the next round is due and the phase that the
+// Tick hands all events to the controller and lets it act. It returns when the next tick of the loop is due and the phase that the
 // event loop shall be in.
-func (n *Instance) Round() (time.Time, loop.Phase) {
+func (n *Instance) Tick() (time.Time, loop.Phase) {
 	clock := time.Now()
 	n.now = clock.Sub(n.start)
 	nextTimeout := n.dependency.Sweep(clock)
@@ -19,9 +19,9 @@
 	if n.controller == nil {
 		n.healthReporter.Sweep(clock, Unhealthy)
 		n.sweepFronts(clock)
-		return clock.Add(defaultTickInterval), n.phase()
+		return clock.Add(defaultControllerTickInterval), n.phase()
 	}
-	nextTick := n.tickIfDue()
+	nextTick := n.tickControllerIfDue()
 	n.controller.Dispatch(n.now)
 	n.handleCompletions()
 	if n.now >= n.nextSweep {
@@ -40,7 +40,7 @@
 		n.lastEventAt = n.now
 	}
 	for _, event := range events {
-		loop.Guard(n.log, "event", event)
+		loop.WithRecover(n.log, "event", event)
 	}
 }
 
@@ -50,7 +50,7 @@
 		completions := n.completions
 		n.completions = nil
 		for _, complete := range completions {
-			loop.Guard(n.log, "completion", complete)
+			loop.WithRecover(n.log, "completion", complete)
 		}
 		n.controller.Dispatch(n.now)
 	}
@@ -70,24 +70,24 @@
 	}
 }
 
-// tickIfDue ticks if it is time to, and returns when the next tick is due.
-func (n *Instance) tickIfDue() time.Duration {
-	if n.now < n.nextTick {
-		return n.nextTick
+// tickControllerIfDue ticks if it is time to, and returns when the next tick is due.
+func (n *Instance) tickControllerIfDue() time.Duration {
+	if n.now < n.nextControllerTick {
+		return n.nextControllerTick
 	}
-	if due := n.tickDue(); n.now < due {
+	if due := n.controllerTickDue(); n.now < due {
 		return due
 	}
-	n.tick()
-	return n.nextTick
+	n.tickController()
+	return n.nextControllerTick
 }
 
-func (n *Instance) tick() {
+func (n *Instance) tickController() {
 	gauges := n.gauges
 	if n.now-n.gaugesAt > maxGaugeAge {
 		gauges = noGauges
 	}
-	n.nextTick = n.now + defaultTickInterval
+	n.nextControllerTick = n.now + defaultControllerTickInterval
 	n.controller.Tick(n.now, gauges)
 	if n.runtime.Up() {
 		n.requestGauges()
@@ -102,15 +102,15 @@
 	n.runtime.RequestGauges()
 }
 
-// tickDue returns when the pending tick is due. It is deferred while the machine is stalled, which shows in gauges that
+// controllerTickDue returns when the pending tick is due. It is deferred while the machine is stalled, which shows in gauges that
 // are outstanding and no other events: timers of the whole machine stand still then, and that is no load. The deferral is
 // shorter than the margin of every deadline, and a tick that late tells the controller of the stall.
-func (n *Instance) tickDue() time.Duration {
+func (n *Instance) controllerTickDue() time.Duration {
 	outstanding := n.runtime.Up() && n.gaugesRequestedAt > n.gaugesAt
 	if outstanding && n.now-max(n.gaugesRequestedAt, n.lastEventAt) > stallThreshold {
-		return n.nextTick + maxTickDelay
+		return n.nextControllerTick + maxControllerTickDelay
 	}
-	return n.nextTick
+	return n.nextControllerTick
 }
 
 // sweep drops expired keys and fails health checks past their timeout.
--- a/internal/node/round_test.go
+++ b/internal/node/tick_test.go
@@ -10,15 +10,15 @@
 	n, peers := newReady(nil)
 	for _, stalled := range []bool{false, true} {
 		n.now = time.Since(n.start)
-		n.nextTick, n.gaugesRequestedAt, n.gaugesAt, n.lastEventAt = n.now, n.now-2*stallThreshold, n.now-3*stallThreshold, n.now
+		n.nextControllerTick, n.gaugesRequestedAt, n.gaugesAt, n.lastEventAt = n.now, n.now-2*stallThreshold, n.now-3*stallThreshold, n.now
 		if stalled {
 			n.lastEventAt = n.gaugesRequestedAt
 		}
-		if late := n.tickDue() - n.nextTick; (late == maxTickDelay) != stalled || !stalled && late != 0 {
+		if late := n.controllerTickDue() - n.nextControllerTick; (late == maxControllerTickDelay) != stalled || !stalled && late != 0 {
 			t.Errorf("stalled %v: %v late", stalled, late)
 		}
 	}
-	if peers.down = true; n.tickDue() != n.nextTick {
+	if peers.down = true; n.controllerTickDue() != n.nextControllerTick {
 		t.Error("a link that is down defers ticks")
 	}
 }
