--- a/cmd/thymechute/drain_test.go
+++ b/cmd/thymechute/drain_test.go
@@ -25,7 +25,7 @@
 	s.Closing()
 	w.Program.Term()
 	w.Runtime.Send(`{"verb":"ready","outcome":"old","spent":3600000}` + "\n")
-	testutil.Eventually(t, "the runtime is up", func() bool { return strings.Contains(w.Program.Log(), "runtime link") })
+	testutil.Eventually(t, "the runtime is up", func() bool { return strings.Contains(w.Program.Log(), "runtime link established") })
 	s.Ask(2, "trace", "aa02", body, "")
 	s.Wants(2, -32001, "")
 	s.Ends()
--- a/internal/runtimelink/link.go
+++ b/internal/runtimelink/link.go
@@ -1,12 +1,15 @@
-// Package runtimelink is the link to the runtime that owns the cores: its lines to notices and commands to its lines.
-// The Link keeps one connection, opens it anew after growing, spread waits, and tells each notice once and in
-// order, by the number of the last one read. It must never keep or give again a command: what a broken link may
-// have swallowed is the node's to say again, after CaughtUp. It keeps no table.
+// Package runtimelink is the client of the runtime that executes requests: it writes commands and reads notices, as JSON
+// messages of one line each.
+//
+// A Link keeps one connection to the runtime and opens another after a backoff with jitter when that is lost. The runtime
+// numbers its notices; a new connection asks for those after the last one that was read, and each is passed on once and
+// in order. A Link does not keep commands: the instance repeats what a lost connection may not have delivered, once
+// RuntimeResynced tells it that all missed notices were read.
+//
+// A Link belongs to the event loop; its methods must be called on the loop's goroutine and do not block.
 package runtimelink
 
 import (
-	"errors"
-	"fmt"
 	"math/rand/v2"
 	"strconv"
 	"time"
@@ -20,287 +23,205 @@
 )
 
 const (
-	longestLine = 64 << 10
-	mostBytes   = 32 << 10
-	leastWait   = 20 * time.Millisecond
-	mostWait    = time.Second
-	silence     = 2 * time.Second // without a word, though readings are owed, before the link is opened anew
-	mostOdd     = 20              // remarks on what is odd in a link's life
+	minBackoff      = 20 * time.Millisecond // after the first failed connection
+	maxBackoff      = time.Second           // the runtime may be back at any time
+	gaugesTimeout   = 2 * time.Second       // another connection is opened after this long without an answer
+	maxAnomalyLines = 20                    // log lines about unexpected notices, per connection
+	gaugesNonce     = "g"                   // of the readings that ticks ask for
 )
 
-// Notice is a message from the runtime.
-type Notice struct {
-	Verb, Outcome, Nonce string
-	Task                 node.TaskID
-	Index                uint64 // 0: not numbered
-	Spent                time.Duration
-	Bytes                []byte
-	Readings             []float64
-}
-
-// Decode reads one line.
-func Decode(line []byte) (n Notice, err error) {
-	r := jsonline.New(line)
-	text := func(into *string) error {
-		b, err := r.Text()
-		*into = string(b)
-		return err
-	}
-	err = r.Object(func(name []byte) (err error) {
-		var x float64
-		switch string(name) {
-		case "verb":
-			err = text(&n.Verb)
-		case "task":
-			err = text((*string)(&n.Task))
-		case "outcome":
-			err = text(&n.Outcome)
-		case "nonce":
-			err = text(&n.Nonce)
-		case "index":
-			if x, err = r.Number(); err == nil && (x < 0 || x > 1<<53) {
-				err = errors.New("expected a number of a notice")
-			}
-			n.Index = uint64(x)
-		case "spent":
-			if x, err = r.Number(); err == nil {
-				n.Spent = time.Duration(min(max(x, 0), 1e12) * 1e6)
-			}
-		case "bytes":
-			n.Bytes, err = r.Bytes(mostBytes)
-		case "readings":
-			err = r.List(func() error {
-				x, err := r.Number()
-				if len(n.Readings) < 64 {
-					n.Readings = append(n.Readings, x)
-				}
-				return err
-			})
-		default:
-			_, err = r.Raw()
-		}
-		return err
-	})
-	if err == nil {
-		err = r.End()
-	}
-	if err == nil && n.Verb == "" {
-		err = errors.New("expected a verb")
-	}
-	return n, err
-}
-
-// AppendCommand writes a command; empty fields are left out, but for bytes, which stand where they are not nil.
-func AppendCommand(out []byte, verb string, task node.TaskID, handler string, body []byte, nonce string) []byte {
-	out = jsonline.AppendText(append(out, `{"verb":`...), verb)
-	if task != "" {
-		out = jsonline.AppendText(append(out, `,"task":`...), string(task))
-	}
-	if handler != "" {
-		out = jsonline.AppendText(append(out, `,"handler":`...), handler)
-	}
-	if body != nil {
-		out = jsonline.AppendBytes(append(out, `,"bytes":`...), body)
-	}
-	if nonce != "" {
-		out = jsonline.AppendText(append(out, `,"nonce":`...), nonce)
-	}
-	return append(out, "}\n"...)
-}
-
-// Sink is told what the runtime says.
+// Sink receives the runtime's notices.
 type Sink interface {
 	RuntimeReady(state node.RuntimeState)
 	RuntimeResynced()
 	RunEnded(id node.TaskID, result node.RunResult)
 	CallRequested(id node.TaskID, body []byte)
-	GaugesRead(row []float64)
+	GaugesRead(values []float64)
 	SelfTestEnded(id string, status node.HealthStatus)
 }
 
-var ends = map[string]policy.Outcome{
-	"good": policy.OK, "bad": policy.Failed, "cut": policy.Cancelled, "gone": policy.NotStarted,
-}
-
-// Link is the one connection to the runtime.
+// Link is the connection to the runtime.
 type Link struct {
-	sink   Sink
-	dial   func(loop.Handler)
-	after  func(time.Duration, func())
-	log    *zap.Logger
-	spread *rand.Rand
-	now    *session  // the latest connection, standing or dialled
-	wire   loop.Conn // of the session that commands go to; none while the link is broken
-	in     jsonline.Lines
-	last   uint64 // number of the last notice read
-	caught bool   // the notices missed have been read
-	tag    string // of the reading behind them
-	links  int
-	odd    int
-	wait   time.Duration
-	opened time.Time
-	owed   time.Time // the first reading asked for since anything came; zero: none
+	sink     Sink
+	dial     func(loop.Handler)
+	schedule func(time.Duration, func())
+	log      *zap.Logger
+	random   *rand.Rand
+
+	latest    *session  // the latest connection, open or being dialled
+	conn      loop.Conn // of the session that commands are written to; nil while the link is down
+	lines     jsonline.Lines
+	lastIndex uint64 // of the last numbered notice read
+
+	resynced     bool   // the notices missed before this connection were read
+	syncNonce    string // of the reading that follows them
+	sessionCount int
+	anomalies    int // of this connection
+	backoff      time.Duration
+	openedAt     time.Time
+	awaitedSince time.Time // of the first request for gauges since anything was read; zero: none
+}
+
+// NewLink returns a link without a connection. Dial opens a connection for a handler; schedule runs a function on the loop
+// after a delay.
+func NewLink(sink Sink, dial func(loop.Handler), schedule func(time.Duration, func()), seed uint64, log *zap.Logger) *Link {
+	return &Link{
+		sink:     sink,
+		dial:     dial,
+		schedule: schedule,
+		log:      log,
+		random:   rand.New(rand.NewPCG(seed, 1)),
+		backoff:  minBackoff,
+	}
+}
+
+// Open dials a new connection. An open one serves until the new one is open and replaces it.
+func (l *Link) Open() {
+	l.latest = &session{link: l}
+	l.dial(l.latest)
 }
 
-// NewLink makes a link; dial opens a connection for it, after calls back on the loop later.
-func NewLink(sink Sink, dial func(loop.Handler), after func(time.Duration, func()), seed uint64, log *zap.Logger) *Link {
-	return &Link{sink: sink, dial: dial, after: after, log: log, spread: rand.New(rand.NewPCG(seed, 1)), wait: leastWait}
-}
+// Up tells whether commands reach the runtime.
+func (l *Link) Up() bool { return l.conn != nil && l.resynced }
 
-// session is one connection of the link. One that was replaced is heard no more: the next has told the runtime how
-// far its notices were read.
-type session struct {
-	l    *Link
-	wire loop.Conn
+// Start starts a run of the class with that body.
+func (l *Link) Start(id node.TaskID, class string, body []byte) {
+	l.send(command{verb: verbStart, task: id, class: class, body: notNil(body)})
 }
 
-// Open dials, also where a link stands: that one serves on until the new one is open, which takes its place.
-func (l *Link) Open() {
-	l.now = &session{l: l}
-	l.dial(l.now)
-}
+// Stop stops a run.
+func (l *Link) Stop(id node.TaskID) { l.send(command{verb: verbStop, task: id}) }
 
-// Up tells whether commands reach the runtime.
-func (l *Link) Up() bool { return l.wire != nil && l.caught }
+// DeliverReply gives a run the reply to its call.
+func (l *Link) DeliverReply(id node.TaskID, reply []byte) {
+	l.send(command{verb: verbGive, task: id, body: notNil(reply)})
+}
 
-// Opened says how far the notices were read.
-func (s *session) Opened(w loop.Conn) {
-	l := s.l
-	if s.wire = w; l.now != s {
-		w.Close()
-		return
-	}
-	if l.wire != nil {
-		l.wire.Close()
+// RequestGauges asks for a reading. Where nothing was read since a request that is older than gaugesTimeout, the runtime may no
+// longer be at the other end, though the connection is open: another one is opened, and replaces it.
+func (l *Link) RequestGauges() {
+	now := time.Now()
+	if l.awaitedSince.IsZero() {
+		l.awaitedSince = now
+	} else if silence := now.Sub(l.awaitedSince); silence > gaugesTimeout {
+		l.log.Warn("runtime link silent", zap.Duration("silent_for", silence))
+		l.awaitedSince = now
+		l.Open()
 	}
-	l.wire, l.caught, l.odd, l.opened, l.owed = w, false, 0, time.Now(), time.Time{}
-	l.links++
-	l.tag = "sync" + strconv.Itoa(l.links)
-	l.in = jsonline.Lines{Longest: longestLine}
-	l.wire.Write(fmt.Appendf(nil, `{"verb":"sync","index":%d}`+"\n", l.last))
+	l.send(command{verb: verbGauges, nonce: gaugesNonce})
 }
 
-// Closed dials again after a while, unless the next is dialled already.
-func (s *session) Closed(err error) {
-	l := s.l
-	if s.wire != nil && s.wire == l.wire {
-		l.log.Warn("runtime link lost", zap.Error(err))
-		l.wire, l.caught = nil, false
-	}
-	if l.now != s {
-		return
+// SelfTest asks for the self-test of a deep health check.
+func (l *Link) SelfTest(id string) { l.send(command{verb: verbSelfTest, nonce: id}) }
+
+func (l *Link) send(c command) {
+	if l.conn != nil {
+		l.conn.Write(c.append(nil))
 	}
-	wait := time.Duration(float64(l.wait) * (0.5 + l.spread.Float64()))
-	l.wait = min(2*l.wait, mostWait)
-	l.after(wait, func() {
-		if l.now == s {
-			l.Open()
-		}
-	})
 }
 
-func (s *session) Received(p []byte) error {
-	l := s.l
-	if s.wire != l.wire {
-		return nil
-	}
-	l.owed = time.Time{}
-	return l.in.Feed(p, func(line []byte) error {
-		n, err := Decode(line)
-		if err != nil {
-			return fmt.Errorf("runtime: %w", err)
+// notNil returns an empty body for none, as the command carries it.
+func notNil(body []byte) []byte {
+	if body == nil {
+		return []byte{}
+	}
+	return body
+}
+
+// replace makes the session's connection the link's.
+func (l *Link) replace(conn loop.Conn) {
+	if l.conn != nil {
+		l.conn.Close()
+	}
+	l.conn = conn
+	l.resynced = false
+	l.anomalies = 0
+	l.openedAt = time.Now()
+	l.awaitedSince = time.Time{}
+	l.sessionCount++
+	l.syncNonce = "sync" + strconv.Itoa(l.sessionCount)
+	l.lines = jsonline.Lines{Longest: maxLineBytes}
+	l.conn.Write(appendSync(nil, l.lastIndex))
+}
+
+// reopen dials again after the backoff, unless the session was replaced by then.
+func (l *Link) reopen(lost *session) {
+	jitter := 0.5 + l.random.Float64()
+	delay := time.Duration(float64(l.backoff) * jitter)
+	l.backoff = min(2*l.backoff, maxBackoff)
+	l.schedule(delay, func() {
+		if l.latest == lost {
+			l.Open()
 		}
-		l.notice(n)
-		return nil
 	})
 }
 
-func (l *Link) notice(n Notice) {
+// handle passes a notice on, unless it was read before.
+func (l *Link) handle(n notice) {
 	if n.Index != 0 {
-		if n.Index <= l.last {
-			l.remark("notice repeated", n)
+		if n.Index <= l.lastIndex {
+			l.reportAnomaly("duplicate", n)
 			return
 		}
-		l.last = n.Index
+		l.lastIndex = n.Index
 	}
 	switch n.Verb {
-	case "ready":
-		l.wait = leastWait
-		l.log.Info("runtime link", zap.String("outcome", n.Outcome), zap.Duration("spent", n.Spent))
-		l.sink.RuntimeReady(node.RuntimeState{Reused: n.Outcome == "old", Age: n.Spent, RequestedAt: l.opened})
-		l.send("gauges", "", "", nil, l.tag) // its answer comes behind the notices that were missed
-	case "end":
-		if o, ok := ends[n.Outcome]; ok {
-			l.sink.RunEnded(n.Task, node.RunResult{Outcome: o, Duration: n.Spent, Body: n.Bytes})
-			return
-		}
-		l.remark("unknown end", n)
-		l.sink.RunEnded(n.Task, node.RunResult{Outcome: policy.Unknown, Duration: n.Spent})
-	case "wants":
-		l.sink.CallRequested(n.Task, n.Bytes)
-	case "load":
-		if n.Nonce == l.tag && !l.caught {
-			l.caught = true
-			l.sink.RuntimeResynced()
-		}
-		l.sink.GaugesRead(n.Readings)
-	case "verdict":
-		l.sink.SelfTestEnded(n.Nonce, node.HealthOf(n.Outcome == "good"))
-	case "nack":
-		l.remark("command not carried out", n)
-		if n.Outcome == "start" {
-			l.sink.RunEnded(n.Task, node.RunResult{Outcome: policy.NotStarted})
-		}
-	case "info":
+	case verbReady:
+		l.handleReady(n)
+	case verbEnd:
+		l.handleEnd(n)
+	case verbWants:
+		l.sink.CallRequested(n.Task, n.Body)
+	case verbLoad:
+		l.handleLoad(n)
+	case verbVerdict:
+		l.sink.SelfTestEnded(n.Nonce, node.HealthOf(n.Outcome == outcomeGood))
+	case verbNack:
+		l.handleNack(n)
+	case verbInfo:
 	default:
-		l.remark("unknown verb", n)
+		l.reportAnomaly("unknown verb", n)
 	}
 }
 
-func (l *Link) remark(what string, n Notice) {
-	if l.odd++; l.odd <= mostOdd {
-		l.log.Warn("runtime: "+what, zap.String("verb", n.Verb), zap.String("task", string(n.Task)),
-			zap.String("outcome", n.Outcome), zap.Uint64("index", n.Index))
-	}
+func (l *Link) handleReady(n notice) {
+	l.backoff = minBackoff
+	l.log.Info("runtime link established", zap.String("state", n.Outcome), zap.Duration("age", n.Spent))
+	l.sink.RuntimeReady(node.RuntimeState{Reused: n.Outcome == stateOld, Age: n.Spent, RequestedAt: l.openedAt})
+	l.send(command{verb: verbGauges, nonce: l.syncNonce}) // answered behind the notices that were missed
 }
 
-func (l *Link) send(verb string, task node.TaskID, handler string, body []byte, nonce string) {
-	if l.wire != nil {
-		l.wire.Write(AppendCommand(nil, verb, task, handler, body, nonce))
+func (l *Link) handleEnd(n notice) {
+	outcome, ok := runOutcomes[n.Outcome]
+	if !ok {
+		l.reportAnomaly("unknown run outcome", n)
+		l.sink.RunEnded(n.Task, node.RunResult{Outcome: policy.Unknown, Duration: n.Spent})
+		return
 	}
+	l.sink.RunEnded(n.Task, node.RunResult{Outcome: outcome, Duration: n.Spent, Body: n.Body})
 }
 
-// Start runs a work item.
-func (l *Link) Start(task node.TaskID, band string, body []byte) {
-	if body == nil {
-		body = []byte{}
+func (l *Link) handleLoad(n notice) {
+	if n.Nonce == l.syncNonce && !l.resynced {
+		l.resynced = true
+		l.sink.RuntimeResynced()
 	}
-	l.send("start", task, band, body, "")
+	l.sink.GaugesRead(n.Readings)
 }
 
-// Stop stops a run.
-func (l *Link) Stop(task node.TaskID) { l.send("stop", task, "", nil, "") }
-
-// DeliverReply hands a run the reply to its call.
-func (l *Link) DeliverReply(task node.TaskID, reply []byte) {
-	if reply == nil {
-		reply = []byte{}
+// handleNack ends a run that the runtime refused to start.
+func (l *Link) handleNack(n notice) {
+	l.reportAnomaly("command rejected", n)
+	if n.Outcome == verbStart {
+		l.sink.RunEnded(n.Task, node.RunResult{Outcome: policy.NotStarted})
 	}
-	l.send("give", task, "", reply, "")
 }
 
-// RequestGauges asks for a reading. A runtime that owes readings for long may not be at the other end of this link any more,
-// though nobody closed it: another is opened, and takes its place once it stands.
-func (l *Link) RequestGauges() {
-	if now := time.Now(); l.owed.IsZero() {
-		l.owed = now
-	} else if now.Sub(l.owed) > silence {
-		l.log.Warn("runtime link silent", zap.Duration("for", now.Sub(l.owed)))
-		l.owed = now
-		l.Open()
+func (l *Link) reportAnomaly(reason string, n notice) {
+	l.anomalies++
+	if l.anomalies > maxAnomalyLines {
+		return
 	}
-	l.send("gauges", "", "", nil, "g")
+	l.log.Warn("unexpected runtime notice", zap.String("reason", reason), zap.String("verb", n.Verb),
+		zap.String("task", string(n.Task)), zap.String("outcome", n.Outcome), zap.Uint64("index", n.Index))
 }
-
-// SelfTest asks for the work of a deep health check.
-func (l *Link) SelfTest(tag string) { l.send("selftest", "", "", nil, tag) }
--- a/internal/runtimelink/link_test.go
+++ b/internal/runtimelink/link_test.go
@@ -14,6 +14,7 @@
 	"thymechute/policy"
 )
 
+// sink records what the link passes on.
 type sink struct{ got []string }
 
 func (s *sink) put(format string, args ...any) { s.got = append(s.got, fmt.Sprintf(format, args...)) }
@@ -30,20 +31,20 @@
 	s.put("verdict %s %v", id, status == node.Healthy)
 }
 
-func link() (*Link, *sink, *[]time.Duration) {
-	s, waits := &sink{}, &[]time.Duration{}
-	after := func(d time.Duration, _ func()) { *waits = append(*waits, d) }
-	return NewLink(s, func(loop.Handler) {}, after, 7, zap.NewNop()), s, waits
+func newLink() (*Link, *sink, *[]time.Duration) {
+	s, delays := &sink{}, &[]time.Duration{}
+	schedule := func(d time.Duration, _ func()) { *delays = append(*delays, d) }
+	return NewLink(s, func(loop.Handler) {}, schedule, 7, zap.NewNop()), s, delays
 }
 
-// open joins the link's newest session to a wire.
+// open gives the link a new connection.
 func open(l *Link, w loop.Conn) {
 	l.Open()
-	l.now.Opened(w)
+	l.latest.Opened(w)
 }
 
-func TestNoticesAreToldOnceAndInOrder(t *testing.T) {
-	l, s, _ := link()
+func TestNoticesArePassedOnOnceAndInOrder(t *testing.T) {
+	l, s, _ := newLink()
 	w := &testutil.Wire{}
 	open(l, w)
 	const notices = `{"verb":"ready","outcome":"new","spent":1.5}
@@ -51,53 +52,53 @@
 {"verb":"wants","index":1,"task":"a","bytes":"eQ=="}
 {"index":2,"verb":"end","task":"a","outcome":"good","bytes":"eg==","spent":3}
 `
-	for _, c := range []byte(notices) { // broken at every byte
-		if err := l.now.Received([]byte{c}); err != nil {
+	for _, c := range []byte(notices) { // split at every byte
+		if err := l.latest.Received([]byte{c}); err != nil {
 			t.Fatal(err)
 		}
 	}
 	if l.Up() {
-		t.Error("up before the notices that were missed have been read")
+		t.Error("up before the missed notices were read")
 	}
-	if err := l.now.Received([]byte(`{"verb":"load","nonce":"sync1","readings":[1,2]}` + "\n")); err != nil || !l.Up() {
+	if err := l.latest.Received([]byte(`{"verb":"load","nonce":"sync1","readings":[1,2]}` + "\n")); err != nil || !l.Up() {
 		t.Errorf("%v, up %v", err, l.Up())
 	}
 	if got := strings.Join(s.got, "; "); got != "ready false 1.5ms; wants a x; end a 1 z; caught up; readings [1 2]" {
 		t.Error(got)
 	}
 	again := &testutil.Wire{}
-	l.now.Closed(&loop.ConnError{Connected: true})
+	l.latest.Closed(&loop.ConnError{Connected: true})
 	open(l, again)
 	if l.Up() || !strings.Contains(again.Out, `"index":2`) {
 		t.Errorf("up %v, synced with %q", l.Up(), again.Out)
 	}
 }
 
-func TestWaitsBetweenTriesGrowAndEnd(t *testing.T) {
-	l, _, waits := link()
+func TestBackoffGrowsToItsBound(t *testing.T) {
+	l, _, delays := newLink()
 	for range 12 {
 		l.Open()
-		l.now.Closed(&loop.ConnError{})
+		l.latest.Closed(&loop.ConnError{})
 	}
-	w := *waits
-	if w[0] > 2*leastWait || w[5] < 4*leastWait || w[11] < mostWait/2 || w[11] > 2*mostWait {
+	w := *delays
+	if w[0] > 2*minBackoff || w[5] < 4*minBackoff || w[11] < maxBackoff/2 || w[11] > 2*maxBackoff {
 		t.Errorf("%v", w)
 	}
 }
 
-func TestNewLinkTakesThePlaceOfTheOldWhenItIsOpen(t *testing.T) {
-	l, s, _ := link()
+func TestNewConnectionReplacesTheOldOnceItIsOpen(t *testing.T) {
+	l, s, _ := newLink()
 	old, w := &testutil.Wire{}, &testutil.Wire{}
 	open(l, old)
-	first := l.now
+	first := l.latest
 	l.Open()
 	l.Stop("a")
 	if old.Closed || !strings.Contains(old.Out, `"stop"`) {
-		t.Error("the old link does not serve until the new one stands")
+		t.Error("the old connection does not serve until the new one is open")
 	}
-	l.now.Opened(w)
+	l.latest.Opened(w)
 	if err := first.Received([]byte(`{"verb":"wants","index":1,"task":"a","bytes":"eA=="}` + "\n")); err != nil || len(s.got) > 0 {
-		t.Errorf("%v, %q heard on the old link", err, s.got)
+		t.Errorf("%v, %q read on the old connection", err, s.got)
 	}
 	first.Closed(&loop.ConnError{Connected: true})
 	if l.Stop("b"); !old.Closed || !strings.Contains(w.Out, `"b"`) {
@@ -105,22 +106,22 @@
 	}
 }
 
-func TestRefusedStartIsMoot(t *testing.T) {
-	l, s, _ := link()
+func TestRejectedStartEndsTheRunAsNotStarted(t *testing.T) {
+	l, s, _ := newLink()
 	open(l, &testutil.Wire{})
-	_ = l.now.Received([]byte(`{"verb":"nack","outcome":"start","task":"a"}` + "\n" + `{"verb":"nack","outcome":"give","task":"b"}` + "\n"))
+	_ = l.latest.Received([]byte(`{"verb":"nack","outcome":"start","task":"a"}` + "\n" + `{"verb":"nack","outcome":"give","task":"b"}` + "\n"))
 	if len(s.got) != 1 || s.got[0] != fmt.Sprintf("end a %d ", policy.NotStarted) {
 		t.Errorf("%q", s.got)
 	}
 }
 
-func FuzzDecode(f *testing.F) {
+func FuzzDecodeNotice(f *testing.F) {
 	for _, seed := range []string{`{"verb":"end","index":3,"task":"a","outcome":"good","spent":12.5,"bytes":"AP8="}`,
 		`{"verb":"load","nonce":"g","readings":[0.5,3,0.1,20]}`, `{"verb":"ready","outcome":"old","spent":1e300}`, `{"verb":`} {
 		f.Add([]byte(seed))
 	}
 	f.Fuzz(func(t *testing.T, line []byte) {
-		if n, err := Decode(line); err == nil && (n.Verb == "" || n.Spent < 0 || len(n.Bytes) > mostBytes) {
+		if n, err := decodeNotice(line); err == nil && (n.Verb == "" || n.Spent < 0 || len(n.Body) > maxBodyBytes) {
 			t.Errorf("%q was taken as %+v", line, n)
 		}
 	})
--- /dev/null
+++ b/internal/runtimelink/protocol_test.go
@@ -0,0 +1,27 @@
+package runtimelink
+
+import (
+	"testing"
+
+	"thymechute/internal/testutil"
+)
+
+// The runtime's protocol is given: the lines must stay as they are, byte for byte.
+func TestCommandsAreWrittenAsTheProtocolSays(t *testing.T) {
+	for want, write := range map[string]func(*Link){
+		`{"verb":"start","task":"a","handler":"safe","bytes":"eA=="}`: func(l *Link) { l.Start("a", "safe", []byte("x")) },
+		`{"verb":"start","task":"a","handler":"safe","bytes":""}`:     func(l *Link) { l.Start("a", "safe", nil) },
+		`{"verb":"stop","task":"a"}`:                                  func(l *Link) { l.Stop("a") },
+		`{"verb":"give","task":"a","bytes":""}`:                       func(l *Link) { l.DeliverReply("a", nil) },
+		`{"verb":"gauges","nonce":"g"}`:                               func(l *Link) { l.RequestGauges() },
+		`{"verb":"selftest","nonce":"check1"}`:                        func(l *Link) { l.SelfTest("check1") },
+	} {
+		l, _, _ := newLink()
+		conn := &testutil.Wire{}
+		open(l, conn)
+		write(l)
+		if got := conn.Out; got != `{"verb":"sync","index":0}`+"\n"+want+"\n" {
+			t.Errorf("wrote %q, want %q", got, want)
+		}
+	}
+}
--- /dev/null
+++ b/internal/runtimelink/session.go
@@ -0,0 +1,57 @@
+package runtimelink
+
+import (
+	"fmt"
+	"time"
+
+	"go.uber.org/zap"
+
+	"thymechute/internal/loop"
+)
+
+// session is one connection of a link. A replaced session is ignored: its successor has told the runtime which notices
+// were read.
+type session struct {
+	link *Link
+	conn loop.Conn // nil before it is open
+}
+
+// Opened makes the session the link's connection, unless it was replaced while it was dialled.
+func (s *session) Opened(conn loop.Conn) {
+	s.conn = conn
+	if s.link.latest != s {
+		conn.Close()
+		return
+	}
+	s.link.replace(conn)
+}
+
+// Received reads notices. The error is that of a line that is no notice; the connection is closed for it.
+func (s *session) Received(data []byte) error {
+	l := s.link
+	if s.conn != l.conn {
+		return nil
+	}
+	l.awaitedSince = time.Time{}
+	return l.lines.Feed(data, func(line []byte) error {
+		n, err := decodeNotice(line)
+		if err != nil {
+			return fmt.Errorf("runtime: %w", err)
+		}
+		l.handle(n)
+		return nil
+	})
+}
+
+// Closed dials again after the backoff, unless the link has another connection or is dialling one.
+func (s *session) Closed(err error) {
+	l := s.link
+	if s.conn != nil && s.conn == l.conn {
+		l.log.Warn("runtime link lost", zap.Error(err))
+		l.conn = nil
+		l.resynced = false
+	}
+	if l.latest == s {
+		l.reopen(s)
+	}
+}
