--- a/internal/catalog/catalog.go
+++ b/internal/catalog/catalog.go
@@ -1,7 +1,9 @@
-// Package catalog reports to the catalog that this instance is here: datagrams of three words, no answer. An
-// entry lasts 3 s and any report may be lost, so that ten go out in that time. The socket joins the loop. It must
-// never wait for it, and nothing that goes wrong with it may reach further: a broken socket is opened anew for the
-// next report. It keeps no table.
+// Package catalog reports this instance to the service catalog: datagrams of three words ("alive", the instance's name and
+// its health) that get no answer.
+//
+// The catalog drops an entry that was not reported for 3 s. As datagrams may be lost, ten are sent in that time. A socket
+// with an error is closed, and the next report opens another. A Reporter belongs to the event loop; its methods must be
+// called on the loop's goroutine and do not block.
 package catalog
 
 import (
@@ -11,69 +13,79 @@
 	"thymechute/internal/node"
 )
 
-const reportEvery = 300 * time.Millisecond
+// reportInterval is a tenth of an entry's lifetime in the catalog.
+const reportInterval = 300 * time.Millisecond
 
 // Reporter sends the reports.
 type Reporter struct {
-	name   string
-	dial   func(loop.Handler)
-	socket *socket // none: the next report opens one
-	next   time.Time
+	name       string
+	dial       func(loop.Handler)
+	socket     *socket // nil: the next report opens one
+	nextReport time.Time
 }
 
-// New makes a reporter; dial opens a socket for it.
+// New returns a reporter for the instance of that name; dial opens a socket for a handler.
 func New(name string, dial func(loop.Handler)) *Reporter { return &Reporter{name: name, dial: dial} }
 
-// Sweep reports if it is time to.
+// Sweep reports the instance's health if that is due.
 func (r *Reporter) Sweep(now time.Time, status node.HealthStatus) {
-	if now.Before(r.next) {
+	if now.Before(r.nextReport) {
 		return
 	}
 	if r.socket == nil {
-		r.socket = &socket{r: r}
+		r.socket = &socket{reporter: r}
 		r.dial(r.socket)
 	}
-	if r.socket.wire == nil {
+	if r.socket.conn == nil {
 		return
 	}
-	r.next = now.Add(reportEvery)
-	state := " passing"
-	if status != node.Healthy {
-		state = " critical"
+	r.nextReport = now.Add(reportInterval)
+	r.socket.conn.Write(r.report(status))
+}
+
+// report returns the datagram.
+func (r *Reporter) report(status node.HealthStatus) []byte {
+	state := "critical"
+	if status == node.Healthy {
+		state = "passing"
 	}
-	r.socket.wire.Write([]byte("alive " + r.name + state))
+	return []byte("alive " + r.name + " " + state)
 }
 
-// Move reports to a new address from now on: the socket to the old one goes.
+// Move closes the socket, as the catalog's address has changed; the next report is due at once.
 func (r *Reporter) Move() {
-	if r.socket != nil && r.socket.wire != nil {
-		r.socket.wire.Close()
+	if r.socket != nil && r.socket.conn != nil {
+		r.socket.conn.Close()
 	}
-	r.socket, r.next = nil, time.Time{}
+	r.socket = nil
+	r.nextReport = time.Time{}
 }
 
-// socket is one of the reporter's; one that was replaced is of no use.
+// socket is one socket of the reporter. A replaced socket is ignored.
 type socket struct {
-	r    *Reporter
-	wire loop.Conn // none before it stands
+	reporter *Reporter
+	conn     loop.Conn // nil before it is open
 }
 
-func (s *socket) Opened(w loop.Conn) {
-	if s.wire = w; s.r.socket != s {
-		w.Close()
+// Opened closes a socket that was replaced while it was dialled.
+func (s *socket) Opened(conn loop.Conn) {
+	s.conn = conn
+	if s.reporter.socket != s {
+		conn.Close()
 	}
 }
 
-// Received drops what comes: reports get no answer.
+// Received ignores data: reports get no answer.
 func (s *socket) Received([]byte) error { return nil }
 
-// Closed lets the next report open a socket.
+// Closed lets a later report open another socket.
 func (s *socket) Closed(error) {
-	r := s.r
+	r := s.reporter
 	if r.socket != s {
 		return
 	}
-	if r.socket = nil; r.next.Before(time.Now()) {
-		r.next = time.Now().Add(reportEvery)
+	r.socket = nil
+	if now := time.Now(); r.nextReport.Before(now) {
+		r.nextReport = now.Add(reportInterval)
 	}
 }
--- a/internal/catalog/catalog_test.go
+++ b/internal/catalog/catalog_test.go
@@ -11,7 +11,7 @@
 	"thymechute/internal/testutil"
 )
 
-func TestSeveralReportsGoOutWhileAnEntryLasts(t *testing.T) {
+func TestReportsAreSentOftenWithinAnEntrysLifetime(t *testing.T) {
 	var dialled []*socket
 	r := New("n3", func(p loop.Handler) { dialled = append(dialled, p.(*socket)) })
 	now, w := time.Now(), &testutil.Wire{}
@@ -32,7 +32,7 @@
 	}
 }
 
-// A catalog that refuses costs the report that found it away, and no later one: the socket is opened anew for the next.
+// A catalog that is down costs the report that found it so, and no later one: the next opens another socket.
 func TestSocketWithAnErrorIsReplaced(t *testing.T) {
 	var dialled []*socket
 	r := New("n3", func(p loop.Handler) { dialled = append(dialled, p.(*socket)) })
@@ -49,8 +49,8 @@
 		}
 		dialled[n].Closed(&loop.ConnError{Connected: true, Err: errors.New("connection refused")})
 		if n > 0 {
-			dialled[n-1].Closed(errors.New("once more")) // one that was replaced
+			dialled[n-1].Closed(errors.New("once more")) // a replaced socket
 		}
-		now = now.Add(2 * reportEvery)
+		now = now.Add(2 * reportInterval)
 	}
 }
