--- a/cmd/thymechute/reload.go
+++ b/cmd/thymechute/reload.go
@@ -27,7 +27,7 @@
 // reloads reads the file again at each signal, and hands what differs to take on the loop. It has a goroutine of its own:
 // a file that is slow to read, or long, must not keep the loop from what it does, also where they share a core. A file
 // that is faulty, or refused by take, is refused whole in one line.
-func (f *inForce) reloads(hups <-chan os.Signal, onLoop func(func()), take func(config.Given, settings.Delta) error, log *zap.Logger) {
+func (f *inForce) reloads(hups <-chan os.Signal, onLoop func(func()), take func(config.Config, settings.Delta) error, log *zap.Logger) {
 	for range hups {
 		if err := f.reload(onLoop, take); err != nil {
 			log.Error("configuration not taken, the old one stays", zap.Error(err), zap.Uint64("version in force", f.version))
@@ -35,7 +35,7 @@
 	}
 }
 
-func (f *inForce) reload(onLoop func(func()), take func(config.Given, settings.Delta) error) error {
+func (f *inForce) reload(onLoop func(func()), take func(config.Config, settings.Delta) error) error {
 	later, err := config.Load(os.Getenv)
 	if err != nil {
 		return err
--- a/cmd/thymechute/serve.go
+++ b/cmd/thymechute/serve.go
@@ -49,11 +49,11 @@
 func (t timed) After(wait time.Duration, what func()) { t.after(wait, what) }
 
 // serve runs one instance until its end.
-func serve(g config.Given, o *operator.File, signals <-chan os.Signal) error {
+func serve(g config.Config, o *operator.File, signals <-chan os.Signal) error {
 	runtime.GOMAXPROCS(max(int(math.Ceil(g.Cores)), 1))
-	debug.SetMemoryLimit(int64(float64(g.Memory) * memoryPart))
+	debug.SetMemoryLimit(int64(float64(g.MemoryBytes) * memoryPart))
 	debug.SetGCPercent(moreHeap)
-	sockets := g.Sockets
+	sockets := g.MaxSockets
 	var rl syscall.Rlimit
 	if syscall.Getrlimit(syscall.RLIMIT_NOFILE, &rl) == nil && rl.Cur < uint64(sockets) {
 		sockets = int(rl.Cur)
@@ -63,17 +63,17 @@
 	defer out.close()
 	log := newLog(g.Name, out)
 
-	fl, err := startFleet(g.Name, o.Fleet, g.Stop, log)
+	fl, err := startFleet(g.Name, o.Fleet, g.StopTimeout, log)
 	if err != nil {
 		return err
 	}
 	defer fl.leave(log)
-	inst := node.New(g.Settings, g.Seed, g.Stop, g.Memory, log)
+	inst := node.New(g.Settings, g.Seed, g.StopTimeout, g.MemoryBytes, log)
 	inForce := inForce{settings: g.Settings, version: inst.Version()}
 	g.Settings = settings.Settings{} // later ones take their place in inForce
 	part := (sockets - own) / 8
 	front := rpc.NewFront(inst, stubParts*part, part, log)
-	return loop.Run(g.Listen, host{front, inst}, g.Memory, part, log, func(l *loop.Loop) {
+	return loop.Run(g.Listen, host{front, inst}, g.MemoryBytes, part, log, func(l *loop.Loop) {
 		dial := func(network string, address *string) func(loop.Handler) { // the address may change
 			return func(p loop.Handler) { l.Dial(network, *address, dialFor, p) }
 		}
@@ -87,7 +87,7 @@
 		}
 		inst.Connect(cores, calls, reports, fronts...)
 		cores.Open()
-		take := func(later config.Given, delta settings.Delta) error {
+		take := func(later config.Config, delta settings.Delta) error {
 			if !delta.Empty() {
 				if err := inst.Apply(delta); err != nil {
 					return err
@@ -95,7 +95,7 @@
 			}
 			log.Info("configuration read again", append(changed(delta, inst.Version()), zap.String("runtime", later.Runtime),
 				zap.String("index", later.Index), zap.String("directory", later.Catalog),
-				zap.Strings("not changed while running", g.Fixed(later)))...)
+				zap.Strings("not changed while running", g.RestartKeys(later)))...)
 			move(&g.Runtime, later.Runtime, cores.Open)
 			move(&g.Index, later.Index, calls.Move)
 			move(&g.Catalog, later.Catalog, reports.Move)
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -12,8 +12,8 @@
 	"thymechute/policy/settings"
 )
 
-// load reads a whole configuration with one change.
-func load(t *testing.T, change func(file, limits map[string]any)) (Given, error) {
+// load loads a complete configuration with one change.
+func load(t *testing.T, change func(file, limits map[string]any)) (Config, error) {
 	t.Helper()
 	limits := map[string]any{"cores": 0.5, "memory_mb": 64, "sockets": 128, "unheard": 1}
 	file := map[string]any{"name": "n3", "listen": "127.0.0.1:80", "runtime": "127.0.0.1:81", "index": "127.0.0.1:82",
@@ -30,24 +30,24 @@
 	})
 }
 
-func TestAllIsRead(t *testing.T) {
-	g, err := load(t, func(_, limits map[string]any) { delete(limits, "sockets") })
-	if err != nil || g.Name != "n3" || g.Listen != "127.0.0.4:8080" || g.Seed != 0x8c1f30d27a5be964 ||
-		g.Stop != 3200*time.Millisecond || g.Cores != 0.5 || g.Memory != 64<<20 || g.Sockets != defaultSockets {
-		t.Errorf("%v: %+v", err, g)
+func TestAllKeysAreRead(t *testing.T) {
+	c, err := load(t, func(_, limits map[string]any) { delete(limits, "sockets") })
+	if err != nil || c.Name != "n3" || c.Listen != "127.0.0.4:8080" || c.Seed != 0x8c1f30d27a5be964 ||
+		c.StopTimeout != 3200*time.Millisecond || c.Cores != 0.5 || c.MemoryBytes != 64<<20 || c.MaxSockets != defaultSocketLimit {
+		t.Errorf("%v: %+v", err, c)
 	}
-	if s := g.Settings; s.Classes[1].Name != "excursion" || s.Classes[1].Idempotency != settings.Idempotent || s.Server.Cores != settings.NumberOf(4) ||
+	if s := c.Settings; s.Classes[1].Name != "excursion" || s.Classes[1].Idempotency != settings.Idempotent || s.Server.Cores != settings.NumberOf(4) ||
 		s.Classes[2].MakesCalls != settings.True || s.Tenants[0].Name != "acme" || s.Server.RunnableGauge != 2 {
 		t.Errorf("%+v", s)
 	}
 }
 
-// domain is the settings' object of that name.
+// domain returns the domain object of the settings.
 func domain(file map[string]any) map[string]any {
 	return file["settings"].(map[string]any)["domain"].(map[string]any)
 }
 
-func TestFaultsNameTheirKey(t *testing.T) {
+func TestErrorsNameTheirKey(t *testing.T) {
 	for key, change := range map[string]func(file, limits map[string]any){
 		"name":                          func(f, _ map[string]any) { delete(f, "name") },
 		"runtime":                       func(f, _ map[string]any) { f["runtime"] = "localhost:1" },
@@ -67,8 +67,8 @@
 		"settings.classes":              func(f, _ map[string]any) { f["settings"] = map[string]any{"classes": []any{}} },
 	} {
 		_, err := load(t, change)
-		var fault *Fault
-		if !errors.As(err, &fault) || fault.Key != key || fault.Want == "" || fault.Found == "" {
+		var invalid *ValueError
+		if !errors.As(err, &invalid) || invalid.Key != key || invalid.Expected == "" || invalid.Found == "" {
 			t.Errorf("%s: %v", key, err)
 		}
 	}
--- a/internal/config/document.go
+++ b/internal/config/document.go
@@ -1,11 +1,8 @@
-// This file owns reading the file as JSON, from front to back and once. It must never hold the whole of it.
-
 package config
 
 import (
 	"encoding/json"
 	"errors"
-	"fmt"
 	"io"
 	"runtime"
 	"slices"
@@ -14,88 +11,94 @@
 	"thymechute/policy/settings"
 )
 
-// fileBuffer is how much is read from the file between two pauses: some 1,000 tenants, a millisecond's work. A pause may
-// cost as long again where the loop then waits for the network, as Go notices that its core is free only after a while.
-const fileBuffer = 48 << 10
+// readChunkBytes is how much of the file is read between two yields: some 1,000 tenants, a millisecond's work. A yield may
+// take as long again where the loop then waits for the network, as Go notices with a delay that the core is free.
+const readChunkBytes = 48 << 10
 
-// pausing lets others have the core before each read.
-type pausing struct{ from io.Reader }
+// yieldingReader yields the processor before each read.
+type yieldingReader struct{ source io.Reader }
 
-func (p pausing) Read(into []byte) (int, error) {
+func (r yieldingReader) Read(into []byte) (int, error) {
 	runtime.Gosched()
-	return p.from.Read(into)
+	return r.source.Read(into)
 }
 
-// document is what stands in the file.
+// document is the content of the file.
 type document struct {
-	keys     map[string]any // but the settings
-	found    bool           // the settings
-	settings settings.Settings
-	fault    *Fault // in them
+	values        map[string]any // all but the settings
+	hasSettings   bool
+	settings      settings.Settings
+	settingsError *ValueError // of the first faulty value in them
 }
 
 var (
-	errNoObject = errors.New("no object")
-	errMore     = errors.New("more behind the object")
-	errCutOff   = errors.New("unexpected end of JSON input")
+	errNotAnObject  = errors.New("no object")
+	errTrailingData = errors.New("more behind the object")
+	errTruncated    = errors.New("unexpected end of JSON input")
 )
 
-// read takes one object and nothing more. Errors: JSON that is none; a *Fault of the settings as a whole.
-func (d *document) read(in *json.Decoder) error {
+// decode reads one object and the end of the file. The errors are those of invalid JSON, and a *ValueError of settings that
+// can't be read at all.
+func (d *document) decode(in *json.Decoder) error {
 	start, err := in.Token()
 	if err != nil {
 		return err
 	}
 	if start != json.Delim('{') {
-		return errNoObject
+		return errNotAnObject
 	}
 	for in.More() {
-		key, err := in.Token()
-		if err != nil {
-			return err
-		}
-		if key == "settings" {
-			d.found = true
-			d.settings, d.fault, err = settingsjson.Decode(in)
-		} else {
-			var value any
-			err = in.Decode(&value)
-			d.keys[key.(string)] = value
-		}
-		if err != nil {
+		if err := d.decodeMember(in); err != nil {
 			return err
 		}
 	}
-	if _, err := in.Token(); err != nil {
+	if _, err := in.Token(); err != nil { // the object's end
 		return err
 	}
 	if _, err := in.Token(); err != io.EOF {
-		return errMore
+		return errTrailingData
 	}
 	return nil
 }
 
-// refusal is the error of a file that can't be read to its end.
-func refusal(err error, path string) error {
-	var fault *Fault
-	switch {
-	case errors.As(err, &fault):
-		return fault
-	case errors.Is(err, io.EOF), errors.Is(err, io.ErrUnexpectedEOF):
-		err = errCutOff
+// decodeMember reads one key and its value.
+func (d *document) decodeMember(in *json.Decoder) error {
+	key, err := in.Token()
+	if err != nil {
+		return err
+	}
+	if key == "settings" {
+		d.hasSettings = true
+		d.settings, d.settingsError, err = settingsjson.Decode(in)
+		return err
+	}
+	var value any
+	err = in.Decode(&value)
+	d.values[key.(string)] = value
+	return err
+}
+
+// fileError returns the error of a file that can't be decoded.
+func fileError(err error, path string) error {
+	var invalid *ValueError
+	if errors.As(err, &invalid) {
+		return invalid
+	}
+	if errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF) {
+		err = errTruncated
 	}
-	return &Fault{Key: "GW_CONFIG", Found: err.Error(), Want: fmt.Sprint("a JSON object in ", path)}
+	return &ValueError{Key: "GW_CONFIG", Found: err.Error(), Expected: "a JSON object in " + path}
 }
 
-// check notes what is wrong with the settings.
-func (d *document) check(r *reader) {
-	named := func(c settings.Class) bool { return c.Name != "" }
+// checkSettings keeps the error of missing or faulty settings.
+func (d *document) checkSettings(keys *keyReader) {
+	hasName := func(class settings.Class) bool { return class.Name != "" }
 	switch {
-	case !d.found:
-		r.fail("settings", "nothing", "an object")
-	case d.fault != nil:
-		r.fail(d.fault.Key, d.fault.Found, d.fault.Want)
-	case !slices.ContainsFunc(d.settings.Classes, named):
-		r.fail("settings.classes", "none with a name", "at least one class with a name")
+	case !d.hasSettings:
+		keys.fail("settings", "nothing", "an object")
+	case d.settingsError != nil:
+		keys.fail(d.settingsError.Key, d.settingsError.Found, d.settingsError.Expected)
+	case !slices.ContainsFunc(d.settings.Classes, hasName):
+		keys.fail("settings.classes", "none with a name", "at least one class with a name")
 	}
 }
--- a/internal/settingsjson/leaf.go
+++ b/internal/settingsjson/leaf.go
@@ -17,22 +17,22 @@
 type section map[string]json.RawMessage
 
 const (
-	mostNumber = 1e12
-	wantNumber = "a number from 0 to 1e12"
+	maxNumber      = 1e12
+	expectedNumber = "a number from 0 to 1e12"
 )
 
-// number is a figure as it stands in an entry; found is what stands there where that is none.
-type number struct {
+// numberValue is a figure as it stands in an entry; found is what stands there where that is none.
+type numberValue struct {
 	value settings.Number
 	found string
 }
 
-func (n *number) UnmarshalJSON(raw []byte) error {
+func (n *numberValue) UnmarshalJSON(raw []byte) error {
 	if string(raw) == "null" {
 		return nil
 	}
 	x, err := strconv.ParseFloat(string(raw), 64)
-	if err != nil || x < 0 || x > mostNumber {
+	if err != nil || x < 0 || x > maxNumber {
 		n.found = compact(raw)
 		return nil
 	}
@@ -46,11 +46,11 @@
 	if json.Compact(&line, raw) != nil {
 		return "no JSON"
 	}
-	return fmt.Sprintf("%.*s", longestFound, line.String())
+	return fmt.Sprintf("%.*s", maxFoundBytes, line.String())
 }
 
-// shown is a token where something else was expected.
-func shown(token json.Token) string {
+// describeToken is a token where something else was expected.
+func describeToken(token json.Token) string {
 	switch token := token.(type) {
 	case nil:
 		return "nothing"
@@ -62,11 +62,11 @@
 	}
 }
 
-// missing tells of a value that does not stand there.
-func missing(raw json.RawMessage) bool { return raw == nil || string(raw) == "null" }
+// isMissing tells of a value that does not stand there.
+func isMissing(raw json.RawMessage) bool { return raw == nil || string(raw) == "null" }
 
-// under is the key of a value in a section.
-func under(at, key string) string {
+// joinKey is the key of a value in a section.
+func joinKey(at, key string) string {
 	if at == "" {
 		return key
 	}
@@ -74,25 +74,25 @@
 }
 
 // section is an object of the top one; empty where it is missing or none.
-func (r *reader) section(key string) (s section) {
+func (r *decoder) section(key string) (s section) {
 	raw := r.top[key]
-	if !missing(raw) && json.Unmarshal(raw, &s) != nil {
+	if !isMissing(raw) && json.Unmarshal(raw, &s) != nil {
 		r.fail(key, compact(raw), "an object")
 	}
 	return s
 }
 
 // entries are those of a list; none where it is missing or no list.
-func (r *reader) entries(domain section, key string) (list []json.RawMessage) {
+func (r *decoder) entries(domain section, key string) (list []json.RawMessage) {
 	raw := domain[key]
-	if !missing(raw) && json.Unmarshal(raw, &list) != nil {
+	if !isMissing(raw) && json.Unmarshal(raw, &list) != nil {
 		r.fail("domain."+key, compact(raw), "a list")
 	}
 	return list
 }
 
-// each reads all entries of a list of the domain.
-func each[T any](r *reader, domain section, key string, read func(at, key string, from section) T) []T {
+// decodeEntries reads all entries of a list of the domain.
+func decodeEntries[T any](r *decoder, domain section, key string, read func(at, key string, from section) T) []T {
 	var list []T
 	for place, raw := range r.entries(domain, key) {
 		at := strconv.Itoa(place)
@@ -101,47 +101,47 @@
 	return list
 }
 
-func (r *reader) number(at, key string, from section) settings.Number {
-	var n number
+func (r *decoder) number(at, key string, from section) settings.Number {
+	var n numberValue
 	if raw := from[key]; raw != nil {
 		_ = n.UnmarshalJSON(raw)
 	}
 	if n.found != "" {
-		r.fail(under(at, key), n.found, wantNumber)
+		r.fail(joinKey(at, key), n.found, expectedNumber)
 	}
 	return n.value
 }
 
 // word is one of those allowed.
-func (r *reader) word(at, key string, from section, allowed ...string) (word string) {
+func (r *decoder) word(at, key string, from section, allowed ...string) (word string) {
 	raw := from[key]
-	if missing(raw) {
+	if isMissing(raw) {
 		return ""
 	}
 	if json.Unmarshal(raw, &word) != nil || !slices.Contains(allowed, word) {
-		r.fail(under(at, key), compact(raw), "one of "+strings.Join(allowed, ", "))
+		r.fail(joinKey(at, key), compact(raw), "one of "+strings.Join(allowed, ", "))
 		return ""
 	}
 	return word
 }
 
-func (r *reader) text(at, key string, from section) (text string) {
-	if raw := from[key]; !missing(raw) && json.Unmarshal(raw, &text) != nil {
-		r.fail(under(at, key), compact(raw), "a text")
+func (r *decoder) text(at, key string, from section) (text string) {
+	if raw := from[key]; !isMissing(raw) && json.Unmarshal(raw, &text) != nil {
+		r.fail(joinKey(at, key), compact(raw), "a text")
 	}
 	return text
 }
 
-func (r *reader) flag(at, key string, from section) settings.Flag {
+func (r *decoder) flag(at, key string, from section) settings.Flag {
 	raw := from[key]
 	switch {
-	case missing(raw):
+	case isMissing(raw):
 		return settings.Missing
 	case string(raw) == "true":
 		return settings.True
 	case string(raw) == "false":
 		return settings.False
 	}
-	r.fail(under(at, key), compact(raw), "true or false")
+	r.fail(joinKey(at, key), compact(raw), "true or false")
 	return settings.Missing
 }
--- a/internal/settingsjson/read.go
+++ b/internal/settingsjson/read.go
@@ -17,32 +17,32 @@
 	"thymechute/policy/settings"
 )
 
-// Fault is one value that can't be meant: its key in dotted form, what was found and what is expected.
-type Fault struct{ Key, Found, Want string }
+// ValueError is one value that can't be meant: its key in dotted form, what was found and what is expected.
+type ValueError struct{ Key, Found, Expected string }
 
-func (f *Fault) Error() string {
-	return fmt.Sprintf("%s: found %s, expected %s", f.Key, f.Found, f.Want)
+func (f *ValueError) Error() string {
+	return fmt.Sprintf("%s: found %s, expected %s", f.Key, f.Found, f.Expected)
 }
 
-// chunk is how many tenants are read at a time.
-const chunk = 1024
+// tenantChunk is how many tenants are read at a time.
+const tenantChunk = 1024
 
-// longestFound is how much of a found value a fault shows.
-const longestFound = 60
+// maxFoundBytes is how much of a found value a fault shows.
+const maxFoundBytes = 60
 
 // Decode reads one object from the decoder. A leaf that can't be meant stays missing, and the first such is the fault:
 // a caller that takes no faulty settings refuses them whole by it. Errors: JSON that is none, and a *Fault where the
 // lists can't be read at all (no object or list, more entries than their bounds); the settings are empty then.
-func Decode(in *json.Decoder) (settings.Settings, *Fault, error) {
-	r := reader{in: in}
+func Decode(in *json.Decoder) (settings.Settings, *ValueError, error) {
+	r := decoder{in: in}
 	if err := r.object(); err != nil {
 		return settings.Settings{}, nil, err
 	}
-	return r.settings(), r.fault, nil
+	return r.settings(), r.firstError, nil
 }
 
 // Parse reads a text that holds one object and nothing more; results and errors are Decode's.
-func Parse(text string) (settings.Settings, *Fault, error) {
+func Parse(text string) (settings.Settings, *ValueError, error) {
 	in := json.NewDecoder(strings.NewReader(text))
 	s, fault, err := Decode(in)
 	if err != nil {
@@ -54,23 +54,23 @@
 	return s, fault, nil
 }
 
-// reader holds what was read until the end, as a list of one section belongs to the entries of another.
-type reader struct {
-	in      *json.Decoder
-	top     section
-	classes []settings.Class
-	tenants [][]settings.Tenant // in chunks, so that a long list is not copied again and again
-	fault   *Fault
+// decoder holds what was read until the end, as a list of one section belongs to the entries of another.
+type decoder struct {
+	in         *json.Decoder
+	top        section
+	classes    []settings.Class
+	tenants    [][]settings.Tenant // in chunks, so that a long list is not copied again and again
+	firstError *ValueError
 }
 
 // object reads the whole object, list by list.
-func (r *reader) object() error {
+func (r *decoder) object() error {
 	start, err := r.in.Token()
 	if err != nil {
 		return err
 	}
 	if start != json.Delim('{') {
-		return &Fault{"settings", shown(start), "an object"}
+		return &ValueError{"settings", describeToken(start), "an object"}
 	}
 	r.top = section{}
 	for r.in.More() {
@@ -97,7 +97,7 @@
 }
 
 // list reads a list entry by entry; null is an empty one.
-func (r *reader) list(key string, most int, entry func(place int) error) error {
+func (r *decoder) list(key string, most int, entry func(place int) error) error {
 	start, err := r.in.Token()
 	switch {
 	case err != nil:
@@ -105,11 +105,11 @@
 	case start == nil:
 		return nil
 	case start != json.Delim('['):
-		return &Fault{"settings." + key, shown(start), "a list"}
+		return &ValueError{"settings." + key, describeToken(start), "a list"}
 	}
 	for place := 0; r.in.More(); place++ {
 		if place >= most {
-			return &Fault{"settings." + key, fmt.Sprintf("more than %d", most), fmt.Sprintf("at most %d", most)}
+			return &ValueError{"settings." + key, fmt.Sprintf("more than %d", most), fmt.Sprintf("at most %d", most)}
 		}
 		if err := entry(place); err != nil {
 			return err
@@ -120,9 +120,9 @@
 }
 
 // readClasses keeps nothing of an entry but what a Class holds; the lists of the domain add to it.
-func (r *reader) readClasses() error {
+func (r *decoder) readClasses() error {
 	r.classes = nil
-	seen := newDigests()
+	seen := newNameDigests()
 	standing := func(name string) bool {
 		return slices.ContainsFunc(r.classes, func(class settings.Class) bool { return class.Name == name })
 	}
@@ -142,9 +142,9 @@
 }
 
 // readTenants keeps nothing of an entry but what a Tenant holds.
-func (r *reader) readTenants() error {
+func (r *decoder) readTenants() error {
 	r.tenants = nil
-	seen := newDigests()
+	seen := newNameDigests()
 	standing := func(name string) bool {
 		named := func(tenant settings.Tenant) bool { return tenant.Name == name }
 		return slices.ContainsFunc(r.tenants, func(chunk []settings.Tenant) bool { return slices.ContainsFunc(chunk, named) })
@@ -157,8 +157,8 @@
 		tenant := r.tenant(place, raw)
 		r.name("tenants", place, tenant.Name, seen, standing)
 		last := len(r.tenants) - 1
-		if last < 0 || len(r.tenants[last]) == chunk {
-			r.tenants = append(r.tenants, make([]settings.Tenant, 0, chunk))
+		if last < 0 || len(r.tenants[last]) == tenantChunk {
+			r.tenants = append(r.tenants, make([]settings.Tenant, 0, tenantChunk))
 			last++
 		}
 		r.tenants[last] = append(r.tenants[last], tenant)
@@ -167,8 +167,8 @@
 }
 
 // tenant reads one entry. There may be many: it is read in place, which takes half of what decoding by reflection does.
-func (r *reader) tenant(place int, raw json.RawMessage) (tenant settings.Tenant) {
-	if missing(raw) {
+func (r *decoder) tenant(place int, raw json.RawMessage) (tenant settings.Tenant) {
+	if isMissing(raw) {
 		return tenant
 	}
 	entry := jsonline.New(raw)
@@ -187,7 +187,7 @@
 	if err != nil {
 		r.fail(fmt.Sprint("tenants.", place), compact(raw), "an object")
 	}
-	if !missing(name) {
+	if !isMissing(name) {
 		text, err := jsonline.New(name).Text()
 		if err != nil {
 			r.fail(fmt.Sprintf("tenants.%d.name", place), compact(name), "a text")
@@ -195,9 +195,9 @@
 		tenant.Name = string(text)
 	}
 	if quota != nil {
-		var n number
+		var n numberValue
 		if _ = n.UnmarshalJSON(quota); n.found != "" {
-			r.fail(fmt.Sprintf("tenants.%d.quota_per_s", place), n.found, wantNumber)
+			r.fail(fmt.Sprintf("tenants.%d.quota_per_s", place), n.found, expectedNumber)
 		}
 		tenant.Quota = n.value
 	}
@@ -205,18 +205,18 @@
 }
 
 // fail keeps the first fault.
-func (r *reader) fail(key, found, want string) {
-	if r.fault == nil {
-		r.fault = &Fault{"settings." + key, found, want}
+func (r *decoder) fail(key, found, want string) {
+	if r.firstError == nil {
+		r.firstError = &ValueError{"settings." + key, found, want}
 	}
 }
 
 // settings makes the typed value of all that was read.
-func (r *reader) settings() settings.Settings {
+func (r *decoder) settings() settings.Settings {
 	s := settings.Settings{Server: r.server(), Classes: r.classes, Tenants: slices.Concat(r.tenants...)}
 	domain := r.section("domain")
-	calls := each(r, domain, "calls_by_class", r.flag)
-	degraded := each(r, domain, "degraded_worth", r.number)
+	calls := decodeEntries(r, domain, "calls_by_class", r.flag)
+	degraded := decodeEntries(r, domain, "degraded_worth", r.number)
 	for place := range min(len(calls), len(s.Classes)) {
 		s.Classes[place].MakesCalls = calls[place]
 	}
@@ -226,7 +226,7 @@
 	return s
 }
 
-func (r *reader) class(at string, from section) settings.Class {
+func (r *decoder) class(at string, from section) settings.Class {
 	c := settings.Class{
 		Name:             r.text(at, "name", from),
 		Idempotency:      settings.Idempotency(r.word(at, "repeat", from, "repeatable", "by_key", "once")),
@@ -241,7 +241,7 @@
 	return c
 }
 
-func (r *reader) server() settings.Server {
+func (r *decoder) server() settings.Server {
 	domain, rules, limits := r.section("domain"), r.section("rules"), r.section("policy_limits")
 	s := settings.Server{
 		Cores:                 r.number("domain", "cores", domain),
@@ -282,7 +282,7 @@
 }
 
 // name checks that a name stands once in its list, and fits; standing tells whether it stands before this place.
-func (r *reader) name(list string, place int, name string, seen digests, standing func(name string) bool) {
+func (r *decoder) name(list string, place int, name string, seen nameDigests, standing func(name string) bool) {
 	if name == "" {
 		return
 	}
@@ -290,21 +290,21 @@
 	if len(name) > settings.MaxName {
 		r.fail(key(), fmt.Sprint(len(name), " bytes"), fmt.Sprintf("at most %d", settings.MaxName))
 	}
-	if seen.again(name) && standing(name) {
+	if seen.add(name) && standing(name) {
 		r.fail(key(), fmt.Sprintf("%.60q a second time", name), "a name that stands once")
 	}
 }
 
-// digests are of the names of one list: a table of them takes a third of the time of one of the names.
-type digests struct {
+// nameDigests are of the names of one list: a table of them takes a third of the time of one of the names.
+type nameDigests struct {
 	seed maphash.Seed
 	seen map[uint64]struct{}
 }
 
-func newDigests() digests { return digests{maphash.MakeSeed(), map[uint64]struct{}{}} }
+func newNameDigests() nameDigests { return nameDigests{maphash.MakeSeed(), map[uint64]struct{}{}} }
 
-// again notes a name, and tells whether it, or very seldom another, was noted before.
-func (d digests) again(name string) bool {
+// add notes a name, and tells whether it, or very seldom another, was noted before.
+func (d nameDigests) add(name string) bool {
 	digest := maphash.String(d.seed, name)
 	_, again := d.seen[digest]
 	d.seen[digest] = struct{}{}
--- a/internal/settingsjson/read_test.go
+++ b/internal/settingsjson/read_test.go
@@ -12,7 +12,7 @@
 )
 
 // parse reads a value by way of its JSON.
-func parse(t *testing.T, value any) (settings.Settings, *Fault, error) {
+func parse(t *testing.T, value any) (settings.Settings, *ValueError, error) {
 	t.Helper()
 	text, err := json.Marshal(value)
 	if err != nil {
@@ -94,7 +94,7 @@
 		"rules.warm_after_s":      {"rules": map[string]any{"warm_after_s": true}},
 	} {
 		_, fault, err := parse(t, given)
-		if err != nil || (fault == nil) != (key == "") || fault != nil && (fault.Key != "settings."+key || fault.Found == "" || fault.Want == "") {
+		if err != nil || (fault == nil) != (key == "") || fault != nil && (fault.Key != "settings."+key || fault.Found == "" || fault.Expected == "") {
 			t.Errorf("%s: %+v, %v", key, fault, err)
 		}
 	}
@@ -115,7 +115,7 @@
 		"settings.tenants": {"tenants": tenants(settings.MaxTenants + 1)},
 	} {
 		s, _, err := parse(t, given)
-		var fault *Fault
+		var fault *ValueError
 		if !errors.As(err, &fault) || fault.Key != key || len(s.Classes)+len(s.Tenants) > 0 {
 			t.Errorf("%s: %v", key, err)
 		}
