--- /dev/null
+++ b/internal/settingsjson/classes.go
@@ -0,0 +1,63 @@
+package settingsjson
+
+import (
+	"encoding/json"
+	"errors"
+	"fmt"
+	"slices"
+
+	"thymechute/policy/settings"
+)
+
+// decodeClasses decodes the list of classes.
+func (d *decoder) decodeClasses() error {
+	d.classes = nil
+	names := newNameChecker(d, "classes", func(name string) bool {
+		return slices.ContainsFunc(d.classes, func(class settings.Class) bool { return class.Name == name })
+	})
+	var entry section // used again for each entry
+	return d.decodeList("classes", settings.MaxClasses, func(place int) error {
+		clear(entry)
+		err := d.in.Decode(&entry)
+		var mismatch *json.UnmarshalTypeError
+		if errors.As(err, &mismatch) {
+			d.fail(fmt.Sprint("classes.", place), "a "+mismatch.Value, "an object")
+			err = nil
+		}
+		class := d.class(fmt.Sprint("classes.", place), entry)
+		names.check(place, class.Name)
+		d.classes = append(d.classes, class)
+		return err
+	})
+}
+
+// class returns the class of an entry.
+func (d *decoder) class(prefix string, entry section) settings.Class {
+	class := settings.Class{
+		Name:             d.text(prefix, "name", entry),
+		Idempotency:      settings.Idempotency(d.word(prefix, "repeat", entry, "repeatable", "by_key", "once")),
+		Weight:           d.number(prefix, "worth", entry),
+		LatencyObjective: d.number(prefix, "aim_s", entry),
+		CallerTimeout:    d.number(prefix, "deadline_s", entry),
+		KeyWindow:        d.number(prefix, "window_s", entry),
+	}
+	objective := class.LatencyObjective.Or(0)
+	timeout := class.CallerTimeout.Or(objective)
+	if objective > timeout {
+		d.fail(prefix+".aim_s", compact(entry["aim_s"]), fmt.Sprintf("at most its deadline_s, %g", timeout))
+	}
+	return class
+}
+
+// applyClassLists sets what lists of the domain section say of the classes, by their places.
+func (d *decoder) applyClassLists(classes []settings.Class) {
+	domain := d.section("domain")
+	makesCalls := decodeEntries(d, domain, "calls_by_class", d.flag)
+	degradedWeights := decodeEntries(d, domain, "degraded_worth", d.number)
+	for place := range min(len(makesCalls), len(classes)) {
+		classes[place].MakesCalls = makesCalls[place]
+	}
+	for place := range min(len(degradedWeights), len(classes)) {
+		classes[place].DegradedWeight = degradedWeights[place]
+	}
+}
--- a/internal/settingsjson/read_test.go
+++ b/internal/settingsjson/decode_test.go
@@ -11,7 +11,7 @@
 	"thymechute/policy/settings"
 )
 
-// parse reads a value by way of its JSON.
+// parse decodes a value by way of its JSON.
 func parse(t *testing.T, value any) (settings.Settings, *ValueError, error) {
 	t.Helper()
 	text, err := json.Marshal(value)
@@ -21,8 +21,8 @@
 	return Parse(string(text))
 }
 
-// site has classes by name and kind in turn, each with its place as its worth.
-func site(classes ...string) map[string]any {
+// settingsWithClasses returns settings with classes given as names and idempotencies in turn, with their places as weights.
+func settingsWithClasses(classes ...string) map[string]any {
 	var list []any
 	for n := 0; n < len(classes); n += 2 {
 		list = append(list, map[string]any{"name": classes[n], "repeat": classes[n+1], "worth": float64(n)})
@@ -30,19 +30,19 @@
 	return map[string]any{"classes": list, "worth_by": "work", "tenants": []any{map[string]any{"name": "acme", "quota_per_s": 5.0}}}
 }
 
-// tenants are so many with names of their own.
-func tenants(n int) []any {
-	list := make([]any, n)
+// tenants returns that many tenants with distinct names.
+func tenants(count int) []any {
+	list := make([]any, count)
 	for at := range list {
 		list[at] = map[string]any{"name": fmt.Sprint("t", at), "quota_per_s": at}
 	}
 	return list
 }
 
-func TestAllIsRead(t *testing.T) {
-	s, fault, err := parse(t, testutil.Settings())
-	if fault != nil || err != nil {
-		t.Fatal(fault, err)
+func TestAllSettingsAreDecoded(t *testing.T) {
+	s, invalid, err := parse(t, testutil.Settings())
+	if invalid != nil || err != nil {
+		t.Fatal(invalid, err)
 	}
 	want := settings.Server{Cores: settings.NumberOf(4), MemoryKB: settings.NumberOf(100000), RunMemoryFactor: settings.NumberOf(2), KeyEntryKB: settings.NumberOf(1),
 		StopMode: settings.StopAbort, Dependency: settings.DependencyShared, CallQuota: settings.NumberOf(50), CallLinger: settings.NumberOf(0.2),
@@ -62,21 +62,21 @@
 	}
 }
 
-// What the list of the domain says belongs to the classes, whichever stands first.
-func TestOrderOfTheKeysDoesNotMatter(t *testing.T) {
+// The lists of the domain section apply to the classes, whichever comes first.
+func TestOrderOfKeysDoesNotMatter(t *testing.T) {
 	const domain, classes = `"domain":{"calls_by_class":[false,true],"degraded_worth":[null,0.5]}`, `"classes":[{"name":"a"},{"name":"b"}]`
 	for _, text := range []string{"{" + domain + "," + classes + "}", "{" + classes + "," + domain + "}"} {
-		s, fault, err := Parse(text)
-		if fault != nil || err != nil || s.Classes[0] != (settings.Class{Name: "a", MakesCalls: settings.False}) ||
+		s, invalid, err := Parse(text)
+		if invalid != nil || err != nil || s.Classes[0] != (settings.Class{Name: "a", MakesCalls: settings.False}) ||
 			s.Classes[1] != (settings.Class{Name: "b", MakesCalls: settings.True, DegradedWeight: settings.NumberOf(0.5)}) {
-			t.Errorf("%s: %+v, %v, %v", text, s, fault, err)
+			t.Errorf("%s: %+v, %v, %v", text, s, invalid, err)
 		}
 	}
 }
 
-func TestFaultsAreNamed(t *testing.T) {
+func TestErrorsNameTheirKey(t *testing.T) {
 	for key, given := range map[string]map[string]any{
-		"":                        site("trace", "repeatable"),
+		"":                        settingsWithClasses("trace", "repeatable"),
 		"worth_by":                {"worth_by": "weight", "repeat": "unheard", "own": map[string]any{"aim_s": "unheard"}},
 		"tenants.0.quota_per_s":   {"tenants": []any{map[string]any{"quota_per_s": "many"}}},
 		"tenants.1.quota_per_s":   {"tenants": []any{nil, map[string]any{"quota_per_s": -1}}},
@@ -87,25 +87,25 @@
 		"domain.degraded_worth":   {"domain": map[string]any{"degraded_worth": 1}},
 		"domain.cores":            {"domain": map[string]any{"cores": 2e12, "unheard": true}},
 		"domain":                  {"domain": 5},
-		"classes.0.repeat":        site("trace", "sometimes"),
-		"classes.2.name":          site("trace", "once", "seal", "once", "trace", "once"),
-		"classes.0.name":          site(strings.Repeat("x", settings.MaxName+1), "once"),
+		"classes.0.repeat":        settingsWithClasses("trace", "sometimes"),
+		"classes.2.name":          settingsWithClasses("trace", "once", "seal", "once", "trace", "once"),
+		"classes.0.name":          settingsWithClasses(strings.Repeat("x", settings.MaxName+1), "once"),
 		"classes.1.aim_s":         {"classes": []any{map[string]any{"name": "a"}, map[string]any{"aim_s": 3.0, "deadline_s": 2.0}}},
 		"rules.warm_after_s":      {"rules": map[string]any{"warm_after_s": true}},
 	} {
-		_, fault, err := parse(t, given)
-		if err != nil || (fault == nil) != (key == "") || fault != nil && (fault.Key != "settings."+key || fault.Found == "" || fault.Expected == "") {
-			t.Errorf("%s: %+v, %v", key, fault, err)
+		_, invalid, err := parse(t, given)
+		if err != nil || (invalid == nil) != (key == "") || invalid != nil && (invalid.Key != "settings."+key || invalid.Found == "" || invalid.Expected == "") {
+			t.Errorf("%s: %+v, %v", key, invalid, err)
 		}
 	}
 }
 
-// A fault leaves the rest as it stands: the simulator's settings are taken without it.
-func TestWhatCannotBeMeantIsMissing(t *testing.T) {
-	s, fault, err := Parse(`{"domain":{"cores":"many","ram_kb":5},"tenants":[{"quota_per_s":-1},{"name":7,"quota_per_s":2}]}`)
-	if err != nil || fault == nil || s.Server != (settings.Server{MemoryKB: settings.NumberOf(5)}) || len(s.Tenants) != 2 ||
+// A faulty value does not keep the others from being decoded: the simulator's settings are used without it.
+func TestFaultyValuesAreLeftMissing(t *testing.T) {
+	s, invalid, err := Parse(`{"domain":{"cores":"many","ram_kb":5},"tenants":[{"quota_per_s":-1},{"name":7,"quota_per_s":2}]}`)
+	if err != nil || invalid == nil || s.Server != (settings.Server{MemoryKB: settings.NumberOf(5)}) || len(s.Tenants) != 2 ||
 		s.Tenants[0] != (settings.Tenant{}) || s.Tenants[1] != (settings.Tenant{Quota: settings.NumberOf(2)}) {
-		t.Errorf("%+v, %v, %v", s, fault, err)
+		t.Errorf("%+v, %v, %v", s, invalid, err)
 	}
 }
 
@@ -115,37 +115,37 @@
 		"settings.tenants": {"tenants": tenants(settings.MaxTenants + 1)},
 	} {
 		s, _, err := parse(t, given)
-		var fault *ValueError
-		if !errors.As(err, &fault) || fault.Key != key || len(s.Classes)+len(s.Tenants) > 0 {
+		var invalid *ValueError
+		if !errors.As(err, &invalid) || invalid.Key != key || len(s.Classes)+len(s.Tenants) > 0 {
 			t.Errorf("%s: %v", key, err)
 		}
 	}
-	s, fault, err := parse(t, map[string]any{"tenants": tenants(settings.MaxTenants)})
-	if err != nil || fault != nil || s.Tenants[settings.MaxTenants-1].Quota != settings.NumberOf(settings.MaxTenants-1) {
-		t.Errorf("%d tenants, %v, %v", len(s.Tenants), fault, err)
+	s, invalid, err := parse(t, map[string]any{"tenants": tenants(settings.MaxTenants)})
+	if err != nil || invalid != nil || s.Tenants[settings.MaxTenants-1].Quota != settings.NumberOf(settings.MaxTenants-1) {
+		t.Errorf("%d tenants, %v, %v", len(s.Tenants), invalid, err)
 	}
 }
 
-func TestWhatIsNoObjectIsAnError(t *testing.T) {
+func TestNoObjectIsAnError(t *testing.T) {
 	for _, text := range []string{"", "null", "5", `"x"`, "[]", "{", `{"classes":[{]}`, `{"classes":[`, `{"tenants":{}}`, "{} {}"} {
 		if s, _, err := Parse(text); err == nil || len(s.Classes) > 0 {
-			t.Errorf("%q was read: %+v", text, s)
+			t.Errorf("%q was decoded: %+v", text, s)
 		}
 	}
 }
 
-// BenchmarkParse is a file of so many tenants.
+// BenchmarkParse measures settings with that many tenants.
 func BenchmarkParse(b *testing.B) {
-	for _, many := range []int{1000, 60_000} {
-		text, err := json.Marshal(map[string]any{"tenants": tenants(many)})
+	for _, count := range []int{1000, 60_000} {
+		text, err := json.Marshal(map[string]any{"tenants": tenants(count)})
 		if err != nil {
 			b.Fatal(err)
 		}
-		b.Run(fmt.Sprint(many), func(b *testing.B) {
+		b.Run(fmt.Sprint(count), func(b *testing.B) {
 			b.ReportAllocs()
 			for b.Loop() {
-				if _, fault, err := Parse(string(text)); fault != nil || err != nil {
-					b.Fatal(fault, err)
+				if _, invalid, err := Parse(string(text)); invalid != nil || err != nil {
+					b.Fatal(invalid, err)
 				}
 			}
 		})
--- /dev/null
+++ b/internal/settingsjson/names.go
@@ -0,0 +1,53 @@
+package settingsjson
+
+import (
+	"fmt"
+	"hash/maphash"
+
+	"thymechute/policy/settings"
+)
+
+// nameChecker checks the names of one list: each at most settings.MaxName bytes long, and none twice.
+type nameChecker struct {
+	decoder  *decoder
+	list     string                 // its key
+	contains func(name string) bool // exact, but takes the time of the whole list
+	digests  nameDigests
+}
+
+func newNameChecker(d *decoder, list string, contains func(name string) bool) nameChecker {
+	return nameChecker{decoder: d, list: list, contains: contains, digests: newNameDigests()}
+}
+
+// check keeps the error of a name that must not stand at this place of the list; entries without a name are allowed.
+func (c nameChecker) check(place int, name string) {
+	if name == "" {
+		return
+	}
+	if len(name) > settings.MaxName {
+		c.decoder.fail(c.key(place), fmt.Sprint(len(name), " bytes"), fmt.Sprintf("at most %d", settings.MaxName))
+	}
+	if c.digests.add(name) && c.contains(name) {
+		c.decoder.fail(c.key(place), fmt.Sprintf("%.60q a second time", name), "a name that stands once")
+	}
+}
+
+func (c nameChecker) key(place int) string { return fmt.Sprintf("%s.%d.name", c.list, place) }
+
+// nameDigests is a set of hashes: filling it takes a third of the time of a set of names.
+type nameDigests struct {
+	seed maphash.Seed
+	seen map[uint64]struct{}
+}
+
+func newNameDigests() nameDigests {
+	return nameDigests{seed: maphash.MakeSeed(), seen: map[uint64]struct{}{}}
+}
+
+// add adds a name and tells whether it was there; very rarely it says so of a new one.
+func (d nameDigests) add(name string) (wasPresent bool) {
+	digest := maphash.String(d.seed, name)
+	_, wasPresent = d.seen[digest]
+	d.seen[digest] = struct{}{}
+	return wasPresent
+}
--- /dev/null
+++ b/internal/settingsjson/server.go
@@ -0,0 +1,53 @@
+package settingsjson
+
+import (
+	"strings"
+
+	"thymechute/policy/settings"
+)
+
+// server returns the settings that are not of a class or tenant.
+func (d *decoder) server() settings.Server {
+	domain, rules, limits := d.section("domain"), d.section("rules"), d.section("policy_limits")
+	server := settings.Server{
+		Cores:                 d.number("domain", "cores", domain),
+		MemoryKB:              d.number("domain", "ram_kb", domain),
+		RunMemoryFactor:       d.number("domain", "blowup", domain),
+		KeyEntryKB:            d.number("domain", "entry_kb", domain),
+		StopMode:              settings.StopMode(d.word("domain", "halt", domain, "off", "abort", "suspend")),
+		Dependency:            settings.Dependency(d.word("domain", "depends_on", domain, "off", "shared", "tier")),
+		CallQuota:             d.number("domain", "dep_share", domain),
+		CallLinger:            d.number("domain", "linger_s", domain),
+		CallQuotaWindow:       d.number("domain", "dep_window_s", domain),
+		AdvertiseMode:         settings.AdvertiseMode(d.word("domain", "say", domain, "off", "threshold", "window", "share_of")),
+		CallerCount:           d.number("domain", "clients_total", domain),
+		CallerIdleTimeout:     d.number("domain", "caller_idle_s", domain),
+		EndpointsFollowHealth: d.flag("domain", "readiness", domain),
+		SlowStart:             d.flag("domain", "cold", domain),
+		FleetSize:             d.number("", "fleet_size", d.top),
+		OverQuotaWeight:       d.number("", "over_share_worth", d.top),
+		RetryAfter:            d.flag("policy_limits", "retry_after", limits),
+		MaxRetryAfter:         d.number("policy_limits", "max_retry_after_s", limits),
+		SlowStartFraction:     d.number("rules", "cold_from", rules),
+		WarmUpTime:            d.number("rules", "warm_after_s", rules),
+		DrainGrace:            d.number("rules", "drain_grace_s", rules),
+		MaxConcurrencyPerCore: d.number("rules", "fall_multiple", rules),
+	}
+	if unit := d.word("", "worth_by", d.top, "request", "work"); unit != "" {
+		server.WeightPerWork = settings.FlagOf(unit == "work")
+	}
+	d.applyGauges(&server, domain)
+	return server
+}
+
+// applyGauges sets the places, from 1, at which the runtime sends the gauges.
+func (d *decoder) applyGauges(server *settings.Server, domain section) {
+	for place, raw := range d.list(domain, "gauges") {
+		switch strings.Trim(string(raw), `"`) {
+		case "cpu_busy":
+			server.BusyGauge = place + 1
+		case "runnable":
+			server.RunnableGauge = place + 1
+		}
+	}
+}
--- /dev/null
+++ b/internal/settingsjson/tenants.go
@@ -0,0 +1,86 @@
+package settingsjson
+
+import (
+	"encoding/json"
+	"fmt"
+	"slices"
+
+	"thymechute/internal/jsonline"
+	"thymechute/policy/settings"
+)
+
+// tenantChunk is the number of tenants in one chunk of decoder.tenants.
+const tenantChunk = 1024
+
+// decodeTenants decodes the list of tenants.
+func (d *decoder) decodeTenants() error {
+	d.tenants = nil
+	names := newNameChecker(d, "tenants", d.hasTenant)
+	var raw json.RawMessage // used again for each entry
+	return d.decodeList("tenants", settings.MaxTenants, func(place int) error {
+		if err := d.in.Decode(&raw); err != nil {
+			return err
+		}
+		tenant := d.tenant(place, raw)
+		names.check(place, tenant.Name)
+		d.appendTenant(tenant)
+		return nil
+	})
+}
+
+func (d *decoder) hasTenant(name string) bool {
+	hasName := func(tenant settings.Tenant) bool { return tenant.Name == name }
+	return slices.ContainsFunc(d.tenants, func(chunk []settings.Tenant) bool { return slices.ContainsFunc(chunk, hasName) })
+}
+
+func (d *decoder) appendTenant(tenant settings.Tenant) {
+	last := len(d.tenants) - 1
+	if last < 0 || len(d.tenants[last]) == tenantChunk {
+		d.tenants = append(d.tenants, make([]settings.Tenant, 0, tenantChunk))
+		last++
+	}
+	d.tenants[last] = append(d.tenants[last], tenant)
+}
+
+// tenant returns the tenant of an entry. As there may be many, it is read in place: reflection takes twice the time.
+func (d *decoder) tenant(place int, raw json.RawMessage) (tenant settings.Tenant) {
+	if isMissing(raw) {
+		return tenant
+	}
+	name, quota, err := tenantFields(raw)
+	if err != nil {
+		d.fail(fmt.Sprint("tenants.", place), compact(raw), "an object")
+	}
+	if !isMissing(name) {
+		text, err := jsonline.New(name).Text()
+		if err != nil {
+			d.fail(fmt.Sprintf("tenants.%d.name", place), compact(name), "a text")
+		}
+		tenant.Name = string(text)
+	}
+	if quota != nil {
+		value, invalid := parseNumber(quota)
+		if invalid != "" {
+			d.fail(fmt.Sprintf("tenants.%d.quota_per_s", place), invalid, expectedNumber)
+		}
+		tenant.Quota = value
+	}
+	return tenant
+}
+
+// tenantFields returns the JSON of an entry's name and quota; nil: missing.
+func tenantFields(raw json.RawMessage) (name, quota []byte, err error) {
+	entry := jsonline.New(raw)
+	err = entry.Object(func(key []byte) (err error) {
+		switch string(key) {
+		case "name":
+			name, err = entry.Raw()
+		case "quota_per_s":
+			quota, err = entry.Raw()
+		default:
+			_, err = entry.Raw()
+		}
+		return err
+	})
+	return name, quota, err
+}
