--- a/internal/catalog/catalog_test.go
+++ b/internal/catalog/catalog_test.go
@@ -14,7 +14,7 @@
 func TestReportsAreSentOftenWithinAnEntrysLifetime(t *testing.T) {
 	var dialled []*socket
 	r := New("n3", func(p loop.Handler) { dialled = append(dialled, p.(*socket)) })
-	now, w := time.Now(), &testutil.Wire{}
+	now, w := time.Now(), &testutil.FakeConn{}
 	r.Sweep(now, node.Healthy)
 	dialled[0].Opened(w)
 	for at := now; at.Before(now.Add(3 * time.Second)); at = at.Add(20 * time.Millisecond) {
@@ -25,7 +25,7 @@
 	}
 	r.Move()
 	r.Sweep(now.Add(4*time.Second), node.Unhealthy)
-	again := &testutil.Wire{}
+	again := &testutil.FakeConn{}
 	dialled[1].Opened(again)
 	if r.Sweep(now.Add(4*time.Second), node.Unhealthy); !w.Closed || again.Out != "alive n3 critical" {
 		t.Errorf("closed %v, wrote %q", w.Closed, again.Out)
@@ -42,7 +42,7 @@
 		if len(dialled) != n+1 {
 			t.Fatalf("dialled %d times after %d errors", len(dialled), n)
 		}
-		w := &testutil.Wire{}
+		w := &testutil.FakeConn{}
 		dialled[n].Opened(w)
 		if r.Sweep(now, node.Healthy); w.Out != "alive n3 passing" {
 			t.Errorf("wrote %q after %d errors", w.Out, n)
--- a/internal/index/pool_test.go
+++ b/internal/index/pool_test.go
@@ -29,8 +29,8 @@
 }
 
 // open opens the connection that was dialled last.
-func open(dialled *[]*connection) (*connection, *testutil.Wire) {
-	c, w := (*dialled)[len(*dialled)-1], &testutil.Wire{}
+func open(dialled *[]*connection) (*connection, *testutil.FakeConn) {
+	c, w := (*dialled)[len(*dialled)-1], &testutil.FakeConn{}
 	c.Opened(w)
 	return c, w
 }
@@ -145,7 +145,7 @@
 	p.Call("c", time.Second, nil) // being dialled when the address changes
 	dialing := (*dialled)[len(*dialled)-1]
 	p.Move()
-	wDialing := &testutil.Wire{}
+	wDialing := &testutil.FakeConn{}
 	dialing.Opened(wDialing)
 	now, wNow := open(dialled)
 	if !wDialing.Closed || wDialing.Out != "" || now == dialing || !strings.HasPrefix(wNow.Out, "GET c") {
@@ -169,7 +169,7 @@
 		t.Errorf("%d dialled, %d connections, %d queued", len(*dialled), len(p.conns), len(p.queue))
 	}
 	for _, c := range (*dialled)[4:] {
-		c.Opened(&testutil.Wire{})
+		c.Opened(&testutil.FakeConn{})
 	}
 	p.Move() // all in flight at the former address: e need not wait for them
 	if len(*dialled) != 9 || len(p.queue) != 0 {
--- a/internal/runtimelink/link.go
+++ b/internal/runtimelink/link.go
@@ -50,7 +50,7 @@
 
 	latest    *session  // the latest connection, open or being dialled
 	conn      loop.Conn // of the session that commands are written to; nil while the link is down
-	lines     jsonline.Lines
+	lines     jsonline.LineSplitter
 	lastIndex uint64 // of the last numbered notice read
 
 	resynced     bool   // the notices missed before this connection were read
@@ -140,7 +140,7 @@
 	l.awaitedSince = time.Time{}
 	l.sessionCount++
 	l.syncNonce = "sync" + strconv.Itoa(l.sessionCount)
-	l.lines = jsonline.Lines{Longest: maxLineBytes}
+	l.lines = jsonline.LineSplitter{MaxLength: maxLineBytes}
 	l.conn.Write(appendSync(nil, l.lastIndex))
 }
 
--- a/internal/runtimelink/link_test.go
+++ b/internal/runtimelink/link_test.go
@@ -45,7 +45,7 @@
 
 func TestNoticesArePassedOnOnceAndInOrder(t *testing.T) {
 	l, s, _ := newLink()
-	w := &testutil.Wire{}
+	w := &testutil.FakeConn{}
 	open(l, w)
 	const notices = `{"verb":"ready","outcome":"new","spent":1.5}
 {"verb":"wants","index":1,"task":"a","bytes":"eA=="}
@@ -66,7 +66,7 @@
 	if got := strings.Join(s.got, "; "); got != "ready false 1.5ms; wants a x; end a 1 z; caught up; readings [1 2]" {
 		t.Error(got)
 	}
-	again := &testutil.Wire{}
+	again := &testutil.FakeConn{}
 	l.latest.Closed(&loop.ConnError{Connected: true})
 	open(l, again)
 	if l.Up() || !strings.Contains(again.Out, `"index":2`) {
@@ -88,7 +88,7 @@
 
 func TestNewConnectionReplacesTheOldOnceItIsOpen(t *testing.T) {
 	l, s, _ := newLink()
-	old, w := &testutil.Wire{}, &testutil.Wire{}
+	old, w := &testutil.FakeConn{}, &testutil.FakeConn{}
 	open(l, old)
 	first := l.latest
 	l.Open()
@@ -108,7 +108,7 @@
 
 func TestRejectedStartEndsTheRunAsNotStarted(t *testing.T) {
 	l, s, _ := newLink()
-	open(l, &testutil.Wire{})
+	open(l, &testutil.FakeConn{})
 	_ = l.latest.Received([]byte(`{"verb":"nack","outcome":"start","task":"a"}` + "\n" + `{"verb":"nack","outcome":"give","task":"b"}` + "\n"))
 	if len(s.got) != 1 || s.got[0] != fmt.Sprintf("end a %d ", policy.NotStarted) {
 		t.Errorf("%q", s.got)
--- a/internal/runtimelink/protocol.go
+++ b/internal/runtimelink/protocol.go
@@ -67,10 +67,10 @@
 
 // decodeNotice reads one line. Unknown fields are ignored.
 func decodeNotice(line []byte) (n notice, err error) {
-	r := jsonline.New(line)
-	err = r.Object(func(name []byte) error { return n.decodeField(r, string(name)) })
+	r := jsonline.NewReader(line)
+	err = r.ReadObject(func(name []byte) error { return n.decodeField(r, string(name)) })
 	if err == nil {
-		err = r.End()
+		err = r.ExpectEnd()
 	}
 	if err == nil && n.Verb == "" {
 		err = errors.New("expected a verb")
@@ -95,17 +95,17 @@
 	case "spent":
 		n.Spent, err = decodeMillis(r)
 	case "bytes":
-		n.Body, err = r.Bytes(maxBodyBytes)
+		n.Body, err = r.ReadBase64(maxBodyBytes)
 	case "readings":
-		err = r.List(func() error { return n.decodeReading(r) })
+		err = r.ReadArray(func() error { return n.decodeReading(r) })
 	default:
-		_, err = r.Raw()
+		_, err = r.ReadRaw()
 	}
 	return err
 }
 
 func (n *notice) decodeReading(r *jsonline.Reader) error {
-	value, err := r.Number()
+	value, err := r.ReadNumber()
 	if len(n.Readings) < maxReadings {
 		n.Readings = append(n.Readings, value)
 	}
@@ -113,12 +113,12 @@
 }
 
 func decodeText(r *jsonline.Reader) (string, error) {
-	text, err := r.Text()
+	text, err := r.ReadString()
 	return string(text), err
 }
 
 func decodeIndex(r *jsonline.Reader) (uint64, error) {
-	value, err := r.Number()
+	value, err := r.ReadNumber()
 	if err == nil && (value < 0 || value > maxIndex) {
 		return 0, errors.New("expected a number of a notice")
 	}
@@ -127,7 +127,7 @@
 
 // decodeMillis reads a time in milliseconds; one out of range is taken as the nearest bound.
 func decodeMillis(r *jsonline.Reader) (time.Duration, error) {
-	value, err := r.Number()
+	value, err := r.ReadNumber()
 	if err != nil {
 		return 0, err
 	}
@@ -145,18 +145,18 @@
 
 // append writes the command's line.
 func (c command) append(out []byte) []byte {
-	out = jsonline.AppendText(append(out, `{"verb":`...), c.verb)
+	out = jsonline.AppendString(append(out, `{"verb":`...), c.verb)
 	if c.task != "" {
-		out = jsonline.AppendText(append(out, `,"task":`...), string(c.task))
+		out = jsonline.AppendString(append(out, `,"task":`...), string(c.task))
 	}
 	if c.class != "" {
-		out = jsonline.AppendText(append(out, `,"handler":`...), c.class)
+		out = jsonline.AppendString(append(out, `,"handler":`...), c.class)
 	}
 	if c.body != nil {
-		out = jsonline.AppendBytes(append(out, `,"bytes":`...), c.body)
+		out = jsonline.AppendBase64(append(out, `,"bytes":`...), c.body)
 	}
 	if c.nonce != "" {
-		out = jsonline.AppendText(append(out, `,"nonce":`...), c.nonce)
+		out = jsonline.AppendString(append(out, `,"nonce":`...), c.nonce)
 	}
 	return append(out, "}\n"...)
 }
--- a/internal/runtimelink/protocol_test.go
+++ b/internal/runtimelink/protocol_test.go
@@ -17,7 +17,7 @@
 		`{"verb":"selftest","nonce":"check1"}`:                        func(l *Link) { l.SelfTest("check1") },
 	} {
 		l, _, _ := newLink()
-		conn := &testutil.Wire{}
+		conn := &testutil.FakeConn{}
 		open(l, conn)
 		write(l)
 		if got := conn.Out; got != `{"verb":"sync","index":0}`+"\n"+want+"\n" {
--- a/internal/settingsjson/tenants.go
+++ b/internal/settingsjson/tenants.go
@@ -52,7 +52,7 @@
 		d.fail(fmt.Sprint("tenants.", place), compact(raw), "an object")
 	}
 	if !isMissing(name) {
-		text, err := jsonline.New(name).Text()
+		text, err := jsonline.NewReader(name).ReadString()
 		if err != nil {
 			d.fail(fmt.Sprintf("tenants.%d.name", place), compact(name), "a text")
 		}
@@ -70,15 +70,15 @@
 
 // tenantFields returns the JSON of an entry's name and quota; nil: missing.
 func tenantFields(raw json.RawMessage) (name, quota []byte, err error) {
-	entry := jsonline.New(raw)
-	err = entry.Object(func(key []byte) (err error) {
+	entry := jsonline.NewReader(raw)
+	err = entry.ReadObject(func(key []byte) (err error) {
 		switch string(key) {
 		case "name":
-			name, err = entry.Raw()
+			name, err = entry.ReadRaw()
 		case "quota_per_s":
-			quota, err = entry.Raw()
+			quota, err = entry.ReadRaw()
 		default:
-			_, err = entry.Raw()
+			_, err = entry.ReadRaw()
 		}
 		return err
 	})
