--- a/internal/node/runs.go
+++ b/internal/node/runs.go
@@ -94,7 +94,7 @@
 	id, ok := n.byTaskID[taskID]
 	if !ok && n.runtimeReused && !n.earlierIncarnation {
 		n.earlierIncarnation = true
-		n.log.Warn("runtime still executes requests of an earlier incarnation, retries are rejected for one key window",
+		n.log.Warn("runtime still executes requests of an earlier incarnation, keyed retries fail for one key window",
 			zap.String("task", string(taskID)))
 	}
 	return id, ok && n.requests[id].started
