--- a/cmd/thymechute/serve.go
+++ b/cmd/thymechute/serve.go
@@ -88,7 +88,7 @@
 		inst.Connect(cores, calls, reports, fronts...)
 		cores.Open()
 		take := func(later config.Config, delta settings.Delta) error {
-			if !delta.Empty() {
+			if !delta.IsEmpty() {
 				if err := inst.Apply(delta); err != nil {
 					return err
 				}
--- a/internal/settingsjson/names.go
+++ b/internal/settingsjson/names.go
@@ -7,7 +7,7 @@
 	"thymechute/policy/settings"
 )
 
-// nameChecker checks the names of one list: each at most settings.MaxName bytes long, and none twice.
+// nameChecker checks the names of one list: each at most settings.MaxNameBytes long, and none twice.
 type nameChecker struct {
 	decoder  *decoder
 	list     string                 // its key
@@ -24,8 +24,8 @@
 	if name == "" {
 		return
 	}
-	if len(name) > settings.MaxName {
-		c.decoder.fail(c.key(place), fmt.Sprint(len(name), " bytes"), fmt.Sprintf("at most %d", settings.MaxName))
+	if len(name) > settings.MaxNameBytes {
+		c.decoder.fail(c.key(place), fmt.Sprint(len(name), " bytes"), fmt.Sprintf("at most %d", settings.MaxNameBytes))
 	}
 	if c.digests.add(name) && c.contains(name) {
 		c.decoder.fail(c.key(place), fmt.Sprintf("%.60q a second time", name), "a name that stands once")
