--- a/internal/node/admission.go
+++ b/internal/node/admission.go
@@ -65,7 +65,7 @@
 	if n.inFlight*requestBytes >= n.tableBytes {
 		return true
 	}
-	return n.keyBytes >= n.tableBytes && n.idempotencyOf(class) == settings.Idempotent && n.keys[key] == nil
+	return n.keys.bytes >= n.tableBytes && n.idempotencyOf(class) == settings.Idempotent && n.keys.entries[key] == nil
 }
 
 // allocate returns a free slot of the table of requests.
--- a/internal/node/drain.go
+++ b/internal/node/drain.go
@@ -2,6 +2,7 @@
 
 import (
 	"slices"
+	"time"
 
 	"go.uber.org/zap"
 
@@ -9,18 +10,26 @@
 	"thymechute/policy"
 )
 
+// drainState is the progress of the graceful shutdown.
+type drainState struct {
+	started          bool
+	deadline         time.Duration // when the process is killed
+	graceEnd         time.Duration // when new requests are no longer served
+	listenerClosedAt time.Duration // 0: still listening
+}
+
 // Drain starts the graceful shutdown: the process will be killed once the stop timeout is over. Later calls have no effect.
 func (n *Instance) Drain() {
 	n.enqueue(func() {
-		if n.draining {
+		if n.drain.started {
 			return
 		}
-		n.draining = true
-		n.stopDeadline = n.now + n.stopTimeout
-		n.graceEnd = n.now
+		n.drain.started = true
+		n.drain.deadline = n.now + n.stopTimeout
+		n.drain.graceEnd = n.now
 		n.lastArrival = n.now // requests may be on their way at the notice
 		if n.controller != nil {
-			n.graceEnd += n.server.DrainGrace.Seconds(0)
+			n.drain.graceEnd += n.server.DrainGrace.Seconds(0)
 			n.controller.Drain(n.now, n.stopTimeout)
 		}
 		n.failHealthChecks(anyHealthCheck)
@@ -36,20 +45,20 @@
 func (n *Instance) phase() loop.Phase {
 	pending := n.hasPendingWork()
 	switch {
-	case !n.draining:
+	case !n.drain.started:
 		return loop.PhaseServing
-	case n.now >= n.stopDeadline-exitMargin:
+	case n.now >= n.drain.deadline-exitMargin:
 		n.answerRemaining()
 		return loop.PhaseStopped
-	case n.now >= n.stopDeadline-lastAnswerMargin: // connections still close in order, behind the last answers
+	case n.now >= n.drain.deadline-lastAnswerMargin: // connections still close in order, behind the last answers
 		n.answerRemaining()
 		return loop.PhaseClosingConns
-	case n.listenerClosedAt == 0:
+	case n.drain.listenerClosedAt == 0:
 		if n.keepsListening(pending) {
 			return loop.PhaseServing
 		}
-		n.listenerClosedAt = n.now
-	case n.now-n.listenerClosedAt > listenerCloseLinger && !pending:
+		n.drain.listenerClosedAt = n.now
+	case n.now-n.drain.listenerClosedAt > listenerCloseLinger && !pending:
 		return loop.PhaseClosingConns
 	}
 	return loop.PhaseClosingListener
@@ -57,10 +66,10 @@
 
 // keepsListening tells whether a draining instance still accepts connections.
 func (n *Instance) keepsListening(pending bool) bool {
-	if n.now >= n.stopDeadline-listenerCloseMargin {
+	if n.now >= n.drain.deadline-listenerCloseMargin {
 		return false
 	}
-	return n.now < n.graceEnd || n.now-n.lastArrival <= quietInterval || pending
+	return n.now < n.drain.graceEnd || n.now-n.lastArrival <= quietInterval || pending
 }
 
 // awaitsAnswer tells whether a caller waits for the request's answer.
@@ -69,7 +78,7 @@
 // hasPendingWork tells whether anything keeps a draining instance from its end: requests and health checks without an
 // answer, unhandled events, and answers that a front has not delivered. Unwritten output is the event loop's to wait for.
 func (n *Instance) hasPendingWork() bool {
-	if len(n.events) > 0 || len(n.completions) > 0 || len(n.healthChecks) > 0 {
+	if len(n.events) > 0 || len(n.completions) > 0 || len(n.health.checks) > 0 {
 		return true
 	}
 	return slices.ContainsFunc(n.requests, func(r requestState) bool { return r.awaitsAnswer() }) ||
--- a/internal/node/drain_test.go
+++ b/internal/node/drain_test.go
@@ -13,7 +13,7 @@
 // A deep check in progress is answered at the drain notice: no self-test can make a draining instance healthy.
 func TestDrainAnswersDeepChecks(t *testing.T) {
 	n, peers := newReady(nil)
-	n.healthCached = false
+	n.health.isCached = false
 	n.CheckHealth(peers, "1", DeepCheck)
 	peers.expect(t, 1, "test")
 	n.Drain()
@@ -30,18 +30,18 @@
 	n.Drain()
 	n.Tick()
 	peers.expect(t, 2, "drain")
-	n.now, n.lastArrival = n.graceEnd+time.Second, n.graceEnd
+	n.now, n.lastArrival = n.drain.graceEnd+time.Second, n.drain.graceEnd
 	if n.phase() != loop.PhaseServing {
 		t.Error("the listener closes though a front has pending answers")
 	}
 	if peers.pending = false; n.phase() != loop.PhaseClosingListener {
 		t.Error("the listener stays open though nothing is pending")
 	}
-	peers.pending, n.now = true, n.stopDeadline-lastAnswerMargin
+	peers.pending, n.now = true, n.drain.deadline-lastAnswerMargin
 	if n.phase() != loop.PhaseClosingConns {
 		t.Error("a front that stays pending keeps the connections open")
 	}
-	if n.now = n.stopDeadline - exitMargin; n.phase() != loop.PhaseStopped {
+	if n.now = n.drain.deadline - exitMargin; n.phase() != loop.PhaseStopped {
 		t.Error("a front that stays pending outlasts the stop deadline")
 	}
 }
@@ -58,7 +58,7 @@
 		want loop.Phase
 	}{{listenerCloseMargin + 100*time.Millisecond, loop.PhaseServing}, {listenerCloseMargin - 100*time.Millisecond, loop.PhaseClosingListener},
 		{lastAnswerMargin, loop.PhaseClosingConns}, {exitMargin, loop.PhaseStopped}} {
-		n.now, n.lastArrival = n.stopDeadline-at.left, n.stopDeadline-at.left
+		n.now, n.lastArrival = n.drain.deadline-at.left, n.drain.deadline-at.left
 		if got := n.phase(); got != at.want {
 			t.Errorf("%v before the stop deadline: phase %v, want %v", at.left, got, at.want)
 		}
--- a/internal/node/health.go
+++ b/internal/node/health.go
@@ -12,38 +12,46 @@
 	expiresAt time.Duration
 }
 
+// healthState is the verdict for health checks, and the deep checks in progress.
+type healthState struct {
+	isHealthy bool
+	isCached  bool                   // deep checks are answered without a self-test
+	checks    map[string]healthCheck // by the id of their self-test; at most maxHealthChecks
+	selfTests int                    // requested so far
+}
+
 // CheckHealth answers a health check: at once, or a deep one when the runtime's self-test has ended.
 func (n *Instance) CheckHealth(responder Responder, id MessageID, depth HealthCheckDepth) {
 	if depth == ShallowCheck || !n.canSelfTest() {
-		responder.HealthChecked(id, n.healthResult(HealthOf(n.controller != nil && n.healthy)))
+		responder.HealthChecked(id, n.healthResult(HealthOf(n.controller != nil && n.health.isHealthy)))
 		return
 	}
-	n.selfTestCount++
-	testID := "check" + strconv.Itoa(n.selfTestCount)
-	n.healthChecks[testID] = healthCheck{responder: responder, messageID: id, expiresAt: n.now + selfTestTimeout}
+	n.health.selfTests++
+	testID := "check" + strconv.Itoa(n.health.selfTests)
+	n.health.checks[testID] = healthCheck{responder: responder, messageID: id, expiresAt: n.now + selfTestTimeout}
 	n.runtime.SelfTest(testID)
 }
 
 // canSelfTest tells whether a deep check is worth a self-test, and there is capacity for one.
 func (n *Instance) canSelfTest() bool {
-	return !n.healthCached && n.controller != nil && n.runtime.Up() && len(n.healthChecks) < maxHealthChecks
+	return !n.health.isCached && n.controller != nil && n.runtime.Up() && len(n.health.checks) < maxHealthChecks
 }
 
 // SelfTestEnded is called when the runtime's self-test of that id has ended.
 func (n *Instance) SelfTestEnded(testID string, status HealthStatus) {
-	check, ok := n.healthChecks[testID]
+	check, ok := n.health.checks[testID]
 	if !ok {
 		return
 	}
-	delete(n.healthChecks, testID)
-	check.responder.HealthChecked(check.messageID, n.healthResult(HealthOf(status == Healthy && n.healthy)))
+	delete(n.health.checks, testID)
+	check.responder.HealthChecked(check.messageID, n.healthResult(HealthOf(status == Healthy && n.health.isHealthy)))
 }
 
 // failHealthChecks answers the matching deep checks as unhealthy.
 func (n *Instance) failHealthChecks(matches func(healthCheck) bool) {
-	for testID, check := range n.healthChecks {
+	for testID, check := range n.health.checks {
 		if matches(check) {
-			delete(n.healthChecks, testID)
+			delete(n.health.checks, testID)
 			check.responder.HealthChecked(check.messageID, n.healthResult(Unhealthy))
 		}
 	}
--- a/internal/node/host.go
+++ b/internal/node/host.go
@@ -87,8 +87,8 @@
 
 // SetHealth sets the verdict for health checks.
 func (n *Instance) SetHealth(health policy.Health) {
-	n.healthy = health.Healthy
-	n.healthCached = health.Cached
+	n.health.isHealthy = health.Healthy
+	n.health.isCached = health.Cached
 }
 
 // SetIdleTimeout closes callers' connections that were idle for so long.
@@ -121,7 +121,7 @@
 
 // releaseKey ends the request's ownership of its key; a run that never ended counts as failed.
 func (n *Instance) releaseKey(id policy.RequestID) {
-	entry := n.keys[n.requests[id].key]
+	entry := n.keys.entries[n.requests[id].key]
 	if entry == nil || entry.owner != id {
 		return
 	}
--- a/internal/node/idempotency.go
+++ b/internal/node/idempotency.go
@@ -21,6 +21,17 @@
 	waiters    []policy.RequestID // coalesced requests that wait for the result
 }
 
+// keyTable is the idempotency keys of requests in flight and of completed ones whose results are cached.
+type keyTable struct {
+	entries    map[string]*keyEntry
+	bytes      int          // taken by the entries and their results; bounded by Instance.tableBytes
+	digestSeed maphash.Seed // of bodyDigest
+}
+
+func newKeyTable() keyTable {
+	return keyTable{entries: map[string]*keyEntry{}, digestSeed: maphash.MakeSeed()}
+}
+
 // keyOf returns the request's key in the table; empty: none.
 func (n *Instance) keyOf(class int, incoming Request) string {
 	if n.idempotencyOf(class) == settings.Idempotent && incoming.Key != "" {
@@ -33,7 +44,7 @@
 // belongs to a request with another body, whose result it must not get.
 func (n *Instance) findOriginal(request *requestState, incoming Request, arrivedAt time.Duration) (original policy.RequestID, conflict bool) {
 	idempotency := n.idempotencyOf(request.class)
-	entry := n.keys[request.key]
+	entry := n.keys.entries[request.key]
 	sameBody := func() bool { return entry != nil && entry.bodyDigest == n.digest(incoming.Body) }
 	if request.key != "" && entry != nil && (arrivedAt <= entry.expiresAt || !entry.completed) {
 		if idempotency == settings.Idempotent && !sameBody() {
@@ -54,11 +65,11 @@
 
 // mayHaveRunEarlier tells whether a retry may repeat a request of an earlier incarnation of this instance.
 func (n *Instance) mayHaveRunEarlier(class int, incoming Request, arrivedAt time.Duration) bool {
-	return n.idempotencyOf(class) == settings.Idempotent && incoming.Retry && n.earlierIncarnation &&
-		arrivedAt < n.firstReady+n.keyWindowOf(class)
+	return n.idempotencyOf(class) == settings.Idempotent && incoming.Retry && n.runtimeStatus.servesEarlierIncarnation &&
+		arrivedAt < n.runtimeStatus.firstReadyAt+n.keyWindowOf(class)
 }
 
-func (n *Instance) digest(body []byte) uint64 { return maphash.Bytes(n.digestSeed, body) }
+func (n *Instance) digest(body []byte) uint64 { return maphash.Bytes(n.keys.digestSeed, body) }
 
 // RecordKey enters the request's idempotency key, or makes the request the key's owner.
 func (n *Instance) RecordKey(id policy.RequestID, lifetime time.Duration) {
@@ -66,7 +77,7 @@
 	if request.key == "" {
 		return
 	}
-	entry := n.keys[request.key]
+	entry := n.keys.entries[request.key]
 	if entry == nil || entry.completed { // the result of an expired window must not answer the next window's requests
 		entry = n.replaceKey(request.key, request.class)
 	}
@@ -81,8 +92,8 @@
 func (n *Instance) replaceKey(key string, class int) *keyEntry {
 	n.dropKey(key)
 	entry := &keyEntry{}
-	n.keys[key] = entry
-	n.keyBytes += keyEntryBytes
+	n.keys.entries[key] = entry
+	n.keys.bytes += keyEntryBytes
 	n.addReferences(class, noTenant)
 	return entry
 }
@@ -90,7 +101,7 @@
 // ForgetKey drops the request's idempotency key.
 func (n *Instance) ForgetKey(id policy.RequestID) {
 	key := n.requests[id].key
-	if entry := n.keys[key]; entry != nil && entry.owner == id {
+	if entry := n.keys.entries[key]; entry != nil && entry.owner == id {
 		n.dropKey(key)
 	}
 }
@@ -98,7 +109,7 @@
 // Coalesce answers the request with the result of the one that owns its key, now or once that ends.
 func (n *Instance) Coalesce(id policy.RequestID) {
 	request := &n.requests[id]
-	entry := n.keys[request.key]
+	entry := n.keys.entries[request.key]
 	switch {
 	case entry == nil:
 		n.completeCoalesced(id, RunResult{Outcome: policy.Failed})
@@ -131,10 +142,10 @@
 		n.completeCoalesced(waiter, shared)
 	}
 	entry.waiters = nil
-	if n.keyBytes+len(result.Body) <= n.tableBytes {
+	if n.keys.bytes+len(result.Body) <= n.tableBytes {
 		entry.succeeded = succeeded
 		entry.result = result.Body
-		n.keyBytes += len(result.Body)
+		n.keys.bytes += len(result.Body)
 	}
 }
 
@@ -152,18 +163,18 @@
 
 // dropKey removes a key from the table, if it is there.
 func (n *Instance) dropKey(key string) {
-	entry := n.keys[key]
+	entry := n.keys.entries[key]
 	if entry == nil {
 		return
 	}
-	n.keyBytes -= keyEntryBytes + len(entry.result)
-	delete(n.keys, key)
+	n.keys.bytes -= keyEntryBytes + len(entry.result)
+	delete(n.keys.entries, key)
 	n.dropReferences(entry.class, noTenant)
 }
 
 // sweepKeys drops expired keys that nobody needs any more.
 func (n *Instance) sweepKeys() {
-	for key, entry := range n.keys {
+	for key, entry := range n.keys.entries {
 		if n.now > entry.expiresAt+keyLinger && entry.owner < 0 && len(entry.waiters) == 0 {
 			n.dropKey(key)
 		}
@@ -173,7 +184,7 @@
 // extendKeys applies windows that have become longer to the keys in the table. A window that became shorter holds for
 // later keys only, so that a key lasts as long as the longest of its windows.
 func (n *Instance) extendKeys() {
-	for _, entry := range n.keys {
+	for _, entry := range n.keys.entries {
 		if window := n.keyWindowOf(entry.class); window > entry.window {
 			entry.expiresAt += window - entry.window
 			entry.window = window
--- a/internal/node/idempotency_test.go
+++ b/internal/node/idempotency_test.go
@@ -11,7 +11,7 @@
 
 func TestKeysStayWithinTableBytes(t *testing.T) {
 	n, peers := newReady(nil)
-	n.keyBytes = n.tableBytes - keyEntryBytes - 4
+	n.keys.bytes = n.tableBytes - keyEntryBytes - 4
 	n.admitRequest(peers, "a", "keyed", "one", 0)
 	n.admitRequest(peers, "b", "keyed", "one", 0) // coalesces
 	n.RunEnded("a", RunResult{Outcome: policy.OK, Body: []byte("five!")})
@@ -19,8 +19,8 @@
 	peers.expect(t, 1, "answer b 0 five!") // though it isn't cached
 	n.admitRequest(peers, "c", "keyed", "one", 0)
 	peers.expect(t, 1, "answer c 2")
-	n.keyBytes -= keyEntryBytes
-	otherBytes := n.keyBytes - keyEntryBytes
+	n.keys.bytes -= keyEntryBytes
+	otherBytes := n.keys.bytes - keyEntryBytes
 	n.admitRequest(peers, "d", "keyed", "two", 0)
 	n.RunEnded("d", RunResult{Outcome: policy.OK, Body: []byte("four")})
 	n.Tick()
@@ -28,14 +28,14 @@
 	peers.expect(t, 1, "answer e 0 four")
 	n.admitRequest(peers, "f", "keyed", "three", 0)
 	peers.expect(t, 1, "answer f 1")
-	for _, entry := range n.keys {
+	for _, entry := range n.keys.entries {
 		entry.expiresAt = n.now - time.Minute
 	}
 	n.sweep()
-	if n.keyBytes != otherBytes || len(n.keys) != 0 {
-		t.Errorf("%d bytes, %d keys left", n.keyBytes-otherBytes, len(n.keys))
+	if n.keys.bytes != otherBytes || len(n.keys.entries) != 0 {
+		t.Errorf("%d bytes, %d keys left", n.keys.bytes-otherBytes, len(n.keys.entries))
 	}
-	n.tableBytes, n.keyBytes = requestBytes, 0
+	n.tableBytes, n.keys.bytes = requestBytes, 0
 	n.admitRequest(peers, "g", "safe", "", 0)
 	n.admitRequest(peers, "h", "safe", "", 0)
 	peers.expect(t, 1, "answer h 1")
@@ -46,7 +46,7 @@
 	n.admitRequest(peers, "a", "keyed", "key", 0)
 	n.RunEnded("a", RunResult{Outcome: policy.OK, Body: []byte("one")})
 	n.Tick()
-	entry := n.keys["keyed key"]
+	entry := n.keys.entries["keyed key"]
 	entry.expiresAt = n.now - 50*time.Millisecond // expired when the retry is read, not when it arrived
 	n.admitRequest(peers, "b", "keyed", "key", 100*time.Millisecond)
 	peers.expect(t, 1, "answer b 0 one")
@@ -60,7 +60,7 @@
 	n, peers := newReady(nil)
 	n.admitRequest(peers, "a", "keyed", "key", 0)
 	n.admitRequest(peers, "b", "keyed", "key", 0)
-	n.keys["keyed key"].expiresAt = n.now - 10*keyLinger
+	n.keys.entries["keyed key"].expiresAt = n.now - 10*keyLinger
 	n.nextSweep = 0
 	n.Tick()
 	n.admitRequest(peers, "c", "keyed", "key", 0)
@@ -94,7 +94,7 @@
 		for range 3 { // applied, reverted, and applied again
 			n.applySettings(t, before, after)
 			n.Tick()
-			if entry := n.keys["keyed k"]; expiresAt == 0 {
+			if entry := n.keys.entries["keyed k"]; expiresAt == 0 {
 				expiresAt = entry.expiresAt
 			} else if entry.expiresAt != expiresAt {
 				t.Errorf("expires at %v, at %v after the first switch", entry.expiresAt, expiresAt)
@@ -120,7 +120,7 @@
 	n.admitRequest(peers, "a", "keyed", "key", 0)
 	n.RunEnded("a", RunResult{Outcome: policy.OK, Body: []byte("old")})
 	n.Tick()
-	n.keys["keyed key"].expiresAt = n.now - time.Second
+	n.keys.entries["keyed key"].expiresAt = n.now - time.Second
 	n.admitRequest(peers, "b", "keyed", "key", 0)
 	n.admitRequest(peers, "c", "keyed", "key", 0)
 	peers.expect(t, 1, "start b")
@@ -135,9 +135,9 @@
 	n.admitRequest(peers, "a", "keyed", "key", 0)
 	n.RunEnded("a", RunResult{Outcome: policy.OK})
 	n.Tick()
-	n.keys["keyed key"].expiresAt, n.nextSweep = n.now-2*keyLinger, 0
+	n.keys.entries["keyed key"].expiresAt, n.nextSweep = n.now-2*keyLinger, 0
 	n.Tick()
-	if len(n.keys) != 0 {
+	if len(n.keys.entries) != 0 {
 		t.Error("the expired key is still in the table")
 	}
 }
@@ -178,7 +178,7 @@
 	n.admitRequest(peers, "a", "keyed", "key", 0)
 	n.RunEnded("a", RunResult{Outcome: policy.OK, Body: []byte("kept")})
 	n.Tick()
-	n.keys["keyed key"].expiresAt = n.now - time.Millisecond
+	n.keys.entries["keyed key"].expiresAt = n.now - time.Millisecond
 	n.admitRedelivered(peers, "b", "keyed", "key", "x")
 	peers.expect(t, 1, "answer b 0 kept")
 	n.admitRedelivered(peers, "c", "keyed", "key", "another")
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -14,7 +14,6 @@
 package node
 
 import (
-	"hash/maphash"
 	"time"
 
 	"go.uber.org/zap"
@@ -31,7 +30,7 @@
 	class          int
 	tenant         int // noTenant: none
 	body           []byte
-	key            string    // of its entry in Instance.keys; empty: none
+	key            string    // of its entry in the key table; empty: none
 	coalescedOn    *keyEntry // whose result it waits for; nil: none
 	callBody       []byte    // body of the call that the run waits at
 	pendingReply   []byte    // reply to that call that could not be delivered yet
@@ -69,34 +68,19 @@
 	lastEventAt        time.Duration
 	lastArrival        time.Duration
 
-	classes    *resourceTable[settings.Class]
-	tenants    *resourceTable[settings.Tenant]
-	requests   []requestState
-	freeIDs    []policy.RequestID // free slots of requests
-	inFlight   int
-	byTaskID   map[TaskID]policy.RequestID
-	keys       map[string]*keyEntry
-	keyBytes   int // taken by keys
-	digestSeed maphash.Seed
+	classes  *resourceTable[settings.Class]
+	tenants  *resourceTable[settings.Tenant]
+	requests []requestState
+	freeIDs  []policy.RequestID // free slots of requests
+	inFlight int
+	byTaskID map[TaskID]policy.RequestID
+	keys     keyTable
 
-	healthy       bool
-	healthCached  bool // deep checks are answered without a self-test
-	advertised    float64
-	healthChecks  map[string]healthCheck // by the id of their self-test
-	selfTestCount int
-
-	gauges             policy.Gauges
-	gaugesAt           time.Duration
-	gaugesRequestedAt  time.Duration // of the earliest request without an answer
-	runtimeStart       time.Time     // latest possible time of the runtime's start
-	firstReady         time.Duration
-	runtimeReused      bool // the runtime is older than this instance
-	earlierIncarnation bool // the runtime has named a run of an earlier incarnation of this instance
-
-	draining         bool
-	stopDeadline     time.Duration
-	graceEnd         time.Duration
-	listenerClosedAt time.Duration // 0: still listening
+	health        healthState
+	advertised    float64 // the load value advertised to callers; negative: none
+	gauges        gaugeState
+	runtimeStatus runtimeStatus
+	drain         drainState
 }
 
 // New returns an instance that waits for its runtime. The stop timeout is the time from the drain notice to the kill; the
@@ -117,11 +101,10 @@
 		classes:         newResourceTable(classes),
 		tenants:         newResourceTable(s.Tenants),
 		byTaskID:        map[TaskID]policy.RequestID{},
-		keys:            map[string]*keyEntry{},
-		digestSeed:      maphash.MakeSeed(),
+		keys:            newKeyTable(),
 		advertised:      noAdvertisedValue,
-		healthChecks:    map[string]healthCheck{},
-		gauges:          noGauges,
+		health:          healthState{checks: map[string]healthCheck{}},
+		gauges:          gaugeState{latest: noGauges},
 	}
 }
 
--- a/internal/node/runs.go
+++ b/internal/node/runs.go
@@ -8,6 +8,14 @@
 	"thymechute/policy"
 )
 
+// runtimeStatus is what is known of the runtime's process.
+type runtimeStatus struct {
+	startedAt                time.Time     // latest possible time of its start
+	firstReadyAt             time.Duration // when its first link was up
+	isReused                 bool          // it is older than this instance
+	servesEarlierIncarnation bool          // it has named a run of an earlier incarnation of this instance
+}
+
 // RuntimeReady is called when a link to the runtime is established, with the runtime's answer. The first one creates the
 // controller; a later one of a younger runtime ends all runs, as they are lost.
 func (n *Instance) RuntimeReady(state RuntimeState) {
@@ -17,7 +25,7 @@
 		switch {
 		case n.controller != nil:
 			n.checkRestart(earliestStart, latestStart)
-		case !n.draining: // a draining instance without a controller rejects all requests until it ends
+		case !n.drain.started: // a draining instance without a controller rejects all requests until it ends
 			n.startController(state, latestStart)
 		}
 	})
@@ -26,21 +34,21 @@
 func (n *Instance) startController(state RuntimeState, runtimeStart time.Time) {
 	n.log.Info("runtime ready", zap.Bool("reused", state.Reused), zap.Duration("age", state.Age))
 	n.start = runtimeStart // the controller's slow start counts from the runtime's start
-	n.runtimeStart = runtimeStart
-	n.runtimeReused = state.Reused
+	n.runtimeStatus.startedAt = runtimeStart
+	n.runtimeStatus.isReused = state.Reused
 	n.now = time.Since(n.start)
-	n.firstReady = n.now
+	n.runtimeStatus.firstReadyAt = n.now
 	n.lastEventAt = n.now
 	n.controller = n.newController()
 }
 
 // checkRestart ends all runs where the runtime has started again.
 func (n *Instance) checkRestart(earliestStart, latestStart time.Time) {
-	if !earliestStart.After(n.runtimeStart.Add(runtimeAgeTolerance)) {
+	if !earliestStart.After(n.runtimeStatus.startedAt.Add(runtimeAgeTolerance)) {
 		return
 	}
 	n.log.Warn("runtime restarted, its runs are lost")
-	n.runtimeStart = latestStart
+	n.runtimeStatus.startedAt = latestStart
 	for index := range n.requests {
 		if request := &n.requests[index]; request.inFlight && request.startSent {
 			n.endRun(policy.RequestID(index), RunResult{Outcome: policy.Cancelled})
@@ -92,8 +100,8 @@
 // of an earlier incarnation of this instance.
 func (n *Instance) findRun(taskID TaskID) (policy.RequestID, bool) {
 	id, ok := n.byTaskID[taskID]
-	if !ok && n.runtimeReused && !n.earlierIncarnation {
-		n.earlierIncarnation = true
+	if !ok && n.runtimeStatus.isReused && !n.runtimeStatus.servesEarlierIncarnation {
+		n.runtimeStatus.servesEarlierIncarnation = true
 		n.log.Warn("runtime still executes requests of an earlier incarnation, keyed retries fail for one key window",
 			zap.String("task", string(taskID)))
 	}
@@ -111,7 +119,7 @@
 	default:
 		n.respond(id, Answer{Status: Failed})
 	}
-	if entry := n.keys[request.key]; entry != nil && entry.owner == id {
+	if entry := n.keys.entries[request.key]; entry != nil && entry.owner == id {
 		n.completeKey(entry, result)
 	}
 	n.controller.RunEnded(n.now, id, result.Outcome, result.Duration)
@@ -155,18 +163,3 @@
 		request.pendingReply = reply
 	}
 }
-
-// GaugesRead is called with the runtime's gauges, in the order of the settings.
-func (n *Instance) GaugesRead(values []float64) {
-	n.gauges = n.parseGauges(values)
-	n.gaugesAt = time.Since(n.start)
-}
-
-// parseGauges picks the controller's gauges out of the runtime's.
-func (n *Instance) parseGauges(values []float64) policy.Gauges {
-	busy, runnable := n.server.Gauges(values)
-	return policy.Gauges{Busy: busy, Runnable: runnable}
-}
-
-// noGauges are gauges without a reading.
-var noGauges = policy.Gauges{Busy: -1, Runnable: -1}
--- a/internal/node/tick.go
+++ b/internal/node/tick.go
@@ -27,7 +27,7 @@
 	if n.now >= n.nextSweep {
 		n.sweep()
 	}
-	n.healthReporter.Sweep(clock, HealthOf(n.healthy && !n.draining))
+	n.healthReporter.Sweep(clock, HealthOf(n.health.isHealthy && !n.drain.started))
 	n.sweepFronts(clock)
 	return earliest(nextTimeout, n.start.Add(nextTick)), n.phase()
 }
@@ -83,8 +83,8 @@
 }
 
 func (n *Instance) tickController() {
-	gauges := n.gauges
-	if n.now-n.gaugesAt > maxGaugeAge {
+	gauges := n.gauges.latest
+	if n.now-n.gauges.readAt > maxGaugeAge {
 		gauges = noGauges
 	}
 	n.nextControllerTick = n.now + defaultControllerTickInterval
@@ -94,20 +94,12 @@
 	}
 }
 
-// requestGauges asks for the gauges of the next tick: no tick waits for them.
-func (n *Instance) requestGauges() {
-	if n.gaugesRequestedAt <= n.gaugesAt {
-		n.gaugesRequestedAt = n.now
-	}
-	n.runtime.RequestGauges()
-}
-
 // controllerTickDue returns when the pending tick is due. It is deferred while the machine is stalled, which shows in gauges that
 // are outstanding and no other events: timers of the whole machine stand still then, and that is no load. The deferral is
 // shorter than the margin of every deadline, and a tick that late tells the controller of the stall.
 func (n *Instance) controllerTickDue() time.Duration {
-	outstanding := n.runtime.Up() && n.gaugesRequestedAt > n.gaugesAt
-	if outstanding && n.now-max(n.gaugesRequestedAt, n.lastEventAt) > stallThreshold {
+	outstanding := n.runtime.Up() && n.gauges.requestedAt > n.gauges.readAt
+	if outstanding && n.now-max(n.gauges.requestedAt, n.lastEventAt) > stallThreshold {
 		return n.nextControllerTick + maxControllerTickDelay
 	}
 	return n.nextControllerTick
--- a/internal/node/tick_test.go
+++ b/internal/node/tick_test.go
@@ -10,9 +10,9 @@
 	n, peers := newReady(nil)
 	for _, stalled := range []bool{false, true} {
 		n.now = time.Since(n.start)
-		n.nextControllerTick, n.gaugesRequestedAt, n.gaugesAt, n.lastEventAt = n.now, n.now-2*stallThreshold, n.now-3*stallThreshold, n.now
+		n.nextControllerTick, n.gauges.requestedAt, n.gauges.readAt, n.lastEventAt = n.now, n.now-2*stallThreshold, n.now-3*stallThreshold, n.now
 		if stalled {
-			n.lastEventAt = n.gaugesRequestedAt
+			n.lastEventAt = n.gauges.requestedAt
 		}
 		if late := n.controllerTickDue() - n.nextControllerTick; (late == maxControllerTickDelay) != stalled || !stalled && late != 0 {
 			t.Errorf("stalled %v: %v late", stalled, late)
