--- a/cmd/benchlink/main.go
+++ b/cmd/benchlink/main.go
@@ -1,4 +1,6 @@
-// Command benchlink runs the decision module on the simulator's wire.
+// Command benchlink hosts instances of the decision module for the simulator: it reads batches of events on
+// standard input and writes replies on standard output. It ends at the end of input, or with status 1 and
+// one line on standard error.
 package main
 
 import (
--- /dev/null
+++ b/internal/simhost/actions.go
@@ -0,0 +1,90 @@
+package simhost
+
+import (
+	"fmt"
+	"time"
+
+	"go.uber.org/zap"
+	"go.uber.org/zap/zapcore"
+
+	"thymechute/internal/wire"
+	"thymechute/policy"
+)
+
+// wakeReference is the reference of all alarms: an instance has one at a time.
+const wakeReference = 1
+
+// requestLine begins an action's line about a request.
+func (h *host) requestLine(action string, id policy.RequestID) wire.Line {
+	return wire.NewLine(h.out, action).Uint("ticket", h.requests.tickets[id])
+}
+
+// Start implements policy.Host, as do the methods after it: each writes its action's line.
+func (h *host) Start(id policy.RequestID) { h.out = h.requestLine("RUN", id).End() }
+
+// Stop writes TAKE_OFF.
+func (h *host) Stop(id policy.RequestID) { h.out = h.requestLine("TAKE_OFF", id).End() }
+
+// Reject writes NOT_NOW.
+func (h *host) Reject(id policy.RequestID, r policy.Rejection) {
+	line := h.requestLine("NOT_NOW", id).Seconds("pause_s", r.RetryAfter)
+	h.out = line.Bool("final", r.NoRetryElsewhere).End()
+}
+
+// Fail writes ERROR.
+func (h *host) Fail(id policy.RequestID) { h.out = h.requestLine("ERROR", id).End() }
+
+// Call writes CALL_DEP.
+func (h *host) Call(id policy.RequestID, patience time.Duration) {
+	h.out = h.requestLine("CALL_DEP", id).Seconds("patience_s", patience).End()
+}
+
+// SkipCall writes OMIT.
+func (h *host) SkipCall(id policy.RequestID) { h.out = h.requestLine("OMIT", id).End() }
+
+// RecordKey writes RECORD_KEY.
+func (h *host) RecordKey(id policy.RequestID, lifetime time.Duration) {
+	h.out = h.requestLine("RECORD_KEY", id).Seconds("for_time_s", lifetime).End()
+}
+
+// ForgetKey writes RELEASE_KEY.
+func (h *host) ForgetKey(id policy.RequestID) { h.out = h.requestLine("RELEASE_KEY", id).End() }
+
+// Coalesce writes ATTACH.
+func (h *host) Coalesce(id policy.RequestID) { h.out = h.requestLine("ATTACH", id).End() }
+
+// SetHealth writes FITNESS.
+func (h *host) SetHealth(health policy.Health) {
+	line := wire.NewLine(h.out, "FITNESS").Bool("stored", health.Cached)
+	h.out = line.Bool("on", health.Healthy).End()
+}
+
+// SetIdleTimeout writes IDLE.
+func (h *host) SetIdleTimeout(timeout time.Duration) {
+	h.out = wire.NewLine(h.out, "IDLE").Seconds("for_time_s", timeout).End()
+}
+
+// Advertise writes SIGNAL.
+func (h *host) Advertise(value float64) {
+	h.out = wire.NewLine(h.out, "SIGNAL").Number("value", value).End()
+}
+
+// Wake writes NOTIFY_ME, at a time of the simulator's clock.
+func (h *host) Wake(at time.Duration) {
+	line := wire.NewLine(h.out, "NOTIFY_ME").Seconds("alarm_time_s", h.startedAt+at)
+	h.out = line.Uint("ref", wakeReference).End()
+}
+
+// Log writes DEBUG: the message, then each field as key=value.
+func (h *host) Log(message string, fields ...zap.Field) {
+	text := message
+	for _, field := range fields {
+		values := zapcore.NewMapObjectEncoder()
+		field.AddTo(values)
+		text += fmt.Sprintf(" %s=%v", field.Key, values.Fields[field.Key])
+	}
+	h.out = wire.NewLine(h.out, "DEBUG").Text("text", text).End()
+}
+
+// Release frees the index; nothing is written.
+func (h *host) Release(id policy.RequestID) { h.requests.release(id) }
--- a/internal/simhost/link_test.go
+++ b/internal/simhost/server_test.go
@@ -6,9 +6,9 @@
 	"testing"
 )
 
-const start = `FOR instance=3
-CONFIGURE init_seed=9 info={"classes":[{"repeat":"repeatable","worth":1,"aim_s":1,"deadline_s":3}],"domain":{"cores":1,"ram_kb":1000}}
-`
+const start = "FOR instance=3\n" +
+	`CONFIGURE init_seed=9 info={"classes":[{"repeat":"repeatable","worth":1,"aim_s":1,"deadline_s":3}],` +
+	`"domain":{"cores":1,"ram_kb":1000}}` + "\n"
 
 func serve(t *testing.T, in string) (string, error) {
 	t.Helper()
@@ -25,11 +25,11 @@
 		t.Errorf("%v\n%s", err, out)
 	}
 	if !strings.Contains(out, "NOTIFY_ME alarm_time_s=2.02 ref=1") {
-		t.Errorf("the second life does not count from its own start:\n%s", out)
+		t.Errorf("the restarted instance does not count from its own start:\n%s", out)
 	}
 }
 
-func TestMalformedInputEndsWithAPlainError(t *testing.T) {
+func TestMalformedInputEndsWithAnErrorOfOneLine(t *testing.T) {
 	for in, want := range map[string]string{
 		"FOR instance=1\n":         "line 1: field FOR name: expected BEGIN_BATCH",
 		"BEGIN_BATCH moment_s=x\n": "line 1: field BEGIN_BATCH moment_s: expected a number",
@@ -45,16 +45,23 @@
 
 func TestEndBetweenBatchesIsNoError(t *testing.T) {
 	if out, err := serve(t, "BEGIN_BATCH moment_s=1\nUNHEARD_OF a=b\nEOF_BATCH\n"); err == nil {
-		t.Errorf("an event of nobody was taken: %q", out)
+		t.Errorf("an event of no instance was taken: %q", out)
 	}
 	if out, err := serve(t, "BEGIN_BATCH moment_s=1\nEOF_BATCH\n\n"); err != nil || out != "FINISHED\n" {
 		t.Errorf("%v %q", err, out)
 	}
 }
 
-// Whatever comes, the answer is a reply or one plain error, never a panic.
+// Whatever comes, the answer is a reply or an error of one line, never a panic.
 func FuzzServe(f *testing.F) {
-	for _, seed := range []string{start, "REQ ticket=1 cls=0 size_kb=1\n", "ALARM ref=1 server_stats=0.5,1\n", "REQ ticket=x\n", "FOR\n"} {
+	for _, seed := range []string{
+		start,
+		"REQ ticket=1 cls=0 size_kb=1\n",
+		"ALARM ref=1 server_stats=0.5,1\n",
+		"REQ ticket=x\n",
+		"REQ ticket=1 cls=x org=x\n",
+		"FOR\n",
+	} {
 		f.Add("BEGIN_BATCH moment_s=1\n" + start + seed + "EOF_BATCH\n")
 	}
 	f.Fuzz(func(t *testing.T, in string) {
