--- a/internal/rpc/decode.go
+++ b/internal/rpc/decode.go
@@ -26,6 +26,14 @@
 	Request        node.Request // of neither a notification nor a health check; its class is the method
 }
 
+// depth returns the depth of a health check.
+func (m *Message) depth() node.HealthCheckDepth {
+	if m.IsDeepCheck {
+		return node.DeepCheck
+	}
+	return node.ShallowCheck
+}
+
 // envelope is the members of a message, before params are decoded.
 type envelope struct {
 	version string
--- a/internal/rpc/decode_test.go
+++ b/internal/rpc/decode_test.go
@@ -39,7 +39,7 @@
 	}
 	f.Fuzz(func(t *testing.T, line []byte) {
 		message, err := Decode(line)
-		if err == nil && !message.IsHealthCheck && (!isPlainID(message.Request.ID) || len(message.Request.Body) > maxBodySize || message.ID == "") {
+		if err == nil && !message.IsHealthCheck && (!isPlainID(string(message.Request.ID)) || len(message.Request.Body) > maxBodySize || message.ID == "") {
 			t.Errorf("%q was decoded as %+v", line, message)
 		}
 		if out := AppendError(nil, message.ID, &ProtocolError{codeParseError, errors.New(string(line))}); err != nil && !json.Valid(out) {
