--- a/cmd/testbed/scale.go
+++ b/cmd/testbed/scale.go
@@ -66,9 +66,9 @@
 		return fmt.Errorf("scale, part %s: %w", part.Name(), err)
 	}
 	if asJSON {
-		err = result.JSON(c.OutOrStdout())
+		err = result.WriteJSON(c.OutOrStdout())
 	} else {
-		result.Text(c.OutOrStdout())
+		result.WriteText(c.OutOrStdout())
 	}
 	if err != nil {
 		return err
--- a/internal/lab/scale/decisions/day.go
+++ b/internal/lab/scale/decisions/day.go
@@ -35,7 +35,7 @@
 	c.dayOf("ring_acknowledgements", acknowledged*secondsPerDay, bytes)
 	hour := 2 * drainedInRelease * share * c.last("log_membership_entry_bytes") / 3600
 	c.result.Put("release_hour_membership_bytes_s_member", hour)
-	c.result.Put("log_membership_entry_bytes_control_alone", float64(membershipEntryBytes(scale.TargetControl)))
+	c.result.Put("log_membership_entry_bytes_control_alone", float64(membershipEntryBytes(scale.TargetControlMachines)))
 	c.result.Put("applied_record_changes_s_fleet", renewals/secondsPerDay/entriesPerRecord*float64(largest))
 }
 
--- a/internal/lab/scale/decisions/decisions.go
+++ b/internal/lab/scale/decisions/decisions.go
@@ -19,7 +19,7 @@
 const (
 	// decisionBound is what one decision may take on its owner's goroutine, in milliseconds.
 	decisionBound = 50
-	boundBytes    = scale.BoundBytesSecond
+	boundBytes    = scale.MaxControlBytesPerSecond
 	manySamples   = 200 // of each timed decision
 	fewSamples    = 6
 )
@@ -97,7 +97,7 @@
 func (c *collector) point(name, role string, bound float64, size int, value float64) {
 	s := c.series[name]
 	if s == nil {
-		s = &scale.Series{Name: name, Role: role, Of: "members", Target: scale.TargetMembers, Bound: bound}
+		s = &scale.Series{Name: name, Role: role, SizeUnit: "members", Target: scale.TargetMembers, Bound: bound}
 		c.series[name] = s
 		c.order = append(c.order, name)
 	}
@@ -124,8 +124,8 @@
 func (c *collector) finish(largest int) (*scale.Result, error) {
 	for _, name := range c.order {
 		s := c.series[name]
-		s.Ran = fmt.Sprintf("to %d members, in the emulator", largest)
-		if err := c.result.Add(*s); err != nil {
+		s.Coverage = fmt.Sprintf("to %d members, in the emulator", largest)
+		if err := c.result.AddSeries(*s); err != nil {
 			return nil, err
 		}
 	}
--- a/internal/lab/scale/fit.go
+++ b/internal/lab/scale/fit.go
@@ -9,7 +9,7 @@
 // Model is how a figure grows with the size n: value = Intercept + Slope * shape(n).
 type Model string
 
-// The models, from the slowest growth to the fastest.
+// The growth models, from the slowest to the fastest.
 const (
 	Constant  Model = "constant"
 	Log       Model = "log n"
@@ -17,17 +17,26 @@
 	Quadratic Model = "n^2"
 )
 
-// constantSpread is the largest over the least value up to which a figure counts as constant: what is measured on one
-// machine repeats within about a tenth.
-const constantSpread = 1.1
+// maxConstantSpread is the ratio of the largest to the smallest value up to which a figure counts as constant: measurements on one
+// machine repeat within about a tenth.
+const maxConstantSpread = 1.1
 
-// farOff is the error where something was predicted and nothing measured: no ratio, and JSON has no infinity.
-const farOff = 1e6
+// maxFitError stands for an infinite error, where something was predicted and 0 measured; JSON cannot encode infinity.
+const maxFitError = 1e6
 
-var growing = []Model{Log, Linear, Quadratic}
+// growthModels are the models between which chooseModel chooses for a figure that is not constant.
+var growthModels = []Model{Log, Linear, Quadratic}
 
-var errTooFewPoints = errors.New("scale: a fit needs points at four different sizes at least")
+// MinSizes is how many different sizes a fit needs.
+const MinSizes = 4
 
+// minImprovement is the factor by which a faster growing model must reduce the residual to be preferred.
+const minImprovement = 0.9
+
+// ErrTooFewSizes is the error of FitPoints for points at fewer than MinSizes sizes.
+var ErrTooFewSizes = errors.New("scale: a fit needs points at four different sizes at least")
+
+// shape is the function of the size that the model's value is linear in.
 func (m Model) shape(size float64) float64 {
 	switch m {
 	case Log:
@@ -46,28 +55,28 @@
 	Value float64 `json:"value"`
 }
 
-// Fit is a model fitted to points.
+// Fit is a growth model fitted to points.
 type Fit struct {
 	Model     Model   `json:"model"`
 	Intercept float64 `json:"intercept"`
-	Slope     float64 `json:"slope"`             // of the model's shape: per doubling times ln 2, per one, per one squared
-	Predicted float64 `json:"largest_predicted"` // the largest size's value, by a fit of the smaller ones alone
+	Slope     float64 `json:"slope"`             // per unit of the model's shape
+	Predicted float64 `json:"largest_predicted"` // value at the largest size, by a fit of the smaller sizes alone
 	Measured  float64 `json:"largest_measured"`
 	Error     float64 `json:"largest_error"` // (predicted - measured) / measured; 0 where both are 0, farOff where only measured is
 }
 
-// At is the fitted value at a size; never under 0.
+// At is the fitted value at a size, at least 0.
 func (f Fit) At(size float64) float64 {
 	return max(f.Intercept+f.Slope*f.Model.shape(size), 0)
 }
 
-// FitPoints chooses the model by the points but those of the largest size, predicts the largest by it, and then takes slope
-// and intercept from all points. It needs points at four different sizes at least.
+// FitPoints chooses the model by all points but those of the largest size, predicts the value there, and then fits slope and
+// intercept to all points. It returns ErrTooFewSizes for points at fewer than MinSizes different sizes.
 func FitPoints(points []Point) (Fit, error) {
 	points = slices.Clone(points)
 	slices.SortFunc(points, func(a, b Point) int { return int(math.Copysign(1, a.Size-b.Size)) })
-	if countSizes(points) < 4 {
-		return Fit{}, errTooFewPoints
+	if countSizes(points) < MinSizes {
+		return Fit{}, ErrTooFewSizes
 	}
 	largestSize := points[len(points)-1].Size
 	first := slices.IndexFunc(points, func(p Point) bool { return p.Size == largestSize })
@@ -81,11 +90,12 @@
 	if fit.Measured != 0 {
 		fit.Error = (fit.Predicted - fit.Measured) / fit.Measured
 	} else if fit.Predicted != 0 {
-		fit.Error = farOff
+		fit.Error = maxFitError
 	}
 	return fit, nil
 }
 
+// countSizes counts the different sizes of points that are sorted by size.
 func countSizes(sorted []Point) int {
 	sizes := 0
 	for n, p := range sorted {
@@ -96,18 +106,18 @@
 	return sizes
 }
 
-// chooseModel takes the model of the least relative residual; of nearly equal ones the slower growth.
+// chooseModel returns the model with the smallest relative residual, and among nearly equal ones the slowest growth.
 func chooseModel(points []Point) Model {
-	least, most := math.Inf(1), math.Inf(-1)
+	smallest, largest := math.Inf(1), math.Inf(-1)
 	for _, p := range points {
-		least, most = min(least, p.Value), max(most, p.Value)
+		smallest, largest = min(smallest, p.Value), max(largest, p.Value)
 	}
-	if most <= least*constantSpread {
+	if largest <= smallest*maxConstantSpread {
 		return Constant
 	}
 	best, bestResidual := Linear, math.Inf(1)
-	for _, model := range growing {
-		if residual := relativeResidual(leastSquares(model, points), points); residual < bestResidual*0.9 {
+	for _, model := range growthModels {
+		if residual := relativeResidual(leastSquares(model, points), points); residual < bestResidual*minImprovement {
 			best, bestResidual = model, residual
 		}
 	}
@@ -135,15 +145,17 @@
 	return fit
 }
 
+// relativeResidual is the sum of the squared relative errors.
 func relativeResidual(fit Fit, points []Point) float64 {
 	sum := 0.0
 	for _, p := range points {
-		off := (fit.At(p.Size) - p.Value) / max(math.Abs(p.Value), 1e-9)
-		sum += off * off
+		relativeError := (fit.At(p.Size) - p.Value) / max(math.Abs(p.Value), 1e-9)
+		sum += relativeError * relativeError
 	}
 	return sum
 }
 
+// mean is the mean value of points; there must be one.
 func mean(points []Point) float64 {
 	sum := 0.0
 	for _, p := range points {
--- a/internal/lab/scale/fit_test.go
+++ b/internal/lab/scale/fit_test.go
@@ -8,7 +8,7 @@
 	"pgregory.net/rapid"
 )
 
-// series makes points of a known law, off by up to noise of their value.
+// series makes points of a known law with relative noise.
 func series(law func(float64) float64, noise func() float64) (points []Point) {
 	for _, size := range []float64{25, 50, 100, 200, 400} {
 		points = append(points, Point{Size: size, Value: law(size) * (1 + noise())})
@@ -16,7 +16,7 @@
 	return points
 }
 
-func TestFitFindsTheLaw(t *testing.T) {
+func TestFitFindsGrowthModel(t *testing.T) {
 	laws := map[Model]func(float64) float64{
 		Constant:  func(float64) float64 { return 7 },
 		Log:       func(n float64) float64 { return 3 + 5*math.Log(n) },
@@ -34,7 +34,7 @@
 					t.Fatalf("model %s, expected %s", fit.Model, want)
 				}
 				if off := fit.At(1200)/law(1200) - 1; math.Abs(off) > 0.1 {
-					t.Fatalf("worked out at 1200: off by %.2f", off)
+					t.Fatalf("extrapolated to 1200: off by %.2f", off)
 				}
 				if math.Abs(fit.Error) > 0.1 {
 					t.Fatalf("largest predicted off by %.2f", fit.Error)
@@ -44,8 +44,8 @@
 	}
 }
 
-func TestFitToldOfAStepSaysItsError(t *testing.T) {
-	// A figure that steps up at the largest size can't be seen from the smaller ones: the error must tell.
+func TestFitReportsErrorOfStep(t *testing.T) {
+	// A figure that steps up at the largest size can't be predicted from the smaller ones: the error must show it.
 	fit, err := FitPoints([]Point{{25, 1}, {50, 1}, {100, 1}, {400, 12}})
 	if err != nil {
 		t.Fatal(err)
@@ -70,12 +70,12 @@
 	}
 }
 
-func TestFitOfNothingMeasuredAtTheLargestCanBePrinted(t *testing.T) {
+func TestFitWithZeroAtLargestSizeCanBeEncoded(t *testing.T) {
 	result := &Result{}
-	if err := result.Add(Series{Points: []Point{{1, 1}, {2, 2}, {3, 3}, {4, 0}}}); err != nil {
+	if err := result.AddSeries(Series{Points: []Point{{1, 1}, {2, 2}, {3, 3}, {4, 0}}}); err != nil {
 		t.Fatal(err)
 	}
-	if err := result.JSON(io.Discard); err != nil || result.Series[0].Fit.Error < 1 {
+	if err := result.WriteJSON(io.Discard); err != nil || result.Series[0].Fit.Error < 1 {
 		t.Errorf("%v, error %v", err, result.Series[0].Fit.Error)
 	}
 }
--- a/internal/lab/scale/instance/connections.go
+++ b/internal/lab/scale/instance/connections.go
@@ -35,8 +35,8 @@
 	defer r.end()
 	time.Sleep(settleFor)
 	without := r.descriptors()
-	memory := scale.Series{Name: "resident_kb_idle_connections", Of: "connections", Target: connectionsAt(likelySubset) * regionLost,
-		Bound: scale.BoundMemoryBytes / kilo, Ran: "idle, each after one request"}
+	memory := scale.Series{Name: "resident_kb_idle_connections", SizeUnit: "connections", Target: connectionsAt(likelySubset) * regionLost,
+		Bound: scale.MaxMemoryBytes / kilo, Coverage: "idle, each after one request"}
 	descriptors := memory
 	descriptors.Name, descriptors.Bound = "descriptors", 1024 // the most that the platform gives
 	var held []net.Conn
--- a/internal/lab/scale/instance/figures.go
+++ b/internal/lab/scale/instance/figures.go
@@ -16,7 +16,7 @@
 const (
 	boundStartMillis   = 2000
 	boundResidentMB    = 64
-	boundPeakMB        = scale.BoundMemoryBytes >> 20
+	boundPeakMB        = scale.MaxMemoryBytes >> 20
 	boundReloadMillis  = 200
 	boundLongestMillis = 20
 )
@@ -142,14 +142,14 @@
 		}
 	}
 	for _, f := range rowFigures {
-		s := scale.Series{Name: f.name, Of: of, Target: target, Bound: f.bound}
+		s := scale.Series{Name: f.name, SizeUnit: of, Target: target, Bound: f.bound}
 		for _, r := range rows {
 			if value, ok := f.of(r); ok {
 				s.Points = append(s.Points, scale.Point{Size: float64(size(r)), Value: value})
 			}
 		}
 		if len(s.Points) < len(rows) && len(ended) > 0 {
-			s.Ran = "not had at " + strings.Join(ended, ", ")
+			s.Coverage = "not had at " + strings.Join(ended, ", ")
 		}
 		if err := m.add(s); err != nil {
 			return err
@@ -173,7 +173,7 @@
 	for _, kind := range kinds {
 		for _, rate := range m.sizes.rates {
 			for _, percent := range percents {
-				s := scale.Series{Name: fmt.Sprintf("added_ms_%s_at_%.0f_s%s", percent.name, rate, kind.name), Of: "tenants",
+				s := scale.Series{Name: fmt.Sprintf("added_ms_%s_at_%.0f_s%s", percent.name, rate, kind.name), SizeUnit: "tenants",
 					Target: scale.TargetTenants, Bound: percent.bound}
 				for _, r := range rows {
 					if d := kind.of(r)[rate]; d != nil {
@@ -181,7 +181,7 @@
 					}
 				}
 				if len(s.Points) < len(m.sizes.loaded) {
-					s.Ran = "had only where reloads are taken"
+					s.Coverage = "had only where reloads are taken"
 				}
 				if err := m.add(s); err != nil {
 					return err
--- a/internal/lab/scale/instance/instance.go
+++ b/internal/lab/scale/instance/instance.go
@@ -106,16 +106,16 @@
 	for _, p := range s.Points {
 		distinct[p.Size] = true
 	}
-	if len(distinct) >= 4 {
-		return m.result.Add(s)
+	if len(distinct) >= scale.MinSizes {
+		return m.result.AddSeries(s)
 	}
 	if len(distinct) == 0 {
 		return nil
 	}
 	for _, p := range s.Points {
-		m.result.Put(fmt.Sprintf("%s_at_%.0f_%s", s.Name, p.Size, s.Of), p.Value)
+		m.result.Put(fmt.Sprintf("%s_at_%.0f_%s", s.Name, p.Size, s.SizeUnit), p.Value)
 	}
-	why := fmt.Sprintf("fewer than four %s, no fit, %s: ", s.Of, s.Ran)
+	why := fmt.Sprintf("fewer than four %s, no fit, %s: ", s.SizeUnit, s.Coverage)
 	for n, line := range m.result.NotRun {
 		if strings.HasPrefix(line, why) {
 			m.result.NotRun[n] = line + ", " + s.Name
--- a/internal/lab/scale/instance/instance_test.go
+++ b/internal/lab/scale/instance/instance_test.go
@@ -37,7 +37,7 @@
 	}
 	have := map[string]scale.Series{}
 	for _, s := range result.Series {
-		have[s.Name+" by "+s.Of] = s
+		have[s.Name+" by "+s.SizeUnit] = s
 	}
 	for _, f := range rowFigures {
 		for _, of := range []string{"tenants", "routes"} {
--- a/internal/lab/scale/instance/process.go
+++ b/internal/lab/scale/instance/process.go
@@ -168,7 +168,7 @@
 
 // resident is the memory now, in megabytes.
 func (p *process) resident() (float64, error) {
-	held, err := scale.ResidentOf(p.cmd.Process.Pid)
+	held, err := scale.ProcessResidentBytes(p.cmd.Process.Pid)
 	return float64(held) / (1 << 20), err
 }
 
--- a/internal/lab/scale/instance/reports.go
+++ b/internal/lab/scale/instance/reports.go
@@ -34,11 +34,11 @@
 	if err := m.ownReports(); err != nil {
 		return err
 	}
-	reports := scale.Series{Name: "reports_s", Of: "members", Target: scale.TargetMembers, Ran: "hollow instances, at size"}
+	reports := scale.Series{Name: "reports_s", SizeUnit: "members", Target: scale.TargetMembers, Coverage: "hollow instances, at size"}
 	bytes := reports
 	reports.Name, bytes.Name = "reports_s", "report_bytes_s"
 	list := reports
-	list.Name, list.Ran = "list_bytes", "a line of name and address each: the page states no form"
+	list.Name, list.Coverage = "list_bytes", "a line of name and address each: the page states no form"
 	for _, size := range m.sizes.reporters {
 		counts, listed, err := m.hollowReports(size)
 		if err != nil {
--- a/internal/lab/scale/members/part.go
+++ b/internal/lab/scale/members/part.go
@@ -24,8 +24,8 @@
 
 // Shares of the bounds that membership may take: the rest is for the configuration and the log.
 const (
-	boundBytes     = scale.BoundBytesSecond / 2
-	boundProcessor = scale.BoundCorePercent / 2
+	boundBytes     = scale.MaxControlBytesPerSecond / 2
+	boundProcessor = scale.MaxCPUPercent / 2
 
 	restartsDay = 5400.0 // of the plan, in a fleet of the target's size
 	secondsDay  = 86_400.0
@@ -97,15 +97,15 @@
 	}
 	at := map[string]float64{}
 	for _, f := range figures() {
-		series := scale.Series{Name: f.name, Role: "member", Of: "members", Target: scale.TargetMembers, Bound: f.bound,
-			Ran: fmt.Sprintf("to %d hollow members in one process", largest)}
+		series := scale.Series{Name: f.name, Role: "member", SizeUnit: "members", Target: scale.TargetMembers, Bound: f.bound,
+			Coverage: fmt.Sprintf("to %d hollow members in one process", largest)}
 		for _, o := range outcomes {
 			series.Points = append(series.Points, scale.Point{Size: float64(o.Size), Value: f.of(o)})
 		}
-		if err := result.Add(series); err != nil {
+		if err := result.AddSeries(series); err != nil {
 			return nil, err
 		}
-		at[f.name] = result.Series[len(result.Series)-1].Worked
+		at[f.name] = result.Series[len(result.Series)-1].Extrapolated
 	}
 	restart := at["bytes_member_one_restart"]
 	day := at["bytes_s_member_quiet"] + restart*restartsDay/secondsDay
--- a/internal/lab/scale/members/trial.go
+++ b/internal/lab/scale/members/trial.go
@@ -150,7 +150,7 @@
 	if err != nil {
 		return err
 	}
-	t.out.ResidentBytes = float64(usage.Resident) / float64(t.plan.Size)
+	t.out.ResidentBytes = float64(usage.ResidentBytes) / float64(t.plan.Size)
 	if err := t.exchanges(); err != nil {
 		return err
 	}
@@ -262,7 +262,7 @@
 		StreamBytes:     float64(used.StreamBytes) / size,
 		Datagrams:       float64(used.Datagrams) / size,
 		Streams:         float64(used.Streams) / size,
-		ProcessorMillis: millis(now.usage.Processor-before.usage.Processor) / size,
+		ProcessorMillis: millis(now.usage.CPU-before.usage.CPU) / size,
 	}
 	for kind, bytes := range used.Kinds {
 		if bytes == 0 {
--- a/internal/lab/scale/raftlog/part.go
+++ b/internal/lab/scale/raftlog/part.go
@@ -87,25 +87,25 @@
 		{"processor_ms_one_entry", "log_leader", 0, func(o Outcome) float64 { return o.Leader.EntryProcessor }},
 		{"resident_bytes", "log_leader", 0, func(o Outcome) float64 { return o.Leader.Resident }},
 		{"add_seconds", "log_leader", 0, func(o Outcome) float64 { return o.AddSeconds }},
-		{"bytes_s_idle", "log_follower", scale.BoundBytesSecond, func(o Outcome) float64 { return o.Follower.idleBytes() }},
-		{"processor_percent_idle", "log_follower", scale.BoundCorePercent, func(o Outcome) float64 { return o.Follower.IdleProcessor }},
+		{"bytes_s_idle", "log_follower", scale.MaxControlBytesPerSecond, func(o Outcome) float64 { return o.Follower.idleBytes() }},
+		{"processor_percent_idle", "log_follower", scale.MaxCPUPercent, func(o Outcome) float64 { return o.Follower.IdleProcessor }},
 		{"bytes_one_entry", "log_follower", 0, func(o Outcome) float64 { return o.Follower.EntryBytes }},
-		{"resident_bytes", "log_follower", scale.BoundMemoryBytes, func(o Outcome) float64 { return o.Follower.Resident }},
+		{"resident_bytes", "log_follower", scale.MaxMemoryBytes, func(o Outcome) float64 { return o.Follower.Resident }},
 	}
 }
 
 func addCosts(result *scale.Result, outcomes []Outcome) error {
 	for _, f := range figures() {
-		series := scale.Series{Name: f.name, Role: f.role, Of: "followers", Target: targetFollowers, Bound: f.bound,
-			Ran: fmt.Sprintf("to %d followers, four of them voters", outcomes[len(outcomes)-1].Followers)}
+		series := scale.Series{Name: f.name, Role: f.role, SizeUnit: "followers", Target: targetFollowers, Bound: f.bound,
+			Coverage: fmt.Sprintf("to %d followers, four of them voters", outcomes[len(outcomes)-1].Followers)}
 		for _, o := range outcomes {
 			series.Points = append(series.Points, scale.Point{Size: float64(o.Followers), Value: f.of(o)})
 		}
-		if err := result.Add(series); err != nil {
+		if err := result.AddSeries(series); err != nil {
 			return err
 		}
 		last := &result.Series[len(result.Series)-1]
-		result.Put(f.role+"_"+f.name+"_at_6_machines", last.Fit.At(scale.TargetControl-1))
+		result.Put(f.role+"_"+f.name+"_at_6_machines", last.Fit.At(scale.TargetControlMachines-1))
 	}
 	return nil
 }
--- a/internal/lab/scale/raftlog/replica.go
+++ b/internal/lab/scale/raftlog/replica.go
@@ -114,7 +114,7 @@
 	own, err := scale.OwnUsage()
 	return Usage{
 		Sent: g.meter.sent.Load(), Received: g.meter.received.Load(), Writes: g.meter.writes.Load(),
-		ProcessorMillis: float64(own.Processor) / float64(time.Millisecond), Resident: float64(own.Resident),
+		ProcessorMillis: float64(own.CPU) / float64(time.Millisecond), Resident: float64(own.ResidentBytes),
 	}, err
 }
 
--- a/internal/lab/scale/usage.go
+++ b/internal/lab/scale/usage.go
@@ -8,30 +8,33 @@
 	"time"
 )
 
-// Usage is what a process has used so far.
+// Usage is the resources that a process uses.
 type Usage struct {
-	Processor time.Duration // user and system, by getrusage
-	Resident  int64         // bytes now, by /proc/self/statm
+	CPU           time.Duration // user and system time so far, by getrusage
+	ResidentBytes int64         // now, by /proc/self/statm
 }
 
-// OwnUsage reads the usage of this process.
+// OwnUsage returns the usage of this process. Its errors are those of the kernel's interfaces.
 func OwnUsage() (Usage, error) {
 	var usage syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &usage); err != nil {
 		return Usage{}, err
 	}
-	resident, err := residentBytes("/proc/self/statm")
+	resident, err := readStatm("/proc/self/statm")
 	if err != nil {
 		return Usage{}, err
 	}
-	processor := time.Duration(usage.Utime.Nano() + usage.Stime.Nano())
-	return Usage{Processor: processor, Resident: resident}, nil
+	cpu := time.Duration(usage.Utime.Nano() + usage.Stime.Nano())
+	return Usage{CPU: cpu, ResidentBytes: resident}, nil
 }
 
-// ResidentOf is the resident memory of another process, in bytes.
-func ResidentOf(pid int) (int64, error) { return residentBytes(fmt.Sprintf("/proc/%d/statm", pid)) }
+// ProcessResidentBytes returns the resident memory of another process.
+func ProcessResidentBytes(pid int) (int64, error) {
+	return readStatm(fmt.Sprintf("/proc/%d/statm", pid))
+}
 
-func residentBytes(path string) (int64, error) {
+// readStatm reads the resident memory in bytes from a statm file.
+func readStatm(path string) (int64, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
 		return 0, err
