--- a/internal/lab/scale/instance/connections.go
+++ b/internal/lab/scale/instance/connections.go
@@ -1,5 +1,3 @@
-// This file owns what idle connections cost: descriptors and memory.
-
 package instance
 
 import (
@@ -13,73 +11,83 @@
 )
 
 const (
-	settleFor    = 500 * time.Millisecond // before memory is read
-	answerLimit  = 5 * time.Second
-	manySockets  = 4096 // descriptors of the program: five eighths, less its own, are the stubs'
-	likelySubset = 32   // instances that a caller connects to, by which the target is worked out
-	regionLost   = 4.0 / 3
-	kilo         = 1024
+	settleTime        = 500 * time.Millisecond // after opening connections, before memory is read
+	requestTimeout    = 5 * time.Second
+	connectionSockets = 4096    // socket limit of the program; it gives client stubs five eighths, less its own descriptors
+	likelySubset      = 32      // instances that a caller connects to, for the target
+	regionLossFactor  = 4.0 / 3 // connections of an instance after the loss of one of four regions
+	bytesPerKB        = 1024
+	kbPerMB           = 1024
+	maxDescriptors    = 1024 // the platform's limit
 )
 
-// connectionsAt is how many connections one instance has of all callers, each connected to so many instances.
+// connectionsAt is the mean number of connections of an instance when each caller connects to a subset of that size.
 func connectionsAt(subset float64) float64 {
 	return scale.TargetCallers * subset / scale.TargetMembers
 }
 
-// connections opens more and more on one program, each with a request served, and leaves them idle.
-func (m *measuring) connections() error {
-	r, _, err := m.start(deployment{tenants: 2, classes: 1, sockets: manySockets})
+// measureConnections opens more and more connections to one program, has a request served on each, and leaves them idle.
+func (m *measurement) measureConnections() error {
+	r, _, err := m.startRig(deployment{tenants: 2, classes: 1, sockets: connectionSockets})
 	if err != nil {
 		return err
 	}
-	defer r.end()
-	time.Sleep(settleFor)
-	without := r.descriptors()
-	memory := scale.Series{Name: "resident_kb_idle_connections", SizeUnit: "connections", Target: connectionsAt(likelySubset) * regionLost,
-		Bound: scale.MaxMemoryBytes / kilo, Coverage: "idle, each after one request"}
+	defer r.close()
+	time.Sleep(settleTime)
+	withoutCallers := r.descriptorCount()
+	memory := scale.Series{Name: "resident_kb_idle_connections", SizeUnit: "connections", Target: connectionsAt(likelySubset) * regionLossFactor,
+		Bound: scale.MaxMemoryBytes / bytesPerKB, Coverage: "idle, each after one request"}
 	descriptors := memory
-	descriptors.Name, descriptors.Bound = "descriptors", 1024 // the most that the platform gives
-	var held []net.Conn
+	descriptors.Name, descriptors.Bound = "descriptors", maxDescriptors
+	var conns []net.Conn
 	defer func() {
-		for _, c := range held {
+		for _, c := range conns {
 			c.Close()
 		}
 	}()
-	for _, size := range m.sizes.connections {
-		for len(held) < size {
-			c, err := r.connect()
-			if err != nil {
-				return fmt.Errorf("connection %d: %w", len(held)+1, err)
-			}
-			held = append(held, c)
+	for _, size := range m.workload.connections {
+		if conns, err = r.connectUpTo(conns, size); err != nil {
+			return err
 		}
-		time.Sleep(settleFor)
-		open := r.descriptors()
-		if open-without < size {
-			m.result.Fault("%d idle connections: %d descriptors more than without", size, open-without)
+		time.Sleep(settleTime)
+		open := r.descriptorCount()
+		if open-withoutCallers < size {
+			m.result.Fault("%d idle connections: %d descriptors more than without", size, open-withoutCallers)
 		}
-		resident, err := r.resident()
+		residentMB, err := r.residentMB()
 		if err != nil {
 			return err
 		}
-		memory.Points = append(memory.Points, scale.Point{Size: float64(size), Value: resident * kilo})
+		memory.Points = append(memory.Points, scale.Point{Size: float64(size), Value: residentMB * kbPerMB})
 		descriptors.Points = append(descriptors.Points, scale.Point{Size: float64(size), Value: float64(open)})
-		m.say("%d connections: %d descriptors, %.1f MB", size, open, resident)
+		m.progress("%d connections: %d descriptors, %.1f MB", size, open, residentMB)
 	}
-	m.result.Put("descriptors_without_callers", float64(without))
-	if err := m.add(memory); err != nil {
+	m.result.Put("descriptors_without_callers", float64(withoutCallers))
+	if err := m.addSeries(memory); err != nil {
 		return err
 	}
-	return m.add(descriptors)
+	return m.addSeries(descriptors)
+}
+
+// connectUpTo opens connections until there are count. After an error it returns those that are open.
+func (r *rig) connectUpTo(conns []net.Conn, count int) ([]net.Conn, error) {
+	for len(conns) < count {
+		c, err := r.connect()
+		if err != nil {
+			return conns, fmt.Errorf("connection %d: %w", len(conns)+1, err)
+		}
+		conns = append(conns, c)
+	}
+	return conns, nil
 }
 
-// connect opens a connection and has one request served on it.
+// connect opens a connection and waits for the answer to one request on it.
 func (r *rig) connect() (net.Conn, error) {
-	c, err := net.DialTimeout("tcp", r.deployment.listen, answerLimit)
+	c, err := net.DialTimeout("tcp", r.deployment.listen, requestTimeout)
 	if err != nil {
 		return nil, err
 	}
-	_ = c.SetDeadline(time.Now().Add(answerLimit))
+	_ = c.SetDeadline(time.Now().Add(requestTimeout))
 	request := stub.Request{Class: loadClass, Tenant: tenantName(0), Body: []byte{workProbe}, MemoryKB: 1}
 	if _, err = c.Write(stub.EncodeRequest(1, r.nextID(), request)); err == nil {
 		_, err = bufio.NewReader(c).ReadString('\n')
--- a/internal/lab/scale/instance/instance_test.go
+++ b/internal/lab/scale/instance/instance_test.go
@@ -1,7 +1,9 @@
 package instance
 
 import (
+	"bytes"
 	"context"
+	"os"
 	"strings"
 	"testing"
 	"time"
@@ -11,7 +13,7 @@
 	"thymechute/internal/testutil"
 )
 
-func run(t *testing.T, s sizes) *scale.Result {
+func run(t *testing.T, s workload) *scale.Result {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(t.Context(), 2*time.Minute)
 	defer cancel()
@@ -22,16 +24,16 @@
 	return result
 }
 
-func small() sizes {
-	return sizes{tenants: []int{10, 20, 40, 80}, loaded: []int{10, 20, 40, 80}, routes: []int{4, 8, 16, 32}, connections: []int{15, 30, 60, 120},
-		reporters: []int{5, 10, 20, 40}, rates: []float64{200}, single: 250 * time.Millisecond,
-		reporting: 400 * time.Millisecond, quiet: 200 * time.Millisecond, reloads: 7, reloading: 600 * time.Millisecond}
+func smallWorkload() workload {
+	return workload{tenants: []int{10, 20, 40, 80}, loadedTenants: []int{10, 20, 40, 80}, routes: []int{4, 8, 16, 32}, connections: []int{15, 30, 60, 120},
+		reporters: []int{5, 10, 20, 40}, rates: []float64{200}, singleReloadLoad: 250 * time.Millisecond,
+		reportingTime: 400 * time.Millisecond, quietLoad: 200 * time.Millisecond, reloadCount: 7, reloadingLoad: 600 * time.Millisecond}
 }
 
-// The measurement at a small size: every figure is there, with its fit, and what the program claims at that size holds. Times
-// are not judged here: the machine may be busy.
-func TestSmallRunHasEveryFigure(t *testing.T) {
-	result := run(t, small())
+// With a small workload, every figure is measured and fitted, and the claims hold. Times are not checked, since the machine may be
+// busy.
+func TestSmallWorkloadHasEveryFigure(t *testing.T) {
+	result := run(t, smallWorkload())
 	if len(result.Faults) > 0 {
 		t.Errorf("does not hold: %s", strings.Join(result.Faults, "; "))
 	}
@@ -39,7 +41,7 @@
 	for _, s := range result.Series {
 		have[s.Name+" by "+s.SizeUnit] = s
 	}
-	for _, f := range rowFigures {
+	for _, f := range trialFigures {
 		for _, of := range []string{"tenants", "routes"} {
 			if f.name == "reload_in_force_ms_worst" && of == "routes" {
 				continue // what changes with a route no probe shows
@@ -71,73 +73,73 @@
 	}
 }
 
-// A program that serves but never heeds the signal is reported as silent, within the bound, and its row ends.
-func TestReloadsAreWaitedForWithinABound(t *testing.T) {
-	r, _, err := startRig(t.Context(), testutil.Built(t), t.TempDir(), deployment{tenants: 2, classes: 1, sockets: sockets})
+// A reload that is never answered is reported within the timeout, and a failed reload ends the trial.
+func TestFailedReloadEndsTrial(t *testing.T) {
+	r, _, err := newRig(t.Context(), testutil.Built(t), t.TempDir(), deployment{tenants: 2, classes: 1, sockets: maxSockets})
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer r.end()
-	if line, ok := r.await(t.Context(), r.logged(), 50*time.Millisecond, wordsTaken); ok {
+	defer r.close()
+	if line, ok := r.awaitLine(t.Context(), r.lineCount(), 50*time.Millisecond, appliedMessage); ok {
 		t.Errorf("found %q, expected nothing", line.text)
 	}
-	s := &script{rig: r, row: &row{}}
-	for _, one := range []struct {
+	s := &trialScript{rig: r, trial: &trial{}}
+	for _, c := range []struct {
 		reload
 		fault string
-	}{{reload{outcome: silent}, "no word"}, {reload{outcome: refused}, "refused"}, {reload{outcome: taken}, ""},
-		{reload{outcome: taken, sent: time.Unix(0, 0), over: time.Unix(6, 0)}, "took 6000 ms"}} {
-		s.row.fault = ""
-		if s.took(one.reload); !strings.Contains(s.row.fault, one.fault) || s.row.whole() != (one.fault == "") {
-			t.Errorf("%+v: fault %q", one.reload, s.row.fault)
+	}{{reload{outcome: unanswered}, "no word"}, {reload{outcome: rejected}, "refused"}, {reload{outcome: applied}, ""},
+		{reload{outcome: applied, sent: time.Unix(0, 0), completed: time.Unix(6, 0)}, "took 6000 ms"}} {
+		s.trial.failure = ""
+		if s.recordReload(c.reload); !strings.Contains(s.trial.failure, c.fault) || s.trial.hasCompleted() != (c.fault == "") {
+			t.Errorf("%+v: failure %q", c.reload, s.trial.failure)
 		}
 	}
 }
 
-// The probe tells a limit that acts from one that does not, both ways, and a refused file leaves what acts.
-func TestProbeSeesTheLimitAct(t *testing.T) {
-	d := deployment{tenants: 5, classes: 1, sockets: sockets, limited: true}
-	r, _, err := startRig(t.Context(), testutil.Built(t), t.TempDir(), d)
+// The probe detects whether a limit is in force, and a rejected file changes nothing.
+func TestProbeDetectsLimit(t *testing.T) {
+	d := deployment{tenants: 5, classes: 1, sockets: maxSockets, lastTenantLimited: true}
+	r, _, err := newRig(t.Context(), testutil.Built(t), t.TempDir(), d)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer r.end()
+	defer r.close()
 	p := r.newProbe()
 	defer p.close()
 	for _, limited := range []bool{true, false, true} {
 		changed := r.deployment
-		changed.limited = limited
-		text, err := changed.text()
+		changed.lastTenantLimited = limited
+		text, err := changed.encode()
 		if err != nil {
 			t.Fatal(err)
 		}
-		if one, err := r.put(t.Context(), text); err != nil || one.outcome != taken {
-			t.Fatalf("%+v, %v", one, err)
+		if done, err := r.replaceFile(t.Context(), text); err != nil || done.outcome != applied {
+			t.Fatalf("%+v, %v", done, err)
 		}
-		if _, err := p.until(t.Context(), limited, reloadLimit); err != nil {
+		if _, err := p.waitUntil(t.Context(), limited, reloadTimeout); err != nil {
 			t.Fatal(err)
 		}
-		if acts, err := p.acts(); err != nil || acts != limited {
-			t.Errorf("limited %v: the probe says %v, %v", limited, acts, err)
+		if isLimited, err := p.isLimited(); err != nil || isLimited != limited {
+			t.Errorf("limited %v: the probe reports %v, %v", limited, isLimited, err)
 		}
 	}
-	if one, err := r.put(t.Context(), []byte(`{"name":`)); err != nil || one.outcome != refused {
-		t.Errorf("a faulty file: %+v, %v", one, err)
+	if done, err := r.replaceFile(t.Context(), []byte(`{"name":`)); err != nil || done.outcome != rejected {
+		t.Errorf("a malformed file: %+v, %v", done, err)
 	}
-	if acts, err := p.acts(); err != nil || !acts {
-		t.Errorf("after a faulty file the limit acts: %v, %v", acts, err)
+	if isLimited, err := p.isLimited(); err != nil || !isLimited {
+		t.Errorf("after a malformed file the probe reports %v, %v", isLimited, err)
 	}
 }
 
-// A program that refuses its configuration is a row with that fault and no figures; the run goes on.
+// A program that rejects its configuration is a failed trial without figures; the run goes on.
 func TestProgramThatDoesNotStartIsAFault(t *testing.T) {
-	m := &measuring{ctx: t.Context(), sizes: small(), result: &scale.Result{},
+	m := &measurement{ctx: t.Context(), workload: smallWorkload(), result: &scale.Result{},
 		options: scale.Options{Folder: t.TempDir(), Program: testutil.Built(t)}}
-	r, err := m.measureRow(deployment{tenants: 2, classes: 1, shorter: -1}, func(*deployment) {}, true)
+	r, err := m.runTrial(deployment{tenants: 2, classes: 1, shorterObjective: -1}, func(*deployment) {}, withLoads)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := m.addRows([]*row{r}, "tenants", 1, func(r *row) int { return r.tenants }); err != nil {
+	if err := m.addTrials([]*trial{r}, "tenants", 1, func(r *trial) int { return r.tenants }); err != nil {
 		t.Fatal(err)
 	}
 	if len(m.result.Faults) != 1 || !strings.Contains(m.result.Faults[0], "did not start") || !strings.Contains(m.result.Faults[0], "aim_s") {
@@ -154,23 +156,23 @@
 	}
 }
 
-// Rows that a reload ended early give what they have: a fault each, the longest wait where it was not cut off, and no figure
-// that was not had.
-func TestRowsEndedEarly(t *testing.T) {
-	m := &measuring{sizes: small(), result: &scale.Result{}}
-	var rows []*row
+// Incomplete trials give what they measured: a fault each, the longest latency unless it was cut off, and no figure that was not
+// measured.
+func TestIncompleteTrials(t *testing.T) {
+	m := &measurement{workload: smallWorkload(), result: &scale.Result{}}
+	var trials []*trial
 	for n, fault := range []string{"", "", "a reload was refused", "a reload was refused", "no word"} {
-		r := &row{tenants: 1000 * (n + 1), start: 1, fault: fault, waits: stub.NewDistribution()}
-		if r.first.outcome = refused; fault == "no word" {
-			r.first.outcome = silent
+		r := &trial{tenants: 1000 * (n + 1), startMillis: 1, failure: fault, reloadLatency: stub.NewDistribution()}
+		if r.firstReload.outcome = rejected; fault == "no word" {
+			r.firstReload.outcome = unanswered
 		}
-		r.waits.Add(time.Duration(n+1) * time.Second)
-		if r.whole() {
-			r.logged, r.inForce, r.oddWaits = []float64{5, 7}, []float64{6, 9}, stub.NewDistribution()
+		r.reloadLatency.Add(time.Duration(n+1) * time.Second)
+		if r.hasCompleted() {
+			r.loggedMillis, r.effectiveMillis, r.abnormalLatency = []float64{5, 7}, []float64{6, 9}, stub.NewDistribution()
 		}
-		rows = append(rows, r)
+		trials = append(trials, r)
 	}
-	if err := m.addRows(rows, "tenants", scale.TargetTenants, func(r *row) int { return r.tenants }); err != nil {
+	if err := m.addTrials(trials, "tenants", scale.TargetTenants, func(r *trial) int { return r.tenants }); err != nil {
 		t.Fatal(err)
 	}
 	if len(m.result.Faults) != 3 || !strings.Contains(m.result.Faults[0], "3000 tenants, 0 routes: a reload was refused; the longest wait 3") ||
@@ -190,6 +192,19 @@
 		t.Errorf("in force at 2000: %g", worst)
 	}
 	if _, ok := m.result.Single["reload_in_force_ms_worst_at_3000_tenants"]; ok {
-		t.Error("a reload that was refused counts as in force")
+		t.Error("a rejected reload counts as in force")
+	}
+}
+
+// The configuration file is encoded as revision d489d24 did, byte for byte.
+func TestRecordedConfiguration(t *testing.T) {
+	recorded, err := os.ReadFile("testdata/deployment-d489d24.json")
+	if err != nil {
+		t.Fatal(err)
+	}
+	d := deployment{tenants: 3, classes: 2, sockets: maxSockets, lastTenantLimited: true, shorterObjective: 1,
+		listen: "127.0.0.1:1", runtime: "127.0.0.1:2", catalog: "127.0.0.1:3"}
+	if text, err := d.encode(); err != nil || !bytes.Equal(text, recorded) {
+		t.Errorf("encoded as %s, %v, recorded %s", text, err, recorded)
 	}
 }
--- a/internal/lab/scale/instance/load.go
+++ b/internal/lab/scale/instance/load.go
@@ -1,5 +1,3 @@
-// This file owns loads on the program and what it adds to them.
-
 package instance
 
 import (
@@ -13,89 +11,109 @@
 )
 
 const (
-	answersLimit    = 3 * time.Second  // waited for answers after a load
-	longestStall    = 12 * time.Second // for which a load has connections enough
-	openAConnection = 32
-	mostConnections = 400
-	overlap         = 50 * time.Millisecond // after a reload's end, in which requests still count as beside it
+	answerTimeout         = 3 * time.Second  // after a load's last request
+	maxStall              = 12 * time.Second // of the program, for which a load has enough connections
+	requestsPerConnection = 32               // the protocol's limit
+	minConnections        = 8
+	maxConnections        = 400
+	reloadAftermath       = 50 * time.Millisecond // after a reload, in which requests still count as during it
 )
 
-// added is a load's samples and what the program added to each: its latency, from when it was due, less its run time. A request
-// without an answer counts with its age.
-type added struct {
-	samples stub.Samples
-	times   []time.Duration
+// loadResult is a load's samples, and the latency that the program added to each request: its latency from when it was due, less
+// its run time. A request without an answer counts with its age.
+type loadResult struct {
+	samples      stub.Samples
+	addedLatency []time.Duration
+}
+
+// loadOptions describe a load.
+type loadOptions struct {
+	rate     float64 // requests a second
+	duration time.Duration
+	seed     uint64
+	stop     <-chan struct{} // ends the load early when closed; may be nil
 }
 
-// load sends requests of all classes and of all tenants but the last, whose limit is the probe's, drawn by the seed.
-// It ends early once stop is closed.
-func (r *rig) load(ctx context.Context, rate float64, span time.Duration, seed uint64, stop <-chan struct{}) (added, error) {
-	r.forget()
-	chance := rand.New(rand.NewPCG(seed, 2))
-	body := func(n int) string { return fmt.Sprintf("%c %d %d", workLoad, seed, n) }
-	samples, err := stub.Load{Address: r.deployment.listen, Rate: rate, Duration: span, AnswerTimeout: answersLimit, Stop: stop, Seed: seed,
-		Connections: min(max(int(rate*longestStall.Seconds())/openAConnection, 8), mostConnections),
+// connections is enough to send all requests that are due during maxStall.
+func (o loadOptions) connections() int {
+	return min(max(int(o.rate*maxStall.Seconds())/requestsPerConnection, minConnections), maxConnections)
+}
+
+// load sends requests of all classes, and of all tenants but the last, whose limit the probe tests.
+func (r *rig) load(ctx context.Context, options loadOptions) (loadResult, error) {
+	r.resetRunTimes()
+	random := rand.New(rand.NewPCG(options.seed, 2))
+	body := func(n int) string { return fmt.Sprintf("%c %d %d", workLoad, options.seed, n) }
+	load := stub.Load{
+		Address:       r.deployment.listen,
+		Rate:          options.rate,
+		Duration:      options.duration,
+		AnswerTimeout: answerTimeout,
+		Stop:          options.stop,
+		Seed:          options.seed,
+		Connections:   options.connections(),
 		Request: func(n int) stub.Request {
-			return stub.Request{Class: className(chance.IntN(r.classes)), Tenant: tenantName(chance.IntN(r.tenants - 1)),
+			return stub.Request{Class: className(random.IntN(r.classes)), Tenant: tenantName(random.IntN(r.tenants - 1)),
 				Body: []byte(body(n)), MemoryKB: 1}
-		}}.Run(ctx)
+		},
+	}
+	samples, err := load.Run(ctx)
 	if err != nil {
-		return added{}, err
+		return loadResult{}, err
 	}
-	a := added{samples: samples}
+	result := loadResult{samples: samples}
 	for n, s := range samples {
-		a.times = append(a.times, max(s.Latency-r.runTime(body(n)), 0))
+		result.addedLatency = append(result.addedLatency, max(s.Latency-r.runTime(body(n)), 0))
 	}
-	return a, nil
+	return result, nil
 }
 
-// whileLoaded runs a load, and what is done beside it once a fifth of its span is over; the load goes on as long again after that.
-func (r *rig) whileLoaded(ctx context.Context, rate float64, span time.Duration, seed uint64, do func() error) (a added, err error) {
+// runUnderLoad runs act during a load, after the first leadPart-th of its duration, and goes on with the load as long after act.
+func (r *rig) runUnderLoad(ctx context.Context, options loadOptions, act func() error) (result loadResult, err error) {
+	duration, lead := options.duration, options.duration/leadPart
 	stop, done := make(chan struct{}), make(chan error, 1)
+	options.duration, options.stop = maxStall, stop
 	go func() {
 		var err error
-		a, err = r.load(ctx, rate, longestStall, seed, stop)
+		result, err = r.load(ctx, options)
 		done <- err
 	}()
-	time.Sleep(span / beforePart)
+	time.Sleep(lead)
 	begin := time.Now()
-	err = do()
-	time.Sleep(max(span-span/beforePart-time.Since(begin), span/beforePart))
+	err = act()
+	time.Sleep(max(duration-lead-time.Since(begin), lead))
 	close(stop)
-	return a, errors.Join(err, <-done)
+	return result, errors.Join(err, <-done)
 }
 
-// all is the distribution over the whole load.
-func (a added) all() *stub.Distribution {
-	return a.between(time.Time{}, time.Now())
+// distribution is that of the latency added to all requests.
+func (l loadResult) distribution() *stub.Distribution {
+	return l.distributionOf(func(stub.Sample) bool { return true })
 }
 
-// between is the distribution over requests that were due in that time.
-func (a added) between(from, to time.Time) *stub.Distribution {
-	d := stub.NewDistribution()
-	for n, s := range a.samples {
-		if !s.Due.Before(from) && !s.Due.After(to) {
-			d.Add(a.times[n])
+// duringReloads is the distribution over the requests that were due during a reload or in its aftermath.
+func (l loadResult) duringReloads(reloads []reload) *stub.Distribution {
+	return l.distributionOf(func(s stub.Sample) bool {
+		for _, r := range reloads {
+			if !s.Due.Before(r.sent) && !s.Due.After(r.completed.Add(reloadAftermath)) {
+				return true
+			}
 		}
-	}
-	return d
+		return false
+	})
 }
 
-// beside is the distribution over requests that were due during one of the reloads or just after it.
-func (a added) beside(reloads []reload) *stub.Distribution {
+func (l loadResult) distributionOf(isIncluded func(stub.Sample) bool) *stub.Distribution {
 	d := stub.NewDistribution()
-	for n, s := range a.samples {
-		for _, one := range reloads {
-			if !s.Due.Before(one.sent) && !s.Due.After(one.over.Add(overlap)) {
-				d.Add(a.times[n])
-				break
-			}
+	for n, s := range l.samples {
+		if isIncluded(s) {
+			d.Add(l.addedLatency[n])
 		}
 	}
 	return d
 }
 
-// unserved are requests without a result, for any reason.
-func (a added) unserved() int { return len(a.samples) - a.samples.Count(stub.Served) }
+// unservedCount is the number of requests without a result, for any reason.
+func (l loadResult) unservedCount() int { return len(l.samples) - l.samples.Count(stub.Served) }
 
 func milliseconds(t time.Duration) float64 { return float64(t) / float64(time.Millisecond) }
--- a/internal/lab/scale/instance/probe.go
+++ b/internal/lab/scale/instance/probe.go
@@ -1,6 +1,3 @@
-// This file owns the probe that tells whether the last tenant's limit acts: more requests at once than its bucket holds. What
-// goes beyond a limit is worth nothing by these settings, so it is rejected; without the limit all are served.
-
 package instance
 
 import (
@@ -15,21 +12,22 @@
 )
 
 const (
-	burst      = 10 // requests; a bucket holds 8 at the least limit
-	probeGap   = 10 * time.Millisecond
-	probeLimit = 10 * time.Second // of one burst
-	rejected   = -32001
+	burstSize     = 10 // requests; a bucket holds 8 at the lowest limit
+	probeInterval = 10 * time.Millisecond
+	probeTimeout  = 10 * time.Second // for the answers to one burst
+	codeRejected  = -32001
 )
 
-// probe is a connection that asks in the last tenant's name.
+// probe tests whether the last tenant's limit is in force, by more requests at once than its bucket holds. A request beyond the
+// limit has no priority weight by these settings, so it is rejected; without the limit, all are served.
 type probe struct {
-	r    *rig
-	net  net.Conn
-	in   *json.Decoder
-	last int
+	rig    *rig
+	net    net.Conn
+	in     *json.Decoder
+	lastID int
 }
 
-func (r *rig) newProbe() *probe { return &probe{r: r} }
+func (r *rig) newProbe() *probe { return &probe{rig: r} }
 
 func (p *probe) close() {
 	if p.net != nil {
@@ -37,15 +35,17 @@
 	}
 }
 
+// connect replaces the connection.
 func (p *probe) connect() (err error) {
 	p.close()
-	if p.net, err = net.DialTimeout("tcp", p.r.deployment.listen, healthLimit); err != nil {
+	if p.net, err = net.DialTimeout("tcp", p.rig.deployment.listen, healthCheckTimeout); err != nil {
 		return err
 	}
-	p.in, p.last = json.NewDecoder(bufio.NewReader(p.net)), 0
+	p.in, p.lastID = json.NewDecoder(bufio.NewReader(p.net)), 0
 	return nil
 }
 
+// answer is an answer to a request, or a notification, which has a method.
 type answer struct {
 	ID     int
 	Method string
@@ -55,23 +55,24 @@
 	}
 }
 
-// acts sends a burst and tells whether any of it was rejected.
-func (p *probe) acts() (bool, error) {
-	if err := p.connect(); err != nil { // a connection of its own each time: an idle one may be told to close
+// isLimited sends a burst and reports whether any request of it was rejected. Each burst has a connection of its own, since the
+// program may close an idle one.
+func (p *probe) isLimited() (bool, error) {
+	if err := p.connect(); err != nil {
 		return false, err
 	}
-	_ = p.net.SetDeadline(time.Now().Add(probeLimit))
+	_ = p.net.SetDeadline(time.Now().Add(probeTimeout))
 	var lines []byte
-	for range burst {
-		p.last++
-		request := stub.Request{Class: loadClass, Tenant: tenantName(p.r.tenants - 1), Body: []byte{workProbe}, MemoryKB: 1}
-		lines = append(lines, stub.EncodeRequest(p.last, p.r.nextID(), request)...)
+	for range burstSize {
+		p.lastID++
+		request := stub.Request{Class: loadClass, Tenant: tenantName(p.rig.tenants - 1), Body: []byte{workProbe}, MemoryKB: 1}
+		lines = append(lines, stub.EncodeRequest(p.lastID, p.rig.nextID(), request)...)
 	}
 	if _, err := p.net.Write(lines); err != nil {
 		return false, err
 	}
-	over := false
-	for answered := 0; answered < burst; {
+	limited := false
+	for answered := 0; answered < burstSize; {
 		var a answer
 		if err := p.in.Decode(&a); err != nil {
 			return false, fmt.Errorf("probe: %w", err)
@@ -79,28 +80,28 @@
 		switch {
 		case a.Method != "":
 			continue
-		case a.Error != nil && a.Error.Code == rejected:
-			over = true
+		case a.Error != nil && a.Error.Code == codeRejected:
+			limited = true
 		case a.Error != nil:
 			return false, fmt.Errorf("probe: a request failed: %s", a.Error.Message)
 		}
 		answered++
 	}
-	return over, nil
+	return limited, nil
 }
 
-// until sends bursts until the limit acts as wanted, and returns when one that shows it was answered.
-func (p *probe) until(ctx context.Context, limited bool, limit time.Duration) (time.Time, error) {
+// waitUntil sends bursts until the limit is in force or not, as wanted, and returns the time of the answer that shows it.
+func (p *probe) waitUntil(ctx context.Context, limited bool, limit time.Duration) (time.Time, error) {
 	for end := time.Now().Add(limit); time.Now().Before(end); {
-		acts, err := p.acts()
+		isLimited, err := p.isLimited()
 		if err != nil {
 			return time.Time{}, err
 		}
-		if acts == limited {
+		if isLimited == limited {
 			return time.Now(), nil
 		}
 		select {
-		case <-time.After(probeGap):
+		case <-time.After(probeInterval):
 		case <-ctx.Done():
 			return time.Time{}, ctx.Err()
 		}
--- a/internal/lab/scale/instance/process.go
+++ b/internal/lab/scale/instance/process.go
@@ -1,5 +1,3 @@
-// This file owns the measured program as a process: its log by line and time, its health, its processor time and memory.
-
 package instance
 
 import (
@@ -21,83 +19,86 @@
 )
 
 const (
-	startLimit  = 20 * time.Second // from exec to the first good health check, at the most
-	healthLimit = time.Second      // of one health check
-	healthGap   = 2 * time.Millisecond
-	mostLines   = 10_000 // of a log that are kept
-	clockTick   = 10 * time.Millisecond
+	startTimeout        = 20 * time.Second // from exec to the first successful health check
+	healthCheckTimeout  = time.Second      // of one health check
+	healthCheckInterval = 2 * time.Millisecond
+	maxLogLines         = 10_000                // of the log
+	clockTick           = 10 * time.Millisecond // unit of CPU time in /proc
 )
 
+// logLine is a line of the program's log and when it was read.
 type logLine struct {
 	at   time.Time
 	text string
 }
 
-// process is the program under measurement; its log is kept, mostLines at most.
+// process is the program under measurement, with up to maxLogLines of its log.
 type process struct {
 	listen, file string
-	began        time.Time
+	startTime    time.Time
 	cmd          *exec.Cmd
 	exited       chan struct{}
-	more         chan struct{} // one slot, filled with each line
+	lineAdded    chan struct{} // capacity 1, signalled with each line
 	mu           sync.Mutex
 	lines        []logLine
 }
 
-// startError says why the program does not serve.
-type startError struct{ why string }
+// startError is the error of a program that does not serve within startTimeout.
+type startError struct{ reason string }
 
-func (e *startError) Error() string { return "the program did not start: " + e.why }
+func (e *startError) Error() string { return "the program did not start: " + e.reason }
 
-// startProcess starts the program with the configuration at that path.
+// startProcess starts the program with the configuration at that path. The program does not outlive this process.
 func startProcess(program, file, listen string) (*process, error) {
-	p := &process{listen: listen, file: file, exited: make(chan struct{}), more: make(chan struct{}, 1)}
+	p := &process{listen: listen, file: file, exited: make(chan struct{}), lineAdded: make(chan struct{}, 1)}
 	p.cmd = exec.Command(program)
 	p.cmd.Env = append(os.Environ(), "GW_CONFIG="+file)
-	p.cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL} // it must not outlive the measurement
+	p.cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
 	log, err := p.cmd.StderrPipe()
 	if err != nil {
 		return nil, err
 	}
-	p.began = time.Now()
+	p.startTime = time.Now()
 	if err := p.cmd.Start(); err != nil {
 		return nil, err
 	}
 	go func() {
 		defer close(p.exited)
 		for in := bufio.NewScanner(log); in.Scan(); {
-			p.took(in.Text())
+			p.appendLog(in.Text())
 		}
 		_ = p.cmd.Wait()
 	}()
 	return p, nil
 }
 
-func (p *process) took(text string) {
+// appendLog adds a line of the log and wakes awaitLine.
+func (p *process) appendLog(text string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if len(p.lines) < mostLines {
+	if len(p.lines) < maxLogLines {
 		p.lines = append(p.lines, logLine{time.Now(), text})
 	}
 	select {
-	case p.more <- struct{}{}:
+	case p.lineAdded <- struct{}{}:
 	default:
 	}
 }
 
-// logged is how many lines there are.
-func (p *process) logged() int {
+// lineCount is the number of log lines so far.
+func (p *process) lineCount() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return len(p.lines)
 }
 
-func (p *process) find(from int, words []string) (logLine, bool) {
+// find returns the first line, from index from on, that contains one of the phrases.
+func (p *process) find(from int, phrases []string) (logLine, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, line := range p.lines[from:] {
-		for _, word := range words {
-			if strings.Contains(line.text, word) {
+		for _, phrase := range phrases {
+			if strings.Contains(line.text, phrase) {
 				return line, true
 			}
 		}
@@ -105,18 +106,18 @@
 	return logLine{}, false
 }
 
-// await waits for a line from the from-th on that holds one of the words; false: not within the limit.
-func (p *process) await(ctx context.Context, from int, limit time.Duration, words ...string) (logLine, bool) {
-	over := time.After(limit)
+// awaitLine waits for a line, from index from on, that contains one of the phrases; ok is false when none came within limit.
+func (p *process) awaitLine(ctx context.Context, from int, limit time.Duration, phrases ...string) (logLine, bool) {
+	timeout := time.After(limit)
 	for {
-		if line, ok := p.find(from, words); ok {
+		if line, ok := p.find(from, phrases); ok {
 			return line, true
 		}
 		select {
-		case <-p.more:
+		case <-p.lineAdded:
 		case <-p.exited:
-			return p.find(from, words)
-		case <-over:
+			return p.find(from, phrases)
+		case <-timeout:
 			return logLine{}, false
 		case <-ctx.Done():
 			return logLine{}, false
@@ -124,27 +125,29 @@
 	}
 }
 
-func (p *process) reload() { _ = p.cmd.Process.Signal(syscall.SIGHUP) }
+// signalReload asks the program to read its configuration again.
+func (p *process) signalReload() { _ = p.cmd.Process.Signal(syscall.SIGHUP) }
 
-// untilServing waits for the first health check that says so, and returns the time since exec.
-func (p *process) untilServing(ctx context.Context) (time.Duration, error) {
-	for time.Since(p.began) < startLimit && ctx.Err() == nil {
-		if serving(p.listen) {
-			return time.Since(p.began), nil
+// waitUntilServing waits for the first successful health check, and returns the time since exec. It returns a *startError.
+func (p *process) waitUntilServing(ctx context.Context) (time.Duration, error) {
+	for time.Since(p.startTime) < startTimeout && ctx.Err() == nil {
+		if isServing(p.listen) {
+			return time.Since(p.startTime), nil
 		}
 		select {
 		case <-p.exited:
-			return 0, &startError{"it ended: " + p.log()}
-		case <-time.After(healthGap):
+			return 0, &startError{"it ended: " + p.logText()}
+		case <-time.After(healthCheckInterval):
 		}
 	}
 	if err := ctx.Err(); err != nil {
 		return 0, err
 	}
-	return 0, &startError{fmt.Sprintf("not serving within %v: %s", startLimit, p.log())}
+	return 0, &startError{fmt.Sprintf("not serving within %v: %s", startTimeout, p.logText())}
 }
 
-func (p *process) log() string {
+// logText is the log so far, in one line.
+func (p *process) logText() string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	var text strings.Builder
@@ -154,38 +157,39 @@
 	return text.String()
 }
 
-func serving(address string) bool {
-	c, err := net.DialTimeout("tcp", address, healthLimit)
+// isServing runs one health check.
+func isServing(address string) bool {
+	c, err := net.DialTimeout("tcp", address, healthCheckTimeout)
 	if err != nil {
 		return false
 	}
 	defer c.Close()
-	_ = c.SetDeadline(time.Now().Add(healthLimit))
+	_ = c.SetDeadline(time.Now().Add(healthCheckTimeout))
 	fmt.Fprintln(c, `{"jsonrpc":"2.0","id":1,"method":"check"}`)
 	var answer struct{ Result struct{ Serving bool } }
 	return json.NewDecoder(c).Decode(&answer) == nil && answer.Result.Serving
 }
 
-// resident is the memory now, in megabytes.
-func (p *process) resident() (float64, error) {
-	held, err := scale.ProcessResidentBytes(p.cmd.Process.Pid)
-	return float64(held) / (1 << 20), err
+// residentMB is the resident memory now, in megabytes.
+func (p *process) residentMB() (float64, error) {
+	resident, err := scale.ProcessResidentBytes(p.cmd.Process.Pid)
+	return float64(resident) / (1 << 20), err
 }
 
-// peak is the most memory so far, in megabytes.
-func (p *process) peak() float64 {
+// peakMB is the highest resident memory so far, in megabytes; 0 when the process has ended.
+func (p *process) peakMB() float64 {
 	text, _ := os.ReadFile(fmt.Sprintf("/proc/%d/status", p.cmd.Process.Pid))
 	_, rest, _ := bytes.Cut(text, []byte("VmHWM:"))
 	fields := bytes.Fields(rest)
 	if len(fields) == 0 {
 		return 0
 	}
-	kb, _ := strconv.ParseFloat(string(fields[0]), 64)
-	return kb / 1024
+	kilobytes, _ := strconv.ParseFloat(string(fields[0]), 64)
+	return kilobytes / kbPerMB
 }
 
-// processor is the time used so far, to 10 ms.
-func (p *process) processor() time.Duration {
+// cpuTime is the CPU time used so far, in steps of clockTick.
+func (p *process) cpuTime() time.Duration {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", p.cmd.Process.Pid))
 	if err != nil {
 		return 0
@@ -196,14 +200,14 @@
 	return time.Duration(user+system) * clockTick
 }
 
-// descriptors is how many are open.
-func (p *process) descriptors() int {
+// descriptorCount is the number of open file descriptors.
+func (p *process) descriptorCount() int {
 	entries, _ := os.ReadDir(fmt.Sprintf("/proc/%d/fd", p.cmd.Process.Pid))
 	return len(entries)
 }
 
-// end kills it: how it drains is no part of what is measured.
-func (p *process) end() {
+// kill kills the program; its graceful shutdown is not measured.
+func (p *process) kill() {
 	_ = p.cmd.Process.Kill()
 	<-p.exited
 }
--- a/internal/lab/scale/instance/reload.go
+++ b/internal/lab/scale/instance/reload.go
@@ -1,5 +1,3 @@
-// This file owns reloads: a file put in place, the signal, and what the log says of it.
-
 package instance
 
 import (
@@ -10,65 +8,70 @@
 )
 
 const (
-	reloadLimit  = 10 * time.Second      // waited for the log's line; as landed 60,000 tenants take longer
-	lineGap      = 60 * time.Millisecond // between two reloads: the log leaves out what is said over 20 times a second
-	wordsTaken   = "configuration read again"
-	wordsRefused = "configuration not taken"
+	reloadTimeout = 10 * time.Second // for the program's log line
+	// minReloadInterval separates reloads, since the program's logger samples messages beyond 20 a second.
+	minReloadInterval = 60 * time.Millisecond
+	// The messages by which the program logs the outcome of a reload.
+	appliedMessage  = "configuration read again"
+	rejectedMessage = "configuration not taken"
 )
 
-// outcome of a reload, by the log.
+// outcome is the outcome of a reload, by the program's log.
 type outcome int
 
 const (
-	silent outcome = iota // no line within reloadLimit
-	taken
-	refused
+	unanswered outcome = iota // no message within reloadTimeout
+	applied
+	rejected
 )
 
-// reload is one of them; over is when the log's line came, or when it was waited for no longer.
+// reload is one reload. It is completed at the time of the program's message, or of the timeout.
 type reload struct {
-	sent, over time.Time
-	outcome    outcome
-	line       string
+	sent, completed time.Time
+	outcome         outcome
+	logLine         string
 }
 
-func (r reload) took() float64 { return milliseconds(r.over.Sub(r.sent)) }
+func (r reload) millis() float64 { return milliseconds(r.completed.Sub(r.sent)) }
 
-// put replaces the file and sends the signal, and waits for the log's line.
-func (r *rig) put(ctx context.Context, text []byte) (reload, error) {
-	time.Sleep(lineGap)
-	from := r.logged()
+// replaceFile writes the configuration file, signals the program, and waits for its message.
+func (r *rig) replaceFile(ctx context.Context, text []byte) (reload, error) {
+	time.Sleep(minReloadInterval)
+	from := r.lineCount()
 	if err := os.WriteFile(r.file, text, 0o600); err != nil {
 		return reload{}, err
 	}
 	done := reload{sent: time.Now()}
-	r.reload()
-	line, ok := r.await(ctx, from, reloadLimit, wordsTaken, wordsRefused)
-	done.over, done.line = line.at, line.text
+	r.signalReload()
+	line, ok := r.awaitLine(ctx, from, reloadTimeout, appliedMessage, rejectedMessage)
+	done.completed, done.logLine = line.at, line.text
 	switch {
 	case !ok:
-		done.over = time.Now()
-	case strings.Contains(line.text, wordsTaken):
-		done.outcome = taken
+		done.completed = time.Now()
+	case strings.Contains(line.text, appliedMessage):
+		done.outcome = applied
 	default:
-		done.outcome = refused
+		done.outcome = rejected
 	}
 	return done, ctx.Err()
 }
 
-// every puts the texts in turn, one each gap, until the span is over or one is not taken.
-func (r *rig) every(ctx context.Context, gap, span time.Duration, texts [2][]byte) (reloads []reload, err error) {
+// reloadPeriodically puts the files into force in turn, one each periodicReloadInterval, until duration is over or one is not
+// applied.
+func (r *rig) reloadPeriodically(ctx context.Context, duration time.Duration, files [2][]byte) (reloads []reload, err error) {
 	begin := time.Now()
-	for n := 0; time.Since(begin) < span; n++ {
-		one, err := r.put(ctx, texts[n%2])
+	for n := 0; time.Since(begin) < duration; n++ {
+		done, err := r.replaceFile(ctx, files[n%2])
 		if err != nil {
 			return reloads, err
 		}
-		if reloads = append(reloads, one); one.outcome != taken {
+		reloads = append(reloads, done)
+		if done.outcome != applied {
 			return reloads, nil
 		}
+		next := begin.Add(time.Duration(n+1) * periodicReloadInterval)
 		select {
-		case <-time.After(time.Until(begin.Add(time.Duration(n+1) * gap))):
+		case <-time.After(time.Until(next)):
 		case <-ctx.Done():
 			return reloads, ctx.Err()
 		}
--- a/internal/lab/scale/instance/reports.go
+++ b/internal/lab/scale/instance/reports.go
@@ -1,6 +1,3 @@
-// This file owns the reports to the catalog, as the program sends them and as 1,200 hollow instances do: the program's own
-// reporter, each with a socket, in this process.
-
 package instance
 
 import (
@@ -16,22 +13,22 @@
 )
 
 const (
-	sweepGap     = 5 * time.Millisecond // between two looks at which reports are due
-	idleFactor   = 3                    // times as long for the program's own: its processor time counts in steps of 10 ms
-	headerBytes  = 28                   // of UDP and IP version 4, a datagram
-	subsetListed = likelySubset
-	reportGap    = 300 * time.Millisecond // between two reports of one instance, by internal/catalog
+	sweepInterval  = 5 * time.Millisecond // between sweeps of the reporters
+	idleFactor     = 3                    // times reportingTime for the program's own reports, as CPU time counts in steps of clockTick
+	headerBytes    = 28                   // of UDP and IPv4, for each datagram
+	listedSubset   = likelySubset
+	reportInterval = 300 * time.Millisecond // of one instance, by internal/catalog
 )
 
-// hollow is the socket of one hollow instance.
-type hollow struct{ net.Conn }
+// reporterSocket is the socket of one simulated reporter; errors of writes are lost reports.
+type reporterSocket struct{ net.Conn }
 
-func (h hollow) Write(p []byte) { _, _ = h.Conn.Write(p) }
-func (h hollow) Close()         { _ = h.Conn.Close() }
+func (s reporterSocket) Write(p []byte) { _, _ = s.Conn.Write(p) }
+func (s reporterSocket) Close()         { _ = s.Conn.Close() }
 
-// reports measures the program's own first, then hollow ones.
-func (m *measuring) reports() error {
-	if err := m.ownReports(); err != nil {
+// measureReports measures the reports of the program, and then those of simulated instances, each with a socket in this process.
+func (m *measurement) measureReports() error {
+	if err := m.measureOwnReports(); err != nil {
 		return err
 	}
 	reports := scale.Series{Name: "reports_s", SizeUnit: "members", Target: scale.TargetMembers, Coverage: "hollow instances, at size"}
@@ -39,20 +36,20 @@
 	reports.Name, bytes.Name = "reports_s", "report_bytes_s"
 	list := reports
 	list.Name, list.Coverage = "list_bytes", "a line of name and address each: the page states no form"
-	for _, size := range m.sizes.reporters {
-		counts, listed, err := m.hollowReports(size)
+	for _, size := range m.workload.reporters {
+		counts, listed, err := m.simulateReporters(size)
 		if err != nil {
 			return err
 		}
 		n := float64(size)
-		reports.Points = append(reports.Points, scale.Point{Size: n, Value: float64(counts.Reports) / m.sizes.reporting.Seconds()})
+		reports.Points = append(reports.Points, scale.Point{Size: n, Value: float64(counts.Reports) / m.workload.reportingTime.Seconds()})
 		bytes.Points = append(bytes.Points, scale.Point{Size: n,
-			Value: float64(counts.Bytes+counts.Reports*headerBytes) / m.sizes.reporting.Seconds()})
+			Value: float64(counts.Bytes+counts.Reports*headerBytes) / m.workload.reportingTime.Seconds()})
 		list.Points = append(list.Points, scale.Point{Size: n, Value: float64(len(listed))})
-		m.say("%d reporters: %d reports, %d bytes in %v", size, counts.Reports, counts.Bytes, m.sizes.reporting)
+		m.progress("%d reporters: %d reports, %d bytes in %v", size, counts.Reports, counts.Bytes, m.workload.reportingTime)
 	}
 	for _, s := range []scale.Series{reports, bytes, list} {
-		if err := m.add(s); err != nil {
+		if err := m.addSeries(s); err != nil {
 			return err
 		}
 		m.result.Series[len(m.result.Series)-1].Role = "catalog"
@@ -60,33 +57,35 @@
 	return nil
 }
 
-// ownReports are those of the program, counted at the catalog's socket; its processor time meanwhile is that of an idle instance.
-func (m *measuring) ownReports() error {
-	r, _, err := m.start(deployment{tenants: 2, classes: 1, sockets: sockets})
+// measureOwnReports measures the reports of the program at the catalog, and the CPU time of the program while it is idle.
+func (m *measurement) measureOwnReports() error {
+	r, _, err := m.startRig(deployment{tenants: 2, classes: 1, sockets: maxSockets})
 	if err != nil {
 		return err
 	}
-	defer r.end()
-	before, used, begin := r.catalog.Counts(), r.processor(), time.Now()
-	time.Sleep(idleFactor * m.sizes.reporting)
-	after, span := r.catalog.Counts(), time.Since(begin).Seconds()
+	defer r.close()
+	before, cpu, begin := r.catalog.Counts(), r.cpuTime(), time.Now()
+	time.Sleep(idleFactor * m.workload.reportingTime)
+	after, seconds := r.catalog.Counts(), time.Since(begin).Seconds()
 	reports := float64(after.Reports - before.Reports)
 	if reports == 0 {
-		m.result.Fault("no report of the program reached the catalog in %v", m.sizes.reporting)
+		m.result.Fault("no report of the program reached the catalog in %v", m.workload.reportingTime)
 		return nil
 	}
 	bytes := float64(after.Bytes - before.Bytes)
 	m.result.Put("report_bytes", bytes/reports)
-	m.result.Put("reports_s_member", reports/span)
-	m.result.Put("report_bytes_s_member_with_headers", (bytes+reports*headerBytes)/span)
-	m.result.Put("idle_processor_percent", float64(r.processor()-used)/float64(time.Second)/span*100)
+	m.result.Put("reports_s_member", reports/seconds)
+	m.result.Put("report_bytes_s_member_with_headers", (bytes+reports*headerBytes)/seconds)
+	m.result.Put("idle_processor_percent", float64(r.cpuTime()-cpu)/float64(time.Second)/seconds*100)
 	return nil
 }
 
+// memberName is the name of the n-th simulated instance, from 0.
 func memberName(n int) string { return fmt.Sprintf("n%d", n+1) }
 
-// hollowReports lets so many report for a while, their first ones spread over the gap between two.
-func (m *measuring) hollowReports(size int) (fakecatalog.Counts, []byte, error) {
+// simulateReporters runs the program's reporter for size instances, and returns what the catalog received and its list. The first
+// reports are spread over one interval.
+func (m *measurement) simulateReporters(size int) (fakecatalog.Counts, []byte, error) {
 	c, address, err := fakecatalog.Start("127.0.0.1:0")
 	if err != nil {
 		return fakecatalog.Counts{}, nil, err
@@ -99,30 +98,30 @@
 			return fakecatalog.Counts{}, nil, err
 		}
 		defer socket.Close()
-		reporters[n] = catalog.New(memberName(n), func(p loop.Handler) { p.Opened(hollow{socket}) })
+		reporters[n] = catalog.New(memberName(n), func(p loop.Handler) { p.Opened(reporterSocket{socket}) })
 	}
 	begin := time.Now()
-	for now := begin; now.Sub(begin) < m.sizes.reporting && m.ctx.Err() == nil; now = time.Now() {
-		due := size // of the first reports, that they spread
-		if since := now.Sub(begin); since < reportGap {
-			due = int(float64(size) * float64(since) / float64(reportGap))
+	for now := begin; now.Sub(begin) < m.workload.reportingTime && m.ctx.Err() == nil; now = time.Now() {
+		due := size
+		if since := now.Sub(begin); since < reportInterval {
+			due = int(float64(size) * float64(since) / float64(reportInterval))
 		}
 		for _, reporter := range reporters[:due] {
 			reporter.Sweep(now, node.Healthy)
 		}
-		time.Sleep(sweepGap)
+		time.Sleep(sweepInterval)
 	}
-	time.Sleep(sweepGap) // for what is still in the socket
+	time.Sleep(sweepInterval) // for datagrams still in the socket
 	counts := c.Counts()
 	names := c.Names(time.Now())
 	if len(names) != size {
 		m.result.Fault("%d of %d hollow instances listed", len(names), size)
 	}
 	if m.result.Single["list_bytes_subset"] == 0 {
-		m.result.Put("list_bytes_subset", float64(len(fakecatalog.EncodeList(names[:min(subsetListed, size)], listedAddress))))
+		m.result.Put("list_bytes_subset", float64(len(fakecatalog.EncodeList(names[:min(listedSubset, size)], listedAddress))))
 	}
 	return counts, fakecatalog.EncodeList(names, listedAddress), m.ctx.Err()
 }
 
-// listedAddress is one of usual length.
+// listedAddress is an address of typical length.
 func listedAddress(string) string { return "10.12.104.101:8080" }
--- a/internal/lab/scale/instance/rig.go
+++ b/internal/lab/scale/instance/rig.go
@@ -1,5 +1,3 @@
-// This file owns one rig: the program, the stand-ins of its runtime and of the catalog, and what the runtime saw.
-
 package instance
 
 import (
@@ -17,46 +15,46 @@
 	"thymechute/internal/fake/runtime"
 )
 
-// nobody is an address where no index listens: no class calls it.
-const nobody = "127.0.0.1:9"
+// unreachableAddress stands for the index, which no class calls.
+const unreachableAddress = "127.0.0.1:9"
 
-// What the runtime does with a body goes by its first byte.
+// The first byte of a body determines what the fake runtime does with it.
 const (
-	workLoad  = 'l' // loadSpan on a core
-	workProbe = 'p' // nothing, at once
+	workLoad  = 'l' // runs for loadRunTime
+	workProbe = 'p' // ends at once
 )
 
-const loadSpan = time.Millisecond
+const loadRunTime = time.Millisecond
 
-// rig is a program with its stand-ins. Its table, run times by body, is of one load and emptied by the next.
+// rig is a program with the fakes of its runtime and of the catalog.
 type rig struct {
 	deployment
 	*process
 	runtime *runtime.Runtime
 	catalog *catalog.Catalog
 
-	ids  atomic.Uint64 // of the probe's requests
-	mu   sync.Mutex
-	took map[string]time.Duration // run times of the load's bodies
+	lastID   atomic.Uint64 // request ID of probes and idle connections
+	mu       sync.Mutex
+	runTimes map[string]time.Duration // by request body, of the last load
 }
 
-// startRig starts all of it and waits until the program serves; started is the time from exec to then. What it started has
-// ended where there is an error, which is a *startError where it is the program's.
-func startRig(ctx context.Context, program, folder string, d deployment) (*rig, time.Duration, error) {
-	r := &rig{deployment: d, took: map[string]time.Duration{}}
-	started, err := r.start(ctx, program, folder)
+// newRig starts the fakes and the program and waits until the program serves; startTime is the time from exec to then. After an
+// error nothing runs any more; the error is a *startError when the program did not start.
+func newRig(ctx context.Context, program, folder string, d deployment) (r *rig, startTime time.Duration, err error) {
+	r = &rig{deployment: d, runTimes: map[string]time.Duration{}}
+	startTime, err = r.start(ctx, program, folder)
 	if err != nil {
-		r.end()
+		r.close()
 		return nil, 0, err
 	}
-	return r, started, nil
+	return r, startTime, nil
 }
 
-func (r *rig) start(ctx context.Context, program, folder string) (started time.Duration, err error) {
+func (r *rig) start(ctx context.Context, program, folder string) (startTime time.Duration, err error) {
 	if r.runtime, r.deployment.runtime, err = runtime.Start("127.0.0.1:0", work, func(string, []byte) {}); err != nil {
 		return 0, err
 	}
-	r.runtime.OnEnd(r.ended)
+	r.runtime.OnEnd(r.observeEnd)
 	if r.catalog, r.deployment.catalog, err = catalog.Start("127.0.0.1:0"); err != nil {
 		return 0, err
 	}
@@ -64,23 +62,24 @@
 		return 0, err
 	}
 	file := filepath.Join(folder, "instance.json")
-	if _, err = r.write(file); err != nil {
+	if err = r.write(file); err != nil {
 		return 0, err
 	}
 	if r.process, err = startProcess(program, file, r.deployment.listen); err != nil {
 		return 0, err
 	}
-	return r.untilServing(ctx)
+	return r.waitUntilServing(ctx)
 }
 
-// freeAddress lies apart from 127.0.0.1, from which all dial: the port of a connection on its way would else take it.
+// freeAddress is not on 127.0.0.1, from which all peers dial, since an outgoing connection could take its port.
 func freeAddress() (string, error) {
 	return faultnet.FreeAddress(fmt.Sprintf("127.2.%d.%d", os.Getpid()>>8&255, os.Getpid()&255))
 }
 
-func (r *rig) end() {
+// close kills the program and closes the fakes.
+func (r *rig) close() {
 	if r.process != nil {
-		r.process.end()
+		r.process.kill()
 	}
 	if r.runtime != nil {
 		r.runtime.Close()
@@ -90,33 +89,36 @@
 	}
 }
 
+// work is the run time of a task at the fake runtime.
 func work(_ string, body []byte) (time.Duration, []byte) {
 	if bytes.HasPrefix(body, []byte{workLoad}) {
-		return loadSpan, nil
+		return loadRunTime, nil
 	}
 	return 0, nil
 }
 
-func (r *rig) ended(body []byte, took time.Duration) {
+// observeEnd records the run time of a load's request.
+func (r *rig) observeEnd(body []byte, took time.Duration) {
 	if len(body) == 0 || body[0] != workLoad {
 		return
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.took[string(body)] = took
+	r.runTimes[string(body)] = took
 }
 
-// runTime is what the run of a load's request took; 0 where it had none.
+// runTime is the run time of a load's request; 0 when it did not run.
 func (r *rig) runTime(body string) time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.took[body]
+	return r.runTimes[body]
 }
 
-func (r *rig) forget() {
+func (r *rig) resetRunTimes() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	clear(r.took)
+	clear(r.runTimes)
 }
 
-func (r *rig) nextID() uint64 { return r.ids.Add(1) }
+// nextID is the ID of a request that no load sends.
+func (r *rig) nextID() uint64 { return r.lastID.Add(1) }
--- /dev/null
+++ b/internal/lab/scale/instance/trial_script.go
@@ -0,0 +1,241 @@
+package instance
+
+import (
+	"bytes"
+	"context"
+	"fmt"
+	"math"
+	"time"
+)
+
+const (
+	periodicReloadInterval = time.Second
+	singleReloadRate       = 200.0            // requests a second during single reloads
+	maxReloadTime          = 5 * time.Second  // a slower reload ends the trial
+	idleReloadsTimeout     = 10 * time.Second // for all reloads without load
+	probedReloads          = 5                // reloads until the end of the probed ones, the first included
+	leadPart               = 5                // a reload starts after this fraction (1/leadPart) of its load
+	startProbeTimeout      = 300 * time.Millisecond
+)
+
+// trialScript runs the steps of one trial. It reloads two files in turn: before and after the change of a tenant or a class.
+type trialScript struct {
+	measurement *measurement
+	rig         *rig
+	probe       *probe
+	trial       *trial
+	files       [2][]byte
+	limited     [2]bool // whether the last tenant's limit is in force, by file
+	active      int     // index of the file in force
+	reloadCount int
+}
+
+// prepare encodes the two files.
+func (s *trialScript) prepare(change func(*deployment)) (err error) {
+	before, after := s.rig.deployment, s.rig.deployment
+	change(&after)
+	s.limited = [2]bool{before.lastTenantLimited, after.lastTenantLimited}
+	if s.files[0], err = before.encode(); err != nil {
+		return err
+	}
+	s.files[1], err = after.encode()
+	s.trial.fileBytes = len(s.files[0])
+	return err
+}
+
+// run runs all steps, until a reload fails.
+func (s *trialScript) run(loads loadMode) error {
+	_, err := s.probe.waitUntil(s.context(), true, startProbeTimeout)
+	s.trial.limitActiveAtStart = err == nil
+	steps := []func() error{s.runFirstReload, s.runProbedReloads, s.runIdleReloads, s.runAbnormalFiles}
+	if loads == withLoads {
+		steps = []func() error{s.runQuietLoads, s.runFirstReload, s.runProbedReloads, s.runReloadingLoads, s.runIdleReloads, s.runAbnormalFiles}
+	}
+	for _, step := range steps {
+		if err := step(); err != nil || !s.trial.hasCompleted() {
+			return err
+		}
+	}
+	return nil
+}
+
+func (s *trialScript) context() context.Context { return s.measurement.ctx }
+
+func (s *trialScript) workload() workload { return s.measurement.workload }
+
+// load is the options of the next load.
+func (s *trialScript) load(rate float64, duration time.Duration) loadOptions {
+	return loadOptions{rate: rate, duration: duration, seed: s.measurement.nextSeed()}
+}
+
+// inactiveFile is the file that is not in force.
+func (s *trialScript) inactiveFile() []byte { return s.files[1-s.active] }
+
+// reloadInactive puts the inactive file into force, and records the reload.
+func (s *trialScript) reloadInactive() (reload, error) {
+	done, err := s.rig.replaceFile(s.context(), s.inactiveFile())
+	if err == nil {
+		s.recordReload(done)
+	}
+	return done, err
+}
+
+// recordReload counts a reload of the inactive file, and ends the trial unless it was applied in time.
+func (s *trialScript) recordReload(done reload) {
+	s.reloadCount++
+	switch done.outcome {
+	case unanswered:
+		s.trial.failure = fmt.Sprintf("no word of a reload in %v", reloadTimeout)
+	case rejected:
+		s.trial.failure = fmt.Sprintf("a reload was refused after %.0f ms", done.millis())
+	case applied:
+		s.active = 1 - s.active
+		if done.millis() > milliseconds(maxReloadTime) {
+			s.trial.failure = fmt.Sprintf("a reload took %.0f ms", done.millis())
+		}
+	}
+}
+
+// runQuietLoads measures the latency at each rate, without reloads.
+func (s *trialScript) runQuietLoads() error {
+	for _, rate := range s.workload().rates {
+		result, err := s.rig.load(s.context(), s.load(rate, s.workload().quietLoad))
+		if err != nil {
+			return err
+		}
+		s.trial.quietLatency[rate] = result.distribution()
+		s.trial.unserved += result.unservedCount()
+		s.trial.sent += len(result.samples)
+		s.recordSendDelays(result)
+	}
+	return nil
+}
+
+func (s *trialScript) recordSendDelays(result loadResult) {
+	s.trial.sendDelayP99 = max(s.trial.sendDelayP99, result.samples.SendDelays().Percentile(99))
+}
+
+// runFirstReload reloads under load, so that the latency during a reload is measured even if the reload is never applied.
+func (s *trialScript) runFirstReload() error {
+	load := s.load(singleReloadRate, s.workload().singleReloadLoad)
+	result, err := s.rig.runUnderLoad(s.context(), load, func() (err error) {
+		s.trial.firstReload, err = s.rig.replaceFile(s.context(), s.inactiveFile())
+		return err
+	})
+	if err != nil {
+		return err
+	}
+	s.recordReload(s.trial.firstReload)
+	s.trial.reloadLatency = result.duringReloads([]reload{s.trial.firstReload})
+	s.trial.resident1MB, err = s.rig.residentMB()
+	return err
+}
+
+// runProbedReloads reloads without load. Where the change is one of a limit, a probe measures when it is in force.
+func (s *trialScript) runProbedReloads() (err error) {
+	for s.reloadCount < probedReloads {
+		done, effective, err := s.runProbedReload()
+		if err != nil {
+			return err
+		}
+		s.recordReload(done)
+		if !s.trial.hasCompleted() {
+			return nil
+		}
+		s.trial.loggedMillis = append(s.trial.loggedMillis, done.millis())
+		if !effective.IsZero() {
+			s.trial.effectiveMillis = append(s.trial.effectiveMillis, max(done.millis(), milliseconds(effective.Sub(done.sent))))
+		}
+	}
+	s.trial.resident5MB, err = s.rig.residentMB()
+	return err
+}
+
+// runProbedReload reloads once. effective is when the probe saw the changed limit in force; zero when no limit changes.
+func (s *trialScript) runProbedReload() (done reload, effective time.Time, err error) {
+	if s.limited[0] == s.limited[1] {
+		done, err = s.rig.replaceFile(s.context(), s.inactiveFile())
+		return done, effective, err
+	}
+	wanted, probed := s.limited[1-s.active], make(chan error, 1)
+	go func() {
+		var err error
+		effective, err = s.probe.waitUntil(s.context(), wanted, reloadTimeout)
+		probed <- err
+	}()
+	done, err = s.rig.replaceFile(s.context(), s.inactiveFile())
+	if probeErr := <-probed; err == nil && done.outcome == applied {
+		err = probeErr
+	}
+	return done, effective, err
+}
+
+// runReloadingLoads measures the latency at each rate, with a reload each second.
+func (s *trialScript) runReloadingLoads() error {
+	for _, rate := range s.workload().rates {
+		var reloads []reload
+		load := s.load(rate, s.workload().reloadingLoad)
+		result, err := s.rig.runUnderLoad(s.context(), load, func() (err error) {
+			files := [2][]byte{s.inactiveFile(), s.files[s.active]}
+			reloads, err = s.rig.reloadPeriodically(s.context(), s.workload().reloadingLoad, files)
+			return err
+		})
+		if err != nil {
+			return err
+		}
+		for _, done := range reloads {
+			s.recordReload(done)
+		}
+		s.trial.reloadingLatency[rate] = result.distribution()
+		s.trial.reloadLatency.Merge(result.duringReloads(reloads))
+		s.recordSendDelays(result)
+	}
+	return nil
+}
+
+// runIdleReloads runs the remaining reloads without load, and measures their CPU time and the memory after them.
+func (s *trialScript) runIdleReloads() error {
+	cpu, countBefore := s.rig.cpuTime(), s.reloadCount
+	for begin := time.Now(); s.reloadCount < s.workload().reloadCount && time.Since(begin) < idleReloadsTimeout; {
+		if _, err := s.reloadInactive(); err != nil || !s.trial.hasCompleted() {
+			return err
+		}
+	}
+	s.trial.cpuMillisPerReload = milliseconds(s.rig.cpuTime()-cpu) / float64(s.reloadCount-countBefore)
+	residentMB, err := s.rig.residentMB()
+	s.trial.resident20MB = residentMB
+	if s.reloadCount < s.workload().reloadCount {
+		s.trial.resident20MB = math.NaN()
+	}
+	return err
+}
+
+// runAbnormalFiles reloads an unchanged file and a malformed one under load.
+func (s *trialScript) runAbnormalFiles() error {
+	load := s.load(singleReloadRate, s.workload().singleReloadLoad)
+	result, err := s.rig.runUnderLoad(s.context(), load, func() (err error) {
+		if s.trial.unchangedReload, err = s.rig.replaceFile(s.context(), s.files[s.active]); err != nil {
+			return err
+		}
+		s.trial.malformedReload, err = s.rig.replaceFile(s.context(), bytes.TrimSuffix(s.inactiveFile(), []byte("}")))
+		return err
+	})
+	if err != nil {
+		return err
+	}
+	s.trial.abnormalLatency = result.duringReloads([]reload{s.trial.unchangedReload, s.trial.malformedReload})
+	s.checkAbnormalFiles()
+	return nil
+}
+
+// checkAbnormalFiles checks that a malformed file was rejected as a whole, and that the limit in force before still is.
+func (s *trialScript) checkAbnormalFiles() {
+	t, result := s.trial, s.measurement.result
+	if t.unchangedReload.outcome != applied || t.malformedReload.outcome != rejected {
+		result.Fault("%d tenants, %d classes: a file that is the same: %q; a faulty one: %q", t.tenants, t.routes,
+			t.unchangedReload.logLine, t.malformedReload.logLine)
+	}
+	if _, err := s.probe.waitUntil(s.context(), s.limited[s.active], startProbeTimeout); err != nil {
+		result.Fault("%d tenants, %d classes: after a faulty file: %v", t.tenants, t.routes, err)
+	}
+}
