--- /dev/null
+++ b/internal/lab/scale/decisions/collector.go
@@ -0,0 +1,63 @@
+package decisions
+
+import (
+	"fmt"
+	"time"
+
+	"thymechute/internal/lab/scale"
+)
+
+// collector collects the points of each series over the sizes.
+type collector struct {
+	seed    uint64
+	samples int // of each timed decision
+	result  *scale.Result
+	series  map[string]*scale.Series
+	order   []string // names of the series, as they were first added
+}
+
+func newCollector(seed uint64, samples int) *collector {
+	result := &scale.Result{Part: Part{}.Name(), Seed: seed}
+	return &collector{seed: seed, samples: samples, result: result, series: map[string]*scale.Series{}}
+}
+
+// point adds one measured value of a series. A bound of 0 stands for none.
+func (c *collector) point(name, role string, bound float64, size int, value float64) {
+	s := c.series[name]
+	if s == nil {
+		s = &scale.Series{Name: name, Role: role, SizeUnit: "members", Target: scale.TargetMembers, Bound: bound}
+		c.series[name] = s
+		c.order = append(c.order, name)
+	}
+	s.Points = append(s.Points, scale.Point{Size: float64(size), Value: value})
+}
+
+// last is the value of a series at the largest size measured so far.
+func (c *collector) last(name string) float64 {
+	s := c.series[name]
+	return s.Points[len(s.Points)-1].Value
+}
+
+// timing adds the median, the 99th percentile and the maximum of the time of one decision, in milliseconds.
+func (c *collector) timing(name, role string, size int, decide func(sample int)) {
+	times := timed(c.samples, decide)
+	c.point(name+"_ms_p50", role, decisionBound, size, milliseconds(times.p50))
+	c.point(name+"_ms_p99", role, decisionBound, size, milliseconds(times.p99))
+	c.point(name+"_ms_worst", role, decisionBound, size, milliseconds(times.worst))
+}
+
+func milliseconds(d time.Duration) float64 { return float64(d.Nanoseconds()) / 1e6 }
+
+// finish fits every series and returns the result.
+func (c *collector) finish(largest int) (*scale.Result, error) {
+	for _, name := range c.order {
+		s := c.series[name]
+		s.Coverage = fmt.Sprintf("to %d members, in the emulator", largest)
+		if err := c.result.AddSeries(*s); err != nil {
+			return nil, err
+		}
+	}
+	c.result.NotRun = append(c.result.NotRun, "decisions over sockets at these sizes: the emulator hands entries over at once",
+		"a region cut with its own load: loads are given, no requests are played")
+	return c.result, nil
+}
--- a/internal/lab/scale/decisions/decisions.go
+++ b/internal/lab/scale/decisions/decisions.go
@@ -1,36 +1,32 @@
-// Package decisions measures the fleet's decisions (subsets, owner, voters, ring, roll) from 120 to 1,200 members without
-// sockets: the time of one decision, what it puts into the agreed log, what each table holds, and what a rack, a zone and
-// a region cost that are lost and come back. It owns the emulated fleets and the counting; internal/decide decides, by the
-// same methods as on sockets. It must never state a figure that its own run did not give, and is never linked by
-// cmd/thymechute.
+// Package decisions measures the decisions of package internal/decide (subsets, leases, voters, ring, rollout) for fleets of 120 to
+// 1,200 members in the emulator, without sockets: the time of one decision, the bytes that it adds to the replicated log, the size
+// of each table, and the cost of losing and regaining a rack, a zone and a region. Every figure comes from the run that reports it.
 //
-// Tables: one emulated fleet at a time, at most scale.TargetMembers members, dropped with its measurement.
+// It has one emulated fleet at a time, of at most scale.TargetMembers members, which is dropped with its measurement. All of it
+// runs on the goroutine of Run.
 package decisions
 
 import (
 	"context"
-	"errors"
 	"fmt"
-	"time"
 
 	"thymechute/internal/lab/scale"
 )
 
 const (
-	// decisionBound is what one decision may take on its owner's goroutine, in milliseconds.
-	decisionBound = 50
+	decisionBound = 50 // milliseconds that one decision may take on its goroutine
 	boundBytes    = scale.MaxControlBytesPerSecond
 	manySamples   = 200 // of each timed decision
-	fewSamples    = 6
+	fewSamples    = 6   // the same, in a small run
 )
 
-// sizes in members, with a zone for each 30 and four regions throughout; the last is the size that is designed for.
+// sizes are the fleets' sizes in members; each has a zone for membersPerZone and four regions. The last is the target.
 var sizes = []int{120, 240, 480, 720, scale.TargetMembers}
 
-// smallSizes are those of the tests.
+// smallSizes are the fleets' sizes of a small run.
 var smallSizes = []int{48, 72, 96, 132}
 
-// Part is the measurement; Small runs it at the tests' sizes, on a tenth of the samples.
+// Part implements scale.Part. A Small run has smaller fleets and fewer samples, for tests.
 type Part struct{ Small bool }
 
 // Name implements scale.Part.
@@ -38,98 +34,50 @@
 
 // Run implements scale.Part.
 func (p Part) Run(ctx context.Context, options scale.Options) (*scale.Result, error) {
-	c := newCollector(options.Seed, manySamples)
-	these, membersOfZone := sizes, membersPerZone
+	fleetSizes, zoneSize, samples := sizes, membersPerZone, manySamples
 	if p.Small {
-		these, membersOfZone, c.samples = smallSizes, 12, fewSamples
+		fleetSizes, zoneSize, samples = smallSizes, smallMembersPerZone, fewSamples
 	}
-	for _, size := range these {
-		l := Layout{Size: size, Zones: size / membersOfZone, Regions: scale.TargetRegions}
+	c := newCollector(options.Seed, samples)
+	for _, size := range fleetSizes {
+		l := Layout{Size: size, Zones: size / zoneSize, Regions: scale.TargetRegions}
 		if options.Progress != nil {
 			options.Progress(fmt.Sprintf("decisions: %d members in %d zones", l.Size, l.Zones))
 		}
-		for _, measure := range measurements {
-			if err := ctx.Err(); err != nil {
-				return nil, err
-			}
-			if err := measure(c, l); err != nil {
-				return nil, err
-			}
+		if err := c.measureAll(ctx, measurements, l); err != nil {
+			return nil, err
 		}
 	}
-	largest := these[len(these)-1]
-	readings := []Layout{
-		{Size: largest, Zones: largest / membersOfZone, Regions: scale.TargetRegions},
-		{Size: largest, Zones: tenZones, Regions: scale.TargetRegions},
-	}
-	for _, l := range readings {
-		for _, losses := range lossMeasurements {
-			if err := errors.Join(ctx.Err(), losses(c, l)); err != nil {
-				return nil, err
-			}
+	largest := fleetSizes[len(fleetSizes)-1]
+	for _, zones := range []int{largest / zoneSize, tenZones} {
+		l := Layout{Size: largest, Zones: zones, Regions: scale.TargetRegions}
+		if err := c.measureAll(ctx, lossMeasurements, l); err != nil {
+			return nil, err
 		}
 	}
-	day(c, largest)
+	addDailyTraffic(c, largest)
 	return c.finish(largest)
 }
 
-// measurements are made at every size, lossMeasurements at the largest in both readings of "4 regions with 10 zones".
-var (
-	measurements     = []func(*collector, Layout) error{measureSubsets, measureLeases, measureVoters, measureRing, measureRollout}
-	lossMeasurements = []func(*collector, Layout) error{loseSubsets, loseHolder, loseVoters, measureRingLosses, measureRolloutLosses}
-)
-
-// collector gathers the points of each series over the sizes.
-type collector struct {
-	seed    uint64
-	samples int // of each timed decision
-	result  *scale.Result
-	series  map[string]*scale.Series
-	order   []string
-}
-
-func newCollector(seed uint64, samples int) *collector {
-	result := &scale.Result{Part: Part{}.Name(), Seed: seed}
-	return &collector{seed: seed, samples: samples, result: result, series: map[string]*scale.Series{}}
-}
-
-// point adds one measured value of a series; bound 0: none is stated.
-func (c *collector) point(name, role string, bound float64, size int, value float64) {
-	s := c.series[name]
-	if s == nil {
-		s = &scale.Series{Name: name, Role: role, SizeUnit: "members", Target: scale.TargetMembers, Bound: bound}
-		c.series[name] = s
-		c.order = append(c.order, name)
-	}
-	s.Points = append(s.Points, scale.Point{Size: float64(size), Value: value})
-}
-
-// last is the value of a series at the largest size measured so far.
-func (c *collector) last(name string) float64 {
-	s := c.series[name]
-	return s.Points[len(s.Points)-1].Value
-}
-
-// timing adds the middle, the 99th percentile and the worst of so many runs of one decision, in milliseconds.
-func (c *collector) timing(name, role string, size int, decide func(sample int)) {
-	t := timed(c.samples, decide)
-	c.point(name+"_ms_p50", role, decisionBound, size, milliseconds(t.p50))
-	c.point(name+"_ms_p99", role, decisionBound, size, milliseconds(t.p99))
-	c.point(name+"_ms_worst", role, decisionBound, size, milliseconds(t.worst))
-}
-
-func milliseconds(d time.Duration) float64 { return float64(d.Nanoseconds()) / 1e6 }
+// measurement measures one kind of decision in a fleet.
+type measurement func(*collector, Layout) error
 
-// finish fits every series.
-func (c *collector) finish(largest int) (*scale.Result, error) {
-	for _, name := range c.order {
-		s := c.series[name]
-		s.Coverage = fmt.Sprintf("to %d members, in the emulator", largest)
-		if err := c.result.AddSeries(*s); err != nil {
-			return nil, err
+// measureAll runs measurements, until one fails or the context ends.
+func (c *collector) measureAll(ctx context.Context, measurements []measurement, l Layout) error {
+	for _, measure := range measurements {
+		if err := ctx.Err(); err != nil {
+			return err
+		}
+		if err := measure(c, l); err != nil {
+			return err
 		}
 	}
-	c.result.NotRun = append(c.result.NotRun, "decisions over sockets at these sizes: the emulator hands entries over at once",
-		"a region cut with its own load: loads are given, no requests are played")
-	return c.result, nil
+	return nil
 }
+
+// measurements run at every size; lossMeasurements run at the largest, for both readings of "4 regions with 10 zones": ten zones in
+// each region, and ten in all.
+var (
+	measurements     = []measurement{measureSubsets, measureLeases, measureVoters, measureRing, measureRollout}
+	lossMeasurements = []measurement{loseSubsets, loseHolder, loseVoters, measureRingLosses, measureRolloutLosses}
+)
--- a/internal/lab/scale/decisions/decisions_test.go
+++ b/internal/lab/scale/decisions/decisions_test.go
@@ -8,25 +8,25 @@
 	"thymechute/internal/lab/scale"
 )
 
-// timeless are the figures that a seed decides, without those of the clock and the heap.
-func timeless(r *scale.Result) map[string]float64 {
+// deterministic are the figures that the seed determines: all but times and heap sizes.
+func deterministic(r *scale.Result) map[string]float64 {
 	out := map[string]float64{}
-	keep := func(name string, value float64) {
+	add := func(name string, value float64) {
 		if !strings.Contains(name, "_ms_") && !strings.Contains(name, "_heap_") {
 			out[name] = value
 		}
 	}
 	for name, value := range r.Single {
-		keep(name, value)
+		add(name, value)
 	}
 	for _, s := range r.Series {
-		keep(s.Name, s.Points[len(s.Points)-1].Value)
+		add(s.Name, s.Points[len(s.Points)-1].Value)
 	}
 	return out
 }
 
-// At the tests' sizes every claim holds through every loss, and one seed gives one result.
-func TestTheSmallRunHoldsItsClaims(t *testing.T) {
+// In a small run every claim holds through every loss, and the seed determines the result.
+func TestSmallRunIsDeterministicAndHoldsClaims(t *testing.T) {
 	var first map[string]float64
 	for range 2 {
 		r, err := Part{Small: true}.Run(context.Background(), scale.Options{Seed: 3})
@@ -36,7 +36,7 @@
 		if len(r.Faults) > 0 {
 			t.Fatalf("does not hold: %v", r.Faults)
 		}
-		now := timeless(r)
+		now := deterministic(r)
 		if first == nil {
 			first = now
 			continue
@@ -55,7 +55,7 @@
 	}
 }
 
-func TestALossTakesWhatStandsTogether(t *testing.T) {
+func TestLossesAreNested(t *testing.T) {
 	for _, zones := range []int{40, tenZones} {
 		l := Layout{Size: scale.TargetMembers, Zones: zones, Regions: scale.TargetRegions}
 		for n := range l.Size {
@@ -66,7 +66,7 @@
 				}
 			}
 			if rack.From < zone.From || rack.To > zone.To || zone.From < region.From || zone.To > region.To {
-				t.Fatalf("%d zones, member %d: %+v, %+v, %+v do not lie in one another", zones, n, rack, zone, region)
+				t.Fatalf("%d zones, member %d: %+v, %+v, %+v are not nested", zones, n, rack, zone, region)
 			}
 			if size := zone.To - zone.From; size != l.Size/zones {
 				t.Fatalf("%d zones: a zone of %d", zones, size)
--- a/internal/lab/scale/decisions/timing.go
+++ b/internal/lab/scale/decisions/timing.go
@@ -1,5 +1,3 @@
-// This file owns the timing of a decision and the size of a table on the heap.
-
 package decisions
 
 import (
@@ -8,18 +6,20 @@
 	"time"
 )
 
-type times struct{ p50, p99, worst time.Duration }
-
 const (
-	longestTiming = 3 * time.Second // of one decision's samples; the rest is left out
-	leastSamples  = 5
+	maxTimingTime = 3 * time.Second // of one decision's samples; further ones are left out
+	minSamples    = 5
+	heapCopies    = 64
 )
 
-// timed runs a decision so often, each time alone; the first run, which grows caches, is not counted.
+// times are statistics of the time of one decision.
+type times struct{ p50, p99, worst time.Duration }
+
+// timed runs a decision up to samples times and measures each run. A first run, which grows caches, is not measured.
 func timed(samples int, decide func(sample int)) times {
 	decide(0)
 	var took []time.Duration
-	for begin := time.Now(); len(took) < samples && (len(took) < leastSamples || time.Since(begin) < longestTiming); {
+	for begin := time.Now(); len(took) < samples && (len(took) < minSamples || time.Since(begin) < maxTimingTime); {
 		start := time.Now()
 		decide(len(took))
 		took = append(took, time.Since(start))
@@ -29,18 +29,17 @@
 	return times{p50: took[n/2], p99: took[(n*99-1)/100], worst: took[n-1]}
 }
 
-// heapOf is the bytes on the heap of one of what make makes, by many of them.
-func heapOf(make func() any) float64 {
-	const copies = 64
+// heapOf is the mean heap size, in bytes, of a value that construct returns.
+func heapOf(construct func() any) float64 {
 	var before, after runtime.MemStats
-	held := [copies]any{}
+	values := [heapCopies]any{}
 	runtime.GC()
 	runtime.ReadMemStats(&before)
-	for n := range held {
-		held[n] = make()
+	for n := range values {
+		values[n] = construct()
 	}
 	runtime.GC()
 	runtime.ReadMemStats(&after)
-	runtime.KeepAlive(held)
-	return max(float64(after.HeapAlloc)-float64(before.HeapAlloc), 0) / copies
+	runtime.KeepAlive(values)
+	return max(float64(after.HeapAlloc)-float64(before.HeapAlloc), 0) / heapCopies
 }
