--- a/cmd/testbed/emulator_experiments.go
+++ b/cmd/testbed/emulator_experiments.go
@@ -50,108 +50,119 @@
 	return c
 }
 
-// ownerCommand holds the decisions on owners to their claim; its takeover is in emulated time, with leases of 1 s.
+// ownerCommand checks the lease algorithm. Its takeover is in emulated time, with leases of 1 s.
 func ownerCommand() *cobra.Command {
-	const mostTakeover = 3 * time.Second
-	return newExperimentCommand("owner", "One owner a duty through pauses, cuts and cold restarts, in the emulator",
-		sizeRange{defaultSize: 12, minSize: 2, maxSize: 5000, unit: "members"}, func(t trialOptions) (*lab.Report, error) {
-			f, err := emulator.RunLeases(t.size, 120, t.seed)
-			if err != nil {
-				return nil, err
-			}
-			r := &lab.Report{}
-			r.Zero("owners_at_once", f.ConcurrentHolders)
-			r.Put("stale_tried", float64(f.StaleProposed))
-			r.Zero("stale_accepted", f.StaleAccepted)
-			r.Zero("stale_acted_on", f.StaleAdmitted)
-			r.Put("decisions", float64(f.Decisions))
-			r.Zero("tables_that_differ", f.DivergedTables)
-			r.Put("takeover_ms_p99", float64(f.TakeoverP99.Milliseconds()))
-			if f.StaleProposed == 0 || f.TakeoverP99 > mostTakeover {
-				r.Fault("%d stale commands tried, takeover %v; expected some, and %v at most", f.StaleProposed, f.TakeoverP99, mostTakeover)
-			}
-			return r, nil
-		})
+	return newExperimentCommand("owner", "One lease holder per duty through pauses, partitions and restarts, in the emulator",
+		sizeRange{defaultSize: 12, minSize: 2, maxSize: 5000, unit: "members"}, runLeases)
+}
+
+func runLeases(t trialOptions) (*lab.Report, error) {
+	const leases, maxTakeover = 120, 3 * time.Second
+	f, err := emulator.RunLeases(t.size, leases, t.seed)
+	if err != nil {
+		return nil, err
+	}
+	r := &lab.Report{}
+	r.Zero("owners_at_once", f.ConcurrentHolders)
+	r.Put("stale_tried", float64(f.StaleProposed))
+	r.Zero("stale_accepted", f.StaleAccepted)
+	r.Zero("stale_acted_on", f.StaleAdmitted)
+	r.Put("decisions", float64(f.Decisions))
+	r.Zero("tables_that_differ", f.DivergedTables)
+	r.Put("takeover_ms_p99", float64(f.TakeoverP99.Milliseconds()))
+	if f.StaleProposed == 0 || f.TakeoverP99 > maxTakeover {
+		r.Fault("%d stale commands proposed, takeover %v; expected some, and %v at most", f.StaleProposed, f.TakeoverP99, maxTakeover)
+	}
+	return r, nil
 }
 
-// ringCommand holds the ring's plans to their claim, and prints the published ways beside it.
+// ringCommand checks the ring's plans, and reports published algorithms beside them.
 func ringCommand() *cobra.Command {
-	const mostMoved, mostOverFair = 1, 1.05
-	return newExperimentCommand("ring", "Backends join, leave, die and come back: keys moved, by the ring and by published ways, in the emulator",
-		sizeRange{defaultSize: 6, minSize: 2, maxSize: 1000, unit: "backends at first"}, func(t trialOptions) (*lab.Report, error) {
-			slots, keys := 4096, 100_000
-			if t.size > 60 {
-				slots, keys = 1<<16, 1_000_000
-			}
-			f, err := emulator.CompareRing(emulator.RingScenario{Backends: t.size, Slots: slots, Keys: keys, Seed: t.seed})
-			if err != nil {
-				return nil, err
-			}
-			r := &lab.Report{}
-			r.Put("moved_over_least", f.MigrationsOverMinimum)
-			r.Put("max_over_fair", f.SlotsOverFair)
-			r.Put("table_bytes", float64(f.TableBytes))
-			r.Put("plan_ms_most", float64(f.SlowestPlan.Microseconds())/1000)
-			r.Put("slots", float64(slots))
-			r.Put("keys", float64(keys))
-			for _, w := range f.Algorithms {
-				r.Put(w.Algorithm+"_keys_moved_over_least", w.MovedOverMinimum)
-				r.Put(w.Algorithm+"_keys_max_over_fair", w.MaxOverFair)
-			}
-			if f.MigrationsOverMinimum > mostMoved || f.SlotsOverFair > mostOverFair {
-				r.Fault("%.3f times the least moves, %.3f times the fair part; expected %d and %.2f at most",
-					f.MigrationsOverMinimum, f.SlotsOverFair, mostMoved, mostOverFair)
-			}
-			return r, nil
-		})
+	return newExperimentCommand("ring", "Backends join, leave, fail and come back: keys moved, by the ring and by published algorithms, in the emulator",
+		sizeRange{defaultSize: 6, minSize: 2, maxSize: 1000, unit: "backends at first"}, compareRing)
+}
+
+func compareRing(t trialOptions) (*lab.Report, error) {
+	const maxMoved, maxOverFair = 1, 1.05
+	scenario := emulator.RingScenario{Backends: t.size, Slots: 4096, Keys: 100_000, Seed: t.seed}
+	if t.size > 60 {
+		scenario.Slots, scenario.Keys = 1<<16, 1_000_000
+	}
+	f, err := emulator.CompareRing(scenario)
+	if err != nil {
+		return nil, err
+	}
+	r := &lab.Report{}
+	r.Put("moved_over_least", f.MigrationsOverMinimum)
+	r.Put("max_over_fair", f.SlotsOverFair)
+	r.Put("table_bytes", float64(f.TableBytes))
+	r.Put("plan_ms_most", float64(f.SlowestPlan.Microseconds())/1000)
+	r.Put("slots", float64(scenario.Slots))
+	r.Put("keys", float64(scenario.Keys))
+	for _, a := range f.Algorithms {
+		r.Put(a.Algorithm+"_keys_moved_over_least", a.MovedOverMinimum)
+		r.Put(a.Algorithm+"_keys_max_over_fair", a.MaxOverFair)
+	}
+	if f.MigrationsOverMinimum > maxMoved || f.SlotsOverFair > maxOverFair {
+		r.Fault("%.3f times the fewest migrations, %.3f times the fair share of slots; expected %d and %.2f at most",
+			f.MigrationsOverMinimum, f.SlotsOverFair, maxMoved, maxOverFair)
+	}
+	return r, nil
 }
 
-// rollCommand holds the roll to its claim in the emulator, with and without faults.
+// rollCommand checks the rollout, with and without faults.
 func rollCommand() *cobra.Command {
-	const mostWaves = 1.15 // of the bound on waves
-	return newExperimentCommand("roll", "A release rolled through zones while instances die, load rises and the owner changes, in the emulator",
-		sizeRange{defaultSize: 24, minSize: 12, maxSize: 5000, unit: "instances, in 3 zones, or 6 from 300 on"}, func(t trialOptions) (*lab.Report, error) {
-			zones := 3
-			if t.size >= 300 {
-				zones = 6
-			}
-			scenario := emulator.RolloutScenario{Instances: t.size, Zones: zones, Seed: t.seed}
-			calm, err := emulator.Rollout(scenario)
-			if err != nil {
-				return nil, err
-			}
-			scenario.WithFaults = true
-			f, err := emulator.Rollout(scenario)
-			if err != nil {
-				return nil, err
-			}
-			waves := float64(f.Waves) / float64(f.MinWaves)
-			r := &lab.Report{}
-			r.Put("zone_capacity_over_floor_min", f.MinCapacityOverRequired)
-			r.Put("undisturbed_capacity_over_floor_min", calm.MinCapacityOverRequired)
-			r.Put("capacity_over_load_min", f.MinCapacityOverLoad)
-			r.Put("waves", float64(f.Waves))
-			r.Put("waves_over_bound", waves)
-			r.Zero("drained_twice", f.DuplicateDrains)
-			r.Put("voters_away_most", float64(f.MaxVotersDraining))
-			r.Put("rolled", f.CompletedFraction)
-			r.Put("took_s", f.Duration.Seconds())
-			r.Put("undisturbed_took_s", calm.Duration.Seconds())
-			if f.MinCapacityOverRequired < 1 || calm.MinCapacityOverRequired < 1 {
-				r.Fault("a zone's capacity was %.3f times its floor, %.3f undisturbed; expected 1 at least", f.MinCapacityOverRequired, calm.MinCapacityOverRequired)
-			}
-			if waves > mostWaves {
-				r.Fault("%.3f times the bound on waves, expected %.2f at most", waves, mostWaves)
-			}
-			if f.MaxVotersDraining > 1 {
-				r.Fault("%d voters away at once, expected 1 at most", f.MaxVotersDraining)
-			}
-			if f.CompletedFraction < 1-1e-9 || calm.CompletedFraction < 1-1e-9 {
-				r.Fault("%.3f of the instances rolled, %.3f undisturbed; expected all", f.CompletedFraction, calm.CompletedFraction)
-			}
-			if !f.IsInfeasibleRejected {
-				r.Fault("a floor that can't be kept was not refused")
-			}
-			return r, nil
-		})
+	return newExperimentCommand("roll", "A release rolled out through zones while instances fail, load rises and the lease holder changes, in the emulator",
+		sizeRange{defaultSize: 24, minSize: 12, maxSize: 5000, unit: "instances, in 3 zones, or 6 from 300 on"}, runRollout)
+}
+
+func runRollout(t trialOptions) (*lab.Report, error) {
+	scenario := emulator.RolloutScenario{Instances: t.size, Zones: 3, Seed: t.seed}
+	if t.size >= 300 {
+		scenario.Zones = 6
+	}
+	undisturbed, err := emulator.Rollout(scenario)
+	if err != nil {
+		return nil, err
+	}
+	scenario.WithFaults = true
+	f, err := emulator.Rollout(scenario)
+	if err != nil {
+		return nil, err
+	}
+	r := &lab.Report{}
+	r.Put("zone_capacity_over_floor_min", f.MinCapacityOverRequired)
+	r.Put("undisturbed_capacity_over_floor_min", undisturbed.MinCapacityOverRequired)
+	r.Put("capacity_over_load_min", f.MinCapacityOverLoad)
+	r.Put("waves", float64(f.Waves))
+	r.Put("waves_over_bound", wavesOverBound(f))
+	r.Zero("drained_twice", f.DuplicateDrains)
+	r.Put("voters_away_most", float64(f.MaxVotersDraining))
+	r.Put("rolled", f.CompletedFraction)
+	r.Put("took_s", f.Duration.Seconds())
+	r.Put("undisturbed_took_s", undisturbed.Duration.Seconds())
+	checkRollout(r, f, undisturbed)
+	return r, nil
+}
+
+func wavesOverBound(f emulator.RolloutFigures) float64 { return float64(f.Waves) / float64(f.MinWaves) }
+
+// checkRollout adds a fault for each part of the claim that does not hold.
+func checkRollout(r *lab.Report, f, undisturbed emulator.RolloutFigures) {
+	const maxWaves, rounding = 1.15, 1e-9
+	if f.MinCapacityOverRequired < 1 || undisturbed.MinCapacityOverRequired < 1 {
+		r.Fault("a zone's capacity was %.3f times the required, %.3f undisturbed; expected 1 at least", f.MinCapacityOverRequired, undisturbed.MinCapacityOverRequired)
+	}
+	if waves := wavesOverBound(f); waves > maxWaves {
+		r.Fault("%.3f times the bound on waves, expected %.2f at most", waves, maxWaves)
+	}
+	if f.MaxVotersDraining > 1 {
+		r.Fault("%d voters draining at once, expected 1 at most", f.MaxVotersDraining)
+	}
+	if f.CompletedFraction < 1-rounding || undisturbed.CompletedFraction < 1-rounding {
+		r.Fault("%.3f of the instances were replaced, %.3f undisturbed; expected all", f.CompletedFraction, undisturbed.CompletedFraction)
+	}
+	if !f.IsInfeasibleRejected {
+		r.Fault("a required capacity that cannot be kept was not rejected")
+	}
 }
