--- a/internal/decide/configuration/source.go
+++ b/internal/decide/configuration/source.go
@@ -38,7 +38,7 @@
 func (m *Member) Source() string { return m.source() }
 
 func (m *Member) jitter(span time.Duration) time.Duration {
-	return time.Duration(m.chance.Float() * float64(span))
+	return time.Duration(m.chance.Float64() * float64(span))
 }
 
 // turn goes to the first source from a place on that isn't avoided, to that place's where all are.
--- a/internal/decide/intake/intake.go
+++ b/internal/decide/intake/intake.go
@@ -182,7 +182,7 @@
 	if b.wait = min(2*b.wait, mostWait); far == Refused {
 		wait = refusedFor
 	}
-	b.after = now + time.Duration(float64(wait)*(0.5+i.chance.Float()))
+	b.after = now + time.Duration(float64(wait)*(0.5+i.chance.Float64()))
 	i.phase, i.out, i.owed = apart, 0, 0
 	next := i.at
 	for n := range i.brokers { // of those that may be dialled soonest the next in turn
