--- a/cmd/testbed/emulated.go
+++ b/cmd/testbed/emulated.go
@@ -14,42 +14,43 @@
 	"thymechute/internal/lab/emulator"
 )
 
-// runSubsets plays the fleet's script of views in the emulator, every way of subsetting in turn, and holds the chosen
-// way (stable ranks) to its claim: spread at most 1.10 at stable points, churn on members at most 1.5 of the least.
+// runSubsets compares the subsetting strategies in the emulator over one script of views, and holds the chosen one (stable
+// ranks) to its claim: load imbalance at most 1.10 at stable views, churn by members at most 1.5 of the minimum.
 func runSubsets() *cobra.Command {
-	const mostSpread, mostChurn, mostPer = 1.10, 1.5, 64
-	var per int
+	const maxImbalance, maxChurn, maxSubsetSize, measuredSteps = 1.10, 1.5, 64, 20
+	var subsetSize int
 	c := experiment("subsets", "Subsets of services below as members join and leave, in the emulator",
 		sizes{usual: 24, least: 6, most: 100_000, unit: "members at the most; services below are a quarter of it, at least 6"},
 		func(t trial) (*lab.Report, error) {
-			if per < 1 || per > mostPer {
-				return nil, usageError{fmt.Errorf("--subset: found %d, expected 1 to %d", per, mostPer)}
+			if subsetSize < 1 || subsetSize > maxSubsetSize {
+				return nil, usageError{fmt.Errorf("--subset: found %d, expected 1 to %d", subsetSize, maxSubsetSize)}
 			}
-			below := max(6, t.size/4)
-			figures, err := emulator.Subsets(t.size, below, per, t.seed, 20)
+			backends := max(6, t.size/4)
+			figures, err := emulator.CompareSubsets(emulator.SubsetOptions{Members: t.size, Backends: backends, SubsetSize: subsetSize,
+				Seed: t.seed, MaxMeasuredSteps: measuredSteps})
 			if err != nil {
 				return nil, usageError{err}
 			}
 			r := &lab.Report{}
 			r.Put("members_most", float64(t.size))
-			r.Put("below", float64(below))
-			r.Put("subset_size", float64(per))
+			r.Put("below", float64(backends))
+			r.Put("subset_size", float64(subsetSize))
 			for _, f := range figures {
-				r.Put(string(f.Way)+"_spread_max_over_mean", f.SpreadWorst)
-				r.Put(string(f.Way)+"_churn_members_over_minimum", f.ChurnMembers)
-				r.Put(string(f.Way)+"_churn_below_over_minimum", f.ChurnBelow)
-				if f.Way != subset.WayDeterministic {
+				r.Put(string(f.Strategy)+"_spread_max_over_mean", f.WorstImbalance)
+				r.Put(string(f.Strategy)+"_churn_members_over_minimum", f.MemberChurn)
+				r.Put(string(f.Strategy)+"_churn_below_over_minimum", f.BackendChurn)
+				if f.Strategy != subset.StrategyDeterministic {
 					continue
 				}
-				r.Put("subset_max_over_mean", f.SpreadWorst)
-				r.Put("subset_churn_over_minimum", f.ChurnMembers)
-				if f.SpreadWorst > mostSpread || f.ChurnMembers > mostChurn {
-					r.Fault("spread %.3f (at most %.2f), churn %.2f (at most %.1f)", f.SpreadWorst, mostSpread, f.ChurnMembers, mostChurn)
+				r.Put("subset_max_over_mean", f.WorstImbalance)
+				r.Put("subset_churn_over_minimum", f.MemberChurn)
+				if f.WorstImbalance > maxImbalance || f.MemberChurn > maxChurn {
+					r.Fault("spread %.3f (at most %.2f), churn %.2f (at most %.1f)", f.WorstImbalance, maxImbalance, f.MemberChurn, maxChurn)
 				}
 			}
 			return r, nil
 		})
-	c.Flags().IntVar(&per, "subset", 3, "services below a member")
+	c.Flags().IntVar(&subsetSize, "subset", 3, "services below a member")
 	return c
 }
 
--- a/cmd/thymechute/fleet.go
+++ b/cmd/thymechute/fleet.go
@@ -140,9 +140,9 @@
 		view := f.member.View()
 		claims := make([]subset.Claim, 0, len(view))
 		for _, r := range view {
-			claims = append(claims, subset.Claim{Name: r.Name, Rank: r.Rank, Since: r.Epoch})
+			claims = append(claims, subset.Claim{Name: r.Name, Rank: r.Rank, JoinEpoch: r.Epoch})
 		}
-		rank, ok := subset.Rank(claims)[name]
+		rank, ok := subset.AssignRanks(claims)[name]
 		if ok && rank != own.Rank {
 			own.Rank = rank
 			if err := f.member.Set(*own); err != nil {
--- a/internal/decide/configuration/configuration_test.go
+++ b/internal/decide/configuration/configuration_test.go
@@ -215,7 +215,7 @@
 func TestTreeKeepsFanOutAndAsksLowerRanksAlone(t *testing.T) {
 	var zone []subset.Claim
 	for n := range 30 {
-		zone = append(zone, subset.Claim{Name: fmt.Sprintf("m%02d", n), Rank: n, Since: uint64(n)})
+		zone = append(zone, subset.Claim{Name: fmt.Sprintf("m%02d", n), Rank: n, JoinEpoch: uint64(n)})
 	}
 	controls := []string{"c0", "c1", "c2", "c3", "c4", "c5"}
 	tree := configuration.Tree("z", zone, controls)
--- a/internal/decide/configuration/tree.go
+++ b/internal/decide/configuration/tree.go
@@ -22,7 +22,7 @@
 // control machine. Nobody's source has a higher rank than its own, so no view, however old, closes a ring by itself.
 // Control machines stand in rendezvous order, by zone for its first two and by member for all others.
 func Tree(zone string, members []subset.Claim, controls []string) map[string]Sources {
-	ranks := subset.Rank(members)
+	ranks := subset.AssignRanks(members)
 	byRank := make([]string, len(ranks))
 	for name, r := range ranks {
 		byRank[r] = name
--- a/internal/lab/emulator/configuration.go
+++ b/internal/lab/emulator/configuration.go
@@ -119,7 +119,7 @@
 	for n := range day.Members {
 		zone := n % day.Zones
 		p := s.add(fmt.Sprintf("member-%04d", n), zone%day.Regions, zone)
-		p.claim = subset.Claim{Name: p.name, Rank: -1, Since: uint64(n)}
+		p.claim = subset.Claim{Name: p.name, Rank: -1, JoinEpoch: uint64(n)}
 		s.zones[zone].members = append(s.zones[zone].members, p)
 	}
 	for _, z := range s.zones {
@@ -150,7 +150,7 @@
 	for n, p := range z.members {
 		claims[n] = p.claim
 	}
-	ranks := subset.Rank(claims)
+	ranks := subset.AssignRanks(claims)
 	for n, p := range z.members {
 		p.claim.Rank, claims[n].Rank = ranks[p.name], ranks[p.name]
 	}
--- a/internal/lab/emulator/configuration_faults.go
+++ b/internal/lab/emulator/configuration_faults.go
@@ -61,7 +61,7 @@
 		return
 	}
 	if z := s.zones[p.zone]; !slices.Contains(z.members, p) {
-		p.claim.Since = uint64(s.now)
+		p.claim.JoinEpoch = uint64(s.now)
 		z.members = append(z.members, p)
 		s.plant(z)
 		s.replace(z)
--- a/internal/lab/emulator/subsets.go
+++ b/internal/lab/emulator/subsets.go
@@ -1,139 +1,151 @@
-// Package emu runs the fleet's decide packages without sockets, at sizes that processes on one machine don't reach:
-// the views that membership would hand them are played from a script. It owns the scripts' state for one run and must
-// never be linked by cmd/thymechute. Same seed, same run.
 package emulator
 
 import (
 	"fmt"
-	"math/rand/v2"
 	"slices"
 
 	"thymechute/internal/decide/subset"
 )
 
-// Change is one step of a script of views: a member joins or leaves, a service below joins or leaves. Stable marks
-// the end of a stretch of growth or shrinking, where the spread is judged.
-type Change struct {
-	Join, Leave     string // a member
-	Add, Gone       string // a service below
-	Stable, Measure bool   // judge the spread here; count what this step opens
+const minSubsetMembers = 6
+
+// SubsetOptions are the parameters of CompareSubsets.
+type SubsetOptions struct {
+	Members          int // of the largest view, at least 6
+	Backends         int // at least SubsetSize
+	SubsetSize       int // backends per member, at least 1
+	Seed             uint64
+	MaxMeasuredSteps int // for each stretch of joins and of leaves; they are spread evenly
 }
 
-// Script is the issue's: half the size, grown to the size one by one, shrunk to a third one by one (members chosen by
-// the seed), then one service below gone and back. Every size's members number below*size/4... nothing: members are
-// m0, m1, ...; services below b0, b1, .... measured marks at most most steps of each kind, spread evenly.
-func Script(size, below int, seed uint64, most int) (first []string, belowFirst []string, steps []Change) {
-	r := rand.New(rand.NewPCG(seed, 0x7a11))
-	for n := range size / 2 {
-		first = append(first, subset.Name("m", n))
+func (o SubsetOptions) validate() error {
+	if o.Members < minSubsetMembers || o.SubsetSize < 1 || o.Backends < o.SubsetSize {
+		return fmt.Errorf("size %d, below %d, subset %d: expected size of %d and more, 1 to below",
+			o.Members, o.Backends, o.SubsetSize, minSubsetMembers)
 	}
-	for n := range below {
-		belowFirst = append(belowFirst, subset.Name("b", n))
+	return nil
+}
+
+// StrategyFigures are the results of one strategy over a script of views.
+type StrategyFigures struct {
+	Strategy       subset.Strategy
+	WorstImbalance float64 // highest load over mean load of the backends, at the worst stable view
+	MemberChurn    float64 // connections opened over the minimum, at the worst step in which a member joins or leaves
+	BackendChurn   float64 // the same for steps in which a backend is removed or added
+	MeasuredSteps  int
+}
+
+// CompareSubsets plays one script of views for every strategy of internal/decide/subset. Members claim ranks as in a
+// running fleet: each keeps the rank that the last view gave it, and one that joins has the next epoch.
+func CompareSubsets(options SubsetOptions) ([]StrategyFigures, error) {
+	if err := options.validate(); err != nil {
+		return nil, err
 	}
-	live := slices.Clone(first)
-	grow := size - size/2
-	every := max(grow/most, 1)
-	for n := range grow {
-		name := subset.Name("m", size/2+n)
-		live = append(live, name)
-		steps = append(steps, Change{Join: name, Measure: n%every == 0})
+	script := newViewScript(options)
+	view := newSubsetView(script.members, script.backends, options.SubsetSize)
+	figures := make([]StrategyFigures, len(subset.Strategies))
+	for n, strategy := range subset.Strategies {
+		figures[n].Strategy = strategy
 	}
-	steps[len(steps)-1].Stable = true
-	shrink := size - size/3
-	every = max(shrink/most, 1)
-	for n := range shrink {
-		i := r.IntN(len(live))
-		steps = append(steps, Change{Leave: live[i], Measure: n%every == 0})
-		live = slices.Delete(live, i, i+1)
+	for n, step := range script.steps {
+		if !step.isMeasured && !step.isStable {
+			view.apply(step, joinEpoch(n))
+			continue
+		}
+		before := make([]map[string][]string, len(figures))
+		for n := range figures {
+			before[n] = view.subsets(figures[n].Strategy)
+		}
+		view.apply(step, joinEpoch(n))
+		for n := range figures {
+			figures[n].add(step, view, before[n])
+		}
 	}
-	steps[len(steps)-1].Stable = true
-	gone := belowFirst[r.IntN(len(belowFirst))]
-	steps = append(steps, Change{Gone: gone, Measure: true}, Change{Add: gone, Measure: true, Stable: true})
-	return first, belowFirst, steps
+	return figures, nil
 }
 
-// WayFigures are one way's over a script.
-type WayFigures struct {
-	Way           subset.Way
-	SpreadWorst   float64 // max over mean connections, worst at a stable point
-	ChurnMembers  float64 // opened over least, worst step where a member joins or leaves
-	ChurnBelow    float64 // the same where a service below leaves or joins
-	MeasuredSteps int
-}
+// joinEpoch is the epoch of a member that joins in a step; the members of the first view have epoch 0.
+func joinEpoch(step int) uint64 { return uint64(step) + 1 }
 
-// Subsets plays the script once for every way. Members claim ranks as a running fleet would: each keeps the rank the
-// last view gave it, and joins with the next epoch.
-func Subsets(size, below, per int, seed uint64, most int) ([]WayFigures, error) {
-	if size < 6 || below < per || per < 1 {
-		return nil, fmt.Errorf("size %d, below %d, subset %d: expected size of 6 and more, 1 to below", size, below, per)
+// add takes in one step, after which the view is as given; before are the subsets before it.
+func (f *StrategyFigures) add(step viewStep, view *subsetView, before map[string][]string) {
+	after := view.subsets(f.Strategy)
+	if step.isStable {
+		f.WorstImbalance = max(f.WorstImbalance, subset.LoadImbalance(after, view.backends))
 	}
-	first, belowNow, steps := Script(size, below, seed, most)
-	claims := make([]subset.Claim, len(first))
-	for i, name := range first {
-		claims[i] = subset.Claim{Name: name, Rank: -1, Since: 0}
+	if !step.isMeasured {
+		return
 	}
-	settle := func() {
-		ranks := subset.Rank(claims)
-		for i := range claims {
-			claims[i].Rank = ranks[claims[i].Name]
-		}
+	f.MeasuredSteps++
+	opened := subset.OpenedConnections(before, after)
+	churn := float64(opened) / float64(view.change(step.event).MinOpenedConnections())
+	switch step.event {
+	case memberJoins, memberLeaves:
+		f.MemberChurn = max(f.MemberChurn, churn)
+	case backendRemoved, backendAdded:
+		f.BackendChurn = max(f.BackendChurn, churn)
 	}
-	settle()
-	out := make([]WayFigures, len(subset.Ways))
-	for i, w := range subset.Ways {
-		out[i].Way = w
+}
+
+// subsetView is the view that all members of the emulated fleet share.
+type subsetView struct {
+	claims     []subset.Claim
+	backends   []string // sorted
+	subsetSize int
+}
+
+func newSubsetView(members, backends []string, subsetSize int) *subsetView {
+	v := &subsetView{backends: backends, subsetSize: subsetSize}
+	for _, name := range members {
+		v.claims = append(v.claims, subset.Claim{Name: name, Rank: unranked})
 	}
-	for epoch, c := range steps {
-		before := make([]map[string][]string, len(subset.Ways))
-		if c.Measure || c.Stable {
-			for i, w := range subset.Ways {
-				before[i] = subset.Fleet(w, claims, belowNow, per)
-			}
-		}
-		belowBefore := len(belowNow)
-		switch {
-		case c.Join != "":
-			claims = append(claims, subset.Claim{Name: c.Join, Rank: -1, Since: uint64(epoch + 1)})
-		case c.Leave != "":
-			claims = slices.DeleteFunc(claims, func(x subset.Claim) bool { return x.Name == c.Leave })
-		case c.Gone != "":
-			belowNow = slices.DeleteFunc(slices.Clone(belowNow), func(b string) bool { return b == c.Gone })
-		case c.Add != "":
-			belowNow = append(slices.Clone(belowNow), c.Add)
-			slices.Sort(belowNow)
-		}
-		settle()
-		if !c.Measure && !c.Stable {
-			continue
-		}
-		for i, w := range subset.Ways {
-			after := subset.Fleet(w, claims, belowNow, per)
-			if c.Stable {
-				out[i].SpreadWorst = max(out[i].SpreadWorst, subset.Spread(after, belowNow))
-			}
-			if !c.Measure {
-				continue
-			}
-			out[i].MeasuredSteps++
-			opened := subset.Opened(before[i], after)
-			var least int
-			switch {
-			case c.Join != "":
-				least = subset.Least(per, len(claims), len(belowNow), 1, 0, 0, 0)
-			case c.Leave != "":
-				least = subset.Least(per, len(claims), len(belowNow), 0, 1, 0, 0)
-			case c.Gone != "":
-				least = subset.Least(per, len(claims), len(belowNow), 0, 0, 0, belowBefore-len(belowNow))
-			default:
-				least = subset.Least(per, len(claims), len(belowNow), 0, 0, len(belowNow)-belowBefore, 0)
-			}
-			ratio := float64(opened) / float64(least)
-			if c.Join != "" || c.Leave != "" {
-				out[i].ChurnMembers = max(out[i].ChurnMembers, ratio)
-			} else {
-				out[i].ChurnBelow = max(out[i].ChurnBelow, ratio)
-			}
-		}
+	v.settleRanks()
+	return v
+}
+
+// unranked is the claim of a member that has no rank yet.
+const unranked = -1
+
+// apply makes the step's change; a member that joins has the epoch.
+func (v *subsetView) apply(step viewStep, epoch uint64) {
+	switch step.event {
+	case memberJoins:
+		v.claims = append(v.claims, subset.Claim{Name: step.name, Rank: unranked, JoinEpoch: epoch})
+	case memberLeaves:
+		v.claims = slices.DeleteFunc(v.claims, func(claim subset.Claim) bool { return claim.Name == step.name })
+	case backendRemoved:
+		v.backends = slices.DeleteFunc(slices.Clone(v.backends), func(backend string) bool { return backend == step.name })
+	case backendAdded:
+		v.backends = append(slices.Clone(v.backends), step.name)
+		slices.Sort(v.backends)
+	}
+	v.settleRanks()
+}
+
+// settleRanks has each member claim the rank that the view gives it.
+func (v *subsetView) settleRanks() {
+	ranks := subset.AssignRanks(v.claims)
+	for n := range v.claims {
+		v.claims[n].Rank = ranks[v.claims[n].Name]
+	}
+}
+
+func (v *subsetView) subsets(strategy subset.Strategy) map[string][]string {
+	return subset.AssignSubsets(strategy, v.claims, v.backends, v.subsetSize)
+}
+
+// change describes the step that led to this view.
+func (v *subsetView) change(event viewEvent) subset.ViewChange {
+	change := subset.ViewChange{SubsetSize: v.subsetSize, Members: len(v.claims), Backends: len(v.backends)}
+	switch event {
+	case memberJoins:
+		change.MembersJoined = 1
+	case memberLeaves:
+		change.MembersLeft = 1
+	case backendRemoved:
+		change.BackendsRemoved = 1
+	case backendAdded:
+		change.BackendsAdded = 1
 	}
-	return out, nil
+	return change
 }
--- a/internal/lab/scale/decisions/subsets.go
+++ b/internal/lab/scale/decisions/subsets.go
@@ -1,35 +1,38 @@
-// This file owns the subsets: ranks and one member's choice timed, connections opened over the least by each loss.
-
 package decisions
 
 import (
 	"slices"
+	"strconv"
 
 	"thymechute/internal/decide/subset"
 )
 
-const subsetSize = 4
+const (
+	subsetSize = 4      // backends per member
+	lossStream = 0x50b5 // tells the random sequence of the losses from others of the same seed
+	unranked   = -1     // the claim of a member that has no rank yet
+)
 
-// view is a fleet's claims with its services below.
-type view struct {
-	claims []subset.Claim
-	below  []string
+// subsetView is a fleet's claims and its backends.
+type subsetView struct {
+	claims   []subset.Claim
+	backends []string
 }
 
-func (l Layout) view() view {
-	v := view{}
+func (l Layout) subsetView() subsetView {
+	v := subsetView{}
 	for n := range l.Size {
-		v.claims = append(v.claims, subset.Claim{Name: subset.Name("m", n), Rank: n, Since: uint64(n)})
+		v.claims = append(v.claims, subset.Claim{Name: "m" + strconv.Itoa(n), Rank: n, JoinEpoch: uint64(n)})
 	}
-	for _, b := range l.backends() {
-		v.below = append(v.below, b.Name)
+	for _, backend := range l.backends() {
+		v.backends = append(v.backends, backend.Name)
 	}
 	return v
 }
 
-// settled is the view with each member claiming the rank that the view gives it.
-func (v view) settled() view {
-	ranks := subset.Rank(v.claims)
+// settled returns the view after each member has claimed the rank that the view gives it.
+func (v subsetView) settled() subsetView {
+	ranks := subset.AssignRanks(v.claims)
 	v.claims = slices.Clone(v.claims)
 	for n := range v.claims {
 		v.claims[n].Rank = ranks[v.claims[n].Name]
@@ -37,70 +40,95 @@
 	return v
 }
 
-func (v view) fleet() map[string][]string {
-	return subset.Fleet(subset.WayDeterministic, v.claims, v.below, subsetSize)
+// subsets returns the subset of each member.
+func (v subsetView) subsets() map[string][]string {
+	return subset.AssignSubsets(subset.StrategyDeterministic, v.claims, v.backends, subsetSize)
+}
+
+// without returns the view after a loss of members.
+func (v subsetView) without(loss Loss) subsetView {
+	return subsetView{claims: slices.Delete(slices.Clone(v.claims), loss.From, loss.To), backends: v.backends}.settled()
 }
 
+// measureSubsets times the decisions at one size, and counts what the loss of one backend opens.
 func measureSubsets(c *collector, l Layout) error {
-	v := l.view()
-	c.timing("subset_ranks", "member", l.Size, func(int) { subset.Rank(v.claims) })
-	c.timing("subset_own", "member", l.Size, func(n int) { subset.Deterministic(v.below, n*l.Size/c.samples, subsetSize) })
-	c.point("subset_ranks_heap_bytes", "member", 0, l.Size, heapOf(func() any { return subset.Rank(v.claims) }))
-	c.point("subset_spread", "member", 0, l.Size, subset.Spread(v.fleet(), v.below))
-	without := v
-	without.below = slices.Delete(slices.Clone(v.below), len(v.below)/2, len(v.below)/2+1)
-	opened := subset.Opened(v.fleet(), without.fleet())
-	least := subset.Least(subsetSize, l.Size, len(without.below), 0, 0, 0, 1)
-	c.point("subset_opened_over_least_one_below_gone", "member", 0, l.Size, float64(opened)/float64(least))
+	view := l.subsetView()
+	c.timing("subset_ranks", "member", l.Size, func(int) { subset.AssignRanks(view.claims) })
+	c.timing("subset_own", "member", l.Size, func(sample int) {
+		subset.Deterministic(view.backends, sample*l.Size/c.samples, subsetSize)
+	})
+	c.point("subset_ranks_heap_bytes", "member", 0, l.Size, heapOf(func() any { return subset.AssignRanks(view.claims) }))
+	c.point("subset_spread", "member", 0, l.Size, subset.LoadImbalance(view.subsets(), view.backends))
+	fewer := view
+	fewer.backends = slices.Delete(slices.Clone(view.backends), len(view.backends)/2, len(view.backends)/2+1)
+	opened := subset.OpenedConnections(view.subsets(), fewer.subsets())
+	change := subset.ViewChange{SubsetSize: subsetSize, Members: l.Size, Backends: len(fewer.backends), BackendsRemoved: 1}
+	c.point("subset_opened_over_least_one_below_gone", "member", 0, l.Size, float64(opened)/float64(change.MinOpenedConnections()))
 	return nil
 }
 
-// loseSubsets loses members, then as many of the services below, and takes them back.
+// loseSubsets loses members and takes them back, then loses backends, for each kind of loss.
 func loseSubsets(c *collector, l Layout) error {
-	r := chance(c.seed, 0x50b5)
-	whole := l.view()
+	random := chance(c.seed, lossStream)
+	full := l.subsetView()
 	for _, kind := range lossKinds {
-		loss := l.drawn(kind, r)
-		name := "subset_" + l.label() + "_" + kind + "_"
-		lost := loss.To - loss.From
-		rest := view{claims: slices.Delete(slices.Clone(whole.claims), loss.From, loss.To), below: whole.below}.settled()
-		c.opened(name+"lost", whole, rest, subset.Least(subsetSize, len(rest.claims), len(rest.below), 0, lost, 0, 0))
-		back := view{claims: slices.Clone(rest.claims), below: whole.below}
-		for n := loss.From; n < loss.To; n++ { // cold: no rank, and joined last
-			back.claims = append(back.claims, subset.Claim{Name: whole.claims[n].Name, Rank: -1, Since: uint64(l.Size + n)})
-		}
-		back = back.settled()
-		c.opened(name+"back", rest, back, subset.Least(subsetSize, l.Size, len(back.below), lost, 0, 0, 0))
+		prefix := "subset_" + l.label() + "_" + kind + "_"
+		loss := l.drawn(kind, random)
+		c.loseMembers(prefix, l, full, loss)
 		if kind == "region" {
-			c.healed(name+"healed", whole, rest, loss)
+			c.healRegion(prefix+"healed", full, loss)
 		}
-		backends := Layout{Size: len(whole.below), Zones: l.Zones, Regions: l.Regions}
-		gone := backends.drawn(kind, r)
-		less := whole
-		less.below = slices.Delete(slices.Clone(whole.below), gone.From, gone.To)
-		c.opened(name+"below_lost", whole, less, subset.Least(subsetSize, l.Size, len(less.below), 0, 0, 0, gone.To-gone.From))
+		backends := Layout{Size: len(full.backends), Zones: l.Zones, Regions: l.Regions}
+		c.loseBackends(prefix+"below_lost", full, backends.drawn(kind, random))
 	}
 	return nil
 }
 
-// healed: the region cut off settled ranks of its own meanwhile; both sides' claims meet, older first.
-func (c *collector) healed(name string, whole, rest view, loss Loss) {
-	side := view{claims: slices.Clone(whole.claims[loss.From:loss.To]), below: whole.below}.settled()
-	before := rest.fleet()
-	for member, s := range side.fleet() {
-		before[member] = s
+// loseMembers loses members, which then join again without a rank, after all others.
+func (c *collector) loseMembers(prefix string, l Layout, full subsetView, loss Loss) {
+	lost := loss.To - loss.From
+	rest := full.without(loss)
+	c.opened(prefix+"lost", full, rest, subset.ViewChange{SubsetSize: subsetSize, Members: len(rest.claims),
+		Backends: len(rest.backends), MembersLeft: lost})
+	rejoined := subsetView{claims: slices.Clone(rest.claims), backends: full.backends}
+	for n := loss.From; n < loss.To; n++ {
+		rejoined.claims = append(rejoined.claims, subset.Claim{Name: full.claims[n].Name, Rank: unranked, JoinEpoch: uint64(l.Size + n)})
 	}
-	met := view{claims: append(slices.Clone(rest.claims), side.claims...), below: whole.below}.settled()
-	opened := subset.Opened(before, met.fleet())
-	c.result.Put(name+"_opened", float64(opened))
-	c.result.Put(name+"_opened_over_least", float64(opened)/float64((loss.To-loss.From)*subsetSize))
-	c.result.Put(name+"_spread", subset.Spread(met.fleet(), met.below))
+	rejoined = rejoined.settled()
+	c.opened(prefix+"back", rest, rejoined, subset.ViewChange{SubsetSize: subsetSize, Members: l.Size,
+		Backends: len(rejoined.backends), MembersJoined: lost})
+}
+
+// loseBackends loses backends.
+func (c *collector) loseBackends(name string, full subsetView, loss Loss) {
+	fewer := full
+	fewer.backends = slices.Delete(slices.Clone(full.backends), loss.From, loss.To)
+	c.opened(name, full, fewer, subset.ViewChange{SubsetSize: subsetSize, Members: len(full.claims),
+		Backends: len(fewer.backends), BackendsRemoved: loss.To - loss.From})
+}
+
+// healRegion reunites a region that was partitioned and settled ranks of its own with the rest; the claims of both sides
+// meet, the earlier joined first.
+func (c *collector) healRegion(name string, full subsetView, loss Loss) {
+	rest := full.without(loss)
+	region := subsetView{claims: slices.Clone(full.claims[loss.From:loss.To]), backends: full.backends}.settled()
+	before := rest.subsets()
+	for member, chosen := range region.subsets() {
+		before[member] = chosen
+	}
+	healed := subsetView{claims: slices.Concat(rest.claims, region.claims), backends: full.backends}.settled()
+	c.putOpened(name, before, healed, (loss.To-loss.From)*subsetSize)
+}
+
+// opened reports what a change opens, over the minimum, and the imbalance after it.
+func (c *collector) opened(name string, before, after subsetView, change subset.ViewChange) {
+	c.putOpened(name, before.subsets(), after, change.MinOpenedConnections())
 }
 
-func (c *collector) opened(name string, before, after view, least int) {
-	fleet := after.fleet()
-	opened := subset.Opened(before.fleet(), fleet)
+func (c *collector) putOpened(name string, before map[string][]string, after subsetView, minimum int) {
+	subsets := after.subsets()
+	opened := subset.OpenedConnections(before, subsets)
 	c.result.Put(name+"_opened", float64(opened))
-	c.result.Put(name+"_opened_over_least", float64(opened)/float64(least))
-	c.result.Put(name+"_spread", subset.Spread(fleet, after.below))
+	c.result.Put(name+"_opened_over_least", float64(opened)/float64(minimum))
+	c.result.Put(name+"_spread", subset.LoadImbalance(subsets, after.backends))
 }
