--- /dev/null
+++ b/internal/decide/intake/connection.go
@@ -0,0 +1,148 @@
+package intake
+
+import "time"
+
+const (
+	minBackoff      = 50 * time.Millisecond // before a broker is dialled again; doubled with each failure
+	maxBackoff      = 10 * time.Second
+	rejectedBackoff = 30 * time.Second // after a rejected login or name, which a broker rejects again
+	backoffGrowth   = 2
+	minJitter       = 0.5 // a backoff is multiplied by minJitter to minJitter+1
+
+	// A connection that lasted stableAfter, or on which stableMessages were settled, resets its broker's backoff.
+	stableAfter    = 10 * time.Second
+	stableMessages = 100
+)
+
+// Failure says how far a connection came before it failed.
+type Failure int
+
+// The failures of a connection.
+const (
+	ConnectFailed    Failure = iota // unreachable, or lost before it was set up
+	RejectedByBroker                // the broker rejected the login, the virtual host, a queue or an exchange
+	ConnectionLost                  // lost after it was set up
+)
+
+// broker is what is remembered of one broker.
+type broker struct {
+	backoff    time.Duration // the next one, before jitter
+	retryAfter time.Duration // when it may be dialled again
+}
+
+// connection is the present connection and the choice of the next.
+type connection struct {
+	brokers         []broker
+	current         int           // index of the broker that is connected, dialled or dialled next
+	dialAt          time.Duration // when the current broker may be dialled
+	establishedAt   time.Duration
+	settled         int           // messages settled on this connection
+	pendingRequests int           // requests that the broker has not responded to
+	pendingSince    time.Duration // the first of them, or the last response
+}
+
+func newConnection(brokers int) connection {
+	c := connection{brokers: make([]broker, brokers)}
+	for n := range c.brokers {
+		c.brokers[n].backoff = minBackoff
+	}
+	return c
+}
+
+// isStable tells whether the connection has done well enough to reset its broker's backoff.
+func (c *connection) isStable(now time.Duration) bool {
+	return now-c.establishedAt >= stableAfter || c.settled >= stableMessages
+}
+
+// nextBroker returns the broker that may be dialled earliest, starting from the one after the current; the current one
+// comes last.
+func (c *connection) nextBroker() int {
+	next := c.current
+	for n := range c.brokers {
+		candidate := (c.current + 1 + n) % len(c.brokers)
+		if c.brokers[candidate].retryAfter < c.brokers[next].retryAfter {
+			next = candidate
+		}
+	}
+	return next
+}
+
+// Connected notes that the connection is set up, with all queues and exchanges that it needs.
+func (c *Controller) Connected(now time.Duration) {
+	if c.phase != dialling {
+		return
+	}
+	c.phase, c.blocked = paused, false
+	c.connection.establishedAt, c.connection.settled, c.connection.pendingRequests = now, 0, 0
+	c.credit.unsettled, c.credit.peak = 0, 0
+	c.pausedAt = now - minPause
+	c.host.Logf("broker %d up", c.connection.current+1)
+	c.advance(now)
+}
+
+// ConnectionFailed notes that a connection could not be set up or was lost. The next broker is dialled, each after its
+// own backoff.
+func (c *Controller) ConnectionFailed(now time.Duration, failure Failure, reason string) {
+	if c.phase == disconnected {
+		return
+	}
+	c.backOff(now, failure)
+	c.phase, c.credit.unsettled, c.connection.pendingRequests = disconnected, 0, 0
+	if c.draining {
+		return
+	}
+	next := c.connection.nextBroker()
+	retryAfter := c.connection.brokers[next].retryAfter
+	c.host.Logf("broker %d lost: %s; broker %d is next, in %v", c.connection.current+1, reason, next+1,
+		max(retryAfter-now, 0).Round(time.Millisecond))
+	c.connection.current, c.connection.dialAt = next, max(retryAfter, now)
+	c.advance(now)
+}
+
+// backOff sets when the current broker may be dialled again.
+func (c *Controller) backOff(now time.Duration, failure Failure) {
+	failed := &c.connection.brokers[c.connection.current]
+	if c.phase > dialling && c.connection.isStable(now) {
+		failed.backoff = minBackoff
+	}
+	wait := failed.backoff
+	failed.backoff = min(backoffGrowth*failed.backoff, maxBackoff)
+	if failure == RejectedByBroker {
+		wait = rejectedBackoff
+	}
+	failed.retryAfter = now + time.Duration(float64(wait)*(minJitter+c.random.Float64()))
+}
+
+// RequestSent notes that the broker owes one more response. If it gives none for Config.ResponseTimeout, the
+// connection is given up.
+func (c *Controller) RequestSent(now time.Duration) {
+	c.connection.pendingRequests++
+	if c.connection.pendingRequests == 1 {
+		c.connection.pendingSince = now
+	}
+}
+
+// ResponseReceived notes the response to one request.
+func (c *Controller) ResponseReceived(now time.Duration) {
+	c.connection.pendingRequests = max(c.connection.pendingRequests-1, 0)
+	c.connection.pendingSince = now
+}
+
+// responseOverdue tells whether a broker that can respond has not done so for Config.ResponseTimeout.
+func (c *Controller) responseOverdue(now time.Duration) bool {
+	return c.phase >= paused && !c.blocked && c.connection.pendingRequests > 0 &&
+		now-c.connection.pendingSince > c.config.ResponseTimeout
+}
+
+// ProtocolViolated notes that the broker broke the protocol; the connection is given up.
+func (c *Controller) ProtocolViolated(now time.Duration, reason string) {
+	if c.phase >= paused {
+		c.disconnect(now, reason)
+	}
+}
+
+// disconnect gives the connection up.
+func (c *Controller) disconnect(now time.Duration, reason string) {
+	c.host.Disconnect(reason)
+	c.ConnectionFailed(now, ConnectionLost, reason)
+}
--- /dev/null
+++ b/internal/decide/intake/controller_test.go
@@ -0,0 +1,367 @@
+package intake
+
+import (
+	"fmt"
+	"strings"
+	"testing"
+	"time"
+
+	"pgregory.net/rapid"
+)
+
+const ms = time.Millisecond
+
+// host records the actions and checks the rules that hold in every state.
+type host struct {
+	fail                         func(format string, args ...any)
+	lines                        []string
+	dials                        []int
+	credit                       int
+	dialling, connected, drained bool
+	consuming                    bool
+	tickAt                       time.Duration
+}
+
+func (h *host) record(format string, args ...any) {
+	h.lines = append(h.lines, fmt.Sprintf(format, args...))
+}
+
+func (h *host) Dial(b int) {
+	if h.dialling || h.connected || h.drained {
+		h.fail("dials while dialling %v, connected %v, drained %v", h.dialling, h.connected, h.drained)
+	}
+	h.dialling = true
+	h.dials = append(h.dials, b)
+}
+func (h *host) Disconnect(reason string) {
+	if !h.connected {
+		h.fail("disconnects without a connection")
+	}
+	h.connected, h.consuming = false, false
+	h.record("disconnect %s", reason)
+}
+func (h *host) Consume(credit int) {
+	if !h.connected || h.drained {
+		h.fail("consumes while connected %v, drained %v", h.connected, h.drained)
+	}
+	h.credit, h.consuming = credit, true
+	h.record("consume %d", credit)
+}
+func (h *host) Pause() {
+	if !h.consuming {
+		h.fail("pauses while not consuming")
+	}
+	h.consuming = false
+	h.record("pause")
+}
+func (h *host) ScheduleTick(at time.Duration)   { h.tickAt = at }
+func (h *host) Logf(format string, args ...any) { h.record("log "+format, args...) }
+
+func newThreeBrokers(t *testing.T) (*Controller, *host) {
+	h := &host{fail: t.Errorf}
+	return New(h, 7, Config{Brokers: 3, MinCredit: 4, MaxCredit: 64, ResponseTimeout: 5 * time.Second}), h
+}
+
+// newConnected returns a controller that is connected to the first broker.
+func newConnected(t *testing.T) (*Controller, *host) {
+	controller, h := newThreeBrokers(t)
+	controller.UpdateInstance(0, InstanceState{Ready: true, Capacity: 100})
+	h.dialling, h.connected = false, true
+	controller.Connected(0)
+	return controller, h
+}
+
+// settle settles so many messages within two intervals, each after the processing time, while the credit is fully used.
+func settle(controller *Controller, now *time.Duration, n int, processing time.Duration, outcome Outcome) {
+	for range 2 {
+		controller.MessagesReceived(controller.Credit() - controller.Unsettled())
+		for range n / 2 {
+			controller.MessageSettled(*now, outcome, processing, 0)
+			controller.MessagesReceived(1)
+		}
+		*now += adjustInterval
+		controller.Tick(*now)
+	}
+}
+
+func TestCreditGrowsWhileFullyUsedAndNothingWaits(t *testing.T) {
+	controller, h := newConnected(t)
+	now := time.Duration(0)
+	for range 30 {
+		settle(controller, &now, 100, 10*ms, Completed)
+	}
+	if controller.Credit() != 64 || h.credit != 64 {
+		t.Errorf("credit %d", controller.Credit())
+	}
+	for range 3 { // each takes longer the more of them there are: most of them wait
+		settle(controller, &now, 100, 300*ms, Completed)
+	}
+	for range 8 {
+		settle(controller, &now, 100, 100*ms, Completed)
+	}
+	if controller.Credit() >= 32 {
+		t.Errorf("credit %d though most of it waits", controller.Credit())
+	}
+}
+
+func TestCreditStaysWhileUnused(t *testing.T) {
+	controller, _ := newConnected(t)
+	for now := time.Duration(0); now < 20*time.Second; now += adjustInterval {
+		controller.MessagesReceived(1)
+		controller.MessageSettled(now, Completed, 10*ms, 0)
+		controller.Tick(now)
+	}
+	if controller.Credit() != 4 {
+		t.Errorf("credit %d", controller.Credit())
+	}
+}
+
+func TestRejectionHalvesCreditAndPausesForRetryAfter(t *testing.T) {
+	controller, h := newConnected(t)
+	now := time.Duration(0)
+	for range 30 {
+		settle(controller, &now, 100, 10*ms, Completed)
+	}
+	controller.MessagesReceived(10)
+	controller.MessageSettled(now, Requeued, ms, 700*ms)
+	if h.consuming {
+		t.Fatal("goes on consuming")
+	}
+	controller.Tick(now + 699*ms)
+	if h.consuming || controller.Credit() != 0 {
+		t.Error("resumes before the Retry-After is over")
+	}
+	controller.Tick(now + 700*ms)
+	if !h.consuming || h.credit != 32 {
+		t.Errorf("consuming %v, credit %d", h.consuming, h.credit)
+	}
+	controller.MessageSettled(now+time.Second, Requeued, ms, time.Hour) // no Retry-After pauses it for good
+	controller.Tick(now + time.Second + maxPause)
+	if !h.consuming {
+		t.Error("pauses for longer than maxPause")
+	}
+}
+
+func TestPauseAndResume(t *testing.T) {
+	for name, step := range map[string]func(controller *Controller, now time.Duration, on bool){
+		"not ready": func(controller *Controller, now time.Duration, on bool) {
+			controller.UpdateInstance(now, InstanceState{Ready: !on, Capacity: 100})
+		},
+		"saturated": func(controller *Controller, now time.Duration, on bool) {
+			controller.UpdateInstance(now, InstanceState{Ready: true, Items: map[bool]int{true: 90, false: 69}[on], Capacity: 100})
+		},
+		"blocked": func(controller *Controller, now time.Duration, on bool) { controller.SetBlocked(now, on) },
+	} {
+		controller, h := newConnected(t)
+		step(controller, 10*time.Second, true)
+		if h.consuming {
+			t.Errorf("%s: goes on", name)
+		}
+		step(controller, 10*time.Second+minPause/2, false)
+		if h.consuming {
+			t.Errorf("%s: flaps", name)
+		}
+		controller.Tick(10*time.Second + minPause)
+		if !h.consuming {
+			t.Errorf("%s: does not resume", name)
+		}
+	}
+	controller, h := newConnected(t)
+	controller.UpdateInstance(0, InstanceState{Ready: true, Items: 90, Capacity: 100})
+	controller.UpdateInstance(time.Second, InstanceState{Ready: true, Items: 80, Capacity: 100}) // between the two thresholds it stays as it is
+	controller.Tick(2 * time.Second)
+	if h.consuming {
+		t.Error("resumes between the thresholds")
+	}
+}
+
+func TestBrokersAreDialledInTurnEachAfterItsBackoff(t *testing.T) {
+	controller, h := newThreeBrokers(t)
+	controller.UpdateInstance(0, InstanceState{Ready: true, Capacity: 100})
+	now, last := time.Duration(0), map[int]time.Duration{}
+	var gaps []time.Duration
+	for len(h.dials) < 30 {
+		b := h.dials[len(h.dials)-1]
+		if at, ok := last[b]; ok && b == 0 {
+			gaps = append(gaps, now-at)
+		}
+		last[b] = now
+		h.dialling = false
+		n := len(h.dials)
+		for controller.ConnectionFailed(now, ConnectFailed, "nobody"); len(h.dials) == n; controller.Tick(now) {
+			now = h.tickAt
+		}
+	}
+	if fmt.Sprint(h.dials[:3]) != "[0 1 2]" {
+		t.Errorf("dials %v", h.dials)
+	}
+	if first, tail := gaps[0], gaps[len(gaps)-1]; first > 200*ms || tail < maxBackoff/2 || tail > 2*maxBackoff {
+		t.Errorf("gaps %v", gaps)
+	}
+}
+
+func TestRejectedLoginBacksOffLongAndStableConnectionResetsBackoff(t *testing.T) {
+	h := &host{fail: t.Errorf}
+	controller := New(h, 7, Config{Brokers: 1, MinCredit: 1, MaxCredit: 1, ResponseTimeout: time.Second})
+	controller.UpdateInstance(0, InstanceState{Ready: true, Capacity: 1})
+	h.dialling = false
+	if controller.ConnectionFailed(0, RejectedByBroker, "login"); controller.connection.dialAt < rejectedBackoff/2 {
+		t.Errorf("dials again after %v", controller.connection.dialAt)
+	}
+	now := controller.connection.dialAt
+	for n := range 10 {
+		controller.Tick(now)
+		h.dialling, h.connected = false, true
+		controller.Connected(now)
+		if n == 9 {
+			now += stableAfter
+		}
+		h.connected, h.consuming = false, false
+		controller.ConnectionFailed(now, ConnectionLost, "reset")
+		if wait := controller.connection.dialAt - now; n == 8 && wait < maxBackoff/4 || n == 9 && wait > 2*minBackoff {
+			t.Errorf("loss %d: dials after %v", n, wait)
+		}
+		now = controller.connection.dialAt
+	}
+}
+
+func TestUnresponsiveBrokerIsDisconnected(t *testing.T) {
+	controller, h := newConnected(t)
+	controller.RequestSent(0)
+	controller.RequestSent(0)
+	controller.ResponseReceived(4 * time.Second)
+	controller.Tick(8 * time.Second)
+	if !h.connected {
+		t.Fatal("disconnected though it responds")
+	}
+	controller.Tick(9*time.Second + ms)
+	if h.connected || !strings.Contains(strings.Join(h.lines, "\n"), "no answer for 5s") {
+		t.Errorf("not disconnected: %q", h.lines)
+	}
+}
+
+func TestCancelledConsumerIsRestarted(t *testing.T) {
+	controller, h := newConnected(t)
+	controller.ConsumerCancelled(0)
+	if h.consuming || !h.connected {
+		t.Errorf("consuming %v, connected %v", h.consuming, h.connected)
+	}
+	if controller.Tick(cancelledPause); !h.consuming {
+		t.Error("not restarted")
+	}
+}
+
+func TestBlockedBrokerIsNotUnresponsive(t *testing.T) {
+	controller, h := newConnected(t)
+	controller.RequestSent(0)
+	controller.SetBlocked(time.Second, true)
+	controller.Tick(time.Minute)
+	controller.SetBlocked(time.Minute, false)
+	controller.Tick(time.Minute + 4*time.Second)
+	if !h.connected {
+		t.Fatal("disconnected while it was blocked")
+	}
+	if controller.Tick(time.Minute + 6*time.Second); h.connected {
+		t.Error("not disconnected after that")
+	}
+}
+
+func TestDrainStopsConsumingAndDialling(t *testing.T) {
+	controller, h := newConnected(t)
+	controller.Drain(0)
+	h.drained = true
+	if h.consuming {
+		t.Error("goes on consuming")
+	}
+	h.connected = false
+	controller.ConnectionFailed(ms, ConnectionLost, "reset")
+	for now := ms; now < time.Minute; now += adjustInterval {
+		controller.Tick(now)
+	}
+}
+
+// The rules of the host hold after any sequence of events, and once nothing forbids it the controller consumes within bounds.
+func TestAnySequenceOfEvents(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) {
+		h := &host{fail: t.Fatalf}
+		config := Config{Brokers: rapid.IntRange(1, 4).Draw(t, "brokers"), MinCredit: rapid.IntRange(1, 8).Draw(t, "least"), ResponseTimeout: time.Second}
+		config.MaxCredit = config.MinCredit + rapid.IntRange(0, 100).Draw(t, "more")
+		controller := New(h, rapid.Uint64().Draw(t, "seed"), config)
+		now := time.Duration(0)
+		fail := func(failure Failure) {
+			h.dialling, h.connected, h.consuming = false, false, false
+			controller.ConnectionFailed(now, failure, "broken")
+		}
+		ready := false
+		t.Repeat(map[string]func(*rapid.T){
+			"time": func(t *rapid.T) {
+				now += time.Duration(rapid.Int64Range(0, int64(3*time.Second)).Draw(t, "span"))
+				controller.Tick(now)
+			},
+			"ready": func(t *rapid.T) {
+				ready = rapid.Bool().Draw(t, "ready")
+				controller.UpdateInstance(now, InstanceState{Ready: ready, Items: rapid.IntRange(0, 100).Draw(t, "items"), Capacity: 100})
+			},
+			"connection": func(t *rapid.T) {
+				switch {
+				case h.dialling && rapid.Bool().Draw(t, "up"):
+					h.dialling, h.connected = false, true
+					controller.Connected(now)
+				case h.dialling:
+					fail(Failure(rapid.IntRange(0, 1).Draw(t, "failure")))
+				case h.connected:
+					fail(ConnectionLost)
+				}
+			},
+			"messages": func(t *rapid.T) {
+				for n := controller.Credit() - controller.Unsettled(); n > 0 && h.consuming; n-- {
+					controller.MessagesReceived(1)
+				}
+				for n := rapid.IntRange(0, controller.Unsettled()).Draw(t, "settled"); n > 0; n-- {
+					controller.MessageSettled(now, Outcome(rapid.IntRange(0, 2).Draw(t, "outcome")), time.Duration(rapid.Int64Range(0, int64(time.Second)).Draw(t, "processing")), 2*time.Second)
+				}
+			},
+			"request":  func(*rapid.T) { controller.RequestSent(now) },
+			"response": func(*rapid.T) { controller.ResponseReceived(now) },
+			"blocked":  func(t *rapid.T) { controller.SetBlocked(now, rapid.Bool().Draw(t, "blocked")) },
+			"cancel":   func(*rapid.T) { controller.ConsumerCancelled(now) },
+			"violation": func(t *rapid.T) {
+				if rapid.IntRange(0, 9).Draw(t, "violation") == 0 {
+					controller.ProtocolViolated(now, "violation")
+				}
+			},
+			"drain": func(t *rapid.T) {
+				if rapid.IntRange(0, 9).Draw(t, "drain") == 0 {
+					controller.Drain(now)
+					h.drained = true
+				}
+			},
+			"": func(t *rapid.T) {
+				if h.consuming && (h.credit < config.MinCredit || h.credit > config.MaxCredit || h.credit != controller.Credit()) {
+					t.Fatalf("credit %d of %d to %d, and %d reported", h.credit, config.MinCredit, config.MaxCredit, controller.Credit())
+				}
+				if h.consuming && !ready {
+					t.Fatal("consumes though the instance is not ready")
+				}
+				if controller.Unsettled() < 0 || h.tickAt > now+adjustInterval {
+					t.Fatalf("unsettled %d, tick at %v, now %v", controller.Unsettled(), h.tickAt, now)
+				}
+			},
+		})
+		if h.drained {
+			return
+		}
+		controller.SetBlocked(now, false)
+		controller.UpdateInstance(now, InstanceState{Ready: true, Capacity: 100})
+		for end := now + 2*time.Minute; now < end && !h.consuming; {
+			now = max(h.tickAt, now+ms)
+			if controller.Tick(now); h.dialling {
+				h.dialling, h.connected = false, true
+				controller.Connected(now)
+			}
+		}
+		if !h.consuming {
+			t.Fatalf("does not consume though nothing forbids it: %+v", controller)
+		}
+	})
+}
--- a/internal/front/amqp/front.go
+++ b/internal/front/amqp/front.go
@@ -51,7 +51,7 @@
 	name    string
 	kind    func(class string) settings.Kind
 	log     *zap.Logger
-	in      *intake.Intake
+	in      *intake.Controller
 	start   time.Time
 	looked  time.Time
 	wake    time.Duration // asked for last
@@ -76,7 +76,7 @@
 	queue    *operator.Queue
 	came     time.Time
 	until    time.Time // its own patience; zero: none told
-	fate     intake.Fate
+	fate     intake.Outcome
 	comeBack time.Duration
 	reply    bool // that is a reply to its caller
 	lost     bool // that reached no queue
@@ -86,8 +86,8 @@
 func New(door Door, loop Loop, told *operator.AMQP, name string, seed uint64, kind func(class string) settings.Kind, log *zap.Logger) *Front {
 	f := &Front{door: door, loop: loop, told: told, name: name, kind: kind, log: log, start: time.Now(),
 		rid: "q" + strconv.FormatUint(seed&0xffffffff, 36) + "-" + strconv.FormatInt(time.Now().UnixMilli()&0xffffff, 36) + "-", waits: map[uint64]*message{}}
-	f.in = intake.New(f, seed, intake.Told{Brokers: len(told.Brokers), Least: told.LeastCredit, Most: told.MostCredit,
-		Silence: time.Duration(told.ConfirmS) * time.Second})
+	f.in = intake.New(f, seed, intake.Config{Brokers: len(told.Brokers), MinCredit: told.LeastCredit, MaxCredit: told.MostCredit,
+		ResponseTimeout: time.Duration(told.ConfirmS) * time.Second})
 	return f
 }
 
@@ -99,7 +99,7 @@
 // Drain ends consuming at once; what is read is settled, then the connection closed.
 func (f *Front) Drain() {
 	f.leaving = true
-	f.in.Leave(f.time())
+	f.in.Drain(f.time())
 	if f.now != nil && !f.stands { // it has brought nothing yet
 		f.apart(f.now)
 	}
@@ -116,7 +116,7 @@
 	}
 	f.looked = now
 	l := f.door.Load()
-	f.in.Ready(f.time(), l.Up, l.Items, l.Room)
+	f.in.UpdateInstance(f.time(), intake.InstanceState{Ready: l.Up, Items: l.Items, Capacity: l.Room})
 }
 
 // Dial opens a session with that broker.
@@ -129,8 +129,8 @@
 	f.now, f.stands, f.drained, f.left = s, false, true, false
 }
 
-// Hangup gives the session up.
-func (f *Front) Hangup(string) { f.apart(f.now) }
+// Disconnect gives the session up.
+func (f *Front) Disconnect(string) { f.apart(f.now) }
 
 // apart: the callers of what came on that session are known gone; keyed runs go on, and their results are kept.
 func (f *Front) apart(s *session) {
@@ -141,26 +141,26 @@
 	clear(f.waits)
 	f.door.Gone(s)
 	if f.leaving {
-		f.Log("left: %+v", f.counts)
+		f.Logf("left: %+v", f.counts)
 	}
 }
 
 // Consume takes messages with that credit; Pause takes none.
 func (f *Front) Consume(credit int) {
 	f.drained = false
-	f.in.Asked(f.time())
+	f.in.RequestSent(f.time())
 	f.now.step(consume(credit))
 }
 
 // Pause cancels the consumers.
 func (f *Front) Pause() {
 	f.drained = false
-	f.in.Asked(f.time())
+	f.in.RequestSent(f.time())
 	f.now.step(pause)
 }
 
-// Wake asks for a Tick; a later one that was asked for before does no harm.
-func (f *Front) Wake(at time.Duration) {
+// ScheduleTick asks for a Tick; a later one that was asked for before does no harm.
+func (f *Front) ScheduleTick(at time.Duration) {
 	if f.wake > f.time() && f.wake <= at {
 		return
 	}
@@ -168,8 +168,8 @@
 	f.loop.After(max(at-f.time(), time.Millisecond), func() { f.in.Tick(f.time()) })
 }
 
-// Log is one line to the operators.
-func (f *Front) Log(format string, args ...any) { f.log.Sugar().Infof("amqp: "+format, args...) }
+// Logf is one line to the operators.
+func (f *Front) Logf(format string, args ...any) { f.log.Sugar().Infof("amqp: "+format, args...) }
 
 // take is what happened on a session.
 func (f *Front) take(s *session, events []event) {
@@ -190,21 +190,21 @@
 			}
 		case standing:
 			f.stands = true
-			f.in.Up(now)
+			f.in.Connected(now)
 		case consuming:
-			f.in.Answered(now)
+			f.in.ResponseReceived(now)
 		case pausing:
 			f.drained = true
 			for _, m := range f.late {
 				f.giveBack(m, returned(&m.d))
 			}
 			f.late = nil
-			f.in.Answered(now)
+			f.in.ResponseReceived(now)
 			f.finish()
 		case blocked:
-			f.in.Blocked(now, e.good)
+			f.in.SetBlocked(now, e.good)
 		case cancelled:
-			f.in.Cancelled(now)
+			f.in.ConsumerCancelled(now)
 		case publishLost: // what it held is told as not confirmed
 			f.log.Error("amqp: publishing refused", zap.Error(e.err))
 		case closed:
@@ -213,7 +213,7 @@
 			if e.err != nil {
 				why = e.err.Error()
 			}
-			f.in.Failed(now, e.far, why)
+			f.in.ConnectionFailed(now, e.far, why)
 		}
 	}
 }
@@ -223,11 +223,11 @@
 	f.counts.Read++
 	m := &message{d: e.delivery, tag: e.delivery.DeliveryTag, queue: &f.told.Queues[e.queue], came: e.at}
 	if f.open[m.tag] != nil || len(f.open) >= 2*f.told.MostCredit*len(f.told.Queues)+slack {
-		f.in.Senseless(f.time(), "more messages than credit, or one tag twice")
+		f.in.ProtocolViolated(f.time(), "more messages than credit, or one tag twice")
 		return
 	}
 	f.open[m.tag] = m
-	f.in.Read(1)
+	f.in.MessagesReceived(1)
 	if s.guard.wasTooLarge(m.tag) {
 		f.counts.Unreadable++
 		f.log.Warn("amqp: message too large, rejected", zap.String("queue", m.queue.Name), zap.String("key", m.d.MessageId), zap.Int("largest", f.told.LargestBody))
@@ -297,7 +297,7 @@
 // giveBack puts a copy at its queue's end: a copy is no redelivery, so that whoever gets it knows that it never ran,
 // and it carries the count of its returns. Only then is the message itself settled.
 func (f *Front) giveBack(m *message, times int) {
-	m.fate = intake.Returned
+	m.fate = intake.Requeued
 	p := publishing(&m.d, returnsField, int64(times))
 	if delete(p.Headers, leavingField); f.leaving {
 		p.Headers[leavingField] = f.name
@@ -318,7 +318,7 @@
 func (f *Front) publish(m *message, exchange, key string, p amqp.Publishing) {
 	f.number++
 	f.waits[f.number] = m
-	f.in.Asked(f.time())
+	f.in.RequestSent(f.time())
 	f.now.put(publish(f.number, exchange, key, p))
 }
 
@@ -329,7 +329,7 @@
 		return
 	}
 	delete(f.waits, number)
-	f.in.Answered(f.time())
+	f.in.ResponseReceived(f.time())
 	switch {
 	case good && !m.lost:
 		f.settle(m, ack(m.tag))
@@ -340,7 +340,7 @@
 		f.counts.Unsent++
 		f.log.Error("amqp: nothing takes what is published", zap.Bool("reply", m.reply), zap.Bool("unroutable", m.lost),
 			zap.String("queue", m.queue.Name), zap.String("dead-letter", m.queue.DeadLetter))
-		m.fate = intake.Unsent
+		m.fate = intake.PublishFailed
 		f.settle(m, back(m.tag, true))
 	}
 }
@@ -349,7 +349,7 @@
 func (f *Front) settle(m *message, how order) {
 	delete(f.open, m.tag)
 	f.now.put(how)
-	f.in.Ended(f.time(), m.fate, time.Since(m.came), m.comeBack)
+	f.in.MessageSettled(f.time(), m.fate, time.Since(m.came), m.comeBack)
 	f.finish()
 }
 
--- a/internal/front/amqp/login.go
+++ b/internal/front/amqp/login.go
@@ -15,10 +15,10 @@
 )
 
 // connect brings it up: connection, channels, and all names that it will need.
-func (s *session) connect(address string) (intake.Far, error) {
+func (s *session) connect(address string) (intake.Failure, error) {
 	raw, err := net.DialTimeout("tcp", address, dialFor)
 	if err != nil {
-		return intake.Unreached, err
+		return intake.ConnectFailed, err
 	}
 	if s.told.Secure != nil {
 		secure := s.told.Secure.Clone()
@@ -38,7 +38,7 @@
 		if far := farOf(err); s.guard.wasRefused() {
 			return far, err
 		}
-		return intake.Unreached, fmt.Errorf("at the login: %v", err)
+		return intake.ConnectFailed, fmt.Errorf("at the login: %v", err)
 	}
 	if s.in, err = s.conn.Channel(); err == nil {
 		err = s.check()
@@ -53,15 +53,15 @@
 }
 
 // farOf: what the broker itself refuses it will refuse again.
-func farOf(err error) intake.Far {
+func farOf(err error) intake.Failure {
 	var e *amqp.Error
 	if errors.As(err, &e) {
 		switch e.Code {
 		case amqp.AccessRefused, amqp.NotFound, amqp.NotAllowed, amqp.ResourceLocked, amqp.PreconditionFailed:
-			return intake.Refused
+			return intake.RejectedByBroker
 		}
 	}
-	return intake.Unreached
+	return intake.ConnectFailed
 }
 
 // check asks for the names on a channel of its own: a missing one closes the channel that asks.
--- a/internal/front/amqp/session.go
+++ b/internal/front/amqp/session.go
@@ -32,7 +32,7 @@
 	queue    int
 	number   uint64 // of a publish
 	good     bool
-	far      intake.Far
+	far      intake.Failure
 	err      error
 }
 
@@ -133,7 +133,7 @@
 			s.guard.Close()
 		}()
 		err = s.serve()
-		far = intake.Broken
+		far = intake.ConnectionLost
 	}
 	s.hangup()
 	if s.guard != nil {
