--- a/cmd/thymechute/agreed.go
+++ b/cmd/thymechute/agreed.go
@@ -44,8 +44,8 @@
 // newAgreed prepares it: the record names this life and where its log is reached.
 func newAgreed(o *operator.Log, own *membership.Record, name string, zlog *zap.Logger) *agreed {
 	a := &agreed{log: zlog, process: fmt.Sprintf("%s#%x", name, own.Epoch)}
-	if own.Process, own.Log = a.process, o.Advertise; o.Advertise == "" {
-		own.Log = o.Bind
+	if own.Process, own.LogAddress = a.process, o.Advertise; o.Advertise == "" {
+		own.LogAddress = o.Bind
 	}
 	if now := time.Now(); !o.FoundAt.IsZero() && now.Sub(o.FoundAt).Abs() < foundFor {
 		a.founds = now.Add(foundAfter)
@@ -81,8 +81,8 @@
 
 func (a *agreed) peers() (out []consensus.Peer) {
 	for _, r := range a.member.View() {
-		out = append(out, consensus.Peer{Process: r.Process, Address: r.Log, Zone: r.Zone, Region: r.Region, Applied: r.Applied,
-			Leaving: r.Flag == "leaving"})
+		out = append(out, consensus.Peer{Process: r.Process, Address: r.LogAddress, Zone: r.Zone, Region: r.Region, Applied: r.AppliedIndex,
+			Leaving: r.Flag == membership.FlagLeaving})
 	}
 	return out
 }
@@ -114,17 +114,17 @@
 		}
 	}
 	applied, _ := d.Log.Applied()
-	if applied < own.Applied+tellLag && (own.Applied > 0 || applied == 0) {
+	if applied < own.AppliedIndex+tellLag && (own.AppliedIndex > 0 || applied == 0) {
 		return false
 	}
-	own.Applied = applied
+	own.AppliedIndex = applied
 	return true
 }
 
 // found begins the log here, unless somebody in the fleet has one.
 func (a *agreed) found(d *consensus.Driver) {
 	for _, r := range a.member.View() {
-		if r.Applied > 0 && r.Process != a.process {
+		if r.AppliedIndex > 0 && r.Process != a.process {
 			a.log.Warn("fleet log: not founded, one is there", zap.String("member", r.Name))
 			return
 		}
--- a/cmd/thymechute/fleet.go
+++ b/cmd/thymechute/fleet.go
@@ -1,15 +1,7 @@
-// The fleet of one instance, where the operator's file has one: this file owns starting the member, what of the
-// view goes to the log, and keeping its record: its rank, how far the agreed log was applied. It must never decide admission, and never call the member from inside
-// memberlist's callbacks (they hold its lock): claims go through one goroutine of their own.
-
 package main
 
 import (
 	"errors"
-	"fmt"
-	"maps"
-	"slices"
-	"strings"
 	"sync"
 	"time"
 
@@ -21,169 +13,168 @@
 )
 
 const (
-	mostRefusedNamed = 64 // peers refused that the log names; past them it only counts
-	mostViewNamed    = 64 // members that a line of the view names; past them it counts
-	// between two rounds of claiming: a burst of changes comes out as one round, and the log's "fleet view" stays
-	// under the sampler's 20 alike lines a second (log.go), which would otherwise drop the last of a burst
-	claimEvery = 100 * time.Millisecond
-)
-
-// fleetLog hears the view's changes; it is handed to the member and so called from memberlist's goroutines.
-type fleetLog struct {
-	log     *zap.Logger
-	changed chan struct{} // one slot: changes coalesce into one new claim
-	mu      sync.Mutex
-	named   map[string]bool // peers refused and named once; at most mostRefusedNamed
-	refused int
-}
+	// minClaimInterval is between two evaluations of the view. A burst of changes makes one claim, and the "fleet view"
+	// lines stay below the log sampler's limit of alike lines per second, which would drop the last of a burst.
+	minClaimInterval = 100 * time.Millisecond
 
-func (f *fleetLog) poke() {
-	select {
-	case f.changed <- struct{}{}:
-	default:
-	}
-}
-
-func (f *fleetLog) Joined(r membership.Record) {
-	f.log.Info("member joined", zap.String("member", r.Name), zap.String("zone", r.Zone))
-	f.poke()
-}
-
-func (f *fleetLog) Updated(membership.Record) { f.poke() }
-
-func (f *fleetLog) Left(name string) {
-	f.log.Info("member left", zap.String("member", name))
-	f.poke()
-}
-
-// Refused names each peer once, a bounded number of them: a peer that lies again and again costs one line.
-func (f *fleetLog) Refused(name string, why error) {
-	f.mu.Lock()
-	f.refused++
-	first := !f.named[name] && len(f.named) < mostRefusedNamed
-	if first {
-		f.named[name] = true
-	}
-	count := f.refused
-	f.mu.Unlock()
-	if first {
-		f.log.Warn("member kept out", zap.String("member", name), zap.Int("refusals", count), zap.Error(why))
-	}
-}
+	noRank               = -1          // of a member that has not claimed its rank
+	maxLeaveStep         = time.Second // for each step of leaving
+	leaveStepsBeforeStop = 3           // steps of leaving that must fit between the notice and the kill
+)
 
-// fleet is a running member, the goroutine that keeps its record, and its end of the agreed log; nil where the file has no
-// fleet.
+// fleet is this process's membership in a fleet: the member, its record, and its end of the replicated log. A nil fleet
+// belongs to an instance without one.
 type fleet struct {
+	name   string
 	member *membership.Member
-	agreed *agreed
-	own    membership.Record // the keeping goroutine's until kept is closed
-	within time.Duration     // each step of leaving
-	done   chan struct{}
-	kept   chan struct{}
-	once   sync.Once
+	agreed *agreed // nil without a replicated log
+	view   *fleetView
+	log    *zap.Logger
+
+	record     membership.Record // owned by maintainRecord until maintained is closed
+	loggedView viewSummary       // the last one; owned by maintainRecord
+	stop       chan struct{}     // ends maintainRecord
+	maintained chan struct{}     // closed when maintainRecord has ended
+
+	leaveTimeout time.Duration // of each step of leaving
+	leaveOnce    sync.Once
 }
 
-// startFleet joins the fleet as the file says; stop is from the notice to the kill. Errors: an address can't be bound, the
-// settings don't fit.
-func startFleet(name string, o *operator.Fleet, stop time.Duration, log *zap.Logger) (*fleet, error) {
-	if o == nil {
+// startFleet joins the fleet of the operator's file; it returns nil if the file has none. stop is the time from the notice
+// to the kill. Errors: an address can't be bound, or the settings are invalid.
+func startFleet(name string, settings *operator.Fleet, stop time.Duration, log *zap.Logger) (*fleet, error) {
+	if settings == nil {
 		return nil, nil
 	}
-	seeds := make([]string, len(o.Seeds))
-	for i, s := range o.Seeds {
-		seeds[i] = s.Address
+	f := &fleet{
+		name: name,
+		view: newFleetView(log),
+		log:  log,
+		record: membership.Record{Zone: settings.Zone, Region: settings.Region, Rank: noRank,
+			Epoch: uint64(time.Now().UnixMilli())},
+		leaveTimeout: min(stop/leaveStepsBeforeStop, maxLeaveStep),
+		stop:         make(chan struct{}),
+		maintained:   make(chan struct{}),
 	}
-	watch := &fleetLog{log: log, changed: make(chan struct{}, 1), named: map[string]bool{}}
-	f := &fleet{own: membership.Record{Zone: o.Zone, Region: o.Region, Rank: -1, Epoch: uint64(time.Now().UnixMilli())},
-		within: min(stop/3, time.Second), done: make(chan struct{}), kept: make(chan struct{})}
-	if o.Log != nil {
-		f.agreed = newAgreed(o.Log, &f.own, name, log)
+	if settings.Log != nil {
+		f.agreed = newAgreed(settings.Log, &f.record, name, log)
 	}
+	config := f.memberConfig(settings)
 	var err error
-	f.member, err = membership.Start(membership.Config{Name: name, Bind: o.Bind, Advertise: o.Advertise, Seeds: seeds, Most: o.Most, Record: f.own,
-		Probe: time.Duration(o.ProbeMS) * time.Millisecond, Sync: time.Duration(o.SyncMS) * time.Millisecond, Message: f.agreed.incoming}, watch)
-	if err != nil {
+	if f.member, err = membership.Start(config, f.view); err != nil {
 		return nil, err
 	}
 	if f.agreed != nil {
-		if err := f.agreed.start(o.Log, f.member, f.own.Epoch); err != nil {
-			return nil, errors.Join(err, f.member.Leave(f.within))
+		if err := f.agreed.start(settings.Log, f.member, f.record.Epoch); err != nil {
+			return nil, errors.Join(err, f.member.Leave(f.leaveTimeout))
 		}
 	}
-	go f.keep(name, watch, log)
-	log.Info("fleet joined", zap.String("bind", o.Bind), zap.Strings("seeds", seeds), zap.String("zone", o.Zone))
+	go f.maintainRecord()
+	log.Info("fleet joined", zap.String("bind", settings.Bind), zap.Strings("seeds", config.Seeds), zap.String("zone", settings.Zone))
 	return f, nil
 }
 
-// keep settles the ranks after each change of the view and claims its own where it moved; where there is an agreed log it
-// also looks after that, now and then.
-func (f *fleet) keep(name string, watch *fleetLog, log *zap.Logger) {
-	defer close(f.kept)
-	own, told := &f.own, ""
-	var tell <-chan time.Time
+// memberConfig returns the configuration of the member from the operator's file.
+func (f *fleet) memberConfig(settings *operator.Fleet) membership.Config {
+	seeds := make([]string, len(settings.Seeds))
+	for n, seed := range settings.Seeds {
+		seeds[n] = seed.Address
+	}
+	return membership.Config{
+		Name:          f.name,
+		Bind:          settings.Bind,
+		Advertise:     settings.Advertise,
+		Seeds:         seeds,
+		MaxMembers:    settings.Most,
+		Record:        f.record,
+		ProbeInterval: time.Duration(settings.ProbeMS) * time.Millisecond,
+		SyncInterval:  time.Duration(settings.SyncMS) * time.Millisecond,
+		OnMessage:     f.agreed.incoming,
+	}
+}
+
+// maintainRecord runs until the fleet is left. It claims the member's rank after changes of the view, and publishes how
+// far the replicated log has been applied. Claims are made here and not in the watcher, as memberlist holds its lock
+// while it calls that.
+func (f *fleet) maintainRecord() {
+	defer close(f.maintained)
+	var publish <-chan time.Time // nil, so never ready, without a replicated log
 	if f.agreed != nil {
-		t := time.NewTicker(tellEvery)
-		defer t.Stop()
-		tell = t.C
+		ticker := time.NewTicker(tellEvery)
+		defer ticker.Stop()
+		publish = ticker.C
 	}
 	for {
 		select {
-		case <-f.done:
+		case <-f.stop:
 			return
-		case <-tell:
-			if f.agreed.keep(own) {
-				_ = f.member.Set(*own) // not heard: the next time tells more
+		case <-publish:
+			if f.agreed.keep(&f.record) {
+				_ = f.member.SetRecord(f.record) // if it fails, the next one publishes more
 			}
 			continue
-		case <-watch.changed:
-		}
-		view := f.member.View()
-		claims := make([]subset.Claim, 0, len(view))
-		for _, r := range view {
-			claims = append(claims, subset.Claim{Name: r.Name, Rank: r.Rank, JoinEpoch: r.Epoch})
-		}
-		rank, ok := subset.AssignRanks(claims)[name]
-		if ok && rank != own.Rank {
-			own.Rank = rank
-			if err := f.member.Set(*own); err != nil {
-				log.Warn("rank not claimed", zap.Error(err))
-			}
-			if f.agreed != nil {
-				f.agreed.placed(rank)
-			}
-		}
-		names := ""
-		if len(view) <= mostViewNamed {
-			list := slices.Sorted(maps.Keys(view))
-			names = strings.Join(list, ",")
-		}
-		if now := fmt.Sprint(own.Rank, len(view), names); now != told { // what else changed in a record is not the view's
-			told = now
-			log.Info("fleet view", zap.Int("rank", own.Rank), zap.Int("members", len(view)), zap.String("names", names))
+		case <-f.view.changed:
 		}
+		f.evaluateView()
 		select {
-		case <-f.done:
+		case <-f.stop:
 			return
-		case <-time.After(claimEvery):
+		case <-time.After(minClaimInterval):
 		}
 	}
 }
 
-// leave tells the others, once, each step within a third of the time to the kill and a second; the instance goes on answering
-// what it has read. With an agreed log it first hands on its duties and its vote. Safe on nil.
+// evaluateView claims the rank that the present view gives this member, and logs the view if it changed.
+func (f *fleet) evaluateView() {
+	members := f.member.View()
+	if rank, ok := assignedRank(f.name, members); ok && rank != f.record.Rank {
+		f.claimRank(rank)
+	}
+	summary := summarize(f.record.Rank, members)
+	if summary == f.loggedView {
+		return
+	}
+	f.loggedView = summary
+	f.log.Info("fleet view", zap.Int("rank", summary.rank), zap.Int("members", summary.members), zap.String("names", summary.names))
+}
+
+// assignedRank returns the rank of a member in a view.
+func assignedRank(name string, members map[string]membership.Record) (rank int, ok bool) {
+	claims := make([]subset.Claim, 0, len(members))
+	for _, record := range members {
+		claims = append(claims, subset.Claim{Name: record.Name, Rank: record.Rank, JoinEpoch: record.Epoch})
+	}
+	rank, ok = subset.AssignRanks(claims)[name]
+	return rank, ok
+}
+
+// claimRank publishes a new rank, on which the member's turn to acquire a duty of the replicated log depends.
+func (f *fleet) claimRank(rank int) {
+	f.record.Rank = rank
+	if err := f.member.SetRecord(f.record); err != nil {
+		f.log.Warn("rank not claimed", zap.Error(err))
+	}
+	if f.agreed != nil {
+		f.agreed.placed(rank)
+	}
+}
+
+// leave announces the departure to the others and returns when that is done; the instance goes on answering what it has
+// read. With a replicated log it first hands over the member's duties and its vote. Each step takes at most
+// leaveTimeout. Calls after the first wait for that one. Safe on nil.
 func (f *fleet) leave(log *zap.Logger) {
 	if f == nil {
 		return
 	}
-	f.once.Do(func() {
-		close(f.done)
-		<-f.kept
+	f.leaveOnce.Do(func() {
+		close(f.stop)
+		<-f.maintained
 		if f.agreed != nil {
-			f.own.Flag = "leaving"
-			_ = f.member.Set(f.own)
-			f.agreed.driver.Load().Leave(f.within)
+			f.record.Flag = membership.FlagLeaving
+			_ = f.member.SetRecord(f.record)
+			f.agreed.driver.Load().Leave(f.leaveTimeout)
 		}
-		if err := f.member.Leave(f.within); err != nil {
+		if err := f.member.Leave(f.leaveTimeout); err != nil {
 			log.Warn("fleet left with an error", zap.Error(err))
 		}
 		if f.agreed != nil {
--- a/internal/fleet/consensus/log_test.go
+++ b/internal/fleet/consensus/log_test.go
@@ -85,7 +85,7 @@
 func (quiet) Joined(membership.Record)  {}
 func (quiet) Updated(membership.Record) {}
 func (quiet) Left(string)               {}
-func (quiet) Refused(string, error)     {}
+func (quiet) Rejected(string, error)    {}
 
 func child() {
 	go func() { time.Sleep(100 * time.Second); os.Exit(3) }() // bounded, whatever the parent does
@@ -97,10 +97,10 @@
 	if s := os.Getenv("PACK_SEED"); s != "" {
 		seeds = []string{s}
 	}
-	record := membership.Record{Zone: os.Getenv("PACK_ZONE"), Rank: -1, Process: process, Log: front}
+	record := membership.Record{Zone: os.Getenv("PACK_ZONE"), Rank: -1, Process: process, LogAddress: front}
 	ready := make(chan struct{})
-	m, err := membership.Start(membership.Config{Name: name, Bind: bind, Advertise: os.Getenv("PACK_FRONT0"), Seeds: seeds, Most: 16, Probe: 200 * time.Millisecond,
-		Sync: 500 * time.Millisecond, Record: record, Message: func(b []byte) { <-ready; t.d.Incoming(b) }}, quiet{})
+	m, err := membership.Start(membership.Config{Name: name, Bind: bind, Advertise: os.Getenv("PACK_FRONT0"), Seeds: seeds, MaxMembers: 16, ProbeInterval: 200 * time.Millisecond,
+		SyncInterval: 500 * time.Millisecond, Record: record, OnMessage: func(b []byte) { <-ready; t.d.Incoming(b) }}, quiet{})
 	if err != nil {
 		fmt.Fprintln(os.Stderr, err)
 		os.Exit(1)
@@ -117,7 +117,7 @@
 	t.d.Placed("roll", place+2)
 	t.d.Care(func() (out []Peer) {
 		for _, r := range m.View() {
-			out = append(out, Peer{Process: r.Process, Address: r.Log, Zone: r.Zone, Applied: r.Applied, Leaving: r.Flag == "leaving"})
+			out = append(out, Peer{Process: r.Process, Address: r.LogAddress, Zone: r.Zone, Applied: r.AppliedIndex, Leaving: r.Flag == "leaving"})
 		}
 		return out
 	}, bounds, func(c quorum.Change) {
@@ -156,8 +156,8 @@
 					})
 				}
 				if now, _ := t.d.Log.Applied(); now != applied {
-					applied, record.Applied = now, now
-					_ = m.Set(record)
+					applied, record.AppliedIndex = now, now
+					_ = m.SetRecord(record)
 				}
 			}
 		}
--- a/internal/fleet/membership/delegates.go
+++ b/internal/fleet/membership/delegates.go
@@ -1,113 +1,115 @@
-// This file owns what memberlist calls: the transport, the delegates, the changes of the view. It must never call
-// memberlist back, whose lock is held here.
-
 package membership
 
 import (
-	"fmt"
-	"net"
 	"slices"
 	"time"
 
 	"github.com/hashicorp/memberlist"
 )
 
-// bound is memberlist's own transport, but its TCP dials leave from the bound host where that is one address: a
-// multi-homed host's traffic then comes from the address the others know, and a rig can tell members apart by it.
-type bound struct {
-	*memberlist.NetTransport
-	local net.IP // nil or unspecified: the kernel chooses
-}
+// MaxMessageSize is the longest message that Send accepts, in bytes.
+const MaxMessageSize = 16 << 10
 
-func (b bound) DialTimeout(addr string, timeout time.Duration) (net.Conn, error) {
-	return b.DialAddressTimeout(memberlist.Address{Addr: addr}, timeout)
-}
-
-func (b bound) DialAddressTimeout(a memberlist.Address, timeout time.Duration) (net.Conn, error) {
-	d := net.Dialer{Timeout: timeout}
-	if b.local != nil && !b.local.IsUnspecified() {
-		d.LocalAddr = &net.TCPAddr{IP: b.local}
+// Send sends a message to one member over a memberlist stream. Errors: *MessageTooLongError, *UnknownMemberError, or
+// that the member was not reached.
+func (m *Member) Send(name string, message []byte) error {
+	if len(message) > MaxMessageSize {
+		return &MessageTooLongError{Member: name, Bytes: len(message)}
 	}
-	return d.Dial("tcp", a.Addr)
+	for _, node := range m.list.Members() {
+		if node.Name == name {
+			return m.list.SendReliable(node, message)
+		}
+	}
+	return &UnknownMemberError{Member: name}
 }
 
+// delegate supplies the node metadata and receives messages. memberlist holds its lock while it calls a delegate, so none
+// of the delegates may call memberlist back.
 type delegate struct{ m *Member }
 
+// NodeMeta implements memberlist.Delegate.
 func (d delegate) NodeMeta(limit int) []byte {
 	d.m.mu.Lock()
 	defer d.m.mu.Unlock()
-	b, _ := d.m.meta() // Start and Set let no record past that does not fit
-	if len(b) > limit {
+	metadata, _ := d.m.self.encode() // Start and SetRecord accept only records that can be encoded
+	if len(metadata) > limit {
 		return nil
 	}
-	return b
+	return metadata
 }
 
-// NotifyMsg hands a message on; memberlist's buffer is its own again after.
-func (d delegate) NotifyMsg(b []byte) {
-	if d.m.heard != nil && len(b) <= MostMessage {
-		d.m.heard(slices.Clone(b))
+// NotifyMsg implements memberlist.Delegate. The buffer belongs to memberlist, so the message is copied.
+func (d delegate) NotifyMsg(message []byte) {
+	if d.m.onMessage != nil && len(message) <= MaxMessageSize {
+		d.m.onMessage(slices.Clone(message))
 	}
 }
+
+// GetBroadcasts implements memberlist.Delegate.
 func (delegate) GetBroadcasts(int, int) [][]byte { return nil }
-func (delegate) LocalState(bool) []byte          { return nil }
-func (delegate) MergeRemoteState([]byte, bool)   {}
 
-// MostMessage is the longest that Send takes.
-const MostMessage = 16 << 10
+// LocalState implements memberlist.Delegate.
+func (delegate) LocalState(bool) []byte { return nil }
 
-// Send gives a message to one member, over memberlist's own stream to it. Errors: not in the view, too long, not reached.
-func (m *Member) Send(name string, b []byte) error {
-	if len(b) > MostMessage {
-		return fmt.Errorf("message to %q: found %d bytes, expected at most %d", name, len(b), MostMessage)
-	}
-	for _, n := range m.list.Members() {
-		if n.Name == name {
-			return m.list.SendReliable(n, b)
-		}
-	}
-	return fmt.Errorf("message to %q: found no such member", name)
-}
+// MergeRemoteState implements memberlist.Delegate.
+func (delegate) MergeRemoteState([]byte, bool) {}
 
-type alive struct{ m *Member }
+// aliveDelegate decides which peers memberlist takes in.
+type aliveDelegate struct{ m *Member }
 
-func (a alive) NotifyAlive(n *memberlist.Node) error { return a.m.admit(n) }
+// NotifyAlive implements memberlist.AliveDelegate.
+func (a aliveDelegate) NotifyAlive(node *memberlist.Node) error { return a.m.admit(node) }
 
-type events struct{ m *Member }
+// eventDelegate maintains the view.
+type eventDelegate struct{ m *Member }
 
-func (e events) NotifyJoin(n *memberlist.Node) { e.put(n, true) }
+// NotifyJoin implements memberlist.EventDelegate.
+func (e eventDelegate) NotifyJoin(node *memberlist.Node) {
+	record, known, ok := e.store(node)
+	switch {
+	case !ok:
+	case known:
+		e.m.watcher.Updated(record)
+	default:
+		e.m.watcher.Joined(record)
+	}
+}
 
-func (e events) NotifyUpdate(n *memberlist.Node) { e.put(n, false) }
+// NotifyUpdate implements memberlist.EventDelegate.
+func (e eventDelegate) NotifyUpdate(node *memberlist.Node) {
+	if record, _, ok := e.store(node); ok {
+		e.m.watcher.Updated(record)
+	}
+}
 
-func (e events) put(n *memberlist.Node, joined bool) {
-	r, err := Read(n.Name, n.Meta)
-	if err != nil { // admitted records read; one that changed to garbage since is the peer's loss
-		e.m.watch.Refused(n.Name, err)
-		return
+// store puts a node's record into the view; known tells whether the node was there before. A record that became invalid
+// after its member was admitted is rejected and not stored.
+func (e eventDelegate) store(node *memberlist.Node) (record Record, known, ok bool) {
+	record, err := DecodeRecord(node.Name, node.Meta)
+	if err != nil {
+		e.m.watcher.Rejected(node.Name, err)
+		return record, false, false
 	}
 	e.m.mu.Lock()
-	_, known := e.m.view[n.Name]
-	e.m.view[n.Name] = r
-	delete(e.m.gone, n.Name)
-	e.m.mu.Unlock()
-	if joined && !known {
-		e.m.watch.Joined(r)
-		return
-	}
-	e.m.watch.Updated(r)
+	defer e.m.mu.Unlock()
+	_, known = e.m.view[node.Name]
+	e.m.view[node.Name] = record
+	delete(e.m.dead, node.Name)
+	return record, known, true
 }
 
-func (e events) NotifyLeave(n *memberlist.Node) {
+// NotifyLeave implements memberlist.EventDelegate. The state of the node that memberlist passes does not tell a departure
+// from a death, so the record does: a member sets FlagLeaving before it leaves.
+func (e eventDelegate) NotifyLeave(node *memberlist.Node) {
 	e.m.mu.Lock()
-	last, known := e.m.view[n.Name]
-	delete(e.m.view, n.Name)
-	// memberlist marks dead on its own state, not on the Node it hands here, so a leave is told by the record: a
-	// member flags "leaving" before it goes; any other that goes is taken as dead and tried again
-	if last.Flag != "leaving" && len(e.m.gone) < e.m.most {
-		e.m.gone[n.Name] = lost{n.Address(), time.Now()}
+	last, known := e.m.view[node.Name]
+	delete(e.m.view, node.Name)
+	if last.Flag != FlagLeaving && len(e.m.dead) < e.m.maxMembers {
+		e.m.dead[node.Name] = deadMember{address: node.Address(), since: time.Now()}
 	}
 	e.m.mu.Unlock()
 	if known {
-		e.m.watch.Left(n.Name)
+		e.m.watcher.Left(node.Name)
 	}
 }
--- a/internal/fleet/membership/member.go
+++ b/internal/fleet/membership/member.go
@@ -1,25 +1,9 @@
-// Package member finds and watches the other instances of a fleet with SWIM, as hashicorp/memberlist does it
-// (probes, suspicion, incarnation numbers, gossip); no protocol of ours. Each member carries a small versioned record
-// (zone, region, epoch, capacity, lag, flag, share, rank) in memberlist's node metadata, and what it hears is handed to a
-// Watcher as one method call a change, from memberlist's own goroutines: the watcher must hand it on to its loop and
-// return, never block.
-//
-// It owns the view of members and must never decide anything from it: decisions are in internal/decide.
-//
-// Tables: the view holds at most Config.Most members; a peer past that, or with a record that does not read (too
-// long, not JSON, another version, a name other than its own), is refused by memberlist's alive delegate, so it never
-// enters memberlist's table nor ours and costs only itself. Members that leave or are declared dead are removed from
-// the view at once; memberlist keeps dead ones for its GossipToTheDeadTime and then drops them. Members declared
-// dead (not left) are kept apart, at most Most of them, each for reconnectFor, to be tried again.
 package membership
 
 import (
-	"encoding/json"
 	"errors"
 	"fmt"
-	"io"
-	"log"
-	"net"
+	"maps"
 	"strconv"
 	"sync"
 	"time"
@@ -27,178 +11,145 @@
 	"github.com/hashicorp/memberlist"
 )
 
-// Watcher hears the changes of the view, each once, in the order memberlist found them.
+// Watcher receives the changes of the view, each once and in the order in which memberlist found them. Its methods are
+// called on memberlist's goroutines and must not block, nor call the Member.
 type Watcher interface {
-	Joined(r Record)
-	Updated(r Record)
+	Joined(record Record)
+	Updated(record Record)
 	Left(name string)
-	Refused(name string, why error) // a peer kept out; memberlist will ask again on its next gossip, so this may repeat
+	// Rejected reports a peer that was not admitted. It may repeat, as memberlist tries again with its next gossip.
+	Rejected(name string, reason error)
 }
 
-// Config is what a member is started with.
-type Config struct {
-	Name string // unique in the fleet
-	Bind string // host:port, loopback in tests; TCP and UDP both use it, and TCP dials from its host
-	// Advertise is host:port that the others reach this member at, where that is not Bind (a proxy, NAT); "" for Bind.
-	Advertise string
-	Seeds     []string      // host:port of some members to join by; none for the first
-	Most      int           // members in the view at the most, itself included; 1 to 10000
-	Record    Record        // its own, Name and V filled in by Start
-	Probe     time.Duration // between probes; 0 for memberlist's local default (1 s)
-	Sync      time.Duration // between full exchanges of state with one member (push and pull); 0 for 15 s.
-	// Gossip alone can miss a member that joined at the same moment as another; the exchange repairs that, so it
-	// bounds how long views may disagree, at the cost of one TCP exchange of the whole view per member and period. Past
-	// paceFrom members the period grows with them (pace.go).
-	Log io.Writer // memberlist's own lines; nil for none
-	// Message hears what another member sent by Send, on memberlist's goroutine: it must hand it on and return. nil: none.
-	Message func(b []byte)
-	// Wrap takes the place of the transport with one that counts or holds what passes; nil: none.
-	Wrap func(Transport) Transport
-}
-
-// Transport is what carries a member's datagrams and streams.
-type Transport = memberlist.NodeAwareTransport
-
-// Member is one running member.
+// Member is a running member of a fleet. Its methods are safe for concurrent use, except that Leave and Shutdown are
+// called once and nothing may be called after them.
 type Member struct {
-	list  *memberlist.Memberlist
-	mu    sync.Mutex // guards record and view, which memberlist's goroutines and the caller share
-	self  Record
-	view  map[string]Record
-	most  int
-	watch Watcher
-	heard func([]byte)
-	stop  chan struct{}   // closed by Leave; ends the rejoining
-	gone  map[string]lost // members declared dead, not left: tried again in turn; at most most, each for reconnectFor
-	turn  int
-
-	telling  sync.Mutex  // held while a change of the record is handed to memberlist
-	lastTold time.Time   // of the record's last change; guarded by mu
-	waiting  *time.Timer // tells the change that waits, nil for none; guarded by mu
-	ended    bool        // guarded by mu
+	list       *memberlist.Memberlist
+	maxMembers int
+	watcher    Watcher
+	onMessage  func([]byte)
+	stop       chan struct{} // closed by Leave and Shutdown; ends the background loops
+
+	gossiping sync.Mutex // serializes the announcements of the own record
+
+	mu            sync.Mutex // guards the fields below
+	self          Record
+	view          map[string]Record
+	dead          map[string]deadMember // declared dead, not left; at most maxMembers, each for reconnectTimeout
+	reconnects    int                   // number of attempts to reach a dead member
+	lastGossiped  time.Time             // when the own record was announced last
+	pendingGossip *time.Timer           // announces a deferred update; nil for none
+	stopped       bool
 }
 
-// lost is a member declared dead, and where it was.
-type lost struct {
-	address string
-	since   time.Time
-}
-
-// reconnectFor is how long a dead member is tried again. A partition longer than memberlist's gossip to the dead
-// (15 s locally) is healed only by this: each side has declared the other dead and would never speak to it again.
-const reconnectFor = 10 * time.Minute
-
-const defaultSync = 15 * time.Second
-
-// Start joins the fleet by the seeds (where none answers, it stands alone and others may join it). Errors: a
-// faulty config, an address that can't be bound, a record too long.
-func Start(c Config, w Watcher) (*Member, error) {
-	if c.Most < 1 || c.Most > 10000 {
-		return nil, fmt.Errorf("fleet most: found %d, expected 1 to 10000", c.Most)
+// Start starts a member and joins the fleet by the seeds. If no seed answers, the member is alone, keeps trying the
+// seeds, and others may join it. Errors: a *ConfigError, a *RecordError, or that an address can't be bound.
+func Start(config Config, watcher Watcher) (*Member, error) {
+	if config.MaxMembers < 1 || config.MaxMembers > maxMembersLimit {
+		return nil, &ConfigError{Setting: "most", Found: strconv.Itoa(config.MaxMembers), Expected: fmt.Sprintf("1 to %d", maxMembersLimit)}
 	}
-	host, port, err := net.SplitHostPort(c.Bind)
+	bind, err := parseEndpoint("bind", config.Bind)
 	if err != nil {
-		return nil, fmt.Errorf("fleet bind: found %q, expected host:port (%v)", c.Bind, err)
+		return nil, err
 	}
-	p, err := strconv.Atoi(port)
-	if err != nil {
-		return nil, fmt.Errorf("fleet bind: port found %q, expected a number", port)
+	record := config.Record
+	record.Version, record.Name = RecordVersion, config.Name
+	if err := record.validate(config.Name); err != nil {
+		return nil, err
 	}
-	c.Record.V, c.Record.Name = Version, c.Name
-	if err := c.Record.check(c.Name); err != nil {
+	if _, err := record.encode(); err != nil {
 		return nil, err
 	}
-	m := &Member{self: c.Record, view: map[string]Record{}, most: c.Most, watch: w, heard: c.Message, stop: make(chan struct{}),
-		gone: map[string]lost{}}
-	if _, err := m.meta(); err != nil {
+	m := &Member{maxMembers: config.MaxMembers, watcher: watcher, onMessage: config.OnMessage, stop: make(chan struct{}),
+		self: record, view: map[string]Record{}, dead: map[string]deadMember{}}
+	if m.list, err = m.createMemberlist(config, bind); err != nil {
 		return nil, err
 	}
-	if c.Sync == 0 {
-		c.Sync = defaultSync
+	syncInterval := config.SyncInterval
+	if syncInterval == 0 {
+		syncInterval = defaultPushPullInterval
 	}
-	lc, err := settings(c, host, p)
+	go m.reconnectLoop(config.Seeds)
+	go m.pushPullLoop(syncInterval, config.Seeds)
+	return m, nil
+}
+
+// createMemberlist binds the transport and starts memberlist on it.
+func (m *Member) createMemberlist(config Config, bind endpoint) (*memberlist.Memberlist, error) {
+	listConfig, err := memberlistConfig(config, bind)
 	if err != nil {
 		return nil, err
 	}
-	lc.Delegate, lc.Events, lc.Alive = delegate{m}, events{m}, alive{m}
-	lc.LogOutput = c.Log
-	if c.Log == nil {
-		lc.LogOutput = io.Discard
-	}
-	nt, err := memberlist.NewNetTransport(&memberlist.NetTransportConfig{BindAddrs: []string{host}, BindPort: p,
-		Logger: log.New(lc.LogOutput, "", log.LstdFlags)})
+	listConfig.Delegate, listConfig.Events, listConfig.Alive = delegate{m}, eventDelegate{m}, aliveDelegate{m}
+	transport, err := newTransport(bind, listConfig.LogOutput)
 	if err != nil {
 		return nil, fmt.Errorf("fleet: %w", err)
 	}
-	lc.Transport = bound{nt, net.ParseIP(host)}
-	if c.Wrap != nil {
-		lc.Transport = c.Wrap(bound{nt, net.ParseIP(host)})
+	listConfig.Transport = transport
+	if config.WrapTransport != nil {
+		listConfig.Transport = config.WrapTransport(transport)
 	}
-	list, err := memberlist.Create(lc)
+	list, err := memberlist.Create(listConfig)
 	if err != nil {
-		_ = nt.Shutdown()
+		_ = transport.Shutdown()
 		return nil, fmt.Errorf("fleet: %w", err)
 	}
-	m.list = list
-	go m.rejoin(c.Seeds)
-	go m.exchange(c.Sync, c.Seeds)
-	return m, nil
+	return list, nil
 }
 
-func (m *Member) meta() ([]byte, error) {
-	b, err := json.Marshal(m.self)
-	if err == nil && len(b) > memberlist.MetaMaxSize {
-		err = fmt.Errorf("own record: %d bytes, expected at most %d", len(b), memberlist.MetaMaxSize)
-	}
-	return b, err
-}
-
-// View is a copy of the members it knows alive now, itself included, by name.
+// View returns a copy of the members that are known to be alive, this one included, by name.
 func (m *Member) View() map[string]Record {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	out := make(map[string]Record, len(m.view))
-	for k, v := range m.view {
-		out[k] = v
-	}
-	return out
+	return maps.Clone(m.view)
 }
 
-// Leave flags its record "leaving", tells the others that it goes (within seven quarters of timeout) and stops; the member can't
-// be used after.
+// Leave flags the record as leaving, announces the departure to the others and stops. It takes at most seven quarters
+// of timeout.
 func (m *Member) Leave(timeout time.Duration) error {
-	m.end()
+	m.stopBackground()
 	m.mu.Lock()
-	m.self.Flag = "leaving"
+	m.self.Flag = FlagLeaving
 	m.mu.Unlock()
-	m.telling.Lock()
-	defer m.telling.Unlock()
-	_ = m.list.UpdateNode(timeout / 2) // so that the others don't try it again as if it had died
+	m.gossiping.Lock()
+	defer m.gossiping.Unlock()
+	_ = m.list.UpdateNode(timeout / 2) // the flag keeps the others from contacting it as a dead member
 	err := m.list.Leave(timeout)
-	m.part(timeout / 4)
+	m.pushPullBeforeLeave(timeout / 4)
 	return errors.Join(err, m.list.Shutdown())
 }
 
-// Stop ends it at once with no word to the others, who find it dead. It can't be used after.
-func (m *Member) Stop() error {
-	m.end()
+// Shutdown stops at once without announcing it; the others declare the member dead.
+func (m *Member) Shutdown() error {
+	m.stopBackground()
 	return m.list.Shutdown()
 }
 
-// admit is the one check of a peer before memberlist takes it: a record that reads, room in the view.
-func (m *Member) admit(n *memberlist.Node) error {
-	_, err := Read(n.Name, n.Meta)
-	if err == nil {
-		m.mu.Lock()
-		_, known := m.view[n.Name]
-		full := !known && len(m.view) >= m.most
-		m.mu.Unlock()
-		if full {
-			err = fmt.Errorf("member %q: view full at %d members", n.Name, m.most)
-		}
+// stopBackground ends the background loops and drops a deferred update of the record.
+func (m *Member) stopBackground() {
+	close(m.stop)
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	m.stopped = true
+	m.cancelPendingGossip()
+}
+
+// admit checks a peer before memberlist takes it in.
+func (m *Member) admit(node *memberlist.Node) error {
+	_, err := DecodeRecord(node.Name, node.Meta)
+	if err == nil && m.isFullFor(node.Name) {
+		err = fmt.Errorf("member %q: %w at %d members", node.Name, ErrViewFull, m.maxMembers)
 	}
 	if err != nil {
-		m.watch.Refused(n.Name, err)
+		m.watcher.Rejected(node.Name, err)
 	}
 	return err
 }
+
+// isFullFor tells whether the view has no capacity for the named member.
+func (m *Member) isFullFor(name string) bool {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	_, known := m.view[name]
+	return !known && len(m.view) >= m.maxMembers
+}
--- a/internal/fleet/membership/member_test.go
+++ b/internal/fleet/membership/member_test.go
@@ -56,10 +56,10 @@
 		fmt.Fprintln(os.Stderr, os.Getenv("MEMBER_NAME"), what, name)
 	}
 }
-func (p *printer) Refused(name string, why error) {
-	p.note("refused "+why.Error(), name)
+func (p *printer) Rejected(name string, why error) {
+	p.note("rejected "+why.Error(), name)
 	p.mu.Lock()
-	fmt.Println("refused", name)
+	fmt.Println("rejected", name)
 	p.mu.Unlock()
 }
 
@@ -70,13 +70,13 @@
 		seeds = strings.Split(s, ",")
 	}
 	go func() { time.Sleep(60 * time.Second); os.Exit(3) }() // bounded, whatever the parent does
-	if os.Getenv("MEMBER_LIE") != "" {
-		lie(name, bind, seeds)
+	if os.Getenv("MEMBER_INVALID") != "" {
+		runInvalidMember(name, bind, seeds)
 		return
 	}
 	p := &printer{ready: make(chan struct{})}
-	m, err := Start(Config{Name: name, Bind: bind, Seeds: seeds, Most: 16, Probe: 200 * time.Millisecond, Sync: 500 * time.Millisecond,
-		Record: Record{Zone: "z1", Rank: -1}, Log: debugLog()}, p)
+	m, err := Start(Config{Name: name, Bind: bind, Seeds: seeds, MaxMembers: 16, ProbeInterval: 200 * time.Millisecond, SyncInterval: 500 * time.Millisecond,
+		Record: Record{Zone: "z1", Rank: -1}, LogOutput: debugLog()}, p)
 	if err != nil {
 		fmt.Println("error", err)
 		os.Exit(1)
@@ -88,8 +88,8 @@
 	_ = m.Leave(time.Second)
 }
 
-// lie runs memberlist itself with a record that is not one: the others must keep it out.
-func lie(name, bind string, seeds []string) {
+// runInvalidMember runs memberlist itself with an invalid record: the others must reject it.
+func runInvalidMember(name, bind string, seeds []string) {
 	host, port, _ := net.SplitHostPort(bind)
 	lc := memberlist.DefaultLocalConfig()
 	lc.Name, lc.BindAddr, lc.AdvertiseAddr = name, host, host
@@ -103,7 +103,7 @@
 		os.Exit(1)
 	}
 	_, _ = list.Join(seeds)
-	fmt.Println("view lying")
+	fmt.Println("view unknown")
 	_, _ = io.Copy(io.Discard, os.Stdin)
 	_ = list.Shutdown()
 }
@@ -124,16 +124,16 @@
 }
 
 type fleet struct {
-	t       *testing.T
-	mu      sync.Mutex
-	views   map[string]string // last view line of each
-	refused map[string]bool   // names some member refused
-	changed chan struct{}
-	procs   map[string]*proc
+	t        *testing.T
+	mu       sync.Mutex
+	views    map[string]string // last view line of each
+	rejected map[string]bool   // names that some member rejected
+	changed  chan struct{}
+	procs    map[string]*proc
 }
 
 func newFleet(t *testing.T) *fleet {
-	f := &fleet{t: t, views: map[string]string{}, refused: map[string]bool{}, changed: make(chan struct{}, 1),
+	f := &fleet{t: t, views: map[string]string{}, rejected: map[string]bool{}, changed: make(chan struct{}, 1),
 		procs: map[string]*proc{}}
 	t.Cleanup(func() {
 		for _, p := range f.procs {
@@ -150,12 +150,12 @@
 	return testutil.FreePort(t, fmt.Sprintf("127.0.5.%d", n))
 }
 
-func (f *fleet) start(name, bind string, lie bool, seeds ...string) {
+func (f *fleet) start(name, bind string, invalid bool, seeds ...string) {
 	cmd := exec.Command(os.Args[0], "-test.run=^$")
 	cmd.Env = append(os.Environ(), "MEMBER_CHILD=1", "MEMBER_NAME="+name, "MEMBER_BIND="+bind,
 		"MEMBER_SEEDS="+strings.Join(seeds, ","))
-	if lie {
-		cmd.Env = append(cmd.Env, "MEMBER_LIE=1")
+	if invalid {
+		cmd.Env = append(cmd.Env, "MEMBER_INVALID=1")
 	}
 	stdin, _ := cmd.StdinPipe()
 	out, _ := cmd.StdoutPipe()
@@ -172,8 +172,8 @@
 			switch what {
 			case "view":
 				f.views[name] = rest
-			case "refused":
-				f.refused[rest] = true
+			case "rejected":
+				f.rejected[rest] = true
 			}
 			f.mu.Unlock()
 			select {
@@ -185,14 +185,14 @@
 }
 
 // until waits for the views to say so, by their changes, for at most limit; it returns how long it took.
-func (f *fleet) until(what string, limit time.Duration, holds func(views map[string]string, refused map[string]bool) bool) time.Duration {
+func (f *fleet) until(what string, limit time.Duration, holds func(views map[string]string, rejected map[string]bool) bool) time.Duration {
 	f.t.Helper()
 	start := time.Now()
 	deadline := time.NewTimer(limit)
 	defer deadline.Stop()
 	for {
 		f.mu.Lock()
-		ok := holds(f.views, f.refused)
+		ok := holds(f.views, f.rejected)
 		snapshot, _ := json.Marshal(f.views)
 		f.mu.Unlock()
 		if ok {
@@ -218,7 +218,7 @@
 	}
 }
 
-func TestMembersConvergeThroughKillPauseLiarAndColdRestart(t *testing.T) {
+func TestMembersConvergeThroughKillStopInvalidMemberAndRestart(t *testing.T) {
 	if testing.Short() {
 		t.Skip("starts processes")
 	}
@@ -237,29 +237,29 @@
 	took := f.until("five agree", 10*time.Second, all(names, "m0,m1,m2,m3,m4"))
 	t.Logf("five agreed in %v", took)
 
-	f.start("liar", freeAddress(t, 9), true, first)
-	f.until("the liar refused", 10*time.Second, func(_ map[string]string, refused map[string]bool) bool { return refused["liar"] })
+	f.start("invalid", freeAddress(t, 9), true, first)
+	f.until("the invalid member is rejected", 10*time.Second, func(_ map[string]string, rejected map[string]bool) bool { return rejected["invalid"] })
 
 	_ = f.procs["m4"].cmd.Process.Signal(syscall.SIGKILL)
-	took = f.until("m4 gone after kill -9", 10*time.Second, all(names[:4], "m0,m1,m2,m3"))
+	took = f.until("m4 dead after kill -9", 10*time.Second, all(names[:4], "m0,m1,m2,m3"))
 	t.Logf("kill -9 seen by all in %v", took)
 
 	_ = f.procs["m3"].cmd.Process.Signal(syscall.SIGSTOP)
-	took = f.until("m3 gone while stopped", 10*time.Second, all(names[:3], "m0,m1,m2"))
-	t.Logf("a stopped member was declared gone in %v", took)
+	took = f.until("m3 dead while stopped", 10*time.Second, all(names[:3], "m0,m1,m2"))
+	t.Logf("a stopped member was declared dead in %v", took)
 	_ = f.procs["m3"].cmd.Process.Signal(syscall.SIGCONT)
 	took = f.until("m3 back after SIGCONT", 15*time.Second, all(names[:4], "m0,m1,m2,m3"))
 	t.Logf("it was back in %v", took)
 
 	_ = f.procs["m4"].cmd.Wait()
 	f.start("m4", f.procs["m4"].bind, false, first)
-	took = f.until("m4 back cold", 10*time.Second, all(names, "m0,m1,m2,m3,m4"))
-	t.Logf("a cold restart under the same name was taken in %v", took)
+	took = f.until("m4 back after a restart", 10*time.Second, all(names, "m0,m1,m2,m3,m4"))
+	t.Logf("a restart under the same name was seen in %v", took)
 
 	f.mu.Lock()
 	for n, v := range f.views {
-		if strings.Contains(v, "liar") {
-			t.Errorf("%s took the liar in: %s", n, v)
+		if strings.Contains(v, "invalid") {
+			t.Errorf("%s admitted the invalid member: %s", n, v)
 		}
 	}
 	f.mu.Unlock()
--- a/internal/fleet/membership/record.go
+++ b/internal/fleet/membership/record.go
@@ -1,67 +1,123 @@
-// This file owns the record that each member carries, and its check. It must never take one that breaks a bound.
-
 package membership
 
 import (
 	"encoding/json"
 	"fmt"
+	"strconv"
 
 	"github.com/hashicorp/memberlist"
 )
 
-// Version is that of Record; a member with another is refused until both speak it.
-const Version = 1
+// RecordVersion is the version of Record; members with another version are rejected.
+const RecordVersion = 1
+
+// Bounds of a record's texts, in bytes.
+const (
+	maxPlaceBytes      = 64 // zone and region
+	maxProcessBytes    = 96
+	maxLogAddressBytes = 64
+	maxReleaseBytes    = 64
+)
 
-// Record is what a member says of itself; at most memberlist.MetaMaxSize (512) bytes as JSON.
+// Flag marks a member that is in a special state.
+type Flag string
+
+// The flags.
+const (
+	FlagNone       Flag = ""
+	FlagLeaving    Flag = "leaving"
+	FlagOverloaded Flag = "overloaded"
+)
+
+// Record is what a member gossips about itself, encoded as JSON of at most memberlist.MetaMaxSize (512) bytes.
 type Record struct {
-	V        int     `json:"v"`
-	Name     string  `json:"name"`               // its member name again, so that a record can't be worn by another
-	Zone     string  `json:"zone"`               // up to 64 bytes
-	Region   string  `json:"region,omitempty"`   // up to 64 bytes; a build that does not know it reads past it
-	Epoch    uint64  `json:"epoch"`              // when it joined, in the fleet's epochs; ties go by name
-	Rank     int     `json:"rank"`               // the rank it holds, -1 for none (internal/decide/subset)
-	Capacity float64 `json:"capacity,omitempty"` // work items a second it can take, 0 and more
-	LagMS    int     `json:"lag_ms,omitempty"`   // its lag, 0 and more
-	Flag     string  `json:"flag,omitempty"`     // "", "leaving", "overloaded"
-	Share    float64 `json:"share,omitempty"`    // of what the fleet sheds, that it holds, 0 to 1
-	Process  string  `json:"process,omitempty"`  // its identity in the agreed log, of this life alone; up to 96 bytes
-	Log      string  `json:"log,omitempty"`      // host:port at which the log reaches it
-	Applied  uint64  `json:"applied,omitempty"`  // the log's last entry that it has applied, lately
-	Release  string  `json:"release,omitempty"`  // that it runs; up to 64 bytes
+	Version      int     `json:"v"`
+	Name         string  `json:"name"`               // the member's name, so that no other member can use the record
+	Zone         string  `json:"zone"`               // at most 64 bytes
+	Region       string  `json:"region,omitempty"`   // at most 64 bytes; builds that do not know it ignore it
+	Epoch        uint64  `json:"epoch"`              // when the member joined; equal epochs are ordered by name
+	Rank         int     `json:"rank"`               // the rank that it holds, -1 for none (internal/decide/subset)
+	Capacity     float64 `json:"capacity,omitempty"` // work items per second, at least 0
+	LagMS        int     `json:"lag_ms,omitempty"`   // scheduling lag in milliseconds, at least 0
+	Flag         Flag    `json:"flag,omitempty"`
+	ShedQuota    float64 `json:"share,omitempty"`   // its quota of the load that the fleet sheds, 0 to 1
+	Process      string  `json:"process,omitempty"` // identity of this incarnation in the replicated log; at most 96 bytes
+	LogAddress   string  `json:"log,omitempty"`     // host:port of the replicated log's transport; at most 64 bytes
+	AppliedIndex uint64  `json:"applied,omitempty"` // last log index known to be applied; may lag behind
+	Release      string  `json:"release,omitempty"` // the release that it runs; at most 64 bytes
 }
 
-// check says what is wrong with a record heard from name, in one line.
-func (r Record) check(name string) error {
+// validate checks a record that was received under a member's name.
+func (r Record) validate(name string) error {
+	invalid := func(field, found, expected string) error {
+		return &RecordError{Member: name, Field: field, Found: found, Expected: expected}
+	}
+	if r.Version != RecordVersion {
+		return invalid("version", strconv.Itoa(r.Version), strconv.Itoa(RecordVersion))
+	}
+	if r.Name != name {
+		return invalid("name", strconv.Quote(r.Name), "its own")
+	}
+	for _, text := range []struct {
+		field, value string
+		maxBytes     int
+	}{
+		{"process", r.Process, maxProcessBytes},
+		{"log", r.LogAddress, maxLogAddressBytes},
+		{"release", r.Release, maxReleaseBytes},
+		{"zone", r.Zone, maxPlaceBytes},
+		{"region", r.Region, maxPlaceBytes},
+	} {
+		if len(text.value) > text.maxBytes {
+			return invalid(text.field, fmt.Sprintf("%d bytes", len(text.value)), fmt.Sprintf("at most %d", text.maxBytes))
+		}
+	}
 	switch {
-	case r.V != Version:
-		return fmt.Errorf("record of %q: version found %d, expected %d", name, r.V, Version)
-	case r.Name != name:
-		return fmt.Errorf("record of %q: name found %q, expected its own", name, r.Name)
-	case len(r.Process) > 96 || len(r.Log) > 64:
-		return fmt.Errorf("record of %q: process and log found %d and %d bytes, expected at most 96 and 64", name, len(r.Process), len(r.Log))
-	case len(r.Release) > 64:
-		return fmt.Errorf("record of %q: release found %d bytes, expected at most 64", name, len(r.Release))
-	case len(r.Zone) > 64:
-		return fmt.Errorf("record of %q: zone found %d bytes, expected at most 64", name, len(r.Zone))
-	case len(r.Region) > 64:
-		return fmt.Errorf("record of %q: region found %d bytes, expected at most 64", name, len(r.Region))
-	case r.Capacity < 0 || r.LagMS < 0 || r.Share < 0 || r.Share > 1 || r.Rank < -1:
-		return fmt.Errorf("record of %q: capacity %g, lag %d, share %g, rank %d: expected 0 and more, share to 1, rank from -1",
-			name, r.Capacity, r.LagMS, r.Share, r.Rank)
-	case r.Flag != "" && r.Flag != "leaving" && r.Flag != "overloaded":
-		return fmt.Errorf("record of %q: flag found %q, expected leaving, overloaded or none", name, r.Flag)
+	case r.Capacity < 0:
+		return invalid("capacity", fmt.Sprint(r.Capacity), "at least 0")
+	case r.LagMS < 0:
+		return invalid("lag", strconv.Itoa(r.LagMS), "at least 0")
+	case r.ShedQuota < 0 || r.ShedQuota > 1:
+		return invalid("share", fmt.Sprint(r.ShedQuota), "0 to 1")
+	case r.Rank < -1:
+		return invalid("rank", strconv.Itoa(r.Rank), "-1 or more")
+	case r.Flag != FlagNone && r.Flag != FlagLeaving && r.Flag != FlagOverloaded:
+		return invalid("flag", strconv.Quote(string(r.Flag)), "leaving, overloaded or none")
 	}
 	return nil
 }
 
-// Read decodes a record as it comes in node metadata.
-func Read(name string, meta []byte) (Record, error) {
-	var r Record
-	if len(meta) > memberlist.MetaMaxSize {
-		return r, fmt.Errorf("record of %q: found %d bytes, expected at most %d", name, len(meta), memberlist.MetaMaxSize)
+// encode returns the record as node metadata.
+func (r Record) encode() ([]byte, error) {
+	metadata, err := json.Marshal(r)
+	if err != nil {
+		return nil, err
+	}
+	if len(metadata) > memberlist.MetaMaxSize {
+		return nil, recordTooLong(r.Name, metadata)
+	}
+	return metadata, nil
+}
+
+// DecodeRecord decodes and validates the node metadata of the named member. Errors are *RecordError.
+func DecodeRecord(name string, metadata []byte) (Record, error) {
+	var record Record
+	if len(metadata) > memberlist.MetaMaxSize {
+		return record, recordTooLong(name, metadata)
 	}
-	if err := json.Unmarshal(meta, &r); err != nil {
-		return r, fmt.Errorf("record of %q: found no JSON object (%v)", name, err)
+	if err := json.Unmarshal(metadata, &record); err != nil {
+		return record, &RecordError{Member: name, Found: "invalid JSON", Expected: "a JSON object", Err: err}
 	}
-	return r, r.check(name)
+	return record, record.validate(name)
+}
+
+func recordTooLong(name string, metadata []byte) error {
+	return &RecordError{Member: name, Found: fmt.Sprintf("%d bytes", len(metadata)),
+		Expected: fmt.Sprintf("at most %d", memberlist.MetaMaxSize)}
+}
+
+// withoutLoad returns the record without the fields that only report load.
+func (r Record) withoutLoad() Record {
+	r.Capacity, r.LagMS, r.ShedQuota, r.AppliedIndex = 0, 0, 0, 0
+	return r
 }
--- a/internal/fleet/membership/record_test.go
+++ b/internal/fleet/membership/record_test.go
@@ -1,7 +1,11 @@
 package membership
 
 import (
+	"bytes"
 	"encoding/json"
+	"errors"
+	"os"
+	"path/filepath"
 	"strings"
 	"testing"
 
@@ -17,36 +21,36 @@
 	return b
 }
 
-func TestARegionTravelsInTheRecordWithinItsBound(t *testing.T) {
+func TestRegionIsCarriedWithinItsBound(t *testing.T) {
 	for _, region := range []string{"", "eu-west", strings.Repeat("r", 64)} {
-		want := Record{V: Version, Name: "a", Zone: "z1", Region: region, Rank: -1}
-		if got, err := Read("a", encoded(t, want)); err != nil || got != want {
+		want := Record{Version: RecordVersion, Name: "a", Zone: "z1", Region: region, Rank: -1}
+		if got, err := DecodeRecord("a", encoded(t, want)); err != nil || got != want {
 			t.Errorf("%q: %+v, %v", region, got, err)
 		}
 	}
-	_, err := Read("a", encoded(t, Record{V: Version, Name: "a", Zone: "z1", Region: strings.Repeat("r", 65), Rank: -1}))
+	_, err := DecodeRecord("a", encoded(t, Record{Version: RecordVersion, Name: "a", Zone: "z1", Region: strings.Repeat("r", 65), Rank: -1}))
 	if err == nil || !strings.Contains(err.Error(), "region found 65 bytes, expected at most 64") {
 		t.Errorf("a region of 65 bytes: %v", err)
 	}
-	if m, err := Start(Config{Name: "a", Bind: freeAddress(t, 21), Most: 4, Record: Record{Region: strings.Repeat("r", 65)}}, &heard{}); err == nil {
-		_ = m.Stop()
+	if m, err := Start(Config{Name: "a", Bind: freeAddress(t, 21), MaxMembers: 4, Record: Record{Region: strings.Repeat("r", 65)}}, &updateCounter{}); err == nil {
+		_ = m.Shutdown()
 		t.Error("a member started with a region of 65 bytes")
 	}
 }
 
-// The longest names that the bounds let through, and all numbers at their widest, still fit where memberlist carries them.
-func TestARecordAtItsBoundsFits(t *testing.T) {
-	name := strings.Repeat("n", 96-len("#0123456789a")) // a process is the name and its life
-	r := Record{V: Version, Name: name, Zone: strings.Repeat("z", 64), Region: strings.Repeat("r", 64), Epoch: 1_800_000_000_000, Rank: 9999,
-		Flag: "leaving", Process: name + "#0123456789a", Log: strings.Repeat("l", 64), Applied: 1 << 40}
+// The longest texts within the bounds, with wide numbers, fit into node metadata.
+func TestRecordAtItsBoundsFits(t *testing.T) {
+	name := strings.Repeat("n", 96-len("#0123456789a")) // a process is the name and its incarnation
+	r := Record{Version: RecordVersion, Name: name, Zone: strings.Repeat("z", 64), Region: strings.Repeat("r", 64), Epoch: 1_800_000_000_000, Rank: 9999,
+		Flag: "leaving", Process: name + "#0123456789a", LogAddress: strings.Repeat("l", 64), AppliedIndex: 1 << 40}
 	b := encoded(t, r)
-	if got, err := Read(name, b); err != nil || got != r {
+	if got, err := DecodeRecord(name, b); err != nil || got != r {
 		t.Errorf("%d bytes of %d: %+v, %v", len(b), memberlist.MetaMaxSize, got, err)
 	}
 }
 
-// older is the record as the builds before Region read and wrote it; encoding/json reads past what it doesn't name.
-type older struct {
+// recordWithoutRegion is the record of builds before Region; encoding/json ignores fields that it does not know.
+type recordWithoutRegion struct {
 	V        int     `json:"v"`
 	Name     string  `json:"name"`
 	Zone     string  `json:"zone"`
@@ -62,15 +66,15 @@
 	Release  string  `json:"release,omitempty"`
 }
 
-// One fleet may run both builds: each takes the other's records in, and one that names no region is what it was, byte by byte.
-func TestRecordsWithAndWithoutARegionMix(t *testing.T) {
-	before := older{V: Version, Name: "a", Zone: "z1", Epoch: 7, Rank: 3, Capacity: 2, LagMS: 4, Flag: "overloaded", Share: 0.5, Process: "a#7",
+// One fleet may run both builds: each accepts the other's records, and a record without a region is encoded as before, byte by byte.
+func TestRecordsWithAndWithoutRegionAreCompatible(t *testing.T) {
+	before := recordWithoutRegion{V: RecordVersion, Name: "a", Zone: "z1", Epoch: 7, Rank: 3, Capacity: 2, LagMS: 4, Flag: "overloaded", Share: 0.5, Process: "a#7",
 		Log: "10.0.0.5:7947", Applied: 9, Release: "r1"}
 	written, err := json.Marshal(before)
 	if err != nil {
 		t.Fatal(err)
 	}
-	read, err := Read("a", written)
+	read, err := DecodeRecord("a", written)
 	if err != nil || read.Region != "" {
 		t.Fatalf("an older record: %+v, %v", read, err)
 	}
@@ -78,21 +82,67 @@
 		t.Errorf("without a region:\n%s, before\n%s", now, written)
 	}
 	read.Region = "eu"
-	var there older
-	if err := json.Unmarshal(encoded(t, read), &there); err != nil || there != before {
-		t.Errorf("the older build reads %+v, %v, want %+v", there, err, before)
+	var received recordWithoutRegion
+	if err := json.Unmarshal(encoded(t, read), &received); err != nil || received != before {
+		t.Errorf("the older build reads %+v, %v, want %+v", received, err, before)
 	}
 }
 
-func TestAFaultyRegionChangesNothingAndAnotherIsToldAtOnce(t *testing.T) {
-	m, watch := startAlone(t)
-	if err := m.Set(Record{Zone: "z1", Region: strings.Repeat("r", 65), Rank: -1}); err == nil {
-		t.Error("a region of 65 bytes was taken")
+func TestInvalidRegionChangesNothingAndValidOneIsAnnouncedAtOnce(t *testing.T) {
+	m, watcher := startAlone(t)
+	if err := m.SetRecord(Record{Zone: "z1", Region: strings.Repeat("r", 65), Rank: -1}); err == nil {
+		t.Error("a region of 65 bytes was accepted")
 	}
-	if err := m.Set(Record{Zone: "z1", Region: "eu", Rank: -1}); err != nil {
+	if err := m.SetRecord(Record{Zone: "z1", Region: "eu", Rank: -1}); err != nil {
 		t.Fatal(err)
 	}
-	if got := m.View()["a"]; got.Region != "eu" || watch.updates.Load() != 1 {
-		t.Errorf("view %+v after %d changes, want the region told once", got, watch.updates.Load())
+	if got := m.View()["a"]; got.Region != "eu" || watcher.updates.Load() != 1 {
+		t.Errorf("view %+v after %d changes, want the region announced once", got, watcher.updates.Load())
+	}
+}
+
+// The files were written by the build of commit d489d24. Its records are read as they were meant, and encoded to the same
+// bytes.
+func TestRecordsOfEarlierBuild(t *testing.T) {
+	for file, want := range map[string]Record{
+		"record-full.json": {Version: RecordVersion, Name: "checkout-01", Zone: "east-1", Region: "east", Epoch: 1_790_000_123_456, Rank: 17,
+			Capacity: 1250.5, LagMS: 12, Flag: FlagOverloaded, ShedQuota: 0.25, Process: "checkout-01#1a0c5b2c7c0",
+			LogAddress: "10.0.0.5:7947", AppliedIndex: 981_234, Release: "2026-11-30.1"},
+		"record-joining.json": {Version: RecordVersion, Name: "m0", Zone: "z1", Epoch: 1_790_000_123_456, Rank: -1},
+		"record-leaving.json": {Version: RecordVersion, Name: "a<b&\u00e9", Zone: "z \"1\"", Capacity: 1e21, Flag: FlagLeaving, ShedQuota: 1,
+			AppliedIndex: 1<<64 - 1},
+	} {
+		stored, err := os.ReadFile(filepath.Join("testdata", file))
+		if err != nil {
+			t.Fatal(err)
+		}
+		got, err := DecodeRecord(want.Name, stored)
+		if err != nil || got != want {
+			t.Errorf("%s: %+v, %v, want %+v", file, got, err, want)
+		}
+		if metadata, err := want.encode(); err != nil || !bytes.Equal(metadata, stored) {
+			t.Errorf("%s: encoded %s, %v, want %s", file, metadata, err, stored)
+		}
+	}
+}
+
+// Errors say which field of whose record is wrong, and can be told apart by type.
+func TestDecodeRecordErrors(t *testing.T) {
+	for metadata, want := range map[string]string{
+		`{`:                                `record of "a": found invalid JSON, expected a JSON object (unexpected end of JSON input)`,
+		`{"v":2,"name":"a"}`:               `record of "a": version found 2, expected 1`,
+		`{"v":1,"name":"b"}`:               `record of "a": name found "b", expected its own`,
+		`{"v":1,"name":"a","flag":"x"}`:    `record of "a": flag found "x", expected leaving, overloaded or none`,
+		`{"v":1,"name":"a","rank":-2}`:     `record of "a": rank found -2, expected -1 or more`,
+		`{"v":1,"name":"a","share":1.5}`:   `record of "a": share found 1.5, expected 0 to 1`,
+		`{"v":1,"name":"a","lag_ms":-1}`:   `record of "a": lag found -1, expected at least 0`,
+		`{"v":1,"name":"a","capacity":-1}`: `record of "a": capacity found -1, expected at least 0`,
+		strings.Repeat(" ", 513):           `record of "a": found 513 bytes, expected at most 512`,
+	} {
+		_, err := DecodeRecord("a", []byte(metadata))
+		var invalid *RecordError
+		if !errors.As(err, &invalid) || invalid.Member != "a" || err.Error() != want {
+			t.Errorf("%.40s: %v, want %s", metadata, err, want)
+		}
 	}
 }
--- a/internal/fleet/rolling/rolls_test.go
+++ b/internal/fleet/rolling/rolls_test.go
@@ -73,7 +73,7 @@
 func (quiet) Joined(membership.Record)  {}
 func (quiet) Updated(membership.Record) {}
 func (quiet) Left(string)               {}
-func (quiet) Refused(string, error)     {}
+func (quiet) Rejected(string, error)    {}
 
 func child() {
 	go func() { time.Sleep(100 * time.Second); os.Exit(3) }() // bounded, whatever the parent does
@@ -91,9 +91,9 @@
 	if s := os.Getenv("PACK_SEED"); s != "" {
 		seeds = []string{s}
 	}
-	record := membership.Record{Zone: zone, Rank: -1, Epoch: life, Capacity: 1, Process: process, Log: front, Release: release}
+	record := membership.Record{Zone: zone, Rank: -1, Epoch: life, Capacity: 1, Process: process, LogAddress: front, Release: release}
 	m, err := membership.Start(membership.Config{Name: name, Bind: os.Getenv("PACK_BIND0"), Advertise: os.Getenv("PACK_FRONT0"), Seeds: seeds,
-		Most: 16, Probe: 200 * time.Millisecond, Sync: 500 * time.Millisecond, Record: record, Message: func(b []byte) {
+		MaxMembers: 16, ProbeInterval: 200 * time.Millisecond, SyncInterval: 500 * time.Millisecond, Record: record, OnMessage: func(b []byte) {
 			if d := h.driver.Load(); d != nil {
 				d.Incoming(b)
 			}
@@ -142,7 +142,7 @@
 	d.Placed(Duty, place)
 	d.Care(func() (out []consensus.Peer) {
 		for _, r := range m.View() {
-			out = append(out, consensus.Peer{Process: r.Process, Address: r.Log, Zone: r.Zone, Applied: r.Applied, Leaving: r.Flag == "leaving"})
+			out = append(out, consensus.Peer{Process: r.Process, Address: r.LogAddress, Zone: r.Zone, Applied: r.AppliedIndex, Leaving: r.Flag == "leaving"})
 		}
 		return out
 	}, votes, func(c quorum.Change) {
@@ -156,13 +156,13 @@
 				h.keeper.Want(string(b))
 			}
 			if now, _ := d.Log.Applied(); now != applied {
-				applied, record.Applied = now, now
-				_ = m.Set(record)
+				applied, record.AppliedIndex = now, now
+				_ = m.SetRecord(record)
 			}
 			select {
 			case <-leaving:
 				record.Flag = "leaving"
-				_ = m.Set(record)
+				_ = m.SetRecord(record)
 				close(flagged)
 				return
 			default:
--- a/internal/fleet/slots/slots_test.go
+++ b/internal/fleet/slots/slots_test.go
@@ -95,7 +95,7 @@
 func (quiet) Joined(membership.Record)  {}
 func (quiet) Updated(membership.Record) {}
 func (quiet) Left(string)               {}
-func (quiet) Refused(string, error)     {}
+func (quiet) Rejected(string, error)    {}
 
 func child() {
 	go func() { time.Sleep(100 * time.Second); os.Exit(3) }() // bounded, whatever the parent does
@@ -126,9 +126,9 @@
 	if s := os.Getenv("PACK_SEED"); s != "" {
 		seeds = []string{s}
 	}
-	record := membership.Record{Zone: "z", Rank: -1, Process: process, Log: front}
+	record := membership.Record{Zone: "z", Rank: -1, Process: process, LogAddress: front}
 	m, err := membership.Start(membership.Config{Name: name, Bind: os.Getenv("PACK_BIND0"), Advertise: os.Getenv("PACK_FRONT0"), Seeds: seeds,
-		Most: 32, Probe: 200 * time.Millisecond, Sync: 500 * time.Millisecond, Record: record, Message: func(b []byte) {
+		MaxMembers: 32, ProbeInterval: 200 * time.Millisecond, SyncInterval: 500 * time.Millisecond, Record: record, OnMessage: func(b []byte) {
 			if d := h.driver.Load(); d != nil {
 				d.Incoming(b)
 			}
@@ -142,7 +142,7 @@
 	d.Placed(Duty, place)
 	d.Care(func() (out []consensus.Peer) {
 		for _, r := range m.View() {
-			out = append(out, consensus.Peer{Process: r.Process, Address: r.Log, Zone: r.Zone, Applied: r.Applied, Leaving: r.Flag == "leaving"})
+			out = append(out, consensus.Peer{Process: r.Process, Address: r.LogAddress, Zone: r.Zone, Applied: r.AppliedIndex, Leaving: r.Flag == "leaving"})
 		}
 		return out
 	}, bounds, func(c quorum.Change) {
@@ -171,8 +171,8 @@
 				h.tell(line{What: "table", Version: v})
 			}
 			if now, _ := d.Log.Applied(); now != applied && n%5 == 0 {
-				applied, record.Applied = now, now
-				_ = m.Set(record)
+				applied, record.AppliedIndex = now, now
+				_ = m.SetRecord(record)
 			}
 			if n%50 == 49 {
 				h.tell(line{What: "calls", Version: uint64(calls.Load()), Text: fmt.Sprint(held.Load(), " not made")})
--- a/internal/lab/scale/members/faults.go
+++ b/internal/lab/scale/members/faults.go
@@ -93,7 +93,7 @@
 
 // set changes a record; one that waits long for its turn in memberlist's queue is on its way all the same, and counted.
 func (t *trial) set(h *hollow, record membership.Record) {
-	if err := h.member.Set(record); err != nil {
+	if err := h.member.SetRecord(record); err != nil {
 		t.out.LateChanges++
 	}
 }
--- a/internal/lab/scale/members/fleet.go
+++ b/internal/lab/scale/members/fleet.go
@@ -104,8 +104,8 @@
 	h.known.Store(0)
 	var err error
 	h.member, err = membership.Start(membership.Config{
-		Name: h.name, Bind: h.bind, Seeds: h.seeds(), Most: 10_000, Probe: h.fleet.probe, Sync: h.fleet.sync, Record: h.record(),
-		Wrap: func(inner membership.Transport) membership.Transport {
+		Name: h.name, Bind: h.bind, Seeds: h.seeds(), MaxMembers: 10_000, ProbeInterval: h.fleet.probe, SyncInterval: h.fleet.sync, Record: h.record(),
+		WrapTransport: func(inner membership.Transport) membership.Transport {
 			return newTransport(inner, h.fleet.meter, h.fleet.network, h.region)
 		},
 	}, h)
@@ -122,8 +122,8 @@
 	mixed := mix(h.index)
 	epoch := 1_790_000_000_000 + mixed%1_000_000_000
 	return membership.Record{Zone: fmt.Sprintf("region-%d-zone-%d", h.region, h.index/regions%zonesEach), Epoch: epoch, Rank: h.rank,
-		Process: fmt.Sprintf("%s#%x", h.name, epoch), Applied: 1_000_000,
-		Log: fmt.Sprintf("10.%d.%d.%d:7947", mixed>>8%256, mixed>>16%256, mixed>>24%256)}
+		Process: fmt.Sprintf("%s#%x", h.name, epoch), AppliedIndex: 1_000_000,
+		LogAddress: fmt.Sprintf("10.%d.%d.%d:7947", mixed>>8%256, mixed>>16%256, mixed>>24%256)}
 }
 
 // name is like a host's, with as little in common as those have: what compresses well would cost too little.
@@ -139,7 +139,7 @@
 
 func (h *hollow) Joined(membership.Record)  { h.known.Add(1) }
 func (h *hollow) Updated(membership.Record) {}
-func (h *hollow) Refused(string, error)     {}
+func (h *hollow) Rejected(string, error)    {}
 
 func (h *hollow) Left(name string) {
 	h.known.Add(-1)
@@ -188,7 +188,7 @@
 func (h *hollow) kill() {
 	h.fleet.watchDeath(h.name)
 	h.live.Store(false)
-	_ = h.member.Stop()
+	_ = h.member.Shutdown()
 }
 
 // leave ends it as the program's notice does.
@@ -238,7 +238,7 @@
 	var done sync.WaitGroup
 	for _, h := range f.live() {
 		h.live.Store(false)
-		done.Go(func() { _ = h.member.Stop() })
+		done.Go(func() { _ = h.member.Shutdown() })
 	}
 	done.Wait()
 }
--- a/internal/lab/scale/members/members_test.go
+++ b/internal/lab/scale/members/members_test.go
@@ -65,7 +65,7 @@
 func TestReportSaysWhatWasNotRunAndWorksOutTheTarget(t *testing.T) {
 	var outcomes []Outcome
 	for _, size := range Sizes {
-		outcomes = append(outcomes, Outcome{Size: size, ExchangeBytes: 200 * membership.ExchangeEvery(syncDefault, size).Seconds(),
+		outcomes = append(outcomes, Outcome{Size: size, ExchangeBytes: 200 * membership.PushPullInterval(syncDefault, size).Seconds(),
 			Quiet:        Window{Seconds: 10, DatagramBytes: 2000, Datagrams: 40, ProcessorMillis: 10},
 			RestartBytes: 16_000, ChangeBytes: 1000})
 	}
--- a/internal/lab/scale/members/part.go
+++ b/internal/lab/scale/members/part.go
@@ -66,7 +66,7 @@
 
 // exchangeRate is what full exchanges cost a member a second: the measured bytes of one, at the pace of the size.
 func (o Outcome) exchangeRate() float64 {
-	return o.ExchangeBytes / membership.ExchangeEvery(syncDefault, o.Size).Seconds()
+	return o.ExchangeBytes / membership.PushPullInterval(syncDefault, o.Size).Seconds()
 }
 
 func figures() []figure {
--- a/internal/lab/scale/members/trial.go
+++ b/internal/lab/scale/members/trial.go
@@ -169,7 +169,7 @@
 		return err
 	}
 	for _, h := range t.choose(count) {
-		h.member.Exchange()
+		h.member.PushPull()
 	}
 	window, err := t.since(before)
 	if err == nil && window.Streams > 0 {
