--- a/internal/rpc/front.go
+++ b/internal/rpc/front.go
@@ -34,10 +34,10 @@
 
 // Admission is where requests go.
 type Admission interface {
-	Takes(class string) bool // such a class is known
-	Arrive(asker node.Asker, tag string, ask node.Ask) error
-	Gone(asker node.Asker)
-	Check(asker node.Asker, tag string, full bool)
+	HasClass(class string) bool // such a class is known
+	Admit(asker node.Responder, tag string, ask node.Request) error
+	CallerGone(asker node.Responder)
+	CheckHealth(asker node.Responder, tag string, full bool)
 }
 
 // Front owns the stubs' connections.
@@ -62,7 +62,7 @@
 // Accept makes the peer of a new connection. At the limit the one goes that is needed least: it has its notice, and a
 // request that crosses that is still served. Where all are in use the new one gets the notice, and what it brings is
 // judged like all else. With the spare places taken too one ends at once, the new one if need be.
-func (f *Front) Accept() loop.Caller {
+func (f *Front) Accept() loop.ServerHandler {
 	if f.full() {
 		f.refused++
 		if c := f.least(func(c *conn) bool { return c.noticed.IsZero() }); c != nil {
@@ -83,7 +83,7 @@
 // idle.
 func (f *Front) least(of func(*conn) bool) (least *conn) {
 	for c := range f.conns {
-		if !c.Owes() && !c.ended && of(c) &&
+		if !c.HasPending() && !c.ended && of(c) &&
 			(least == nil || c.asked == least.asked && c.last.Before(least.last) || !c.asked && least.asked) {
 			least = c
 		}
@@ -94,8 +94,10 @@
 // full tells whether the places of those without a notice are taken.
 func (f *Front) full() bool { return len(f.conns)-f.noticed >= f.most }
 
-// Idle closes connections with nothing open after so long.
-func (f *Front) Idle(after time.Duration) { f.idle = min(max(after, 10*time.Millisecond), silent) }
+// SetIdleTimeout closes connections with nothing open after so long.
+func (f *Front) SetIdleTimeout(after time.Duration) {
+	f.idle = min(max(after, 10*time.Millisecond), silent)
+}
 
 // Drain tells all stubs to send no more here.
 func (f *Front) Drain() {
@@ -105,8 +107,8 @@
 	}
 }
 
-// Owes: what is written leaves with the round.
-func (f *Front) Owes() bool { return false }
+// HasPending: what is written leaves with the round.
+func (f *Front) HasPending() bool { return false }
 
 // Sweep gives what has been idle, or at half a message, for too long its notice, and ends it once nothing can cross that
 // any more. A draining instance ends only what brings nothing whole: the others end it themselves.
@@ -120,11 +122,11 @@
 		switch {
 		case c.ended:
 		case c.noticed.IsZero():
-			if stalled || !c.Owes() && now.Sub(c.last) > f.idle {
+			if stalled || !c.HasPending() && now.Sub(c.last) > f.idle {
 				c.notice(now)
 			}
 		case now.Sub(c.noticed) <= crossing:
-		case stalled, !f.draining && !c.Owes() && now.Sub(c.last) > crossing:
+		case stalled, !f.draining && !c.HasPending() && now.Sub(c.last) > crossing:
 			c.end()
 		}
 	}
