--- a/internal/front/amqp/fields.go
+++ b/internal/front/amqp/fields.go
@@ -1,193 +1,120 @@
-// What a message says: this file turns its properties and headers into a work item, by the operator's fields. It is
-// strict about types and bounds, and must never take a clock from a message for more than its patience.
-
 package amqp
 
 import (
 	"fmt"
-	"math"
 	"strconv"
 	"strings"
 	"time"
 
 	amqp "github.com/rabbitmq/amqp091-go"
-
-	"thymechute/internal/node"
-	"thymechute/internal/operator"
-	"thymechute/policy/settings"
 )
 
 const (
-	longestWord  = 128
-	longestSpan  = 24 * time.Hour // of a patience; more is as good as none told
-	leavingField = "x-thymechute-leaving"
-	returnsField = "x-thymechute-returns"
-	reasonField  = "x-thymechute-reason"
-	numberField  = "x-thymechute-publish"
-	endField     = "x-thymechute-outcome"
-	userField    = "x-thymechute-user-id" // of a copy: brokers take a user-id from its own user only
-)
+	maxTextBytes        = 128
+	maxNumberBytes      = 30
+	maxUnixMilliseconds = 1e14
+	headerFieldPrefix   = "header:"
 
-// Decode makes a work item of a message that was read just now. kind tells that of a class: safe, keyed, or any
-// other for unsafe. An error says what can't be read.
-func Decode(d *amqp.Delivery, f *operator.Fields, q *operator.Queue, now time.Time, kind func(class string) settings.Idempotency) (ask node.Request, err error) {
-	ask = node.Request{ReceivedAt: now, Body: d.Body, MemoryKB: max(float64(len(d.Body))/1024, 0.1)}
-	for _, w := range []struct {
-		into  *string
-		field string
-	}{{&ask.Class, f.Band}, {&ask.Tenant, f.Customer}, {&ask.Key, f.Key}, {&ask.Subject, f.Subject}} {
-		if *w.into, err = word(d, w.field); err != nil {
-			return ask, err
-		}
-	}
-	if ask.Class == "" {
-		return ask, fmt.Errorf("%s: found nothing, expected a band", f.Band)
-	}
-	switch kind := kind(ask.Class); {
-	case kind == settings.Idempotent && ask.Key == "":
-		return ask, fmt.Errorf("%s: found nothing, expected a key, as band %s must not run twice", f.Key, ask.Class)
-	case kind == settings.Idempotent:
-		ask.MayHaveRunElsewhere = d.Redelivered && q.Redelivered != "run"
-	case kind != settings.Safe: // no key tells a repeat, so nothing but the first delivery proves that it did not run
-		ask.MayHaveRunElsewhere = d.Redelivered
-	}
-	ask.Priority, _, err = number(d, f.Rank)
-	if err != nil || ask.Priority < 0 || ask.Priority >= 1 || math.IsNaN(ask.Priority) {
-		return ask, fmt.Errorf("%s: expected a number from 0 to under 1", f.Rank)
-	}
-	ask.CallerTimeout, err = patience(d, f, now)
-	return ask, err
-}
+	// Message priorities are 0 to 9 in AMQP; as a field they are numbers from 0 to under 1.
+	maxMessagePriority = 9
+	priorityLevels     = 10
+)
 
-// patience is what is left of it: it counts from the message's origin, where that is told and not in the future, as a
-// clock elsewhere may be wrong.
-func patience(d *amqp.Delivery, f *operator.Fields, now time.Time) (time.Duration, error) {
-	span, ok, err := number(d, f.Patience)
-	if err != nil || span < 0 || math.IsNaN(span) {
-		return 0, fmt.Errorf("%s: expected milliseconds", f.Patience)
+// fieldValue returns the value of a property or, with the prefix "header:", of a header; nil if there is none.
+func fieldValue(d *amqp.Delivery, field string) any {
+	if header, ok := strings.CutPrefix(field, headerFieldPrefix); ok {
+		return d.Headers[header]
 	}
-	if !ok || span > float64(longestSpan/time.Millisecond) {
-		return 0, nil
-	}
-	left := time.Duration(span * float64(time.Millisecond))
-	origin, ok, err := moment(d, f.Origin)
-	if err != nil {
-		return 0, err
+	switch field {
+	case "timestamp":
+		if d.Timestamp.IsZero() {
+			return nil
+		}
+		return d.Timestamp
+	case "priority":
+		return float64(min(d.Priority, maxMessagePriority)) / priorityLevels
 	}
-	if ok && origin.Before(now) {
-		left -= min(now.Sub(origin), longestSpan)
+	if text := textProperty(d, field); text != "" {
+		return text
 	}
-	return max(left, 1), nil
+	return nil
 }
 
-// raw is what a field holds; nil: nothing.
-func raw(d *amqp.Delivery, field string) any {
-	if name, ok := strings.CutPrefix(field, "header:"); ok {
-		return d.Headers[name]
-	}
-	var text string
-	switch field {
+// textProperty returns the value of a property that is a text; empty if there is none.
+func textProperty(d *amqp.Delivery, name string) string {
+	switch name {
 	case "type":
-		text = d.Type
+		return d.Type
 	case "message-id":
-		text = d.MessageId
+		return d.MessageId
 	case "correlation-id":
-		text = d.CorrelationId
+		return d.CorrelationId
 	case "user-id":
-		if text = d.UserId; text == "" {
-			text, _ = d.Headers[userField].(string)
+		if d.UserId != "" {
+			return d.UserId
 		}
+		userID, _ := d.Headers[userIDHeader].(string)
+		return userID
 	case "app-id":
-		text = d.AppId
+		return d.AppId
 	case "expiration":
-		text = d.Expiration
-	case "timestamp":
-		if !d.Timestamp.IsZero() {
-			return d.Timestamp
-		}
-	case "priority":
-		return float64(min(d.Priority, 9)) / 10
-	}
-	if text == "" {
-		return nil
+		return d.Expiration
 	}
-	return text
+	return ""
 }
 
-func word(d *amqp.Delivery, field string) (string, error) {
-	switch v := raw(d, field).(type) {
+// textField returns a text of one line, empty if there is none.
+func textField(d *amqp.Delivery, field string) (string, error) {
+	switch value := fieldValue(d, field).(type) {
 	case nil:
 		return "", nil
 	case string:
-		if len(v) <= longestWord && !strings.ContainsAny(v, "\x00\r\n") {
-			return v, nil
+		if len(value) <= maxTextBytes && !strings.ContainsAny(value, "\x00\r\n") {
+			return value, nil
 		}
 	}
-	return "", fmt.Errorf("%s: expected a text of at most %d bytes in one line", field, longestWord)
+	return "", &FieldError{Field: field, Expected: fmt.Sprintf("a text of at most %d bytes in one line", maxTextBytes)}
 }
 
-func number(d *amqp.Delivery, field string) (x float64, ok bool, err error) {
-	switch v := raw(d, field).(type) {
+// numberField returns a number of any numeric type, or of a text; ok is false if there is none.
+func numberField(d *amqp.Delivery, field string) (number float64, ok bool, err error) {
+	invalid := &FieldError{Field: field, Expected: "a number"}
+	switch value := fieldValue(d, field).(type) {
 	case nil:
 		return 0, false, nil
 	case string:
-		if x, err = strconv.ParseFloat(v, 64); err != nil || len(v) > 30 {
-			return 0, false, fmt.Errorf("%s: found %.30q", field, v)
+		number, err = strconv.ParseFloat(value, 64)
+		if err != nil || len(value) > maxNumberBytes {
+			return 0, false, invalid
 		}
 	case float64:
-		x = v
+		number = value
 	case float32:
-		x = float64(v)
+		number = float64(value)
 	case int64:
-		x = float64(v)
+		number = float64(value)
 	case int32:
-		x = float64(v)
+		number = float64(value)
 	case int16:
-		x = float64(v)
+		number = float64(value)
 	case int8:
-		x = float64(v)
+		number = float64(value)
 	case byte:
-		x = float64(v)
+		number = float64(value)
 	default:
-		return 0, false, fmt.Errorf("%s: found %T", field, v)
+		return 0, false, invalid
 	}
-	return x, true, nil
+	return number, true, nil
 }
 
-// moment is a time, or Unix milliseconds.
-func moment(d *amqp.Delivery, field string) (time.Time, bool, error) {
-	if at, ok := raw(d, field).(time.Time); ok {
+// timeField returns a timestamp, or a number of Unix milliseconds; ok is false if there is none.
+func timeField(d *amqp.Delivery, field string) (at time.Time, ok bool, err error) {
+	if at, ok := fieldValue(d, field).(time.Time); ok {
 		return at, true, nil
 	}
-	x, ok, err := number(d, field)
-	if err != nil || x < 0 || x > 1e14 {
-		return time.Time{}, false, fmt.Errorf("%s: expected a time", field)
-	}
-	return time.UnixMilli(int64(x)), ok, nil
-}
-
-// returned is how often a message was turned back so far.
-func returned(d *amqp.Delivery) int {
-	x, _, err := number(d, "header:"+returnsField)
-	if err != nil || x < 0 || x > 1e6 {
-		return 0
-	}
-	return int(x)
-}
-
-// publishing is a message as it came, with a header more.
-func publishing(d *amqp.Delivery, header string, value any) amqp.Publishing {
-	p := amqp.Publishing{ContentType: d.ContentType, ContentEncoding: d.ContentEncoding, DeliveryMode: d.DeliveryMode,
-		Priority: d.Priority, CorrelationId: d.CorrelationId, ReplyTo: d.ReplyTo, MessageId: d.MessageId,
-		Timestamp: d.Timestamp, Type: d.Type, AppId: d.AppId, Body: d.Body, Headers: amqp.Table{}}
-	for name, v := range d.Headers {
-		p.Headers[name] = v
-	}
-	if p.Headers[header] = value; d.UserId != "" {
-		p.Headers[userField] = d.UserId
-	}
-	if header != reasonField { // a dead letter must not run out of time once more
-		p.Expiration = d.Expiration
+	milliseconds, ok, err := numberField(d, field)
+	if err != nil || milliseconds < 0 || milliseconds > maxUnixMilliseconds {
+		return time.Time{}, false, &FieldError{Field: field, Expected: "a time"}
 	}
-	return p
+	return time.UnixMilli(int64(milliseconds)), ok, nil
 }
--- a/internal/front/amqp/guard.go
+++ b/internal/front/amqp/guard.go
@@ -1,15 +1,8 @@
-// The guard stands between the socket and the client library: it reads whole frames, bounded before anything is
-// allocated for them, and lets nothing through that would make the library hold more than was agreed. A message too
-// large is handed on without its body and remembered by its delivery tag. It must never change anything else. Its
-// tables: one frame, mostFrame; tags of what was too large, and half-read contents by channel, mostChannels; both
-// emptied as the messages are read. Output is put together where the session asks for it, up to mostCorked.
-
 package amqp
 
 import (
 	"bufio"
 	"encoding/binary"
-	"fmt"
 	"io"
 	"net"
 	"slices"
@@ -18,225 +11,153 @@
 )
 
 const (
-	mostFrame    = 32 << 10 // bytes, offered to the broker
-	mostChannels = 8
-	mostCorked   = 64 << 10
-	frameExtra   = 8
-	// Kinds of frames, and the two methods that the guard must know, by class and number.
-	kindMethod, kindHeader, kindBody, kindBeat = 1, 2, 3, 8
-	frameEnd                                   = 0xCE
-	basicDeliver                               = 60<<16 | 60
-	basicReturn                                = 60<<16 | 50
-	connectionClose                            = 10<<16 | 50
+	maxFrameSize = 32 << 10 // bytes, offered to the broker
+	maxChannels  = 8
+	maxBuffered  = 64 << 10 // bytes of output that are held back while it is corked
 )
 
-type content struct {
-	tag     uint64 // of the delivery; 0: of something else
-	left    uint64 // of the body
-	dropped bool
-}
-
+// guard is the connection between the socket and the client library. It reads whole frames, bounded before memory is
+// allocated for them, and rejects what would make the library hold more than was agreed: more deliveries than the credit,
+// or contents out of place. An oversized message is passed on with an empty body and its delivery tag remembered. Nothing
+// else is changed. Output can be held back and sent at once (cork).
+//
+// The tables are one frame, and contents that are half read, by channel; both are bounded by the constants above. Tags of
+// oversized messages are bounded by the credit and removed as the messages are received.
 type guard struct {
 	net.Conn
-	in    *bufio.Reader
-	frame []byte // the one being handed on
-	next  []byte // of it, what is left to hand on
-	open  map[uint16]*content
-	most  uint64 // bytes of a body
-
-	mu       sync.Mutex
-	allowed  uint64 // deliveries so far and those that may yet come
-	seen     uint64
-	refused  bool // the broker has said why it closes
-	tooLarge map[uint64]struct{}
-	patience time.Duration // for a write
-	out      []byte
-	corked   bool
+	reader   *bufio.Reader
+	frame    []byte // the frame that is being passed on
+	unread   []byte // what is left of it
+	contents map[uint16]*content
+	maxBody  uint64 // bytes
+
+	mu             sync.Mutex // guards the fields below
+	allowed        uint64     // deliveries so far, and those that may still come
+	delivered      uint64
+	closedByBroker bool // the broker has sent connection.close
+	oversized      map[uint64]struct{}
+	writeTimeout   time.Duration
+	output         []byte
+	isCorked       bool
 }
 
-func newGuard(c net.Conn, largest int, patience time.Duration) *guard {
-	return &guard{Conn: c, in: bufio.NewReaderSize(c, mostFrame), open: map[uint16]*content{}, most: uint64(largest),
-		tooLarge: map[uint64]struct{}{}, patience: patience}
+// content is a message of which the header or parts of the body are still to be read.
+type content struct {
+	deliveryTag uint64 // 0 for a returned message
+	left        uint64 // bytes of the body
+	isDropped   bool   // its body is oversized
 }
 
-// fault is what a broker sends that it must not; the connection ends.
-type fault string
-
-func (f fault) Error() string { return string(f) }
+func newGuard(conn net.Conn, maxBody int, writeTimeout time.Duration) *guard {
+	return &guard{Conn: conn, reader: bufio.NewReaderSize(conn, maxFrameSize), contents: map[uint16]*content{}, maxBody: uint64(maxBody),
+		oversized: map[uint64]struct{}{}, writeTimeout: writeTimeout}
+}
 
-// Read hands on what was checked.
+// Read implements io.Reader. It passes on checked frames.
 func (g *guard) Read(p []byte) (int, error) {
-	for len(g.next) == 0 {
-		if err := g.take(); err != nil {
+	for len(g.unread) == 0 {
+		if err := g.readFrame(); err != nil {
 			return 0, err
 		}
 	}
-	n := copy(p, g.next)
-	g.next = g.next[n:]
+	n := copy(p, g.unread)
+	g.unread = g.unread[n:]
 	return n, nil
 }
 
-// take reads one frame.
-func (g *guard) take() error {
-	var head [7]byte
-	if _, err := io.ReadFull(g.in, head[:]); err != nil {
+// readFrame reads and checks one frame.
+func (g *guard) readFrame() error {
+	var header [frameHeaderSize]byte
+	if _, err := io.ReadFull(g.reader, header[:]); err != nil {
 		return err
 	}
-	kind, channel, size := head[0], binary.BigEndian.Uint16(head[1:]), binary.BigEndian.Uint32(head[3:])
-	if kind != kindMethod && kind != kindHeader && kind != kindBody && kind != kindBeat {
-		return fault(fmt.Sprintf("broker sends what is no frame: kind %d", kind))
-	}
-	if size > mostFrame-frameExtra {
-		return fault(fmt.Sprintf("broker sends a frame of %d bytes, expected at most %d", size, mostFrame-frameExtra))
+	kind, channel, size := header[0], binary.BigEndian.Uint16(header[1:]), binary.BigEndian.Uint32(header[3:])
+	if err := checkFrameHeader(kind, size); err != nil {
+		return err
 	}
-	g.frame = append(g.frame[:0], head[:]...)
-	g.frame = slices.Grow(g.frame, int(size)+1)[:len(head)+int(size)+1]
-	if _, err := io.ReadFull(g.in, g.frame[7:]); err != nil {
+	end := frameHeaderSize + int(size)
+	g.frame = append(g.frame[:0], header[:]...)
+	g.frame = slices.Grow(g.frame, int(size)+1)[:end+1]
+	if _, err := io.ReadFull(g.reader, g.frame[frameHeaderSize:]); err != nil {
 		return err
 	}
-	if g.frame[7+size] != frameEnd {
-		return fault("broker sends a frame without its end")
+	if g.frame[end] != frameEnd {
+		return protocolError("broker sends a frame without its end")
 	}
-	ok, err := g.pass(kind, channel, g.frame[7:7+size])
-	if ok {
-		g.next = g.frame
+	pass, err := g.check(kind, channel, g.frame[frameHeaderSize:end])
+	if err == nil && pass {
+		g.unread = g.frame
 	}
 	return err
 }
 
-// pass tells whether the frame is handed on; it may take the size of a body out of it.
-func (g *guard) pass(kind byte, channel uint16, p []byte) (bool, error) {
-	c := g.open[channel]
-	switch kind {
-	case kindMethod:
-		if c != nil {
-			return false, fault("broker sends a method inside a content")
-		}
-		if len(p) < 4 {
-			return false, fault("broker sends a method without its number")
-		}
-		switch binary.BigEndian.Uint32(p) {
-		case basicDeliver:
-			if len(p) < 5 || len(p) < 5+int(p[4])+8 {
-				return false, fault("broker sends a delivery without its tag")
-			}
-			tag := binary.BigEndian.Uint64(p[5+int(p[4]):])
-			if err := g.delivery(); err != nil {
-				return false, err
-			}
-			c = &content{tag: tag}
-		case basicReturn:
-			c = &content{}
-		case connectionClose:
-			g.mu.Lock()
-			g.refused = true
-			g.mu.Unlock()
-		}
-		if c != nil {
-			if len(g.open) >= mostChannels {
-				return false, fault("broker sends contents on too many channels")
-			}
-			g.open[channel] = c
-		}
-	case kindHeader:
-		if c == nil || c.left > 0 || len(p) < 14 {
-			return false, fault("broker sends a content header out of place")
-		}
-		if c.left = binary.BigEndian.Uint64(p[4:]); c.left > g.most {
-			c.dropped = true
-			binary.BigEndian.PutUint64(p[4:], 0)
-			if c.tag > 0 {
-				g.mu.Lock()
-				g.tooLarge[c.tag] = struct{}{}
-				g.mu.Unlock()
-			}
-		}
-		if c.left == 0 {
-			delete(g.open, channel)
-		}
-	case kindBody:
-		if c == nil || uint64(len(p)) > c.left || len(p) == 0 {
-			return false, fault("broker sends a body out of place")
-		}
-		dropped := c.dropped
-		if c.left -= uint64(len(p)); c.left == 0 {
-			delete(g.open, channel)
-		}
-		return !dropped, nil
+// Write implements io.Writer. While the output is corked it is only buffered, up to maxBuffered.
+func (g *guard) Write(p []byte) (int, error) {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	g.output = append(g.output, p...)
+	if g.isCorked && len(g.output) < maxBuffered {
+		return len(p), nil
 	}
-	return true, nil
+	return len(p), g.flush()
 }
 
-// delivery counts one; a broker that pushes more than was asked for must not fill the memory.
-func (g *guard) delivery() error {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	if g.seen++; g.seen > g.allowed {
-		return fault("broker sends more messages than it was given credit for")
+// flush sends the output. A broker that does not read it in time loses its connection. mu must be held.
+func (g *guard) flush() error {
+	if len(g.output) == 0 {
+		return nil
+	}
+	_ = g.SetWriteDeadline(time.Now().Add(g.writeTimeout))
+	_, err := g.Conn.Write(g.output)
+	g.output = g.output[:0]
+	if err != nil {
+		g.Close()
 	}
-	return nil
+	return err
 }
 
-// wasRefused tells whether the broker closed the connection with a reason: the library takes any end at the login for
-// a refused one.
-func (g *guard) wasRefused() bool {
+// cork holds output back until uncork.
+func (g *guard) cork() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.refused
+	g.isCorked = true
 }
 
-// allow lets so many more deliveries come.
-func (g *guard) allow(n int) {
+// uncork sends what was held back. An error has closed the connection, which its reader reports.
+func (g *guard) uncork() {
 	g.mu.Lock()
-	g.allowed += uint64(n)
-	g.mu.Unlock()
+	defer g.mu.Unlock()
+	g.isCorked = false
+	_ = g.flush()
 }
 
-// none: nothing more may come, until it is allowed again.
-func (g *guard) none() {
+// allow admits more deliveries.
+func (g *guard) allow(deliveries int) {
 	g.mu.Lock()
-	g.allowed = g.seen
-	g.mu.Unlock()
+	defer g.mu.Unlock()
+	g.allowed += uint64(deliveries)
 }
 
-// wasTooLarge tells it once.
-func (g *guard) wasTooLarge(tag uint64) bool {
+// allowNone admits no more deliveries, until the next allow.
+func (g *guard) allowNone() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	_, ok := g.tooLarge[tag]
-	delete(g.tooLarge, tag)
-	return ok
+	g.allowed = g.delivered
 }
 
-// Write sends, or puts by while corked.
-func (g *guard) Write(p []byte) (int, error) {
+// wasClosedByBroker tells whether the broker has closed the connection with a reason: the library takes any end of the
+// connection during the login for a rejected login.
+func (g *guard) wasClosedByBroker() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.out = append(g.out, p...)
-	if g.corked && len(g.out) < mostCorked {
-		return len(p), nil
-	}
-	return len(p), g.flush()
+	return g.closedByBroker
 }
 
-// flush has a bound in time: a broker that does not read loses its connection.
-func (g *guard) flush() error {
-	if len(g.out) == 0 {
-		return nil
-	}
-	_ = g.Conn.SetWriteDeadline(time.Now().Add(g.patience))
-	_, err := g.Conn.Write(g.out)
-	if g.out = g.out[:0]; err != nil {
-		g.Conn.Close()
-	}
-	return err
-}
-
-// cork puts output by until it is taken off again.
-func (g *guard) cork(on bool) {
+// takeOversized tells whether the delivered message was oversized, and forgets it.
+func (g *guard) takeOversized(deliveryTag uint64) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if g.corked = on; !on {
-		_ = g.flush() // an error has closed the connection, which its reader tells
-	}
+	_, ok := g.oversized[deliveryTag]
+	delete(g.oversized, deliveryTag)
+	return ok
 }
--- a/internal/front/amqp/guard_test.go
+++ b/internal/front/amqp/guard_test.go
@@ -12,25 +12,25 @@
 	"thymechute/internal/fake/broker"
 )
 
-// wire is a connection that brings what it was given.
-type wire struct {
+// fakeConn is a connection that delivers fixed input and records its output.
+type fakeConn struct {
 	net.Conn
 	in     io.Reader
 	out    bytes.Buffer
 	writes int
 }
 
-func (w *wire) Read(p []byte) (int, error) { return w.in.Read(p) }
-func (w *wire) Write(p []byte) (int, error) {
-	w.writes++
-	return w.out.Write(p)
+func (c *fakeConn) Read(p []byte) (int, error) { return c.in.Read(p) }
+func (c *fakeConn) Write(p []byte) (int, error) {
+	c.writes++
+	return c.out.Write(p)
 }
-func (w *wire) Close() error                     { return nil }
-func (w *wire) SetWriteDeadline(time.Time) error { return nil }
+func (c *fakeConn) Close() error                     { return nil }
+func (c *fakeConn) SetWriteDeadline(time.Time) error { return nil }
 
 func frame(kind byte, payload []byte) []byte { return broker.AppendFrame(nil, kind, 1, payload) }
 
-// delivery is a message as a broker writes it, in bodies of at most 1000 bytes.
+// delivery returns a message as a broker writes it, in bodies of at most 1000 bytes.
 func delivery(tag uint64, size int) (out []byte) {
 	out = frame(kindMethod, broker.AppendMethod(nil, "basic.deliver", "tag", tag, false, "", "q"))
 	out = append(out, frame(kindHeader, broker.AppendHeader(nil, size, broker.Props{broker.Type: "trace"}))...)
@@ -42,37 +42,37 @@
 	return out
 }
 
-func guarded(in []byte, allowed int) *guard {
-	g := newGuard(&wire{in: bytes.NewReader(in)}, 2000, time.Second)
+func newTestGuard(in []byte, allowed int) *guard {
+	g := newGuard(&fakeConn{in: bytes.NewReader(in)}, 2000, time.Second)
 	g.allow(allowed)
 	return g
 }
 
-func TestGuardHandsOnWhatIsWellUnchanged(t *testing.T) {
-	in := append(append(delivery(1, 0), delivery(2, 2000)...), broker.AppendFrame(nil, kindBeat, 0, nil)...)
-	got, err := io.ReadAll(guarded(in, 2))
+func TestGuardPassesValidFramesUnchanged(t *testing.T) {
+	in := append(append(delivery(1, 0), delivery(2, 2000)...), broker.AppendFrame(nil, kindHeartbeat, 0, nil)...)
+	got, err := io.ReadAll(newTestGuard(in, 2))
 	if err != nil || !bytes.Equal(got, in) {
 		t.Errorf("%d bytes of %d, %v", len(got), len(in), err)
 	}
 }
 
-// A body that is too large is never held: the library sees an empty one, and the front knows by the tag.
-func TestGuardLeavesOutWhatIsTooLarge(t *testing.T) {
-	g := guarded(append(delivery(1, 1<<20), delivery(2, 10)...), 2)
+// An oversized body is never held in memory: the library sees an empty one, and the front knows the tag.
+func TestGuardDropsOversizedBodies(t *testing.T) {
+	g := newTestGuard(append(delivery(1, 1<<20), delivery(2, 10)...), 2)
 	got, err := io.ReadAll(g)
 	want := append(delivery(1, 0), delivery(2, 10)...)
 	if err != nil || !bytes.Equal(got, want) {
 		t.Errorf("%d bytes, want %d: %v", len(got), len(want), err)
 	}
-	if !g.wasTooLarge(1) || g.wasTooLarge(1) || g.wasTooLarge(2) || len(g.open) != 0 {
+	if !g.takeOversized(1) || g.takeOversized(1) || g.takeOversized(2) || len(g.contents) != 0 {
 		t.Error("not remembered once, by its tag")
 	}
-	if cap(g.frame) > 4*mostFrame {
+	if cap(g.frame) > 4*maxFrameSize {
 		t.Errorf("holds %d bytes", cap(g.frame))
 	}
 }
 
-func TestGuardEndsWhatABrokerMustNotSend(t *testing.T) {
+func TestGuardRejectsProtocolViolations(t *testing.T) {
 	head := frame(kindHeader, broker.AppendHeader(nil, 5, broker.Props{}))
 	deliver := frame(kindMethod, broker.AppendMethod(nil, "basic.deliver", "tag", uint64(1), false, "", "q"))
 	for name, in := range map[string][]byte{
@@ -88,51 +88,51 @@
 		"a body out of place":         append(append(bytes.Clone(deliver), head...), frame(kindBody, []byte("123456"))...),
 		"broker sends a body out of ": append(append(bytes.Clone(deliver), head...), frame(kindBody, nil)...), // else endless
 	} {
-		_, err := io.ReadAll(guarded(in, 2))
-		var f fault
-		if !errors.As(err, &f) || !strings.Contains(err.Error(), name) {
+		_, err := io.ReadAll(newTestGuard(in, 2))
+		var violation protocolError
+		if !errors.As(err, &violation) || !strings.Contains(err.Error(), name) {
 			t.Errorf("%s: %v", name, err)
 		}
 	}
 }
 
-func TestGuardPutsOutputTogether(t *testing.T) {
-	w := &wire{}
+func TestGuardBatchesCorkedOutput(t *testing.T) {
+	w := &fakeConn{}
 	g := newGuard(w, 1, time.Second)
-	g.cork(true)
+	g.cork()
 	for range 10 {
 		_, _ = g.Write([]byte("ack"))
 	}
 	if w.writes != 0 {
 		t.Error("written while corked")
 	}
-	g.cork(false)
+	g.uncork()
 	if w.writes != 1 || w.out.Len() != 30 {
 		t.Errorf("%d writes, %d bytes", w.writes, w.out.Len())
 	}
-	g.cork(true)
-	_, _ = g.Write(make([]byte, mostCorked))
+	g.cork()
+	_, _ = g.Write(make([]byte, maxBuffered))
 	if w.writes != 2 {
-		t.Error("kept over its bound")
+		t.Error("buffered beyond the bound")
 	}
 }
 
-// Whatever comes: no panic, one bounded frame held, and nothing handed on that is not a whole frame.
+// For any input: no panic, at most one bounded frame in memory, and only whole frames passed on.
 func FuzzGuard(f *testing.F) {
 	f.Add(delivery(1, 5000))
 	f.Add(append(delivery(1, 0), delivery(2, 10)...))
 	f.Add([]byte{kindMethod, 0, 0, 0, 0, 0, 0, frameEnd})
 	f.Add([]byte{kindBody, 0, 1, 0xff, 0xff, 0xff, 0xff})
 	f.Fuzz(func(t *testing.T, in []byte) {
-		g := guarded(in, 3)
+		g := newTestGuard(in, 3)
 		got, _ := io.ReadAll(g)
 		for r := bytes.NewReader(got); r.Len() > 0; {
-			if _, err := broker.ReadFrame(r, mostFrame); err != nil {
-				t.Fatalf("handed on %q: %v", got, err)
+			if _, err := broker.ReadFrame(r, maxFrameSize); err != nil {
+				t.Fatalf("passed on %q: %v", got, err)
 			}
 		}
-		if cap(g.frame) > 4*mostFrame || len(g.tooLarge) > 3 || len(g.open) > mostChannels {
-			t.Errorf("holds %d bytes, %d tags, %d contents", cap(g.frame), len(g.tooLarge), len(g.open))
+		if cap(g.frame) > 4*maxFrameSize || len(g.oversized) > 3 || len(g.contents) > maxChannels {
+			t.Errorf("holds %d bytes, %d tags, %d contents", cap(g.frame), len(g.oversized), len(g.contents))
 		}
 	})
 }
--- a/internal/front/amqp/serve.go
+++ b/internal/front/amqp/serve.go
@@ -1,5 +1,3 @@
-// This file owns the goroutine of a session that stands: what comes of the broker, and what is ordered of it.
-
 package amqp
 
 import (
@@ -8,117 +6,103 @@
 	amqp "github.com/rabbitmq/amqp091-go"
 )
 
-// serve carries orders and notices until the connection ends.
-func (s *session) serve() error {
-	gone := s.conn.NotifyClose(make(chan *amqp.Error, 1))
-	inGone := s.in.NotifyClose(make(chan *amqp.Error, 1))
-	cancels := s.in.NotifyCancel(make(chan string, mostChannels))
-	blocks := s.conn.NotifyBlocked(make(chan amqp.Blocking, 8))
-	broken := func(e *amqp.Error) error {
-		if e == nil {
-			return errors.New("closed")
-		}
-		return e
+const maxPendingNotices = 8 // the library waits beyond
+
+// errAbandoned is the end of a session that the front has dropped.
+var errAbandoned = errors.New("abandoned")
+
+// notices are what the library reports of the connection and the consuming channel.
+type notices struct {
+	connectionClosed chan *amqp.Error
+	consumerClosed   chan *amqp.Error
+	cancellations    chan string
+	blocked          chan amqp.Blocking
+}
+
+func (s *session) subscribe() notices {
+	return notices{
+		connectionClosed: s.connection.NotifyClose(make(chan *amqp.Error, 1)),
+		consumerClosed:   s.consumer.channel.NotifyClose(make(chan *amqp.Error, 1)),
+		cancellations:    s.consumer.channel.NotifyCancel(make(chan string, maxPendingNotices)),
+		blocked:          s.connection.NotifyBlocked(make(chan amqp.Blocking, maxPendingNotices)),
 	}
+}
+
+// serve executes commands and reports notices until the connection ends; it returns why. A channel of notices that the
+// library closes is set to nil, so that it is never ready again.
+func (s *session) serve() error {
+	notices := s.subscribe()
 	failed := make(chan error, 1)
-	go func() {
-		for {
-			select {
-			case <-s.over:
-				return
-			case do := <-s.steps:
-				if err := do(s); err != nil {
-					failed <- err
-					return
-				}
-			}
-		}
-	}()
+	go s.serveConsumerCommands(failed)
 	for {
 		select {
-		case <-s.over:
-			return errors.New("given up")
+		case <-s.abandoned:
+			return errAbandoned
 		case err := <-failed:
 			return err
-		case e := <-gone:
-			return broken(e)
-		case e := <-inGone:
-			return broken(e)
-		case e := <-s.lost:
-			if s.conn.IsClosed() {
-				return broken(e)
-			}
-			s.tell(event{what: publishLost, err: broken(e)})
-			for n := len(s.confirms); n > 0; n-- { // what was confirmed before it was closed
-				if c, ok := <-s.confirms; ok {
-					s.confirmed(c)
-				}
-			}
-			for _, number := range s.numbers { // nothing tells which of the rest the broker took
-				s.tell(event{what: confirmed, number: number})
-			}
-			if err := s.publisher(); err != nil {
+		case reason := <-notices.connectionClosed:
+			return closeError(reason)
+		case reason := <-notices.consumerClosed:
+			return closeError(reason)
+		case reason := <-s.publisher.closed:
+			if err := s.reopenPublisher(reason); err != nil {
 				return err
 			}
-		case _, ok := <-cancels:
-			if ok {
-				s.tell(event{what: cancelled})
-			} else {
-				cancels = nil
+		case _, ok := <-notices.cancellations:
+			if !ok {
+				notices.cancellations = nil
+				continue
 			}
-		case b, ok := <-blocks:
-			if ok {
-				s.tell(event{what: blocked, good: b.Active})
-			} else {
-				blocks = nil
+			s.emit(event{kind: eventCancelled})
+		case blocking, ok := <-notices.blocked:
+			if !ok {
+				notices.blocked = nil
+				continue
 			}
-		case r, ok := <-s.returns:
-			if ok {
-				s.unrouted(r)
-			} else {
-				s.returns = nil
+			s.emit(event{kind: eventBlocked, isBlocked: blocking.Active})
+		case returned, ok := <-s.publisher.returns:
+			if !ok {
+				s.publisher.returns = nil
+				continue
 			}
-		case c, ok := <-s.confirms:
+			s.reportReturn(returned)
+		case confirmation, ok := <-s.publisher.confirms:
 			if !ok {
-				s.confirms = nil
+				s.publisher.confirms = nil
 				continue
 			}
-			s.confirmed(c)
-		case o := <-s.orders:
-			if err := s.carry(o); err != nil {
+			s.confirm(confirmation)
+		case c := <-s.commands:
+			if err := s.executeBatch(c); err != nil {
 				return err
 			}
 		}
 	}
 }
 
-// carry does one order and those that wait behind it, and sends what they wrote at once.
-func (s *session) carry(o order) error {
-	s.guard.cork(true)
-	defer s.guard.cork(false)
-	for n := len(s.orders); ; n-- {
-		if err := o(s); err != nil || n == 0 {
-			return err
+// serveConsumerCommands executes the commands that wait for the broker.
+func (s *session) serveConsumerCommands(failed chan<- error) {
+	for {
+		select {
+		case <-s.abandoned:
+			return
+		case execute := <-s.consumerCommands:
+			if err := execute(s); err != nil {
+				failed <- err
+				return
+			}
 		}
-		o = <-s.orders
 	}
 }
 
-// confirmed: a return comes before its confirm, but select takes either first.
-func (s *session) confirmed(c amqp.Confirmation) {
-	for n := len(s.returns); n > 0; n-- {
-		if r, ok := <-s.returns; ok {
-			s.unrouted(r)
+// executeBatch executes a command and those queued behind it, and sends their output at once.
+func (s *session) executeBatch(execute command) error {
+	s.guard.cork()
+	defer s.guard.uncork()
+	for queued := len(s.commands); ; queued-- {
+		if err := execute(s); err != nil || queued == 0 {
+			return err
 		}
-	}
-	if number, ok := s.numbers[c.DeliveryTag]; ok {
-		delete(s.numbers, c.DeliveryTag)
-		s.tell(event{what: confirmed, number: number, good: c.Ack})
-	}
-}
-
-func (s *session) unrouted(r amqp.Return) {
-	if n, ok := r.Headers[numberField].(int64); ok {
-		s.tell(event{what: unrouted, number: uint64(n)})
+		execute = <-s.commands
 	}
 }
--- a/internal/front/amqp/session.go
+++ b/internal/front/amqp/session.go
@@ -1,8 +1,3 @@
-// A session is one connection to a broker: this file owns its goroutines, which alone may wait for it. What comes is
-// gathered and handed to the loop in batches; what the loop wants is put into a queue that never fills, as each
-// unsettled message has at most two orders in it. Delivery tags and publish numbers belong to the session: an order of
-// one that is over goes nowhere. It must never decide, nor touch anything of the loop's.
-
 package amqp
 
 import (
@@ -17,127 +12,133 @@
 )
 
 const (
-	dialFor  = 5 * time.Second // the whole way until it stands
-	closeFor = time.Second     // the broker may take for its close-ok
+	connectTimeout = 5 * time.Second // until the session is set up
+	closeTimeout   = time.Second     // for the broker's close-ok
+
+	maxCommandsPerMessage = 2
+	extraCommands         = 64
+	maxConsumerCommands   = 64
 )
 
-// order is one thing for the session to do.
-type order func(*session) error
-
-// event is one thing that happened on a session, for the loop.
-type event struct {
-	what     what
-	delivery amqp.Delivery
-	at       time.Time
-	queue    int
-	number   uint64 // of a publish
-	good     bool
-	far      intake.Failure
-	err      error
+// session is one connection to a broker. Its goroutines alone may wait for the broker; delivery tags and publish numbers
+// belong to it, and commands to a session that has ended are dropped.
+//
+// Its command queues never fill, as each unsettled message has at most two commands in them. Its events are handed to the
+// loop in batches.
+type session struct {
+	config  *operator.AMQP
+	name    string // of the instance
+	post    func(f func())
+	handler sessionHandler
+
+	commands         chan command
+	consumerCommands chan command  // these wait for the broker; settlements must not queue behind them
+	abandoned        chan struct{} // closed when nothing more is wanted of the session
+	abandonOnce      sync.Once
+
+	guard      *guard // nil until the connection is open
+	connection *amqp.Connection
+	consumer   consumer
+	publisher  publisher
+
+	mu          sync.Mutex // guards the fields below
+	events      []event
+	isScheduled bool // the loop will take the events
 }
 
-type what uint8
-
-const (
-	delivered what = iota
-	confirmed
-	unrouted
-	standing // it is up, and all names are there
-	consuming
-	pausing
-	blocked
-	cancelled
-	publishLost // the broker closed the channel that publishes; it is opened again
-	closed
-)
+// sessionHandler receives what happens on a session, on the loop.
+type sessionHandler struct {
+	events func(*session, []event)
+	answer func(s *session, tag string, answer node.Answer)
+}
 
-type session struct {
-	told     *operator.AMQP
-	name     string
-	bound    int            // messages that may be unsettled
-	hand     func(f func()) // on to the loop
-	taken    func([]event)  // on the loop
-	answered func(*session, string, node.Answer)
-	orders   chan order
-	steps    chan order    // consume and pause, which wait for the broker: acks must not stand behind them
-	over     chan struct{} // closed when the loop wants no more of it
-	end      sync.Once
-
-	guard     *guard
-	conn      *amqp.Connection
-	in, out   *amqp.Channel // consumes, publishes
-	consumers int           // of the steps' goroutine: how often it has consumed
-	tags      []string      // as well
-	readers   sync.WaitGroup
-	confirms  chan amqp.Confirmation
-	returns   chan amqp.Return
-	lost      chan *amqp.Error // the publishing channel
-	published uint64           // on that channel
-	numbers   map[uint64]uint64
-
-	mu     sync.Mutex
-	events []event
-	queued bool
+// consumer is the consuming side of a session. It belongs to the goroutine of the consumer commands.
+type consumer struct {
+	channel *amqp.Channel
+	starts  int      // how often consuming was started
+	tags    []string // of the running consumers
+	readers sync.WaitGroup
 }
 
-// open starts one; bound is how many messages may be unsettled at a time.
-func open(told *operator.AMQP, name, address string, bound int, hand func(func()), taken func([]event),
-	answered func(*session, string, node.Answer)) *session {
-	s := &session{told: told, name: name, bound: bound, hand: hand, taken: taken, answered: answered, orders: make(chan order, 2*bound+64), steps: make(chan order, 64),
-		over: make(chan struct{}), numbers: map[uint64]uint64{}}
-	go s.live(address)
+// openSession starts a session. maxUnsettled bounds the messages that are unsettled at a time.
+func openSession(config *operator.AMQP, name, address string, maxUnsettled int, post func(func()), handler sessionHandler) *session {
+	s := &session{
+		config:           config,
+		name:             name,
+		post:             post,
+		handler:          handler,
+		commands:         make(chan command, maxCommandsPerMessage*maxUnsettled+extraCommands),
+		consumerCommands: make(chan command, maxConsumerCommands),
+		abandoned:        make(chan struct{}),
+	}
+	go s.run(address)
 	return s
 }
 
-// tell hands an event to the loop, together with what else came meanwhile.
-func (s *session) tell(e event) {
+// run connects, serves until the connection ends, and reports how it ended.
+func (s *session) run(address string) {
+	failure, err := s.connect(address)
+	if err == nil {
+		s.emit(event{kind: eventConnected})
+		go s.closeWhenAbandoned()
+		err = s.serve()
+		failure = intake.ConnectionLost
+	}
+	s.abandon()
+	if s.guard != nil {
+		s.guard.Close()
+	}
+	s.emit(event{kind: eventClosed, failure: failure, err: err})
+}
+
+// closeWhenAbandoned frees the session's goroutine from whatever it waits for.
+func (s *session) closeWhenAbandoned() {
+	<-s.abandoned
+	s.guard.Close()
+}
+
+// abandon ends the session without waiting for the broker. It may be called from any goroutine, and more than once.
+func (s *session) abandon() { s.abandonOnce.Do(func() { close(s.abandoned) }) }
+
+// emit hands an event to the loop, together with what else happens until the loop takes it.
+func (s *session) emit(e event) {
 	s.mu.Lock()
 	s.events = append(s.events, e)
-	first := !s.queued
-	s.queued = true
+	isFirst := !s.isScheduled
+	s.isScheduled = true
 	s.mu.Unlock()
-	if first {
-		s.hand(func() {
-			s.mu.Lock()
-			events := s.events
-			s.events, s.queued = nil, false
-			s.mu.Unlock()
-			s.taken(events)
-		})
+	if isFirst {
+		s.post(s.deliverEvents)
 	}
 }
 
-// hangup ends it without waiting for the broker. It may be called from any goroutine, and more than once.
-func (s *session) hangup() { s.end.Do(func() { close(s.over) }) }
+// deliverEvents runs on the loop.
+func (s *session) deliverEvents() {
+	s.mu.Lock()
+	events := s.events
+	s.events, s.isScheduled = nil, false
+	s.mu.Unlock()
+	s.handler.events(s, events)
+}
 
-// put gives an order, and step one that waits for the broker; an order for a session that is over is dropped. They
-// never wait themselves.
-func (s *session) put(do order) { s.queue(s.orders, do) }
+// submit queues a command. It does not wait.
+func (s *session) submit(c command) { s.enqueue(s.commands, c) }
 
-func (s *session) step(do order) { s.queue(s.steps, do) }
+// submitConsumer queues a command that may wait for the broker. It does not wait itself.
+func (s *session) submitConsumer(c command) { s.enqueue(s.consumerCommands, c) }
 
-func (s *session) queue(to chan order, do order) {
+// enqueue queues a command. The queues are large enough; if one is full all the same, the defect costs the connection and
+// does not block the loop.
+func (s *session) enqueue(queue chan command, c command) {
 	select {
-	case to <- do:
-	default: // can't be, by the bound; a defect must cost the connection, not the loop
-		s.hangup()
+	case queue <- c:
+	default:
+		s.abandon()
 	}
 }
 
-func (s *session) live(address string) {
-	far, err := s.connect(address)
-	if err == nil {
-		s.tell(event{what: standing})
-		go func() { // whatever the session's goroutine stands at
-			<-s.over
-			s.guard.Close()
-		}()
-		err = s.serve()
-		far = intake.ConnectionLost
-	}
-	s.hangup()
-	if s.guard != nil {
-		s.guard.Close()
-	}
-	s.tell(event{what: closed, far: far, err: err})
-}
+// Answer implements node.Responder.
+func (s *session) Answer(tag string, answer node.Answer) { s.handler.answer(s, tag, answer) }
+
+// HealthChecked implements node.Responder. No health check arrives over AMQP.
+func (s *session) HealthChecked(string, bool, float64) {}
