--- a/cmd/testbed/stands.go
+++ b/cmd/testbed/stands.go
@@ -49,7 +49,7 @@
 			}
 			defer b.Close()
 			for n := range messages {
-				b.Publish("", "readings", broker.Props{broker.Type: rig.Trace, broker.MessageID: fmt.Sprintf("m%d", n+1)}, []byte("reading"))
+				b.Publish("", "readings", broker.Props{broker.Type: rig.ClassTrace, broker.MessageID: fmt.Sprintf("m%d", n+1)}, []byte("reading"))
 			}
 			fmt.Fprintln(c.OutOrStdout(), "listening on", address)
 			untilStopped()
--- a/internal/lab/amqp.go
+++ b/internal/lab/amqp.go
@@ -39,7 +39,7 @@
 	if err != nil {
 		return err
 	}
-	progress(fmt.Sprintf("%d messages, half of them %s", size, rig.Excursion))
+	progress(fmt.Sprintf("%d messages, half of them %s", size, rig.ClassExcursion))
 	began, end := time.Now(), time.Now().Add(longest)
 	killed, restarted, most := false, false, int64(0)
 	handed, moved := 0, time.Now() // deliveries, and when there was the last
@@ -67,7 +67,7 @@
 		if !killed && done > size/3 {
 			killed = true
 			progress("n2 is killed and starts cold")
-			most = max(most, instances[1].Memory())
+			most = max(most, instances[1].PeakMemory())
 			instances[1].Kill()
 			if instances[1], err = rig.Launch(program, folder, "n2", runtimes[1], recorded.settings(folder), rig.MemoryMB, seed+9); err != nil {
 				return err
@@ -95,7 +95,7 @@
 	}
 	took := time.Since(began)
 	for _, i := range instances {
-		most = max(most, i.Memory())
+		most = max(most, i.PeakMemory())
 		if err := i.Drain(); err != nil {
 			r.Fault("%s", err.Error())
 		}
--- a/internal/lab/amqpbroker.go
+++ b/internal/lab/amqpbroker.go
@@ -39,9 +39,9 @@
 // kinds is what the recorded rules know of a class.
 func kinds(class string) invariant.Kind {
 	switch class {
-	case rig.Trace:
+	case rig.ClassTrace:
 		return invariant.Pure
-	case rig.Excursion:
+	case rig.ClassExcursion:
 		return invariant.Receipted
 	}
 	return invariant.Effectful
@@ -52,7 +52,7 @@
 	if err != nil {
 		return nil, err
 	}
-	r := &recordedBroker{b: b, start: time.Now(), book: invariant.New(rig.Window), marks: map[string]invariant.How{}, ended: map[string]bool{}}
+	r := &recordedBroker{b: b, start: time.Now(), book: invariant.New(rig.IdempotencyWindow), marks: map[string]invariant.How{}, ended: map[string]bool{}}
 	if err := b.Depot("given-up", nil); err != nil {
 		return nil, err
 	}
@@ -127,7 +127,7 @@
 	for n := range instances {
 		name := fmt.Sprintf("n%d", n+1)
 		var rt *runtime.Runtime
-		if rt, runtimes[n], err = runtime.Start("127.0.0.1:0", rig.Brief, r.started(name)); err != nil {
+		if rt, runtimes[n], err = runtime.Start("127.0.0.1:0", rig.ShortRun, r.started(name)); err != nil {
 			return instances, runtimes, end, err
 		}
 		ends = append(ends, rt.Close)
@@ -147,7 +147,7 @@
 }
 
 // put publishes the nth message; every other one is of the class excursion.
-func (r *recordedBroker) put(n int) { r.publish([]string{rig.Excursion, rig.Trace}[n%2], n) }
+func (r *recordedBroker) put(n int) { r.publish([]string{rig.ClassExcursion, rig.ClassTrace}[n%2], n) }
 
 func (r *recordedBroker) publish(class string, n int) {
 	id := fmt.Sprintf("m%d", n)
--- a/internal/lab/amqpcost.go
+++ b/internal/lab/amqpcost.go
@@ -41,7 +41,7 @@
 	}
 	defer recorded.b.Close()
 	recorded.b.Watch(func(broker.Event) {})
-	rt, address, err := runtime.Start("127.0.0.1:0", rig.Instant, func(string, []byte) {})
+	rt, address, err := runtime.Start("127.0.0.1:0", rig.ImmediateRun, func(string, []byte) {})
 	if err != nil {
 		return 0, 0, err
 	}
@@ -62,14 +62,14 @@
 	}
 	give := func(n int) {
 		for k := range n {
-			recorded.publish(rig.Trace, k)
+			recorded.publish(rig.ClassTrace, k)
 		}
 		recorded.b.Wait("readings", func(s broker.State) bool { return s.Ready+s.Out == 0 })
 	}
 	stuck := time.AfterFunc(longest, recorded.b.Close)
 	defer stuck.Stop()
 	give(size / 4) // the credit is at least as many as the other front's callers keep open
-	before, began := i.CPU(), time.Now()
+	before, began := i.CPUTime(), time.Now()
 	give(size)
-	return i.CPU() - before, time.Since(began), nil
+	return i.CPUTime() - before, time.Since(began), nil
 }
--- a/internal/lab/amqpstorm.go
+++ b/internal/lab/amqpstorm.go
@@ -27,7 +27,7 @@
 		return r, err
 	}
 	began, early := time.Now(), int64(0)
-	memory := func() int64 { return max(instances[0].Memory(), instances[1].Memory()) }
+	memory := func() int64 { return max(instances[0].PeakMemory(), instances[1].PeakMemory()) }
 	for stop := began.Add(longest); ; time.Sleep(20 * time.Millisecond) {
 		s := recorded.b.State("readings")
 		if early == 0 && recorded.b.Counted("delivered") > size {
@@ -42,7 +42,7 @@
 		}
 	}
 	took, most := time.Since(began), memory()
-	cpu := instances[0].CPU() + instances[1].CPU()
+	cpu := instances[0].CPUTime() + instances[1].CPUTime()
 	for _, i := range instances {
 		if err := i.Drain(); err != nil {
 			r.Fault("%s", err.Error())
--- a/internal/lab/fleet.go
+++ b/internal/lab/fleet.go
@@ -1,6 +1,3 @@
-// This file owns the experiment on a fleet: growth, kills, pauses, cuts, notices, and the claims on each step. It must
-// never leave a step unchecked.
-
 package lab
 
 import (
@@ -12,181 +9,181 @@
 	"thymechute/internal/lab/rig"
 )
 
-const fleetPause = 3 * time.Second // of a member stopped by SIGSTOP
-
-// networkFaults are the network's part of the script: one member cut off and healed; a one-way cut between two, which must
-// declare nobody gone; a third against the rest, and healed. The larger side must agree without the smaller. The
-// smaller is not waited for: SWIM's suspicion (Lifeguard) is slowest where no other member confirms it, and where a
-// member's own probes fail, which is what a minority should do; how many of the others it still held is a figure.
-func networkFaults(members *rig.Fleet, report *Report, live *[]string, step func(string) error, strict bool) error {
-	all := slices.Clone(*live)
-	holds := 0 // the most members of the other side that one of a smaller side still held when its cut healed
-	sides := func(what string, larger, smaller []string) error {
-		*live = larger
-		if err := step(what); err != nil {
-			return err
-		}
-		*live = all
-		for _, n := range smaller {
-			if v, ok := members.Member(n).View(); ok {
-				holds = max(holds, v.Members-len(smaller))
-			}
-		}
-		return nil
-	}
-	defer func() { report.Put("smaller_side_still_holds", float64(holds)) }()
-	lone := all[len(all)/2]
-	members.Net.Isolate(lone, all)
-	rest := slices.DeleteFunc(slices.Clone(all), func(n string) bool { return n == lone })
-	if err := sides("cut one off", rest, []string{lone}); err != nil {
-		return err
-	}
-	members.Net.Heal()
-	if err := step("healed"); err != nil {
-		return err
-	}
-	// What the one cut off came to suspect meanwhile can still fire as it is back, until refuted: an echo of that cut,
-	// counted apart, so that the next figure is of the one-way cut alone.
-	before := members.DeclaredGone(all)
-	time.Sleep(fleetPause) // past the longest suspicion
-	report.Put("after_heal_declared_gone", float64(members.DeclaredGone(all)-before))
-	before = members.DeclaredGone(all)
-	members.Net.Cut(all[1], all[2])
-	time.Sleep(fleetPause) // the script's one-way cut lasts this long; what it must not do is counted after
-	members.Net.Heal()
-	if gone := members.DeclaredGone(all) - before; strict {
-		report.Zero("one_way_cut_declared_gone", gone)
-	} else { // at the suite's small size, few are left to probe indirectly: one false declaration was seen under load
-		report.Put("one_way_cut_declared_gone", float64(gone))
-	}
-	third := max(len(all)/3, 1)
-	members.Net.Partition(all[:third], all[third:])
-	if err := sides("partition", all[third:], all[:third]); err != nil {
-		return err
-	}
-	members.Net.Heal()
-	return step("partition healed")
-}
+const (
+	minFleetSize = 4
+	maxFleetSize = 64
 
-// memberNames are the names of members, from one number up to before another.
-func memberNames(from, to int) []string {
-	var out []string
-	for n := from; n < to; n++ {
-		out = append(out, fmt.Sprintf("m%d", n))
-	}
-	return out
-}
+	// fleetAgreementClaim is the time within which all members agree after each step.
+	fleetAgreementClaim = 2 * time.Second
 
-// Fleet is the experiment: half the size, grown to the size, a kill -9 of an eighth, a pause, cold restarts, one cut
-// off and healed, a one-way cut, a partition of a third and healed, then shrunk to a third by notice. The claim: after each step all members agree on who is in and on dense ranks within
-// 2 s, and every member that is given the notice ends with 0.
+	// fleetFaultDuration is how long a member is stopped and how long a one-way partition lasts.
+	fleetFaultDuration = 3 * time.Second
+
+	killedFraction    = 8 // one in so many members is killed
+	partitionFraction = 3 // one in so many members is partitioned from the others
+	remainingFraction = 3 // one in so many members remains at the end
+	minRemaining      = 2
+)
+
+// Fleet runs the experiment on membership: half of the members start, the others join, an eighth is killed, one is
+// stopped and continued, the killed restart; then one member is isolated, two are partitioned one way, a third is
+// partitioned from the rest; at last all but a third drain. The claims: after each step the live members agree on the view
+// and on dense ranks within 2 s, and every member that drains exits with 0.
 func Fleet(program, folder string, seed uint64, size int, progress func(string)) (*Report, error) {
-	return FleetScript(program, folder, seed, size, progress, 2*time.Second)
+	return FleetWithClaim(program, folder, seed, size, progress, fleetAgreementClaim)
 }
 
-// FleetScript is Fleet with a claim of its own on each step's agreement; 0 for none but the rig's own limit. Small fleets
-// detect more slowly (a member probes each other once in n probe periods, and fewer confirm a suspicion), so the
-// 2 s of the experiment is held at its size, and the suite's small size checks only that every step ends.
-func FleetScript(program, folder string, seed uint64, size int, progress func(string), claim time.Duration) (*Report, error) {
-	if size < 4 || size > 64 {
-		return nil, fmt.Errorf("--size: found %d, expected 4 to 64 members", size)
-	}
-	members := rig.NewFleet(program, folder, seed)
-	defer members.End()
-	report := &Report{}
-	var steps []time.Duration
-	live := memberNames(0, size/2)
-	since := time.Time{} // where set, a step counts from it (the notice) instead of from when Agree begins
-	step := func(what string) error {
-		took, err := members.Agree(live)
-		if err != nil {
-			return fmt.Errorf("%s: %w", what, err)
-		}
-		if !since.IsZero() {
-			took, since = time.Since(since), time.Time{}
-		}
-		progress(fmt.Sprintf("%-34s %d members agree after %v", what, len(live), took.Round(time.Millisecond)))
-		steps = append(steps, took)
-		return nil
-	}
-	for _, n := range live {
-		if err := members.Start(n); err != nil {
+// FleetWithClaim is Fleet with another claim on the agreement after each step; 0 for none but the rig's own timeout. Small
+// fleets detect failures more slowly, as a member probes each other once in n probe intervals and fewer members confirm a
+// suspicion; without a claim, the one-way partition is also only reported and not held to no false detection.
+func FleetWithClaim(program, folder string, seed uint64, size int, progress func(string), claim time.Duration) (*Report, error) {
+	if size < minFleetSize || size > maxFleetSize {
+		return nil, fmt.Errorf("--size: found %d, expected %d to %d members", size, minFleetSize, maxFleetSize)
+	}
+	experiment := &fleetExperiment{members: rig.NewFleet(program, folder, seed), size: size, claim: claim, progress: progress, report: &Report{}}
+	defer experiment.members.Close()
+	for _, phase := range []func() error{
+		experiment.start, experiment.kill, experiment.stopAndContinue, experiment.restart,
+		experiment.isolate, experiment.partitionOneWay, experiment.partition, experiment.drain,
+	} {
+		if err := phase(); err != nil {
 			return nil, err
 		}
 	}
-	if err := step("start"); err != nil {
-		return nil, err
+	experiment.finish()
+	return experiment.report, nil
+}
+
+// fleetExperiment is the state of one run.
+type fleetExperiment struct {
+	members  *rig.Fleet
+	size     int
+	claim    time.Duration // 0: none
+	progress func(string)
+	report   *Report
+
+	live       []string // members that are expected to agree
+	killed     []string // to be restarted
+	agreements []time.Duration
+	// staleMembers is the most members of the other side that one of a smaller side still had in its view when its
+	// partition healed.
+	staleMembers int
+	badExits     int // members whose drain did not end with exit status 0
+}
+
+// memberNames returns the names of the members from a first number to before an end.
+func memberNames(first, end int) []string {
+	var names []string
+	for n := first; n < end; n++ {
+		names = append(names, fmt.Sprintf("m%d", n))
 	}
-	for _, n := range memberNames(size/2, size) {
-		if err := members.Start(n); err != nil {
-			return nil, err
+	return names
+}
+
+// agree waits until the live members agree, and records how long that took.
+func (e *fleetExperiment) agree(step string) error { return e.agreeSince(step, time.Now()) }
+
+// agreeSince is agree, timed from a moment before it.
+func (e *fleetExperiment) agreeSince(step string, start time.Time) error {
+	if _, err := e.members.WaitForAgreement(e.live); err != nil {
+		return fmt.Errorf("%s: %w", step, err)
+	}
+	took := time.Since(start)
+	e.progress(fmt.Sprintf("%-34s %d members agree after %v", step, len(e.live), took.Round(time.Millisecond)))
+	e.agreements = append(e.agreements, took)
+	return nil
+}
+
+func (e *fleetExperiment) startMembers(names []string) error {
+	for _, name := range names {
+		if err := e.members.StartMember(name); err != nil {
+			return err
 		}
 	}
-	live = memberNames(0, size)
-	if err := step("grown"); err != nil {
-		return nil, err
-	}
-	killed := live[len(live)-max(size/8, 1):]
-	for _, n := range killed {
-		members.Member(n).Kill()
-	}
-	live = live[:len(live)-len(killed)]
-	if err := step("kill -9"); err != nil {
-		return nil, err
-	}
-	paused := live[len(live)-1]
-	members.Member(paused).Signal(syscall.SIGSTOP)
-	stopped := time.Now()
-	live = live[:len(live)-1]
-	if err := step("SIGSTOP"); err != nil {
-		return nil, err
+	return nil
+}
+
+// start starts half of the members, then the others.
+func (e *fleetExperiment) start() error {
+	e.live = memberNames(0, e.size/2)
+	if err := e.startMembers(e.live); err != nil {
+		return err
 	}
-	time.Sleep(max(fleetPause-time.Since(stopped), 0)) // the script's pause: a length of time, not a wait for an event
-	members.Member(paused).Signal(syscall.SIGCONT)
-	live = append(live, paused)
-	if err := step("SIGCONT"); err != nil {
-		return nil, err
+	if err := e.agree("start"); err != nil {
+		return err
 	}
-	for _, n := range killed {
-		if err := members.Start(n); err != nil {
-			return nil, err
-		}
+	if err := e.startMembers(memberNames(e.size/2, e.size)); err != nil {
+		return err
 	}
-	live = append(live, killed...)
-	if err := step("cold restart"); err != nil {
-		return nil, err
+	e.live = memberNames(0, e.size)
+	return e.agree("grown")
+}
+
+func (e *fleetExperiment) kill() error {
+	remaining := len(e.live) - max(e.size/killedFraction, 1)
+	e.killed = slices.Clone(e.live[remaining:])
+	for _, name := range e.killed {
+		e.members.Member(name).Kill()
+	}
+	e.live = e.live[:remaining]
+	return e.agree("kill -9")
+}
+
+func (e *fleetExperiment) stopAndContinue() error {
+	stopped := e.live[len(e.live)-1]
+	e.members.Member(stopped).Signal(syscall.SIGSTOP)
+	stoppedAt := time.Now()
+	e.live = e.live[:len(e.live)-1]
+	if err := e.agree("SIGSTOP"); err != nil {
+		return err
 	}
-	// The suite runs at 6 with no claim; the experiment makes one at 24, where the one-way cut is held to 0.
-	if err := networkFaults(members, report, &live, step, claim > 0); err != nil {
-		return nil, err
+	time.Sleep(max(fleetFaultDuration-time.Since(stoppedAt), 0)) // the length of the fault, not a wait for an event
+	e.members.Member(stopped).Signal(syscall.SIGCONT)
+	e.live = append(e.live, stopped)
+	return e.agree("SIGCONT")
+}
+
+// restart starts the killed members without state, under their names.
+func (e *fleetExperiment) restart() error {
+	if err := e.startMembers(e.killed); err != nil {
+		return err
 	}
-	leaving := live[max(size/3, 2):]
+	e.live = append(e.live, e.killed...)
+	return e.agree("cold restart")
+}
+
+// drain gives the notice to all but a third of the members at once.
+func (e *fleetExperiment) drain() error {
+	remaining := max(e.size/remainingFraction, minRemaining)
+	leaving := e.live[remaining:]
 	errs := make(chan error, len(leaving))
-	since = time.Now()
-	for _, n := range leaving { // the notice to all at once, as a rolling stop of a third would
-		go func(i *rig.Instance) { errs <- i.Drain() }(members.Member(n))
+	notice := time.Now()
+	for _, name := range leaving {
+		go func(member *rig.Instance) { errs <- member.Drain() }(e.members.Member(name))
 	}
-	bad := 0
 	for range leaving {
 		if err := <-errs; err != nil {
-			bad++
-			report.Fault("%s", err.Error())
+			e.badExits++
+			e.report.Fault("%s", err.Error())
 		}
 	}
-	for _, n := range leaving {
-		members.Forget(n)
+	for _, name := range leaving {
+		e.members.Remove(name)
 	}
-	live = live[:max(size/3, 2)]
-	if err := step("shrunk by notice"); err != nil {
-		return nil, err
-	}
-	slices.Sort(steps)
-	report.Put("members_most", float64(size))
-	report.Put("converge_ms_p99", float64(steps[len(steps)-1].Milliseconds()))
-	report.Put("converge_ms_median", float64(steps[len(steps)/2].Milliseconds()))
-	report.Zero("bad_exits", bad)
-	if worst := steps[len(steps)-1]; claim > 0 && worst > claim {
-		report.Fault("fleet: agreement took %v, expected at most %v", worst, claim)
+	e.live = e.live[:remaining]
+	return e.agreeSince("shrunk by notice", notice)
+}
+
+// finish reports the times and holds them to the claim.
+func (e *fleetExperiment) finish() {
+	slices.Sort(e.agreements)
+	slowest := e.agreements[len(e.agreements)-1]
+	e.report.Put("smaller_side_still_holds", float64(e.staleMembers))
+	e.report.Put("members_most", float64(e.size))
+	e.report.Put("converge_ms_p99", float64(slowest.Milliseconds()))
+	e.report.Put("converge_ms_median", float64(e.agreements[len(e.agreements)/2].Milliseconds()))
+	e.report.Zero("bad_exits", e.badExits)
+	if e.claim > 0 && slowest > e.claim {
+		e.report.Fault("fleet: agreement took %v, expected at most %v", slowest, e.claim)
 	}
-	return report, nil
 }
--- a/internal/lab/lab_test.go
+++ b/internal/lab/lab_test.go
@@ -19,36 +19,36 @@
 		for _, f := range r.Faults {
 			t.Errorf("%s: %s", name, f)
 		}
-		held := map[string]float64{}
+		figures := map[string]float64{}
 		for _, f := range r.Figures {
-			held[f.Name] = f.Value
+			figures[f.Name] = f.Value
 		}
-		if held["read"] < 1500 || held["fulfilled"] == 0 || held["acks_dropped"] == 0 || held["most_memory_mb"] == 0 {
-			t.Errorf("%s: %v", name, held)
+		if figures["read"] < 1500 || figures["fulfilled"] == 0 || figures["acks_dropped"] == 0 || figures["most_memory_mb"] == 0 {
+			t.Errorf("%s: %v", name, figures)
 		}
 	}
 }
 
-// The fleet rig at a small size: six processes through kill -9, a pause, a cold restart, a member cut off, a one-way
-// cut, a partition and notices agree after each, and nobody is declared gone by the one-way cut.
+// The fleet experiment at a small size: six processes agree after kill -9, SIGSTOP, a restart, an isolated member, a one-way
+// partition, a partition and a drain.
 func TestFleetAtASmallSize(t *testing.T) {
 	if testing.Short() {
 		t.Skip("starts processes")
 	}
 	folder := t.TempDir()
 	program := testutil.Built(t)
-	r, err := FleetScript(program, folder, 1, 6, func(line string) { t.Log(line) }, 0)
+	r, err := FleetWithClaim(program, folder, 1, 6, func(line string) { t.Log(line) }, 0)
 	if err != nil {
 		t.Fatal(err)
 	}
 	for _, f := range r.Faults {
 		t.Error(f)
 	}
-	held := map[string]float64{}
+	figures := map[string]float64{}
 	for _, f := range r.Figures {
-		held[f.Name] = f.Value
+		figures[f.Name] = f.Value
 	}
-	if _, ok := held["smaller_side_still_holds"]; !ok || held["converge_ms_p99"] == 0 {
-		t.Errorf("figures missing: %v", held)
+	if _, ok := figures["smaller_side_still_holds"]; !ok || figures["converge_ms_p99"] == 0 {
+		t.Errorf("figures missing: %v", figures)
 	}
 }
--- a/internal/lab/rig/doc.go
+++ b/internal/lab/rig/doc.go
@@ -1,9 +1,7 @@
-// Package rig runs the real program as processes on loopback, for the experiments of internal/lab: it owns their start,
-// settings, addresses, faults (kill -9, SIGSTOP, cold restart, and the network's by stand/faultnet), and what is read of them
-// (log, memory, processor time, fleet views).
+// Package rig runs the real program as processes on loopback, for the experiments of internal/lab: their start,
+// configuration, addresses and faults (kill -9, SIGSTOP, restart, and network faults by fake/faultnet), and what can be
+// observed of them (log, memory, processor time, views of the fleet).
 //
-// It must never touch an address that is not loopback, leave a process behind, or wait without a bound.
-//
-// Its tables: an instance's log, a mebibyte at most; a fleet's members and addresses, 250 names at most, and a runtime for
-// each start. End ends them all.
+// It uses only loopback addresses, leaves no process behind and never waits without a bound. An instance's log is limited
+// to 1 MiB and a fleet to 250 names. A Fleet is used from one goroutine.
 package rig
--- a/internal/lab/rig/instance.go
+++ b/internal/lab/rig/instance.go
@@ -1,75 +1,91 @@
-// This file owns the program as a process: its start, its log, what it uses, its end. It must never leave a process
-// behind: each is killed with the thread that started it.
-
 package rig
 
 import (
-	"bufio"
 	"bytes"
 	"encoding/json"
-	"errors"
 	"fmt"
 	"os"
 	"os/exec"
 	"path/filepath"
 	"strconv"
-	"strings"
 	"sync"
 	"syscall"
 	"time"
+
+	"thymechute/internal/fake/faultnet"
+)
+
+const (
+	maxLogBytes  = 1 << 20
+	drainTimeout = 5 * time.Second
 )
 
 // Instance is the program as a process.
 type Instance struct {
-	Name, Listen string
-	cmd          *exec.Cmd
+	Name, Listen string // its name, and the address that it listens on
+	command      *exec.Cmd
 	exited       chan struct{}
-	mu           sync.Mutex
-	log          bytes.Buffer
-	wrote        chan struct{} // one slot, filled at each write: who waits for a line waits on it
+
+	mu    sync.Mutex
+	log   bytes.Buffer
+	wrote chan struct{} // holds one signal, set at each write to the log
 }
 
-// Launch starts the program at its runtime, with its configuration in the folder; settings is the operator's file, or empty.
-// Who starts it ends it, by Kill or Drain.
+// Launch starts the program with its configuration in the folder, connected to a runtime; settings is the path of the
+// operator's file, or empty. The caller ends it by Kill or Drain; it is also killed with the thread that started it.
 func Launch(program, folder, name, runtime, settings string, memoryMB int, seed uint64) (*Instance, error) {
-	listen, err := Free()
+	listen, err := freeAddress()
 	if err != nil {
 		return nil, err
 	}
-	nobody, err := Free()
+	configuration, err := writeConfiguration(folder, name, listen, runtime, memoryMB, seed)
 	if err != nil {
 		return nil, err
 	}
-	text, _ := json.Marshal(map[string]any{"name": name, "listen": listen, "runtime": runtime, "index": nobody, "directory": nobody,
-		"seed": strconv.FormatUint(seed, 16), "stop_ms": 3000, "settings": deployment(),
-		"limits": map[string]any{"cores": 1.0, "memory_mb": memoryMB, "sockets": 384}})
-	file := filepath.Join(folder, name+".json")
-	if err := os.WriteFile(file, text, 0o600); err != nil {
-		return nil, err
-	}
-	i := &Instance{Name: name, Listen: listen, exited: make(chan struct{}), wrote: make(chan struct{}, 1)}
-	args := []string{"serve"}
+	arguments := []string{"serve"}
 	if settings != "" {
-		args = append(args, "--settings", settings)
+		arguments = append(arguments, "--settings", settings)
 	}
-	i.cmd = exec.Command(program, args...)
-	i.cmd.Env = append(os.Environ(), "GW_CONFIG="+file)
-	i.cmd.Stderr = i
-	i.cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL} // it must not outlive the rig
-	if err := i.cmd.Start(); err != nil {
+	i := &Instance{Name: name, Listen: listen, exited: make(chan struct{}), wrote: make(chan struct{}, 1)}
+	i.command = exec.Command(program, arguments...)
+	i.command.Env = append(os.Environ(), "GW_CONFIG="+configuration)
+	i.command.Stderr = i
+	i.command.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
+	if err := i.command.Start(); err != nil {
 		return nil, err
 	}
 	go func() {
-		_ = i.cmd.Wait()
+		_ = i.command.Wait()
 		close(i.exited)
 	}()
 	return i, nil
 }
 
+// writeConfiguration writes the platform's file of an instance and returns its path. Nobody listens at the addresses of
+// its index and directory.
+func writeConfiguration(folder, name, listen, runtime string, memoryMB int, seed uint64) (path string, err error) {
+	unused, err := freeAddress()
+	if err != nil {
+		return "", err
+	}
+	text, err := json.Marshal(map[string]any{"name": name, "listen": listen, "runtime": runtime, "index": unused, "directory": unused,
+		"seed": strconv.FormatUint(seed, 16), "stop_ms": 3000, "settings": deployment(),
+		"limits": map[string]any{"cores": 1.0, "memory_mb": memoryMB, "sockets": 384}})
+	if err != nil {
+		return "", err
+	}
+	path = filepath.Join(folder, name+".json")
+	return path, os.WriteFile(path, text, 0o600)
+}
+
+// freeAddress returns a loopback address with a port that is free for TCP and UDP.
+func freeAddress() (string, error) { return faultnet.FreeAddress("127.0.0.1") }
+
+// Write takes what the process writes to its log, maxLogBytes at most.
 func (i *Instance) Write(p []byte) (int, error) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
-	if i.log.Len() < 1<<20 {
+	if i.log.Len() < maxLogBytes {
 		i.log.Write(p)
 	}
 	select {
@@ -79,61 +95,50 @@
 	return len(p), nil
 }
 
-// Signal sends it a signal (SIGSTOP and SIGCONT for a pause).
-func (i *Instance) Signal(s syscall.Signal) { _ = i.cmd.Process.Signal(s) }
-
-// Log is what it has logged, a mebibyte at most.
+// Log returns what the process has logged, about 1 MiB at most.
 func (i *Instance) Log() string {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	return i.log.String()
 }
 
-// Memory is the most that it has held so far, in bytes, as the kernel counts it.
-func (i *Instance) Memory() int64 {
-	f, err := os.Open(fmt.Sprintf("/proc/%d/status", i.cmd.Process.Pid))
-	if err != nil {
-		return 0
-	}
-	defer f.Close()
-	for in := bufio.NewScanner(f); in.Scan(); {
-		if rest, ok := strings.CutPrefix(in.Text(), "VmHWM:"); ok {
-			kb, _ := strconv.ParseInt(strings.Fields(rest)[0], 10, 64)
-			return kb << 10
-		}
-	}
-	return 0
-}
+// Signal sends the process a signal, SIGSTOP and SIGCONT for example.
+func (i *Instance) Signal(signal syscall.Signal) { _ = i.command.Process.Signal(signal) }
 
-// CPU is the processor time that it has used so far.
-func (i *Instance) CPU() time.Duration {
-	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", i.cmd.Process.Pid))
-	if err != nil {
-		return 0
-	}
-	fields := strings.Fields(string(text[bytes.LastIndexByte(text, ')')+1:]))
-	user, _ := strconv.ParseInt(fields[11], 10, 64)
-	system, _ := strconv.ParseInt(fields[12], 10, 64)
-	return time.Duration(user+system) * 10 * time.Millisecond // the kernel's ticks
-}
-
-// Kill ends it outright.
+// Kill ends the process at once.
 func (i *Instance) Kill() {
-	_ = i.cmd.Process.Kill()
+	_ = i.command.Process.Kill()
 	<-i.exited
 }
 
-// Drain gives it the notice (SIGTERM) and waits for its end; an end with another code than 0 is an error, as is none in 5 s.
+// Drain sends SIGTERM and waits for the process to end. It is a *DrainError if its exit status is not 0, or if it does not
+// end within 5 s and is killed.
 func (i *Instance) Drain() error {
-	_ = i.cmd.Process.Signal(syscall.SIGTERM)
+	_ = i.command.Process.Signal(syscall.SIGTERM)
 	select {
 	case <-i.exited:
-		if code := i.cmd.ProcessState.ExitCode(); code != 0 {
-			return fmt.Errorf("%s ended with %d: %s", i.Name, code, i.Log())
+		if status := i.command.ProcessState.ExitCode(); status != 0 {
+			return &DrainError{Instance: i.Name, ExitStatus: status, Log: i.Log()}
 		}
 		return nil
-	case <-time.After(5 * time.Second):
+	case <-time.After(drainTimeout):
 		i.Kill()
-		return errors.New(i.Name + " did not end")
+		return &DrainError{Instance: i.Name, TimedOut: true}
+	}
+}
+
+// DrainError reports an instance that did not drain in order.
+type DrainError struct {
+	Instance   string
+	TimedOut   bool   // it had not ended in time
+	ExitStatus int    // otherwise
+	Log        string // all that it logged, if it ended
+}
+
+// Error implements error.
+func (e *DrainError) Error() string {
+	if e.TimedOut {
+		return e.Instance + " did not end"
 	}
+	return fmt.Sprintf("%s ended with %d: %s", e.Instance, e.ExitStatus, e.Log)
 }
--- a/internal/lab/rig/program.go
+++ b/internal/lab/rig/program.go
@@ -1,5 +1,3 @@
-// This file owns where the program of an experiment stands.
-
 package rig
 
 import (
@@ -13,18 +11,19 @@
 // programName is the file name of the program that the experiments start.
 const programName = "thymechute"
 
-// MissingProgramError says that an experiment has no program to start.
+// MissingProgramError reports that an experiment has no program to start.
 type MissingProgramError struct {
-	Path  string // where it was looked for
-	Found string // what stands there instead
+	Path  string // where it was expected
+	Found string // what is there instead
 }
 
+// Error implements error.
 func (e *MissingProgramError) Error() string {
 	return fmt.Sprintf("program of the experiment: %s: found %s, expected the executable %s (build both into one folder: go build -o bin/ ./cmd/...)",
 		e.Path, e.Found, programName)
 }
 
-// ProgramBeside is the path of the program in the folder of another executable, or a *MissingProgramError.
+// ProgramBeside returns the path of the program in the folder of another executable. Errors are *MissingProgramError.
 func ProgramBeside(executable string) (string, error) {
 	path := filepath.Join(filepath.Dir(executable), programName)
 	info, err := os.Stat(path)
--- a/internal/lab/rig/program_test.go
+++ b/internal/lab/rig/program_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// The program is looked for beside the executable; what stands there instead is named.
+// The program is expected beside the executable; the error says what is there instead.
 func TestProgramBeside(t *testing.T) {
 	folder := t.TempDir()
 	beside, wanted := filepath.Join(folder, "testbed"), filepath.Join(folder, "thymechute")
--- a/internal/lab/rig/settings.go
+++ b/internal/lab/rig/settings.go
@@ -1,37 +1,42 @@
-// This file owns the settings that the rig's instances get, and the runs of their runtimes.
-
 package rig
 
 import "time"
 
-// Classes of the rig's settings (safe, keyed, unsafe), and the times of all three.
+// The classes of the rig's settings.
 const (
-	Trace         = "trace"
-	Excursion     = "excursion"
-	Seal          = "seal"
-	CallerTimeout = 30 * time.Second
-	Window        = 120 * time.Second
+	ClassTrace     = "trace"     // safe to repeat
+	ClassExcursion = "excursion" // idempotent by its key
+	ClassSeal      = "seal"      // not idempotent
 )
 
-// MemoryMB is the memory that an instance is given: a quarter holds the keys of half the messages of an experiment, within
-// their window.
+// Times of all three classes.
+const (
+	CallerTimeout     = 30 * time.Second
+	IdempotencyWindow = 120 * time.Second
+)
+
+// MemoryMB is the memory limit of an instance. A quarter of it holds the keys of half the messages of an experiment within
+// the idempotency window.
 const MemoryMB = 96
 
-// resultSize is the length in bytes of what a run returns.
-const resultSize = 64
+const resultBytes = 64 // of a run's result
 
-// Instant is a run that takes no time.
-func Instant(string, []byte) (time.Duration, []byte) { return 0, make([]byte, resultSize) }
+// ImmediateRun is the work of a fake runtime that takes no time.
+func ImmediateRun(string, []byte) (time.Duration, []byte) { return 0, make([]byte, resultBytes) }
 
-// Brief is a run that takes a while, so that cuts find some at work.
-func Brief(string, []byte) (time.Duration, []byte) { return time.Millisecond, make([]byte, resultSize) }
+// ShortRun is the work of a fake runtime that takes a millisecond, so that faults interrupt some of it.
+func ShortRun(string, []byte) (time.Duration, []byte) {
+	return time.Millisecond, make([]byte, resultBytes)
+}
 
-// deployment is the settings of a small deployment with many cores, so that what is measured is the program.
+// deployment returns the settings of a small deployment with many cores, so that the program itself is the bottleneck.
 func deployment() map[string]any {
 	var classes []any
-	for n, c := range [][2]string{{Trace, "repeatable"}, {Excursion, "by_key"}, {Seal, "once"}} {
-		classes = append(classes, map[string]any{"name": c[0], "repeat": c[1], "worth": n + 1, "aim_s": CallerTimeout.Seconds(),
-			"deadline_s": CallerTimeout.Seconds(), "window_s": Window.Seconds(), "late_value": 0})
+	for n, class := range []struct{ name, idempotency string }{
+		{ClassTrace, "repeatable"}, {ClassExcursion, "by_key"}, {ClassSeal, "once"},
+	} {
+		classes = append(classes, map[string]any{"name": class.name, "repeat": class.idempotency, "worth": n + 1, "aim_s": CallerTimeout.Seconds(),
+			"deadline_s": CallerTimeout.Seconds(), "window_s": IdempotencyWindow.Seconds(), "late_value": 0})
 	}
 	return map[string]any{"classes": classes, "tenants": []any{map[string]any{"name": "acme", "quota_per_s": 1e6}},
 		"fleet_size": 2, "rules": map[string]any{"drain_grace_s": 1, "fall_multiple": 8},
--- a/internal/lab/rig/view.go
+++ b/internal/lab/rig/view.go
@@ -1,88 +1,125 @@
-// This file owns what is known of a fleet's members: their logged views, and whether these agree. It must never wait
-// without a bound.
-
 package rig
 
 import (
 	"encoding/json"
 	"fmt"
+	"maps"
 	"slices"
 	"strings"
 	"time"
 )
 
-// View is what one member logged last of its view.
-type View struct {
+// agreementTimeout bounds WaitForAgreement.
+const agreementTimeout = 10 * time.Second
+
+// maxQuotedLog is how much of the log of a member without a view an error quotes, in bytes.
+const maxQuotedLog = 400
+
+// FleetView is the last view of the fleet that a member has logged.
+type FleetView struct {
 	Rank    int    `json:"rank"`
 	Members int    `json:"members"`
-	Names   string `json:"names"`
+	Names   string `json:"names"` // sorted, separated by commas
 }
 
-// View reads the last "fleet view" line of an instance; false where there is none yet.
-func (i *Instance) View() (View, bool) {
-	text := i.Log()
-	at := strings.LastIndex(text, "\tfleet view\t")
+// FleetView returns the last view that the instance has logged; false if there is none.
+func (i *Instance) FleetView() (FleetView, bool) {
+	const marker = "\tfleet view\t"
+	log := i.Log()
+	at := strings.LastIndex(log, marker)
 	if at < 0 {
-		return View{}, false
-	}
-	line := text[at+len("\tfleet view\t"):]
-	if end := strings.IndexByte(line, '\n'); end >= 0 {
-		line = line[:end]
+		return FleetView{}, false
 	}
-	var v View
-	return v, json.Unmarshal([]byte(line), &v) == nil
+	fields, _, _ := strings.Cut(log[at+len(marker):], "\n")
+	var view FleetView
+	return view, json.Unmarshal([]byte(fields), &view) == nil
 }
 
-// Agree waits until each of names holds a view of exactly names, each with a rank, the ranks dense and unique; it
-// returns how long that took, or an error with all views after agreeLimit.
-func (f *Fleet) Agree(names []string) (time.Duration, error) {
+// WaitForAgreement waits until the view of each named member holds exactly the named members, with dense and unique
+// ranks, and returns how long that took. If it takes longer than agreementTimeout, the error lists all views.
+func (f *Fleet) WaitForAgreement(names []string) (time.Duration, error) {
 	start := time.Now()
-	want := strings.Join(slices.Sorted(slices.Values(names)), ",")
-	deadline := time.NewTimer(agreeLimit)
+	expected := strings.Join(slices.Sorted(slices.Values(names)), ",")
+	deadline := time.NewTimer(agreementTimeout)
 	defer deadline.Stop()
 	for {
-		ranks := map[int]bool{}
-		ok := true
-		for _, n := range names {
-			v, has := f.members[n].View()
-			if !has || v.Names != want || v.Rank < 0 || v.Rank >= len(names) || ranks[v.Rank] {
-				ok = false
-				break
-			}
-			ranks[v.Rank] = true
-		}
-		if ok {
+		if f.agree(names, expected) {
 			return time.Since(start), nil
 		}
-		wake := make(chan struct{}, 1)
-		stop := make(chan struct{})
-		for _, n := range names {
-			go func(i *Instance) {
-				select {
-				case <-i.wrote:
-					select {
-					case wake <- struct{}{}:
-					default:
-					}
-				case <-stop:
-				}
-			}(f.members[n])
+		if !f.waitForLog(names, deadline.C) {
+			return 0, f.disagreement(names, expected)
 		}
+	}
+}
+
+// agree tells whether the views of the named members are as expected and their ranks dense and unique.
+func (f *Fleet) agree(names []string, expected string) bool {
+	ranks := map[int]bool{}
+	for _, name := range names {
+		view, ok := f.members[name].FleetView()
+		if !ok || view.Names != expected || view.Rank < 0 || view.Rank >= len(names) || ranks[view.Rank] {
+			return false
+		}
+		ranks[view.Rank] = true
+	}
+	return true
+}
+
+// waitForLog waits until one of the named members writes to its log; it returns false at the deadline.
+func (f *Fleet) waitForLog(names []string, deadline <-chan time.Time) bool {
+	wake := make(chan struct{}, 1)
+	stop := make(chan struct{})
+	defer close(stop)
+	for _, name := range names {
+		go f.members[name].forwardWrite(wake, stop)
+	}
+	select {
+	case <-wake:
+		return true
+	case <-deadline:
+		return false
+	}
+}
+
+// forwardWrite signals wake at the instance's next write, unless stop is closed before.
+func (i *Instance) forwardWrite(wake chan<- struct{}, stop <-chan struct{}) {
+	select {
+	case <-i.wrote:
 		select {
-		case <-wake:
-			close(stop)
-		case <-deadline.C:
-			close(stop)
-			views := map[string]View{}
-			silent := ""
-			for _, n := range names {
-				var ok bool
-				if views[n], ok = f.members[n].View(); !ok {
-					text := f.members[n].Log()
-					silent += fmt.Sprintf("; %s logged no view, last: %q", n, text[max(len(text)-400, 0):])
-				}
-			}
-			return 0, fmt.Errorf("members %s did not agree within %v: %v%s", want, agreeLimit, views, silent)
+		case wake <- struct{}{}:
+		default:
+		}
+	case <-stop:
+	}
+}
+
+// disagreement returns the error of members that did not agree in time.
+func (f *Fleet) disagreement(names []string, expected string) error {
+	views := map[string]FleetView{}
+	var silent strings.Builder
+	for _, name := range names {
+		view, ok := f.members[name].FleetView()
+		views[name] = view
+		if !ok {
+			log := f.members[name].Log()
+			fmt.Fprintf(&silent, "; %s logged no view, last: %q", name, log[max(len(log)-maxQuotedLog, 0):])
 		}
 	}
+	return &DisagreementError{Expected: expected, Views: views, Silent: silent.String()}
+}
+
+// DisagreementError reports that the members of a fleet did not agree in time.
+type DisagreementError struct {
+	Expected string // the names of the members, sorted, separated by commas
+	Views    map[string]FleetView
+	Silent   string // the ends of the logs of members that logged no view; empty for none
+}
+
+// Error implements error.
+func (e *DisagreementError) Error() string {
+	views := make([]string, 0, len(e.Views))
+	for _, name := range slices.Sorted(maps.Keys(e.Views)) {
+		views = append(views, fmt.Sprintf("%s: %+v", name, e.Views[name]))
+	}
+	return fmt.Sprintf("members %s did not agree within %v: %s%s", e.Expected, agreementTimeout, strings.Join(views, ", "), e.Silent)
 }
--- a/internal/lab/rpcload.go
+++ b/internal/lab/rpcload.go
@@ -53,9 +53,9 @@
 	if err := run("w", max(size/4/rpcConns, 1)); err != nil {
 		return 0, 0, err
 	}
-	before, began := i.CPU(), time.Now()
+	before, began := i.CPUTime(), time.Now()
 	err = run("m", size/rpcConns)
-	return i.CPU() - before, time.Since(began), err
+	return i.CPUTime() - before, time.Since(began), err
 }
 
 func rpcLoad(c net.Conn, tag string, count int) error {
