--- a/cmd/thymechute/fleet.go
+++ b/cmd/thymechute/fleet.go
@@ -25,11 +25,11 @@
 // fleet is this process's membership in a fleet: the member, its record, and its end of the replicated log. A nil fleet
 // belongs to an instance without one.
 type fleet struct {
-	name   string
-	member *membership.Member
-	agreed *agreed // nil without a replicated log
-	view   *fleetView
-	log    *zap.Logger
+	name      string
+	member    *membership.Member
+	consensus *consensusNode // nil without a replicated log
+	view      *fleetView
+	log       *zap.Logger
 
 	record     membership.Record // owned by maintainRecord until maintained is closed
 	loggedView viewSummary       // the last one; owned by maintainRecord
@@ -57,15 +57,15 @@
 		maintained:   make(chan struct{}),
 	}
 	if settings.Log != nil {
-		f.agreed = newAgreed(settings.Log, &f.record, name, log)
+		f.consensus = newConsensusNode(settings.Log, &f.record, name, log)
 	}
 	config := f.memberConfig(settings)
 	var err error
 	if f.member, err = membership.Start(config, f.view); err != nil {
 		return nil, err
 	}
-	if f.agreed != nil {
-		if err := f.agreed.start(settings.Log, f.member, f.record.Epoch); err != nil {
+	if f.consensus != nil {
+		if err := f.consensus.start(settings.Log, f.member, f.record.Epoch); err != nil {
 			return nil, errors.Join(err, f.member.Leave(f.leaveTimeout))
 		}
 	}
@@ -85,11 +85,11 @@
 		Bind:          settings.Bind,
 		Advertise:     settings.Advertise,
 		Seeds:         seeds,
-		MaxMembers:    settings.Most,
+		MaxMembers:    settings.MaxMembers,
 		Record:        f.record,
-		ProbeInterval: time.Duration(settings.ProbeMS) * time.Millisecond,
-		SyncInterval:  time.Duration(settings.SyncMS) * time.Millisecond,
-		OnMessage:     f.agreed.incoming,
+		ProbeInterval: time.Duration(settings.ProbeIntervalMS) * time.Millisecond,
+		SyncInterval:  time.Duration(settings.SyncIntervalMS) * time.Millisecond,
+		OnMessage:     f.consensus.receive,
 	}
 }
 
@@ -99,8 +99,8 @@
 func (f *fleet) maintainRecord() {
 	defer close(f.maintained)
 	var publish <-chan time.Time // nil, so never ready, without a replicated log
-	if f.agreed != nil {
-		ticker := time.NewTicker(tellEvery)
+	if f.consensus != nil {
+		ticker := time.NewTicker(publishInterval)
 		defer ticker.Stop()
 		publish = ticker.C
 	}
@@ -109,7 +109,7 @@
 		case <-f.stop:
 			return
 		case <-publish:
-			if f.agreed.keep(&f.record) {
+			if f.consensus.refresh(&f.record) {
 				_ = f.member.SetRecord(f.record) // if it fails, the next one publishes more
 			}
 			continue
@@ -154,8 +154,8 @@
 	if err := f.member.SetRecord(f.record); err != nil {
 		f.log.Warn("rank not claimed", zap.Error(err))
 	}
-	if f.agreed != nil {
-		f.agreed.placed(rank)
+	if f.consensus != nil {
+		f.consensus.setClaimPosition(rank)
 	}
 }
 
@@ -169,16 +169,16 @@
 	f.leaveOnce.Do(func() {
 		close(f.stop)
 		<-f.maintained
-		if f.agreed != nil {
+		if f.consensus != nil {
 			f.record.Flag = membership.FlagLeaving
 			_ = f.member.SetRecord(f.record)
-			f.agreed.driver.Load().Leave(f.leaveTimeout)
+			f.consensus.driver.Load().Drain(f.leaveTimeout)
 		}
 		if err := f.member.Leave(f.leaveTimeout); err != nil {
 			log.Warn("fleet left with an error", zap.Error(err))
 		}
-		if f.agreed != nil {
-			f.agreed.driver.Load().Stop()
+		if f.consensus != nil {
+			f.consensus.driver.Load().Stop()
 		}
 		log.Info("fleet left")
 	})
--- a/internal/front/amqp/commands.go
+++ b/internal/front/amqp/commands.go
@@ -40,7 +40,7 @@
 	queue := s.config.Queues[index]
 	arguments := amqp.Table{}
 	for _, argument := range queue.Arguments {
-		arguments[argument.Name], _ = argument.Typed()
+		arguments[argument.Name], _ = argument.TypedValue()
 	}
 	tag := s.consumerTag(index)
 	deliveries, err := s.consumer.channel.Consume(queue.Name, tag, false, false, false, false, arguments)
@@ -58,7 +58,7 @@
 
 // consumerTag differs for each start, so that the last messages of a cancelled consumer are not taken for the next one's.
 func (s *session) consumerTag(index int) string {
-	prefix := s.config.Queues[index].Tag
+	prefix := s.config.Queues[index].ConsumerTag
 	if prefix == "" {
 		prefix = s.name
 	}
--- a/internal/front/amqp/connect.go
+++ b/internal/front/amqp/connect.go
@@ -20,7 +20,7 @@
 	if err != nil {
 		return intake.ConnectFailed, err
 	}
-	s.guard = newGuard(conn, s.config.LargestBody, s.confirmTimeout())
+	s.guard = newGuard(conn, s.config.MaxBodyBytes, s.confirmTimeout())
 	stopTimeout := time.AfterFunc(connectTimeout, func() { conn.Close() })
 	defer stopTimeout.Stop()
 	if failure, err := s.login(); err != nil {
@@ -33,16 +33,16 @@
 }
 
 func (s *session) confirmTimeout() time.Duration {
-	return time.Duration(s.config.ConfirmS) * time.Second
+	return time.Duration(s.config.ConfirmTimeoutSeconds) * time.Second
 }
 
 // dial connects over TCP, and TLS if it is configured.
 func (s *session) dial(address string) (net.Conn, error) {
 	conn, err := net.DialTimeout("tcp", address, connectTimeout)
-	if err != nil || s.config.Secure == nil {
+	if err != nil || s.config.TLSConfig == nil {
 		return conn, err
 	}
-	secure := s.config.Secure.Clone()
+	secure := s.config.TLSConfig.Clone()
 	if secure.ServerName == "" {
 		secure.ServerName, _, _ = net.SplitHostPort(address)
 	}
@@ -53,12 +53,12 @@
 func (s *session) login() (intake.Failure, error) {
 	var err error
 	s.connection, err = amqp.Open(s.guard, amqp.Config{
-		Vhost:      s.config.Login.Vhost,
+		Vhost:      s.config.Credentials.Vhost,
 		ChannelMax: maxChannels,
 		FrameSize:  maxFrameSize,
-		Heartbeat:  time.Duration(s.config.HeartbeatS) * time.Second,
+		Heartbeat:  time.Duration(s.config.HeartbeatSeconds) * time.Second,
 		Locale:     locale,
-		SASL:       []amqp.Authentication{&amqp.PlainAuth{Username: s.config.User, Password: s.config.Password}},
+		SASL:       []amqp.Authentication{&amqp.PlainAuth{Username: s.config.Username, Password: s.config.Password}},
 		Properties: amqp.Table{"product": "thymechute", "connection_name": s.name},
 	})
 	switch {
@@ -105,8 +105,8 @@
 		if _, err := channel.QueueDeclarePassive(queue.Name, true, false, false, false, nil); err != nil {
 			return fmt.Errorf("queue %s: %w", queue.Name, err)
 		}
-		if err := channel.ExchangeDeclarePassive(queue.DeadLetter, amqp.ExchangeDirect, true, false, false, false, nil); err != nil {
-			return fmt.Errorf("exchange %s: %w", queue.DeadLetter, err)
+		if err := channel.ExchangeDeclarePassive(queue.DeadLetterExchange, amqp.ExchangeDirect, true, false, false, false, nil); err != nil {
+			return fmt.Errorf("exchange %s: %w", queue.DeadLetterExchange, err)
 		}
 	}
 	return nil
--- a/internal/front/amqp/decode.go
+++ b/internal/front/amqp/decode.go
@@ -36,26 +36,26 @@
 
 // Decode makes a request of a message that was received at a time, with the fields of the operator's file. idempotency
 // returns that of a class. Errors are *FieldError.
-func Decode(d *amqp.Delivery, fields *operator.Fields, queue *operator.Queue, receivedAt time.Time,
+func Decode(d *amqp.Delivery, fields *operator.FieldMapping, queue *operator.Queue, receivedAt time.Time,
 	idempotency func(class string) settings.Idempotency) (node.Request, error) {
 	request := node.Request{ReceivedAt: receivedAt, Body: d.Body, MemoryKB: max(float64(len(d.Body))/bytesPerKB, minMemoryKB)}
 	for _, text := range []struct {
 		target *string
 		field  string
-	}{{&request.Class, fields.Band}, {&request.Tenant, fields.Customer}, {&request.Key, fields.Key}, {&request.Subject, fields.Subject}} {
+	}{{&request.Class, fields.Class}, {&request.Tenant, fields.Tenant}, {&request.Key, fields.IdempotencyKey}, {&request.Subject, fields.Subject}} {
 		var err error
 		if *text.target, err = textField(d, text.field); err != nil {
 			return request, err
 		}
 	}
 	if request.Class == "" {
-		return request, &FieldError{Field: fields.Band, Found: "nothing", Expected: "a band"}
+		return request, &FieldError{Field: fields.Class, Found: "nothing", Expected: "a band"}
 	}
 	var err error
 	if request.MayHaveRunElsewhere, err = mayHaveRunElsewhere(d, fields, queue, &request, idempotency(request.Class)); err != nil {
 		return request, err
 	}
-	if request.Priority, err = priority(d, fields.Rank); err != nil {
+	if request.Priority, err = priority(d, fields.Priority); err != nil {
 		return request, err
 	}
 	request.CallerTimeout, err = callerTimeout(d, fields, receivedAt)
@@ -64,16 +64,16 @@
 
 // mayHaveRunElsewhere tells whether an earlier delivery may have been processed by another instance. Without an
 // idempotency key only the first delivery proves that it was not.
-func mayHaveRunElsewhere(d *amqp.Delivery, fields *operator.Fields, queue *operator.Queue, request *node.Request,
+func mayHaveRunElsewhere(d *amqp.Delivery, fields *operator.FieldMapping, queue *operator.Queue, request *node.Request,
 	idempotency settings.Idempotency) (bool, error) {
 	switch idempotency {
 	case settings.Safe:
 		return false, nil
 	case settings.Idempotent:
 		if request.Key == "" {
-			return false, &FieldError{Field: fields.Key, Found: "nothing", Expected: "a key, as band " + request.Class + " must not run twice"}
+			return false, &FieldError{Field: fields.IdempotencyKey, Found: "nothing", Expected: "a key, as band " + request.Class + " must not run twice"}
 		}
-		return d.Redelivered && queue.Redelivered != redeliveredRun, nil
+		return d.Redelivered && queue.OnRedelivery != redeliveredRun, nil
 	}
 	return d.Redelivered, nil
 }
@@ -89,10 +89,10 @@
 
 // callerTimeout returns what is left of the time that the caller waits; 0 if it is unknown. It counts from the message's
 // origin if that is known and not in the future, as another machine's clock may be wrong.
-func callerTimeout(d *amqp.Delivery, fields *operator.Fields, receivedAt time.Time) (time.Duration, error) {
-	milliseconds, ok, err := numberField(d, fields.Patience)
+func callerTimeout(d *amqp.Delivery, fields *operator.FieldMapping, receivedAt time.Time) (time.Duration, error) {
+	milliseconds, ok, err := numberField(d, fields.CallerTimeout)
 	if err != nil || milliseconds < 0 || math.IsNaN(milliseconds) {
-		return 0, &FieldError{Field: fields.Patience, Expected: "milliseconds"}
+		return 0, &FieldError{Field: fields.CallerTimeout, Expected: "milliseconds"}
 	}
 	if !ok || milliseconds > float64(maxCallerTimeout/time.Millisecond) {
 		return 0, nil
--- a/internal/front/amqp/front.go
+++ b/internal/front/amqp/front.go
@@ -70,9 +70,9 @@
 		requestPrefix: requestPrefix(seed, time.Now()), unconfirmed: map[uint64]*message{}}
 	f.controller = intake.New(f, seed, intake.Config{
 		Brokers:         len(config.Brokers),
-		MinCredit:       config.LeastCredit,
-		MaxCredit:       config.MostCredit,
-		ResponseTimeout: time.Duration(config.ConfirmS) * time.Second,
+		MinCredit:       config.MinCredit,
+		MaxCredit:       config.MaxCredit,
+		ResponseTimeout: time.Duration(config.ConfirmTimeoutSeconds) * time.Second,
 	})
 	return f
 }
@@ -88,7 +88,7 @@
 
 // maxUnsettled bounds the messages that are received and not settled.
 func (f *Front) maxUnsettled() int {
-	return 2*f.config.MostCredit*len(f.config.Queues) + extraUnsettled
+	return 2*f.config.MaxCredit*len(f.config.Queues) + extraUnsettled
 }
 
 // SetIdleTimeout implements node.Front. It does nothing: connections to a broker are kept.
--- a/internal/front/amqp/message.go
+++ b/internal/front/amqp/message.go
@@ -64,7 +64,7 @@
 	if s.guard.takeOversized(m.tag) {
 		f.counts.unreadable++
 		f.log.Warn("amqp: message too large, rejected", zap.String("queue", m.queue.Name), zap.String("key", m.delivery.MessageId),
-			zap.Int("largest", f.config.LargestBody))
+			zap.Int("largest", f.config.MaxBodyBytes))
 		f.settle(m, discard(m.tag))
 		return
 	}
--- a/internal/front/amqp/outcome.go
+++ b/internal/front/amqp/outcome.go
@@ -81,7 +81,7 @@
 		f.bounced = append(f.bounced, m)
 	case f.draining: // another consumer gets it at once, so this return is not counted
 		f.requeue(m, returns)
-	case returns >= f.config.Returns:
+	case returns >= f.config.MaxReturns:
 		f.deadLetter(m, fmt.Sprintf("turned back %d times", returns+1))
 	default:
 		f.requeue(m, returns+1)
@@ -108,7 +108,7 @@
 		f.session.submit(publish(f.publishNumber, "", m.delivery.ReplyTo, amqp.Publishing{CorrelationId: m.delivery.CorrelationId,
 			Headers: amqp.Table{outcomeHeader: replyScrapped, reasonHeader: reason}}))
 	}
-	f.publishFor(m, m.queue.DeadLetter, m.queue.DeadLetterKey, deadLetterCopy(&m.delivery, reason))
+	f.publishFor(m, m.queue.DeadLetterExchange, m.queue.DeadLetterRoutingKey, deadLetterCopy(&m.delivery, reason))
 }
 
 // publishFor publishes what has to be confirmed before the message is settled.
@@ -137,7 +137,7 @@
 	default:
 		f.counts.unpublished++
 		f.log.Error("amqp: publish not accepted, message left to its queue", zap.Bool("reply", m.isReply), zap.Bool("unroutable", m.isUnroutable),
-			zap.String("queue", m.queue.Name), zap.String("dead_letter_exchange", m.queue.DeadLetter))
+			zap.String("queue", m.queue.Name), zap.String("dead_letter_exchange", m.queue.DeadLetterExchange))
 		m.outcome = intake.PublishFailed
 		f.settle(m, returnToQueue(m.tag))
 	}
