--- a/cmd/testbed/scalechild.go
+++ b/cmd/testbed/scalechild.go
@@ -18,6 +18,6 @@
 
 func scaleMembers() *cobra.Command {
 	return &cobra.Command{Use: members.ChildCommand, Hidden: true, Args: cobra.NoArgs, RunE: func(c *cobra.Command, _ []string) error {
-		return members.Child(c.Context(), c.InOrStdin(), c.OutOrStdout(), c.ErrOrStderr())
+		return members.RunChild(c.Context(), c.InOrStdin(), c.OutOrStdout(), c.ErrOrStderr())
 	}}
 }
--- a/internal/front/amqp/decode.go
+++ b/internal/front/amqp/decode.go
@@ -22,7 +22,7 @@
 // FieldError reports a property or header that can't be decoded. Its text becomes the reason of a dead letter.
 type FieldError struct {
 	Field    string // as the operator's file names it
-	Found    string // empty if the value is not told
+	Found    string // empty if the value is not shown
 	Expected string
 }
 
--- a/internal/lab/scale/members/child.go
+++ b/internal/lab/scale/members/child.go
@@ -1,6 +1,3 @@
-// This file owns a trial in a process of its own: the plan goes in as one JSON object, the outcome comes out as one. A child
-// ends with its trial, and when its parent closes its input.
-
 package members
 
 import (
@@ -14,11 +11,12 @@
 	"strings"
 )
 
-// ChildCommand is the command line's word for a trial in a process of its own.
+// ChildCommand is the command of the program that calls RunChild.
 const ChildCommand = "scale-members"
 
-// Child runs the trial that is read from in and writes its outcome.
-func Child(ctx context.Context, in io.Reader, out, progress io.Writer) error {
+// RunChild runs one trial in a process of its own: it reads the plan from in and writes the outcome to out, each as one JSON
+// object. It ends early when in is closed, so that it does not outlive its parent.
+func RunChild(ctx context.Context, in io.Reader, out, progress io.Writer) error {
 	var plan Plan
 	reader := json.NewDecoder(in)
 	if err := reader.Decode(&plan); err != nil {
@@ -27,18 +25,18 @@
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	go func() {
-		_, _ = io.Copy(io.Discard, in) // ends with the parent
+		_, _ = io.Copy(io.Discard, in) // returns when the parent has ended
 		cancel()
 	}()
-	outcome, err := Try(ctx, plan, func(line string) { fmt.Fprintln(progress, line) })
+	outcome, err := RunTrial(ctx, plan, func(line string) { fmt.Fprintln(progress, line) })
 	if err != nil {
 		return err
 	}
 	return json.NewEncoder(out).Encode(outcome)
 }
 
-// tryInChild runs a plan in a child of this program.
-func tryInChild(ctx context.Context, plan Plan, progress func(string)) (Outcome, error) {
+// runInChild runs a plan in a child process of this program.
+func runInChild(ctx context.Context, plan Plan, progress func(string)) (Outcome, error) {
 	var outcome Outcome
 	program, err := os.Executable()
 	if err != nil {
@@ -54,25 +52,26 @@
 		return outcome, err
 	}
 	var out bytes.Buffer
-	command.Stdout, command.Stderr = &out, lines(progress)
+	command.Stdout, command.Stderr = &out, lineWriter(progress)
 	if err := command.Start(); err != nil {
 		return outcome, err
 	}
 	_, writeError := stdin.Write(append(encoded, '\n'))
-	if err := command.Wait(); err != nil { // it closes stdin after
+	if err := command.Wait(); err != nil { // it also closes stdin
 		return outcome, fmt.Errorf("%d members: %w", plan.Size, err)
 	}
 	if writeError != nil {
 		return outcome, writeError
 	}
-	progress(strings.TrimSpace(out.String())) // as measured, before anything is fitted
+	progress(strings.TrimSpace(out.String())) // the outcome as measured
 	return outcome, json.Unmarshal(out.Bytes(), &outcome)
 }
 
-// lines hands on what is written, line by line.
-type lines func(string)
+// lineWriter passes on what is written, without its last newline.
+type lineWriter func(string)
 
-func (l lines) Write(b []byte) (int, error) {
+// Write implements io.Writer.
+func (l lineWriter) Write(b []byte) (int, error) {
 	l(strings.TrimRight(string(b), "\n"))
 	return len(b), nil
 }
--- a/internal/lab/scale/members/members_test.go
+++ b/internal/lab/scale/members/members_test.go
@@ -10,11 +10,11 @@
 	"thymechute/internal/lab/scale"
 )
 
-// smallPlan is the measurements' script in some seconds.
+// smallPlan is the plan of the measurements, shortened to some seconds.
 func smallPlan(size int) Plan {
-	return Plan{Size: size, Seed: 1, Probe: 200 * time.Millisecond, Sync: time.Second, Settle: 8 * time.Second, Quiet: 2 * time.Second,
-		Trace: time.Second, Changes: 2, Kills: 1, Restarts: 1, RestartEach: time.Second, Cut: 4 * time.Second,
-		AfterHeal: 2 * time.Second, Wait: 30 * time.Second}
+	return Plan{Size: size, Seed: 1, ProbeInterval: 200 * time.Millisecond, SyncInterval: time.Second, SettleTimeout: 8 * time.Second, QuietWindow: 2 * time.Second,
+		TraceWindow: time.Second, RecordUpdates: 2, Kills: 1, Restarts: 1, RestartInterval: time.Second, PartitionDuration: 4 * time.Second,
+		HealWindow: 2 * time.Second, AgreementTimeout: 30 * time.Second}
 }
 
 func TestSmallTrialEndsInAgreement(t *testing.T) {
@@ -23,53 +23,53 @@
 	}
 	ctx, cancel := context.WithTimeout(t.Context(), 2*time.Minute)
 	defer cancel()
-	out, err := Try(ctx, smallPlan(12), func(line string) { t.Log(line) })
+	out, err := RunTrial(ctx, smallPlan(12), func(line string) { t.Log(line) })
 	if err != nil {
 		t.Fatal(err)
 	}
 	for _, fault := range out.Faults {
 		t.Error(fault)
 	}
-	if out.Quiet.Datagrams < 4*out.Quiet.Seconds { // five probes a second, each a ping and an acknowledgement
-		t.Errorf("%.1f datagrams a member in %.1f s, want those of the probes", out.Quiet.Datagrams, out.Quiet.Seconds)
+	if out.Quiet.Datagrams < 4*out.Quiet.Seconds { // five health checks a second, each a ping and an acknowledgement
+		t.Errorf("%.1f datagrams a member in %.1f s, want those of the health checks", out.Quiet.Datagrams, out.Quiet.Seconds)
 	}
 	if out.ExchangeBytes == 0 || out.Quiet.StreamBytes == 0 || out.Trace.Kinds["full_exchange"] == 0 {
-		t.Errorf("no bytes of a full exchange: quiet %+v, trace %+v", out.Quiet, out.Trace)
+		t.Errorf("no bytes of a push/pull: quiet %+v, trace %+v", out.Quiet, out.Trace)
 	}
 	if out.ChangeBytes <= 0 || out.DetectAllMillis <= 0 || out.Heal.Bytes <= 0 || out.ResidentBytes <= 0 {
 		t.Errorf("figures missing: %+v", out)
 	}
 }
 
-func TestACutHoldsBackOnlyWhatCrossesIt(t *testing.T) {
+func TestPartitionDropsOnlyWhatCrossesIt(t *testing.T) {
 	n := newNetwork()
-	n.place("a", 0)
-	n.place("b", 1)
-	n.place("c", 2)
-	n.cutOff(1)
+	n.assign("a", 0)
+	n.assign("b", 1)
+	n.assign("c", 2)
+	n.isolate(1)
 	for _, c := range []struct {
 		from int
 		to   string
 		want bool
 	}{{0, "b", true}, {1, "a", true}, {1, "b", false}, {0, "c", false}, {2, "a", false}} {
-		if got := n.cuts(c.from, c.to); got != c.want {
-			t.Errorf("from region %d to %s: held back %v, want %v", c.from, c.to, got, c.want)
+		if got := n.separates(c.from, c.to); got != c.want {
+			t.Errorf("from region %d to %s: dropped %v, want %v", c.from, c.to, got, c.want)
 		}
 	}
 	n.heal()
-	if n.cuts(0, "b") {
-		t.Error("held back after the heal")
+	if n.separates(0, "b") {
+		t.Error("dropped after the heal")
 	}
 }
 
-func TestReportSaysWhatWasNotRunAndWorksOutTheTarget(t *testing.T) {
+func TestSummarizeNamesWhatWasNotRunAndWorksOutTarget(t *testing.T) {
 	var outcomes []Outcome
 	for _, size := range Sizes {
-		outcomes = append(outcomes, Outcome{Size: size, ExchangeBytes: 200 * membership.PushPullInterval(syncDefault, size).Seconds(),
+		outcomes = append(outcomes, Outcome{Size: size, ExchangeBytes: 200 * membership.PushPullInterval(defaultSyncInterval, size).Seconds(),
 			Quiet:        Window{Seconds: 10, DatagramBytes: 2000, Datagrams: 40, ProcessorMillis: 10},
 			RestartBytes: 16_000, ChangeBytes: 1000})
 	}
-	result, err := Report(1, outcomes)
+	result, err := Summarize(1, outcomes)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/lab/scale/members/kinds.go
+++ b/internal/lab/scale/members/messagekinds.go
@@ -1,6 +1,3 @@
-// This file owns telling memberlist's messages apart by kind, for the trace of what costs the bytes. It must never be
-// used where processor time is measured.
-
 package members
 
 import (
@@ -12,22 +9,23 @@
 	"github.com/hashicorp/go-msgpack/v2/codec"
 )
 
-// kind is what a message is for.
-type kind int
+// messageKind is what a message of memberlist is for.
+type messageKind int
 
 const (
-	kindProbe    kind = iota // pings, acks, asking others to ping
-	kindSuspect              // suspicions and deaths, passed on
-	kindAlive                // records, passed on
-	kindExchange             // the full exchange of state (push and pull)
-	kindOwn                  // messages of ours (member.Send)
+	kindProbe    messageKind = iota // health checks: pings, acknowledgements, indirect pings
+	kindSuspect                     // suspicions and deaths in gossip
+	kindAlive                       // records in gossip
+	kindPushPull                    // full state exchanges
+	kindUser                        // messages of membership.Member.Send
 	kindOther
 	kindCount
 )
 
+// kindNames are part of the names of figures.
 var kindNames = [kindCount]string{"probes", "suspicions_and_deaths", "records", "full_exchange", "own_messages", "other"}
 
-// memberlist's message types (net.go there, which says that the numbers are part of the protocol).
+// Message types of memberlist's protocol (its net.go).
 const (
 	typePing = iota
 	typeIndirectPing
@@ -44,16 +42,16 @@
 	typeChecksum
 )
 
-var kindOfType = map[byte]kind{typePing: kindProbe, typeIndirectPing: kindProbe, typeAck: kindProbe, typeNack: kindProbe,
-	typeSuspect: kindSuspect, typeDead: kindSuspect, typeAlive: kindAlive, typePushPull: kindExchange, typeUser: kindOwn}
+var kindOfType = map[byte]messageKind{typePing: kindProbe, typeIndirectPing: kindProbe, typeAck: kindProbe, typeNack: kindProbe,
+	typeSuspect: kindSuspect, typeDead: kindSuspect, typeAlive: kindAlive, typePushPull: kindPushPull, typeUser: kindUser}
 
-const checksumBytes = 5
+const checksumHeaderBytes = 5
 
-// addPacket shares a datagram's bytes among the kinds of the messages in it, by their length before compression.
+// addPacket divides a datagram's bytes among the kinds of the messages in it, by their length before compression.
 func (m *meter) addPacket(b []byte) {
 	plain := b
-	if len(plain) > checksumBytes && plain[0] == typeChecksum {
-		plain = plain[checksumBytes:]
+	if len(plain) > checksumHeaderBytes && plain[0] == typeChecksum {
+		plain = plain[checksumHeaderBytes:]
 	}
 	plain = expand(plain)
 	parts := split(plain)
@@ -71,7 +69,7 @@
 	m.kinds[kindOf(expand(b))].Add(int64(len(b)))
 }
 
-func kindOf(message []byte) kind {
+func kindOf(message []byte) messageKind {
 	if len(message) == 0 {
 		return kindOther
 	}
@@ -81,7 +79,7 @@
 	return kindOther
 }
 
-// expand takes compression off; what does not read is returned as it is.
+// expand decompresses a message; one that can't be decompressed is returned as it is.
 func expand(b []byte) []byte {
 	if len(b) == 0 || b[0] != typeCompressed {
 		return b
@@ -101,7 +99,7 @@
 	return plain
 }
 
-// split takes a compound message apart: its type, a count, a length of two bytes each, the messages.
+// split returns the messages in a compound message: its type, a count, a length of two bytes each, the messages.
 func split(b []byte) [][]byte {
 	if len(b) < 2 || b[0] != typeCompound {
 		return [][]byte{b}
--- a/internal/lab/scale/members/network.go
+++ b/internal/lab/scale/members/network.go
@@ -1,6 +1,3 @@
-// This file owns the regions of the hollow members and the cut between one of them and the others. It must never let
-// through what crosses a cut.
-
 package members
 
 import (
@@ -9,34 +6,39 @@
 	"sync/atomic"
 )
 
-var errCut = errors.New("members: region cut off")
+var errPartitioned = errors.New("members: region partitioned")
 
-// network knows the region of each address. Its table holds one entry a member and lives as long as the fleet.
+// network knows the region of each address, and which region is partitioned from the others. Its table holds one entry per
+// member.
 type network struct {
-	mu      sync.RWMutex
-	regions map[string]int
-	cut     atomic.Int64 // the region that is cut from all others, plus one; 0: none
+	mu       sync.RWMutex
+	regions  map[string]int
+	isolated atomic.Int64 // the region that is partitioned from all others, plus one; 0: none
 }
 
 func newNetwork() *network { return &network{regions: map[string]int{}} }
 
-func (n *network) place(address string, region int) {
+// assign sets the region of an address.
+func (n *network) assign(address string, region int) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.regions[address] = region
 }
 
-// cuts says whether what goes from a region to an address crosses the cut.
-func (n *network) cuts(from int, address string) bool {
-	cut := int(n.cut.Load()) - 1
-	if cut < 0 {
+// separates tells whether what is sent from a region to an address crosses the partition.
+func (n *network) separates(from int, address string) bool {
+	isolated := int(n.isolated.Load()) - 1
+	if isolated < 0 {
 		return false
 	}
 	n.mu.RLock()
 	to := n.regions[address]
 	n.mu.RUnlock()
-	return (from == cut) != (to == cut)
+	return (from == isolated) != (to == isolated)
 }
 
-func (n *network) cutOff(region int) { n.cut.Store(int64(region) + 1) }
-func (n *network) heal()             { n.cut.Store(0) }
+// isolate partitions a region from all others.
+func (n *network) isolate(region int) { n.isolated.Store(int64(region) + 1) }
+
+// heal ends the partition.
+func (n *network) heal() { n.isolated.Store(0) }
--- /dev/null
+++ b/internal/lab/scale/members/transport.go
@@ -0,0 +1,135 @@
+package members
+
+import (
+	"net"
+	"time"
+
+	"github.com/hashicorp/memberlist"
+
+	"thymechute/internal/fleet/membership"
+)
+
+// meteredTransport is a member's transport that counts bytes and drops what crosses a partition. It changes nothing else.
+type meteredTransport struct {
+	membership.Transport
+	meter   *meter
+	network *network
+	region  int
+	packets chan *memberlist.Packet
+	conns   chan net.Conn
+	stop    chan struct{}
+}
+
+func newTransport(inner membership.Transport, meter *meter, network *network, region int) *meteredTransport {
+	t := &meteredTransport{Transport: inner, meter: meter, network: network, region: region, packets: make(chan *memberlist.Packet),
+		conns: make(chan net.Conn), stop: make(chan struct{})}
+	go t.forwardPackets()
+	go t.forwardStreams()
+	return t
+}
+
+func (t *meteredTransport) forwardPackets() {
+	for {
+		select {
+		case <-t.stop:
+			return
+		case packet := <-t.Transport.PacketCh():
+			t.meter.datagramsReceived.Add(1)
+			t.meter.datagramBytesReceived.Add(int64(len(packet.Buf)))
+			select {
+			case t.packets <- packet:
+			case <-t.stop:
+				return
+			}
+		}
+	}
+}
+
+func (t *meteredTransport) forwardStreams() {
+	for {
+		select {
+		case <-t.stop:
+			return
+		case conn := <-t.Transport.StreamCh():
+			select {
+			case t.conns <- &countedConn{Conn: conn, meter: t.meter}:
+			case <-t.stop:
+				conn.Close()
+				return
+			}
+		}
+	}
+}
+
+// PacketCh implements memberlist.Transport.
+func (t *meteredTransport) PacketCh() <-chan *memberlist.Packet { return t.packets }
+
+// StreamCh implements memberlist.Transport.
+func (t *meteredTransport) StreamCh() <-chan net.Conn { return t.conns }
+
+// WriteTo implements memberlist.Transport.
+func (t *meteredTransport) WriteTo(b []byte, address string) (time.Time, error) {
+	return t.WriteToAddress(b, memberlist.Address{Addr: address})
+}
+
+// WriteToAddress implements memberlist.NodeAwareTransport.
+func (t *meteredTransport) WriteToAddress(b []byte, address memberlist.Address) (time.Time, error) {
+	t.meter.datagramsSent.Add(1)
+	t.meter.datagramBytesSent.Add(int64(len(b)))
+	if t.meter.tracing.Load() {
+		t.meter.addPacket(b)
+	}
+	if t.network.separates(t.region, address.Addr) {
+		return time.Now(), nil // dropped
+	}
+	return t.Transport.WriteToAddress(b, address)
+}
+
+// DialTimeout implements memberlist.Transport.
+func (t *meteredTransport) DialTimeout(address string, timeout time.Duration) (net.Conn, error) {
+	return t.DialAddressTimeout(memberlist.Address{Addr: address}, timeout)
+}
+
+// DialAddressTimeout implements memberlist.NodeAwareTransport.
+func (t *meteredTransport) DialAddressTimeout(address memberlist.Address, timeout time.Duration) (net.Conn, error) {
+	if t.network.separates(t.region, address.Addr) {
+		return nil, errPartitioned
+	}
+	conn, err := t.Transport.DialAddressTimeout(address, timeout)
+	if err != nil {
+		return nil, err
+	}
+	t.meter.streams.Add(1)
+	return &countedConn{Conn: conn, meter: t.meter}, nil
+}
+
+// Shutdown implements memberlist.Transport. The listeners of the inner transport end first, as they may wait for a packet to
+// be received.
+func (t *meteredTransport) Shutdown() error {
+	err := t.Transport.Shutdown()
+	close(t.stop)
+	return err
+}
+
+// countedConn is one end of a stream that counts bytes.
+type countedConn struct {
+	net.Conn
+	meter *meter
+}
+
+// Read implements net.Conn.
+func (c *countedConn) Read(b []byte) (int, error) {
+	n, err := c.Conn.Read(b)
+	c.meter.streamBytesReceived.Add(int64(n))
+	return n, err
+}
+
+// Write implements net.Conn. memberlist writes each message by one call.
+func (c *countedConn) Write(b []byte) (int, error) {
+	n, err := c.Conn.Write(b)
+	c.meter.streamBytesSent.Add(int64(n))
+	if c.meter.tracing.Load() {
+		c.meter.addStream(b[:n])
+	}
+	return n, err
+}
