--- a/internal/catalog/catalog_test.go
+++ b/internal/catalog/catalog_test.go
@@ -7,49 +7,50 @@
 	"time"
 
 	"thymechute/internal/loop"
+	"thymechute/internal/node"
 	"thymechute/internal/testutil"
 )
 
-func TestSeveralReportsGoOutWhileAnEntryLasts(t *testing.T) {
+func TestReportsAreSentOftenWithinAnEntrysLifetime(t *testing.T) {
 	var dialled []*socket
 	r := New("n3", func(p loop.Handler) { dialled = append(dialled, p.(*socket)) })
 	now, w := time.Now(), &testutil.FakeConn{}
-	r.Sweep(now, true)
+	r.Sweep(now, node.Healthy)
 	dialled[0].Opened(w)
 	for at := now; at.Before(now.Add(3 * time.Second)); at = at.Add(20 * time.Millisecond) {
-		r.Sweep(at, true)
+		r.Sweep(at, node.Healthy)
 	}
 	if n := strings.Count(w.Out, "alive n3 passing"); n < 9 { // a quarter may be lost
 		t.Errorf("%d reports in 3 s", n)
 	}
 	r.Move()
-	r.Sweep(now.Add(4*time.Second), false)
+	r.Sweep(now.Add(4*time.Second), node.Unhealthy)
 	again := &testutil.FakeConn{}
 	dialled[1].Opened(again)
-	if r.Sweep(now.Add(4*time.Second), false); !w.Closed || again.Out != "alive n3 critical" {
+	if r.Sweep(now.Add(4*time.Second), node.Unhealthy); !w.Closed || again.Out != "alive n3 critical" {
 		t.Errorf("closed %v, wrote %q", w.Closed, again.Out)
 	}
 }
 
-// A catalog that refuses costs the report that found it away, and no later one: the socket is opened anew for the next.
+// A catalog that is down costs the report that found it so, and no later one: the next opens another socket.
 func TestSocketWithAnErrorIsReplaced(t *testing.T) {
 	var dialled []*socket
 	r := New("n3", func(p loop.Handler) { dialled = append(dialled, p.(*socket)) })
 	now := time.Now()
 	for n := range 3 {
-		r.Sweep(now, true)
+		r.Sweep(now, node.Healthy)
 		if len(dialled) != n+1 {
 			t.Fatalf("dialled %d times after %d errors", len(dialled), n)
 		}
 		w := &testutil.FakeConn{}
 		dialled[n].Opened(w)
-		if r.Sweep(now, true); w.Out != "alive n3 passing" {
+		if r.Sweep(now, node.Healthy); w.Out != "alive n3 passing" {
 			t.Errorf("wrote %q after %d errors", w.Out, n)
 		}
 		dialled[n].Closed(&loop.ConnError{Connected: true, Err: errors.New("connection refused")})
 		if n > 0 {
-			dialled[n-1].Closed(errors.New("once more")) // one that was replaced
+			dialled[n-1].Closed(errors.New("once more")) // a replaced socket
 		}
-		now = now.Add(2 * reportEvery)
+		now = now.Add(2 * reportInterval)
 	}
 }
--- a/internal/front/amqp/front.go
+++ b/internal/front/amqp/front.go
@@ -21,7 +21,7 @@
 
 // Admission accepts requests.
 type Admission interface {
-	Admit(responder node.Responder, tag string, request node.Request) error
+	Admit(responder node.Responder, id node.MessageID, request node.Request) error
 	CallerGone(responder node.Responder)
 	Load() node.Load
 }
--- a/internal/front/amqp/message.go
+++ b/internal/front/amqp/message.go
@@ -10,6 +10,7 @@
 	"go.uber.org/zap/zapcore"
 
 	"thymechute/internal/decide/intake"
+	"thymechute/internal/node"
 	"thymechute/internal/operator"
 )
 
@@ -76,7 +77,7 @@
 	}
 }
 
-// admit decodes a message and hands it to the instance; the answer arrives at handleAnswer under its tag.
+// admit decodes a message and hands it to the instance; the answer arrives at handleAnswer under the delivery tag.
 func (f *Front) admit(s *session, m *message) error {
 	const tagBase = 36
 	request, err := Decode(&m.delivery, f.config.Fields, m.queue, m.receivedAt, f.idempotency)
@@ -86,6 +87,6 @@
 	if request.CallerTimeout > 0 {
 		m.deadline = m.receivedAt.Add(request.CallerTimeout)
 	}
-	request.ID = f.requestPrefix + strconv.Itoa(f.sessionCount) + "-" + strconv.FormatUint(m.tag, tagBase)
-	return f.admission.Admit(s, strconv.FormatUint(m.tag, 10), request)
+	request.ID = node.TaskID(f.requestPrefix + strconv.Itoa(f.sessionCount) + "-" + strconv.FormatUint(m.tag, tagBase))
+	return f.admission.Admit(s, node.MessageID(strconv.FormatUint(m.tag, 10)), request)
 }
--- a/internal/front/amqp/outcome.go
+++ b/internal/front/amqp/outcome.go
@@ -27,9 +27,9 @@
 )
 
 // handleAnswer takes the answer to a message from the instance, on the session that delivered it.
-func (f *Front) handleAnswer(s *session, tag string, answer node.Answer) {
-	number, err := strconv.ParseUint(tag, 10, 64)
-	m := f.unsettled[number]
+func (f *Front) handleAnswer(s *session, id node.MessageID, answer node.Answer) {
+	tag, err := strconv.ParseUint(string(id), 10, 64)
+	m := f.unsettled[tag]
 	if err != nil || f.session != s || m == nil {
 		return
 	}
--- a/internal/front/amqp/session.go
+++ b/internal/front/amqp/session.go
@@ -49,7 +49,7 @@
 // sessionHandler receives what happens on a session, on the loop.
 type sessionHandler struct {
 	events func(*session, []event)
-	answer func(s *session, tag string, answer node.Answer)
+	answer func(s *session, id node.MessageID, answer node.Answer)
 }
 
 // consumer is the consuming side of a session. It belongs to the goroutine of the consumer commands.
@@ -138,7 +138,7 @@
 }
 
 // Answer implements node.Responder.
-func (s *session) Answer(tag string, answer node.Answer) { s.handler.answer(s, tag, answer) }
+func (s *session) Answer(id node.MessageID, answer node.Answer) { s.handler.answer(s, id, answer) }
 
 // HealthChecked implements node.Responder. No health check arrives over AMQP.
-func (s *session) HealthChecked(string, bool, float64) {}
+func (s *session) HealthChecked(node.MessageID, node.HealthCheckResult) {}
--- a/internal/lab/rig/fleet.go
+++ b/internal/lab/rig/fleet.go
@@ -22,7 +22,7 @@
 
 // Fleet is a fleet of instances, each with a fake runtime of its own and a proxy of the fault network before its address.
 type Fleet struct {
-	Network *faultnet.Net
+	Network *faultnet.Network
 
 	program, folder string
 	seed            uint64
@@ -96,7 +96,7 @@
 	if err != nil {
 		return memberAddresses{}, err
 	}
-	if err := f.Network.Front(name, bind, proxy); err != nil {
+	if err := f.Network.StartProxy(name, bind, proxy); err != nil {
 		return memberAddresses{}, err
 	}
 	f.addresses[name] = memberAddresses{bind: bind, proxy: proxy}
