--- a/internal/fleet/consensus/log_test.go
+++ b/internal/fleet/consensus/log_test.go
@@ -1,353 +1,254 @@
-package consensus
+package consensus_test
 
 import (
-	"encoding/json"
 	"fmt"
-	"io"
-	"os"
 	"slices"
-	"strconv"
 	"strings"
-	"sync"
 	"syscall"
 	"testing"
 	"time"
 
 	"thymechute/internal/decide/lease"
-	"thymechute/internal/decide/quorum"
-	"thymechute/internal/fleet/membership"
 	"thymechute/internal/testutil"
+	"thymechute/internal/testutil/member"
 )
 
-var (
-	leaseTerms = lease.Config{Duration: time.Second, MaxDrift: 0.01, SafetyMargin: 20 * time.Millisecond}
-	bounds     = quorum.Config{MaxVoters: 5, MinAge: 300 * time.Millisecond, HoldDown: 2 * time.Second}
+const (
+	votingMembers = 5
+	zoneCount     = 3
+	ringDuty      = "ring"
 )
 
-// line is what a child tells, one JSON object a line.
-type line struct {
-	What         string // held, lost, decides, entry, tried, leads, change, voters
-	Duty, Why    string
-	Token, Index uint64
-	Kind         lease.Kind
-	Accepted     bool
-	At           int64 // Unix ms
-	name         string
+// logCluster is members that agree on a log, each behind its proxies.
+type logCluster struct {
+	*testutil.Cluster[memberEvent]
+	t *testing.T
 }
 
-// voters are the processes that vote, as the child has it; none of another line.
-func (l line) voters() []string {
-	if l.What != "voters" {
-		return nil
+// startLogCluster starts five members, and waits until all vote.
+func startLogCluster(t *testing.T) *logCluster {
+	c := &logCluster{testutil.NewCluster(t, 6, member.Ports, func(e *memberEvent, name string) { e.member = name }), t}
+	t.Cleanup(c.logOnFailure)
+	for n := range votingMembers {
+		environment := []string{fmt.Sprintf("%s=z%d", zoneVariable, n%zoneCount)}
+		if n == 0 {
+			environment = append(environment, member.FounderVariable+"=1")
+		}
+		if c.Start(fmt.Sprint("m", n), environment...); n == 0 {
+			c.WaitFor("first leader", 0, isLeadership)
+		}
 	}
-	return strings.Split(l.Why, ",")
+	c.WaitFor("five voters", 0, func(e memberEvent) bool { return len(e.voters()) == votingMembers })
+	return c
 }
 
-// TestMain: the test binary is also the process under test, until its standard input closes or its time is up.
-func TestMain(m *testing.M) {
-	if os.Getenv("PACK_NAME") != "" {
-		child()
+// logOnFailure logs who led and voted: a failure is mostly about that.
+func (c *logCluster) logOnFailure() {
+	if !c.t.Failed() {
 		return
 	}
-	os.Exit(m.Run())
-}
-
-type teller struct {
-	mu sync.Mutex
-	d  *Driver
-}
-
-func (t *teller) tell(l line) {
-	l.At = time.Now().UnixMilli()
-	b, _ := json.Marshal(l)
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	fmt.Println(string(b))
-}
-
-var held sync.Map // duty to token, the last it held
-
-func (t *teller) LeaseAcquired(duty string, token uint64) {
-	held.Store(duty, token)
-	t.tell(line{What: "held", Duty: duty, Token: token})
-}
-func (t *teller) LeaseLost(duty string) { t.tell(line{What: "lost", Duty: duty}) }
-func (t *teller) EntryApplied(index uint64, c lease.Command, o lease.Outcome) {
-	t.tell(line{What: "entry", Duty: c.Duty, Token: c.Token, Index: index, Kind: c.Kind, Accepted: o.Accepted})
+	logged := []string{eventVoterChange, eventVoters, eventLeads, eventLeaseAcquired}
+	for _, e := range c.Events() {
+		if slices.Contains(logged, e.Event) {
+			c.t.Logf("%d %s %s %s %d %s", e.At, e.member, e.Event, e.Duty, max(e.Token, e.Index), e.Text)
+		}
+	}
 }
 
-func (t *teller) SnapshotRestored([]byte) {}
-func (t *teller) Tick(time.Duration)      {}
-
-// quiet is a membership.Watcher that hears nothing: the view is asked for.
-type quiet struct{}
-
-func (quiet) Joined(membership.Record)  {}
-func (quiet) Updated(membership.Record) {}
-func (quiet) Left(string)               {}
-func (quiet) Refused(string, error)     {}
+func isLeadership(e memberEvent) bool { return e.Event == eventLeads }
 
-func child() {
-	go func() { time.Sleep(100 * time.Second); os.Exit(3) }() // bounded, whatever the parent does
-	name, bind, at, front := os.Getenv("PACK_NAME"), os.Getenv("PACK_BIND0"), os.Getenv("PACK_BIND1"), os.Getenv("PACK_FRONT1")
-	life := uint64(time.Now().UnixNano())
-	process := fmt.Sprintf("%s#%x", name, life)
-	t := &teller{}
-	var seeds []string
-	if s := os.Getenv("PACK_SEED"); s != "" {
-		seeds = []string{s}
+// isRingHolder matches the acquisition of the ring's lease under a token over this one.
+func isRingHolder(over uint64) func(memberEvent) bool {
+	return func(e memberEvent) bool {
+		return e.Event == eventLeaseAcquired && e.Duty == ringDuty && e.Token > over
 	}
-	record := membership.Record{Zone: os.Getenv("PACK_ZONE"), Rank: -1, Process: process, Log: front}
-	ready := make(chan struct{})
-	m, err := membership.Start(membership.Config{Name: name, Bind: bind, Advertise: os.Getenv("PACK_FRONT0"), Seeds: seeds, Most: 16, Probe: 200 * time.Millisecond,
-		Sync: 500 * time.Millisecond, Record: record, Message: func(b []byte) { <-ready; t.d.ReceiveProposal(b) }}, quiet{})
-	if err != nil {
-		fmt.Fprintln(os.Stderr, err)
-		os.Exit(1)
-	}
-	t.d, err = StartDriver(Config{Process: process, Bind: at, Advertise: front, Bootstrap: os.Getenv("PACK_FOUND") != "", Duties: []string{"ring", "roll"},
-		HeartbeatTimeout: 300 * time.Millisecond}, leaseTerms, life, t, func(to string, b []byte) error { return m.Send(to[:strings.IndexByte(to, '#')], b) }, nil)
-	if err != nil {
-		fmt.Fprintln(os.Stderr, err)
-		os.Exit(1)
-	}
-	close(ready)
-	place, _ := strconv.Atoi(name[1:])
-	t.d.SetClaimPosition("ring", place)
-	t.d.SetClaimPosition("roll", place+2)
-	t.d.ManageVoters(func() (out []Peer) {
-		for _, r := range m.View() {
-			out = append(out, Peer{Process: r.Process, Address: r.Log, Zone: r.Zone, Applied: r.Applied, Draining: r.Flag == "leaving"})
-		}
-		return out
-	}, bounds, func(c quorum.Change) {
-		t.tell(line{What: "change", Kind: lease.Kind(c.Kind), Why: c.Reason + " " + c.Process})
-	})
-	go func() {
-		led, last, applied, voting := uint64(0), time.Now(), uint64(0), "" // led: the last term told
-		for n := 0; ; n++ {
-			time.Sleep(20 * time.Millisecond)
-			if time.Since(last) > leaseTerms.Duration { // it stood still: on without looking, as one does who had checked just before
-				held.Range(func(duty, token any) bool {
-					c := lease.Command{Kind: lease.Decide, Duty: duty.(string), Member: process, Incarnation: life, Token: token.(uint64), Body: "late"}
-					t.tell(line{What: "tried", Duty: c.Duty, Token: c.Token})
-					for range 20 { // until it surely reached a leader
-						t.d.Propose(c)
-						time.Sleep(50 * time.Millisecond)
-					}
-					return true
-				})
-			}
-			last = time.Now()
-			if _, leads := t.d.Log.Leader(); leads && t.d.Log.Term() != led {
-				led = t.d.Log.Term()
-				t.tell(line{What: "leads", Index: led})
-			}
-			if now := slices.Sorted(slices.Values(t.d.Log.Voters())); strings.Join(now, ",") != voting {
-				voting = strings.Join(now, ",")
-				t.tell(line{What: "voters", Why: voting})
-			}
-			if n%5 == 0 {
-				for _, duty := range []string{"ring", "roll"} {
-					t.d.Decide(duty, "plan", func(ok bool) {
-						if token, _ := held.Load(duty); ok {
-							t.tell(line{What: "decides", Duty: duty, Token: token.(uint64)})
-						}
-					})
-				}
-				if now, _ := t.d.Log.Applied(); now != applied {
-					applied, record.Applied = now, now
-					_ = m.Set(record)
-				}
-			}
-		}
-	}()
-	_, _ = io.Copy(io.Discard, os.Stdin)
-	t.d.Drain(0)
-	time.Sleep(300 * time.Millisecond) // what it proposed goes out; the claim is not on this
-	_ = m.Leave(time.Second)
-	t.d.Stop()
 }
 
-func heldBy(duty string, over uint64) func(line) bool {
-	return func(l line) bool { return l.What == "held" && l.Duty == duty && l.Token > over }
+// isEntryAt matches an entry that a member has applied.
+func isEntryAt(name string) func(memberEvent) bool {
+	return func(e memberEvent) bool { return e.Event == eventEntry && e.member == name }
 }
 
-type pack struct {
-	*testutil.Pack[line]
-	t *testing.T
+// isRingDecision matches a decision's entry of the ring.
+func isRingDecision(e memberEvent) bool {
+	return e.Event == eventEntry && e.Kind == lease.Decide && e.Duty == ringDuty
 }
 
-// five starts the processes, each behind its proxies, and waits until all vote.
-func five(t *testing.T) *pack {
-	p := &pack{testutil.NewPack(t, 6, 2, func(l *line, name string) { l.name = name }), t}
-	t.Cleanup(func() { // who voted is what a failure is mostly about
-		for _, l := range p.Lines() {
-			if t.Failed() && (l.What == "change" || l.What == "voters" || l.What == "leads" || l.What == "held") {
-				t.Logf("%d %s %s %s %d %s", l.At, l.name, l.What, l.Duty, max(l.Token, l.Index), l.Why)
-			}
-		}
-	})
-	for n := range 5 {
-		more := []string{"PACK_ZONE=z" + fmt.Sprint(n%3)}
-		if n == 0 {
-			more = append(more, "PACK_FOUND=1")
-		}
-		if p.Start(fmt.Sprint("m", n), more...); n == 0 {
-			p.Until("first leader", 0, func(l line) bool { return l.What == "leads" })
-		}
-	}
-	p.Until("five voters", 0, func(l line) bool { return len(l.voters()) == 5 })
-	return p
-}
-
-// Cuts between the five: the owner cut off both ways, then what it sends alone, two against three with the owner among
-// the two. Each time another takes over once its lease is over, and what it says after the heal changes nothing.
-func TestOneOwnerThroughCutsAndAPartition(t *testing.T) {
-	p := five(t)
-	all := p.Names()
-	p.Until("an owner", 0, heldBy("ring", 0))
-	for _, c := range []struct {
+// Partitions of the five: the holder cut off both ways, then what it sends alone, two against three with the holder among
+// the two. Each time another takes over once its lease has expired, and what it proposes after the heal changes nothing.
+func TestOneHolderThroughPartitions(t *testing.T) {
+	c := startLogCluster(t)
+	c.WaitFor("a holder", 0, isRingHolder(0))
+	for _, fault := range []struct {
 		what string
-		cut  func(owner string, others []string)
+		cut  func(holder string, others []string)
 	}{
-		{"cut off", func(o string, _ []string) { p.Net.Isolate(o, all) }},
-		{"not heard", func(o string, others []string) {
+		{"cut off", func(holder string, _ []string) { c.Net.Isolate(holder, c.Names()) }},
+		{"not heard", func(holder string, others []string) {
 			for _, other := range others {
-				p.Net.Cut(o, other)
+				c.Net.Cut(holder, other)
 			}
 		}},
-		{"in the smaller part", func(o string, others []string) { p.Net.Partition([]string{o, others[0]}, others[1:]) }},
+		{"in the minority", func(holder string, others []string) {
+			c.Net.Partition([]string{holder, others[0]}, others[1:])
+		}},
 	} {
-		held := p.Last(heldBy("ring", 0))
-		var others []string
-		for _, name := range all {
-			if name != held.name {
-				others = append(others, name)
-			}
-		}
-		from, began := p.Told(), time.Now()
-		c.cut(held.name, others)
-		next := p.Until("a successor of the owner "+c.what, from, heldBy("ring", held.Token))
-		t.Logf("%s, replaced after %v", c.what, time.Since(began).Round(time.Millisecond))
-		if next.name == held.name {
-			t.Errorf("%s: %s succeeds itself", c.what, held.name)
+		holder := c.Last(isRingHolder(0))
+		others := slices.DeleteFunc(c.Names(), func(name string) bool { return name == holder.member })
+		first, start := c.EventCount(), time.Now()
+		fault.cut(holder.member, others)
+		next := c.WaitFor("a successor of the holder "+fault.what, first, isRingHolder(holder.Token))
+		t.Logf("%s, replaced after %v", fault.what, time.Since(start).Round(time.Millisecond))
+		if next.member == holder.member {
+			t.Errorf("%s: %s succeeds itself", fault.what, holder.member)
 		}
-		if c.what == "in the smaller part" && next.name == others[0] {
-			t.Errorf("the smaller part has an owner of its own: %s", next.name)
+		if fault.what == "in the minority" && next.member == others[0] {
+			t.Errorf("the minority has a holder of its own: %s", next.member)
 		}
-		p.Net.Heal()
-		from = p.Told()
-		p.Until(held.name+" hearing the log again", from, func(l line) bool { return l.What == "entry" && l.name == held.name && l.Token > held.Token })
+		c.Net.Heal()
+		first = c.EventCount()
+		c.WaitFor(holder.member+" applying the log again", first, func(e memberEvent) bool {
+			return isEntryAt(holder.member)(e) && e.Token > holder.Token
+		})
 	}
-	p.check(false)
+	c.checkLog(false)
 }
 
-// Five processes over raft: the owner of a duty is stopped past its lease and woken, killed, the leader and another
-// voter killed and started cold in the middle of the election.
-func TestOneOwnerThroughPauseKillAndColdRestarts(t *testing.T) {
-	p := five(t)
-	ring := p.Until("an owner", 0, heldBy("ring", 0))
-	ring = p.Last(heldBy("ring", 0))
-	from := p.Told()
-	p.Signal(ring.name, syscall.SIGSTOP)
-	stopped := time.Now()
-	next := p.Until("a successor of the stopped owner", from, heldBy("ring", ring.Token))
-	t.Logf("stopped owner replaced after %v", time.Since(stopped).Round(time.Millisecond))
-	time.Sleep(time.Second - min(time.Since(stopped), time.Second)) // it stands still for more than a lease in any case
-	p.Signal(ring.name, syscall.SIGCONT)
-	p.Until("the late command in the log", from, func(l line) bool {
-		return l.What == "entry" && l.Kind == lease.Decide && l.Duty == "ring" && l.Token == ring.Token && !l.Accepted
+// Five processes over raft: the holder of a lease is suspended past it and resumed, killed, the leader and another voter
+// killed and started without their state in the middle of the election.
+func TestOneHolderThroughPauseKillAndRestarts(t *testing.T) {
+	c := startLogCluster(t)
+	c.WaitFor("a holder", 0, isRingHolder(0))
+	next := c.suspendHolder()
+	c.killHolder(next)
+	c.killLeaderAndVoter()
+	c.checkLog(true)
+}
+
+// suspendHolder suspends the ring's holder past its lease, and returns its successor.
+func (c *logCluster) suspendHolder() (next memberEvent) {
+	holder := c.Last(isRingHolder(0))
+	first := c.EventCount()
+	c.Signal(holder.member, syscall.SIGSTOP)
+	suspendedAt := time.Now()
+	next = c.WaitFor("a successor of the suspended holder", first, isRingHolder(holder.Token))
+	c.t.Logf("suspended holder replaced after %v", time.Since(suspendedAt).Round(time.Millisecond))
+	time.Sleep(time.Second - min(time.Since(suspendedAt), time.Second)) // for more than a lease in any case
+	c.Signal(holder.member, syscall.SIGCONT)
+	c.WaitFor("the late command in the log", first, func(e memberEvent) bool {
+		return isRingDecision(e) && e.Token == holder.Token && !e.IsAccepted
 	})
+	return next
+}
 
-	from = p.Told()
-	killed, dead := time.Now(), ""
-	for _, process := range p.Last(func(l line) bool { return len(l.voters()) == 5 }).voters() {
-		if strings.HasPrefix(process, next.name+"#") {
-			dead = process
+// killHolder kills the ring's holder and starts it again, and waits until its new incarnation votes in place of the old.
+func (c *logCluster) killHolder(holder memberEvent) {
+	first := c.EventCount()
+	killedAt, killed := time.Now(), ""
+	for _, process := range c.Last(func(e memberEvent) bool { return len(e.voters()) == votingMembers }).voters() {
+		if strings.HasPrefix(process, holder.member+"#") {
+			killed = process
 		}
 	}
-	p.Kill(next.name)
-	p.Until("a successor of the killed owner", from, heldBy("ring", next.Token))
-	t.Logf("killed owner replaced after %v", time.Since(killed).Round(time.Millisecond))
-	p.Start(next.name)
-	p.Until("the cold one's entries", p.Told(), func(l line) bool { return l.What == "entry" && l.name == next.name })
-	p.Until("the dead voter dropped", from, func(l line) bool { return l.What == "voters" && !slices.Contains(l.voters(), dead) })
-	p.Until("five good voters again", from, func(l line) bool { // with three of five lives gone no quorum is left, and rightly so
-		return len(l.voters()) == 5 && !slices.Contains(l.voters(), dead)
+	c.Kill(holder.member)
+	c.WaitFor("a successor of the killed holder", first, isRingHolder(holder.Token))
+	c.t.Logf("killed holder replaced after %v", time.Since(killedAt).Round(time.Millisecond))
+	c.Start(holder.member)
+	c.WaitFor("the restarted one's entries", c.EventCount(), isEntryAt(holder.member))
+	c.WaitFor("the killed voter removed", first, func(e memberEvent) bool {
+		return e.Event == eventVoters && !slices.Contains(e.voters(), killed)
 	})
+	c.WaitFor("five good voters again", first, func(e memberEvent) bool { // with three of five gone no quorum is left, and rightly so
+		return len(e.voters()) == votingMembers && !slices.Contains(e.voters(), killed)
+	})
+}
 
-	lead := p.Last(func(l line) bool { return l.What == "leads" && l.name != "" })
+// killLeaderAndVoter kills the log's leader and another voter, in the middle of the election, and starts both again.
+func (c *logCluster) killLeaderAndVoter() {
+	leader := c.Last(isLeadership)
 	other := "m1"
-	if lead.name == other {
+	if leader.member == other {
 		other = "m2"
 	}
-	from = p.Told()
-	token := p.Last(heldBy("ring", 0)).Token
-	p.Kill(lead.name)
-	p.Kill(other) // in the middle of the election
-	p.Start(lead.name)
-	p.Start(other)
-	p.Until("a leader after the cold restarts", from, func(l line) bool { return l.What == "leads" })
-	p.Until("a decision after them", from, func(l line) bool {
-		return l.What == "entry" && l.Kind == lease.Decide && l.Accepted && l.Duty == "ring" && l.Token >= token
+	first := c.EventCount()
+	token := c.Last(isRingHolder(0)).Token
+	c.Kill(leader.member)
+	c.Kill(other)
+	c.Start(leader.member)
+	c.Start(other)
+	c.WaitFor("a leader after the restarts", first, isLeadership)
+	c.WaitFor("a decision after them", first, func(e memberEvent) bool {
+		return isRingDecision(e) && e.IsAccepted && e.Token >= token
 	})
-	p.check(true)
 }
 
-// check is over all that was told: one log in all, no stale command taken, no decision of an owner after its
-// successor's first, one leader a term.
-func (p *pack) check(woken bool) {
-	entries, leaders := map[uint64]line{}, map[uint64]string{}
-	first, lastOf := map[string]int64{}, map[string]int64{}
-	tried, accepted := 0, 0
-	for _, l := range p.Lines() {
-		switch l.What {
-		case "entry":
-			e, known := entries[l.Index]
-			if l.name = ""; known {
-				l.At = e.At
+// checkLog checks all events: the same log in all members, no stale command accepted, no decision of a holder after its
+// successor's first, one leader a term. With lateProposals there must be some.
+func (c *logCluster) checkLog(withLateProposals bool) {
+	entries, leaders := map[uint64]memberEvent{}, map[uint64]string{}
+	firstDecision, lastDecision := map[string]int64{}, map[string]int64{}
+	lateProposals := 0
+	for _, e := range c.Events() {
+		switch e.Event {
+		case eventEntry:
+			known, isKnown := entries[e.Index]
+			e.member = ""
+			if isKnown {
+				e.At = known.At
 			}
-			if known && e != l {
-				p.t.Errorf("entry %d differs: %+v and %+v", l.Index, e, l)
+			if isKnown && known != e {
+				c.t.Errorf("entry %d differs: %+v and %+v", e.Index, known, e)
 			}
-			entries[l.Index] = l
-		case "tried":
-			tried++
-		case "leads":
-			if other := leaders[l.Index]; other != "" && other != l.name {
-				p.t.Errorf("%s and %s lead term %d", other, l.name, l.Index)
+			entries[e.Index] = e
+		case eventLateProposal:
+			lateProposals++
+		case eventLeads:
+			if other := leaders[e.Index]; other != "" && other != e.member {
+				c.t.Errorf("%s and %s lead term %d", other, e.member, e.Index)
 			}
-			leaders[l.Index] = l.name
-		case "decides":
-			key := fmt.Sprint(l.Duty, " ", l.Token)
-			if first[key] == 0 {
-				first[key] = l.At
+			leaders[e.Index] = e.member
+		case eventDecides:
+			key := decisionKey(e.Duty, e.Token)
+			if firstDecision[key] == 0 {
+				firstDecision[key] = e.At
 			}
-			lastOf[key] = l.At
+			lastDecision[key] = e.At
 		}
 	}
+	accepted := c.checkTokens(entries)
+	c.checkSuccessions(firstDecision, lastDecision)
+	if withLateProposals && lateProposals == 0 || accepted < 20 {
+		c.t.Errorf("%d late commands proposed, %d decisions accepted", lateProposals, accepted)
+	}
+	c.t.Logf("%d late commands proposed, %d decisions accepted, %d leaders' terms", lateProposals, accepted, len(leaders))
+}
+
+// checkTokens checks that accepted decisions have rising tokens, and returns how many there are.
+func (c *logCluster) checkTokens(entries map[uint64]memberEvent) (accepted int) {
 	highest := map[string]uint64{}
 	for index := uint64(0); index <= uint64(1<<20); index++ {
 		e, ok := entries[index]
-		if !ok || e.Kind != lease.Decide || !e.Accepted {
+		if !ok || e.Kind != lease.Decide || !e.IsAccepted {
 			continue
 		}
 		if accepted++; e.Token < highest[e.Duty] {
-			p.t.Errorf("entry %d: token %d accepted after %d", index, e.Token, highest[e.Duty])
+			c.t.Errorf("entry %d: token %d accepted after %d", index, e.Token, highest[e.Duty])
 		}
 		highest[e.Duty] = e.Token
 	}
-	for key, at := range lastOf {
+	return accepted
+}
+
+// checkSuccessions checks that nobody decided after its successor had.
+func (c *logCluster) checkSuccessions(firstDecision, lastDecision map[string]int64) {
+	for key, last := range lastDecision {
 		var duty string
 		var token uint64
 		_, _ = fmt.Sscan(key, &duty, &token)
-		if then := first[fmt.Sprint(duty, " ", token+1)]; then != 0 && then < at {
-			p.t.Errorf("%s: token %d still decided %d ms after the next had", duty, token, at-then)
+		if next := firstDecision[decisionKey(duty, token+1)]; next != 0 && next < last {
+			c.t.Errorf("%s: token %d still decided %d ms after the next had", duty, token, last-next)
 		}
 	}
-	if woken && tried == 0 || accepted < 20 {
-		p.t.Errorf("%d late commands tried, %d decisions accepted", tried, accepted)
-	}
-	p.t.Logf("%d late commands tried, %d decisions accepted, %d leaders' terms", tried, accepted, len(leaders))
 }
+
+func decisionKey(duty string, token uint64) string { return fmt.Sprint(duty, " ", token) }
--- /dev/null
+++ b/internal/fleet/rolling/command_test.go
@@ -0,0 +1,32 @@
+package rolling
+
+import (
+	"os"
+	"strings"
+	"testing"
+
+	"thymechute/internal/decide/lease"
+)
+
+// Commands written by an older build (commit d489d24) must be read, and the same commands must be written as the same bytes.
+func TestCommandsOfOlderBuildsAreReadAndWrittenAlike(t *testing.T) {
+	stored, err := os.ReadFile("testdata/commands.jsonl")
+	if err != nil {
+		t.Fatal(err)
+	}
+	release, none := "2026.12.01-1", ""
+	commands := []command{{Release: &release}, {Release: &none}, {Drain: "m1", Incarnation: 0x18f3a2b4c5000001}}
+	lines := strings.Split(strings.TrimSpace(string(stored)), "\n")
+	if len(lines) != len(commands) {
+		t.Fatalf("%d stored commands, expected %d", len(lines), len(commands))
+	}
+	for n, line := range lines {
+		decoded, ok := decodeCommand(lease.Command{Kind: lease.Decide, Duty: Duty, Body: line}, lease.Outcome{Accepted: true})
+		if !ok || decoded.encode() != line {
+			t.Errorf("found    %s, %v\nexpected %s", decoded.encode(), ok, line)
+		}
+		if built := commands[n].encode(); built != line {
+			t.Errorf("found    %s\nexpected %s", built, line)
+		}
+	}
+}
--- /dev/null
+++ b/internal/fleet/rolling/rolling_test.go
@@ -0,0 +1,160 @@
+package rolling
+
+import (
+	"fmt"
+	"os"
+	"path/filepath"
+	"slices"
+	"strconv"
+	"sync"
+	"sync/atomic"
+	"syscall"
+	"testing"
+	"time"
+
+	"thymechute/internal/testutil"
+	"thymechute/internal/testutil/member"
+)
+
+const (
+	memberCount = 8
+	zoneCount   = 2
+	zoneSize    = memberCount / zoneCount
+	oldRelease  = "old"
+	newRelease  = "new"
+)
+
+func isDrain(e memberEvent) bool         { return e.Kind == eventDrains }
+func isLeaseAcquired(e memberEvent) bool { return e.Kind == eventLeaseAcquired }
+
+// rolloutCluster is members under a supervisor, which starts what ends with what is installed, as an init system does.
+type rolloutCluster struct {
+	*testutil.Cluster[memberEvent]
+	t           *testing.T
+	wantedFile  string
+	installed   atomic.Value // release
+	isOver      chan struct{}
+	supervisors sync.WaitGroup
+}
+
+// startRolloutCluster starts all members at the old release.
+func startRolloutCluster(t *testing.T, subnet int) *rolloutCluster {
+	c := &rolloutCluster{t: t, wantedFile: filepath.Join(t.TempDir(), "want"), isOver: make(chan struct{})}
+	c.setWanted("")
+	c.installed.Store(oldRelease)
+	c.Cluster = testutil.NewCluster(t, subnet, member.Ports, func(e *memberEvent, name string) { e.member = name })
+	for n := range memberCount {
+		name := fmt.Sprint("m", n)
+		if n == 0 {
+			c.Start(name, append(c.environment(n), member.FounderVariable+"=1")...)
+			c.WaitFor("a leader", 0, isLeaseAcquired)
+		} else {
+			c.Start(name, c.environment(n)...)
+		}
+		c.supervisors.Add(1)
+		go c.supervise(n, name)
+	}
+	return c
+}
+
+func (c *rolloutCluster) environment(n int) []string {
+	return []string{wantedFileVariable + "=" + c.wantedFile, fmt.Sprintf("%s=z%d", zoneVariable, n%zoneCount),
+		releaseVariable + "=" + c.installed.Load().(string)}
+}
+
+func (c *rolloutCluster) supervise(n int, name string) {
+	defer c.supervisors.Done()
+	for {
+		select {
+		case <-c.isOver:
+			return
+		case <-c.Exited(name):
+			c.Start(name, c.environment(n)...)
+		}
+	}
+}
+
+// stopSupervisors lets what ends stay so.
+func (c *rolloutCluster) stopSupervisors() {
+	close(c.isOver)
+	c.supervisors.Wait()
+}
+
+func (c *rolloutCluster) setWanted(release string) {
+	if err := os.WriteFile(c.wantedFile, []byte(release), 0o600); err != nil {
+		c.t.Fatal(err)
+	}
+}
+
+// killOther kills a member that has not drained and does not lead, other than the one of an event.
+func (c *rolloutCluster) killOther(than memberEvent) {
+	victim := ""
+	for _, name := range c.Names() {
+		hasDrained := c.Last(func(e memberEvent) bool { return isDrain(e) && e.member == name }).Kind != ""
+		if name != than.member && name != c.Last(isLeaseAcquired).member && !hasDrained {
+			victim = name
+		}
+	}
+	c.Kill(victim)
+}
+
+// suspendLeader suspends the leader past its lease, and resumes it under the next.
+func (c *rolloutCluster) suspendLeader() {
+	suspended := c.Last(isLeaseAcquired).member
+	c.Signal(suspended, syscall.SIGSTOP)
+	c.WaitFor("a new leader", c.EventCount(), isLeaseAcquired)
+	time.Sleep(500 * time.Millisecond) // the script's pause goes on past the lease
+	c.Signal(suspended, syscall.SIGCONT)
+}
+
+// Eight processes in two zones are updated to a new release while one is killed and the leader is suspended in mid-wave and
+// resumed.
+func TestRolloutThroughKillAndSuspendedLeader(t *testing.T) {
+	c := startRolloutCluster(t, 12)
+	defer c.stopSupervisors()
+	time.Sleep(2 * time.Second) // all warmed up, and votes spread; the claim is not on this
+	c.installed.Store(newRelease)
+	c.setWanted(newRelease)
+	first := c.WaitFor("the first drain", 0, isDrain)
+	c.killOther(first)
+	from := c.EventCount()
+	c.WaitFor("a drain after the kill", from, isDrain)
+	c.suspendLeader()
+	for _, name := range c.Names() {
+		c.WaitFor(name+" on the new release", 0, func(e memberEvent) bool {
+			return e.Kind == eventReady && e.Release == newRelease && e.member == name
+		})
+	}
+	checkDrains(t, c.Events())
+}
+
+// checkDrains checks that nobody drained twice, and how many were ready in each zone at least.
+func checkDrains(t *testing.T, events []memberEvent) {
+	slices.SortStableFunc(events, func(x, y memberEvent) int { return int(x.At - y.At) })
+	drains, ready := map[string]int{}, map[int]map[string]bool{0: {}, 1: {}}
+	minReady, hasStarted := zoneSize, false
+	for _, e := range events {
+		n, _ := strconv.Atoi(e.member[1:])
+		zone := ready[n%zoneCount]
+		switch e.Kind {
+		case eventReady:
+			zone[e.member] = true
+		case eventDrains:
+			hasStarted = true
+			delete(zone, e.member)
+			if drains[e.member]++; drains[e.member] > 1 || e.Release == newRelease {
+				t.Errorf("%s, release %s, drains again", e.member, e.Release)
+			}
+		}
+		if hasStarted {
+			minReady = min(minReady, len(ready[0]), len(ready[1]))
+		}
+	}
+	t.Logf("%d drained, at least %d of %d ready in each zone but for the one killed", len(drains), minReady, zoneSize)
+	if minReady < 3 {
+		t.Errorf("a zone came down to %d ready by drains alone, 3 expected", minReady)
+	}
+	if len(drains) < 7 { // all but the one killed, which came back with what was installed
+		t.Errorf("%d drained, expected 7 or 8", len(drains))
+	}
+}
--- /dev/null
+++ b/internal/fleet/slots/backend_test.go
@@ -0,0 +1,141 @@
+package slots
+
+import (
+	"bufio"
+	"encoding/json"
+	"fmt"
+	"net"
+	"os"
+	"sync"
+	"testing"
+	"time"
+
+	"thymechute/internal/decide/ring"
+)
+
+// setWantedBackends replaces the file in which the members read the wanted backends.
+func setWantedBackends(t *testing.T, file string, backends []ring.Backend) {
+	t.Helper()
+	b, _ := json.Marshal(backends)
+	if err := os.WriteFile(file+".new", b, 0o600); err != nil {
+		t.Fatal(err)
+	}
+	if err := os.Rename(file+".new", file); err != nil {
+		t.Fatal(err)
+	}
+}
+
+// listenForLines hands each connection's first line to handle, in a goroutine of its own, and closes it afterwards. It
+// ends with the test.
+func listenForLines(t *testing.T, handle func(line string)) (address string) {
+	t.Helper()
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { listener.Close() })
+	go func() {
+		for {
+			connection, err := listener.Accept()
+			if err != nil {
+				return
+			}
+			go func() {
+				defer connection.Close()
+				line, _ := bufio.NewReader(connection).ReadString('\n')
+				handle(line)
+			}()
+		}
+	}()
+	return listener.Addr().String()
+}
+
+// recordingBackends are the backends of makeKeyedCalls, in the parent. They count the calls that found their key in work at
+// another backend.
+type recordingBackends struct {
+	mu         sync.Mutex
+	active     map[string]map[string]int // calls by key and backend
+	violations int
+	calls      int
+}
+
+func (s *recordingBackends) serve(t *testing.T, backend string) (address string) {
+	return listenForLines(t, func(line string) {
+		var key string
+		var milliseconds int
+		if n, _ := fmt.Sscan(line, &key, &milliseconds); n != 2 {
+			return
+		}
+		s.begin(key, backend)
+		time.Sleep(time.Duration(milliseconds) * time.Millisecond)
+		s.end(key, backend)
+	})
+}
+
+func (s *recordingBackends) begin(key, backend string) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.active[key] == nil {
+		s.active[key] = map[string]int{}
+	}
+	s.calls++
+	if len(s.active[key]) > 0 && s.active[key][backend] == 0 {
+		s.violations++
+	}
+	s.active[key][backend]++
+}
+
+func (s *recordingBackends) end(key, backend string) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.active[key][backend]--; s.active[key][backend] == 0 {
+		delete(s.active[key], backend)
+	}
+}
+
+func (s *recordingBackends) counts() (calls, violations int) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.calls, s.violations
+}
+
+// arrival is a call at a countingBackend, by its clock.
+type arrival struct {
+	at          time.Time
+	from        string
+	isWarmingUp bool // as its sender's table has the backend
+}
+
+// countingBackend is the backend of callAsOftenAsAdmitted, in the parent.
+type countingBackend struct {
+	mu       sync.Mutex
+	arrivals []arrival
+}
+
+func (b *countingBackend) serve(t *testing.T) (address string) {
+	return listenForLines(t, func(line string) {
+		var a arrival
+		if n, _ := fmt.Sscan(line, &a.from, &a.isWarmingUp); n != 2 {
+			return
+		}
+		b.mu.Lock()
+		a.at = time.Now()
+		b.arrivals = append(b.arrivals, a)
+		b.mu.Unlock()
+	})
+}
+
+func (b *countingBackend) all() []arrival {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	return append([]arrival(nil), b.arrivals...)
+}
+
+func hasCallFrom(arrivals []arrival, name string, after time.Time) bool {
+	for _, a := range arrivals {
+		if a.from == name && a.at.After(after) {
+			return true
+		}
+	}
+	return false
+}
--- a/internal/fleet/slots/calls.go
+++ b/internal/fleet/slots/calls.go
@@ -1,56 +1,59 @@
-// This file owns one member's calls in flight. It must never let one out that the ring's Calls does not allow.
-
 package slots
 
 import (
-	"encoding/json"
 	"time"
 
 	"thymechute/internal/decide/ring"
 )
 
-// Begin asks for a call on a key now; twice: it may run twice without harm. Where it may go (Go, Stale) Done must be
-// called once it is over, with the slot; it must be over by until, on the log driver's clock (0: no bound).
-func (k *Keeper) Begin(key string, twice bool) (b *ring.Backend, slot int, until time.Duration, v ring.Decision) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	if slot = k.agreed.Active.Slot(key); k.broken || k.ends || k.outAll >= MostCalls {
-		return nil, slot, 0, ring.RejectLeaseExpired
+// Call is the answer to BeginCall.
+type Call struct {
+	Decision ring.Decision
+	Backend  *ring.Backend // nil unless the call is allowed
+	Slot     int
+	Deadline time.Duration // by which the call must have ended, by the log's clock; 0 for none
+}
+
+// IsAllowed reports whether the call may be made.
+func (c Call) IsAllowed() bool { return c.Decision == ring.Allow || c.Decision == ring.AllowStale }
+
+// BeginCall asks to call the owner of a key now. EndCall must follow each call that is allowed. A draining or diverged
+// member gets RejectLeaseExpired, as does one with MaxCalls in flight.
+func (c *Controller) BeginCall(key string, idempotency ring.Idempotency) Call {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	slot := c.state.Active.Slot(key)
+	if c.isDiverged || c.isDraining || c.inFlightTotal >= MaxCalls {
+		return Call{Decision: ring.RejectLeaseExpired, Slot: slot}
 	}
-	b, until, v = k.calls.Admit(k.log.Now(), slot, ring.Idempotency(twice))
-	if v == ring.Allow || v == ring.AllowStale {
-		k.out[slot]++
-		k.outAll++
+	backend, deadline, decision := c.gate.Admit(c.log.Now(), slot, idempotency)
+	call := Call{Decision: decision, Backend: backend, Slot: slot, Deadline: deadline}
+	if call.IsAllowed() {
+		c.inFlight[slot]++
+		c.inFlightTotal++
 	}
-	return b, slot, until, v
+	return call
 }
 
-// Done is the end of a call that Begin let out.
-func (k *Keeper) Done(slot int) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	if k.out[slot]--; k.out[slot] <= 0 {
-		delete(k.out, slot)
+// EndCall notes the end of a call on a slot that BeginCall allowed.
+func (c *Controller) EndCall(slot int) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.inFlight[slot]--; c.inFlight[slot] <= 0 {
+		delete(c.inFlight, slot)
 	}
-	k.outAll--
+	c.inFlightTotal--
 }
 
-// Leave: no more calls. True once none is out; the fleet has then been told, and need not wait for its lease.
-func (k *Keeper) Leave() bool {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	k.ends = true
-	if k.outAll > 0 {
+// Drain rejects all further calls. It returns true once none is in flight; the other members then know that they need
+// not wait for this member's lease.
+func (c *Controller) Drain() (isDrained bool) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.isDraining = true
+	if c.inFlightTotal > 0 {
 		return false
 	}
-	b, _ := json.Marshal(word{Ends: true})
-	k.log.Announce(Duty, string(b))
+	c.log.Announce(Duty, command{Left: true}.encode())
 	return true
 }
-
-// Version is that of the table in force here.
-func (k *Keeper) Version() uint64 {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	return k.agreed.Active.Version
-}
--- /dev/null
+++ b/internal/fleet/slots/leader.go
@@ -0,0 +1,81 @@
+package slots
+
+import (
+	"time"
+
+	"thymechute/internal/decide/ring"
+)
+
+// LeaseAcquired makes this member the ring's leader.
+func (c *Controller) LeaseAcquired(now time.Duration) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	known := make([]string, 0, len(c.lastAcknowledged))
+	for process := range c.lastAcknowledged {
+		known = append(known, process)
+	}
+	c.migrator = ring.NewMigrator(now, proposer{c}, c.config.Terms, known, c.state.Pending, c.state.MigratingSlots)
+	if c.config.Budget != (ring.CallBudget{}) {
+		c.warmUp = ring.NewWarmUpController(now, c.config.SlowStart, c.config.Budget, c.config.Terms)
+	}
+}
+
+// LeaseLost ends this member's leadership.
+func (c *Controller) LeaseLost() {
+	c.mu.Lock()
+	c.migrator, c.warmUp = nil, nil
+	c.mu.Unlock()
+}
+
+// lead continues what is in progress, and starts what is next.
+func (c *Controller) lead(now time.Duration) {
+	c.migrator.Tick(now)
+	c.startMigration(now)
+	c.proposeGrant(now)
+}
+
+// startMigration starts the migration that the wanted backends require, unless one is in progress.
+func (c *Controller) startMigration(now time.Duration) {
+	if c.migrator.InProgress() || c.state.Pending != nil || len(c.wanted) == 0 {
+		return
+	}
+	active, wanted := c.state.Active, c.wanted
+	if c.warmUp != nil {
+		wanted = c.warmUp.WeightedBackends(now, wanted, active)
+	}
+	next, migrations, _, err := active.Plan(wanted, c.config.Bound, nil)
+	if err != nil {
+		return
+	}
+	if len(migrations) > 0 || len(active.Backends()) == 0 || next.WarmUpChangedSince(active) {
+		c.migrator.Start(now, next, migrations)
+	}
+}
+
+// proposeGrant proposes the next grant for the backends that are warming up, if one is due.
+func (c *Controller) proposeGrant(now time.Duration) {
+	if c.warmUp == nil {
+		return
+	}
+	isAlive := func(process string) bool {
+		_, ok := c.lastAcknowledged[process]
+		return ok
+	}
+	if grant, isDue := c.warmUp.NextGrant(now, &c.state, isAlive); isDue {
+		proposer{c}.propose(command{Grant: &grant})
+	}
+}
+
+// proposer is the migrator's access to the log. It proposes an entry again if that is lost.
+type proposer struct{ controller *Controller }
+
+// ProposeFreeze implements ring.MigrationProposer.
+func (p proposer) ProposeFreeze(next *ring.Table, _ []int) {
+	slack := p.controller.config.Bound.Slack
+	p.propose(command{Freeze: &freeze{Version: next.Version, Backends: next.Backends(), Slack: slack, Digest: next.Digest()}})
+}
+
+// ProposeActivation implements ring.MigrationProposer.
+func (p proposer) ProposeActivation(next *ring.Table) { p.propose(command{Activate: next.Version}) }
+
+func (p proposer) propose(c command) { p.controller.log.DecideNow(Duty, c.encode()) }
--- /dev/null
+++ b/internal/fleet/slots/member_test.go
@@ -0,0 +1,192 @@
+package slots
+
+import (
+	"encoding/json"
+	"fmt"
+	"io"
+	"math/rand/v2"
+	"net"
+	"os"
+	"strings"
+	"sync/atomic"
+	"testing"
+	"time"
+
+	"thymechute/internal/decide/lease"
+	"thymechute/internal/decide/quorum"
+	"thymechute/internal/decide/ring"
+	"thymechute/internal/fleet/consensus"
+	"thymechute/internal/fleet/membership"
+	"thymechute/internal/testutil/member"
+)
+
+// Settings of a member, in its environment.
+const (
+	wantedFileVariable  = "SLOTS_WANTED"   // file with the wanted backends
+	overstayVariable    = "SLOTS_OVERSTAY" // set: calls go on past the lease
+	warmUpVariable      = "SLOTS_WARM_UP"  // set: calls press on the backend in slow start
+	cutInboundVariable  = "SLOTS_CUT"      // file from whose creation on the member applies no entry
+	withoutQuotas       = "without quotas" // value of warmUpVariable
+	keyCount            = 48
+	callerCount         = 8
+	pollInterval        = 20 * time.Millisecond
+	pollsPerPublication = 5
+	pollsPerCount       = 50
+)
+
+// Kinds of events.
+const (
+	eventLeaseAcquired = "lease acquired"
+	eventTableActive   = "table active"
+	eventNotified      = "notified"
+	eventCallCount     = "call count"
+	eventVoterAdded    = "voter added"
+)
+
+var terms = ring.LeaseTerms{Duration: time.Second, MaxDrift: 0.01, CancelDelay: 20 * time.Millisecond}
+
+// memberEvent is an event of a member.
+type memberEvent struct {
+	Kind    string
+	Version uint64 // of eventTableActive; of eventCallCount: the calls
+	Text    string
+	member  string
+}
+
+func isLeaseAcquired(e memberEvent) bool { return e.Kind == eventLeaseAcquired }
+
+// isTableAt matches the activation of a version, or a later one, at a member.
+func isTableAt(name string, version uint64) func(memberEvent) bool {
+	return func(e memberEvent) bool {
+		return e.Kind == eventTableActive && e.Version >= version && e.member == name
+	}
+}
+
+// isDigestMismatch matches the report of a DigestMismatchError.
+func isDigestMismatch(e memberEvent) bool {
+	return e.Kind == eventNotified && strings.Contains(e.Text, "digest found")
+}
+
+func TestMain(m *testing.M) { member.Main(m, runMember) }
+
+// testMember is a member's process. It is the log's Watcher, and the Controller's Log.
+type testMember struct {
+	*member.Member
+	controller   *Controller
+	isInboundCut atomic.Bool // it applies no entry
+	calls        atomic.Int64
+	rejections   atomic.Int64
+}
+
+func runMember(process *member.Member) {
+	m := &testMember{Member: process}
+	if os.Getenv(overstayVariable) != "" {
+		terms.CancelDelay = -5 * time.Second // the mutation: members call for five seconds past what leaders wait for
+	}
+	config := Config{Process: m.Process, Incarnation: m.Incarnation, Slots: 64, Terms: terms, Bound: ring.BalanceBound{Slack: 0.05},
+		Notify: func(message string) { m.Emit(memberEvent{Kind: eventNotified, Text: message}) }}
+	if os.Getenv(warmUpVariable) != "" {
+		config = warmUpConfig(config)
+	}
+	var err error
+	m.controller, err = New(config, m)
+	m.ExitOn(err)
+	state, err := NewSnapshotState(config)
+	m.ExitOn(err)
+	m.Join(member.Config{Record: membership.Record{Zone: "z"}, Duties: []string{Duty}, StateMachine: state, Watcher: m,
+		OnVoterChange: func(c quorum.Change) {
+			if c.Kind == quorum.PromoteVoter {
+				m.Emit(memberEvent{Kind: eventVoterAdded})
+			}
+		}})
+	if os.Getenv(warmUpVariable) != "" {
+		m.startWarmUpCallers()
+	} else {
+		for n := range callerCount {
+			go m.makeKeyedCalls(rand.New(rand.NewPCG(m.Incarnation, uint64(n))))
+		}
+	}
+	go m.poll()
+	m.AwaitParent()
+}
+
+// LeaseAcquired implements consensus.Watcher.
+func (m *testMember) LeaseAcquired(duty string, _ uint64) {
+	if duty == Duty {
+		m.controller.LeaseAcquired(m.Now())
+		m.Emit(memberEvent{Kind: eventLeaseAcquired})
+	}
+}
+
+// LeaseLost implements consensus.Watcher.
+func (m *testMember) LeaseLost(string) { m.controller.LeaseLost() }
+
+// SnapshotRestored implements consensus.Watcher.
+func (m *testMember) SnapshotRestored(snapshot []byte) { m.controller.Restore(snapshot) }
+
+// Tick implements consensus.Watcher.
+func (m *testMember) Tick(now time.Duration) { m.controller.Tick(now) }
+
+// EntryApplied implements consensus.Watcher.
+func (m *testMember) EntryApplied(_ uint64, entry lease.Command, outcome lease.Outcome) {
+	if !m.isInboundCut.Load() {
+		m.controller.Apply(m.Now(), entry, outcome)
+	}
+}
+
+// DecideNow implements Log.
+func (m *testMember) DecideNow(duty, body string) bool { return m.Driver().DecideNow(duty, body) }
+
+// Announce implements Log.
+func (m *testMember) Announce(duty, body string) (seq uint64) { return m.Driver().Announce(duty, body) }
+
+// Now implements Log.
+func (m *testMember) Now() time.Duration { return m.Driver().Now() }
+
+var _ consensus.Watcher = (*testMember)(nil)
+
+// poll reads the wanted backends, and reports what has changed.
+func (m *testMember) poll() {
+	version := uint64(0)
+	for n := 0; ; n++ {
+		time.Sleep(pollInterval)
+		var backends []ring.Backend
+		if b, err := os.ReadFile(os.Getenv(wantedFileVariable)); err == nil && json.Unmarshal(b, &backends) == nil {
+			m.controller.SetBackends(backends)
+		}
+		if v := m.controller.TableVersion(); v != version {
+			version = v
+			m.Emit(memberEvent{Kind: eventTableActive, Version: v})
+		}
+		if n%pollsPerPublication == 0 {
+			m.PublishApplied()
+		}
+		if n%pollsPerCount == pollsPerCount-1 {
+			m.Emit(memberEvent{Kind: eventCallCount, Version: uint64(m.calls.Load()), Text: fmt.Sprint(m.rejections.Load(), " rejected")})
+		}
+	}
+}
+
+// makeKeyedCalls makes one call after the other: a key and a duration, for which the backend works on it whatever becomes of
+// this process.
+func (m *testMember) makeKeyedCalls(random *rand.Rand) {
+	for {
+		key := fmt.Sprint("k", random.IntN(keyCount))
+		call := m.controller.BeginCall(key, ring.NotIdempotent)
+		if call.Decision != ring.Allow {
+			m.rejections.Add(1)
+			time.Sleep(5 * time.Millisecond)
+			continue
+		}
+		duration := min(time.Duration(5+random.IntN(60))*time.Millisecond, call.Deadline-m.Now())
+		if connection, err := net.DialTimeout("tcp", call.Backend.Zone, time.Second); err == nil { // the zone is its address here
+			if call.Deadline-m.Now() >= duration && duration > 0 { // dialling took its time, or this process was suspended
+				fmt.Fprintf(connection, "%s %d\n", key, duration.Milliseconds())
+				_, _ = io.Copy(io.Discard, connection)
+				m.calls.Add(1)
+			}
+			connection.Close()
+		}
+		m.controller.EndCall(call.Slot)
+	}
+}
--- a/internal/fleet/slots/slots.go
+++ b/internal/fleet/slots/slots.go
@@ -1,256 +1,166 @@
-// Package slots carries the ring (internal/decide/ring) over the agreed log (internal/fleet/consensus): the owner of the duty
-// "ring" plans and moves, every member builds the same tables from the entries, acknowledges them, and calls by them
-// under its lease. It owns the entries' words and one member's calls in flight, and must never decide where a slot
-// belongs, nor let a call out that the ring's Calls does not allow.
+// Package slots replicates the ring (internal/decide/ring) over the agreed log (internal/fleet/consensus). The leader of
+// the ring plans and migrates; every member builds the same tables from the log's entries, acknowledges them, and calls
+// by them under its lease.
 //
-// No table is sent: a freeze names the backends, every member makes the same plan of it, and a digest shows that it did.
-// One whose plan came out otherwise (another build) goes by no table any more, and says so.
+// No table is sent: a freeze entry names the backends, every member computes the same plan from it, and a digest shows
+// whether it did. A member whose plan differs, such as one of another build, uses no table any more.
 //
-// Tables: calls in flight at most MostCalls, each emptied by Done; acknowledgements in flight at most mostAcks, the
-// oldest goes first; the rest is the ring's.
+// Bounds: at most MaxCalls calls in flight, each removed by EndCall, and at most maxPendingAcks acknowledgements in
+// flight, the oldest dropped first. A Controller's methods are called on the log driver's goroutine, except BeginCall,
+// EndCall, Drain, TableVersion and SetBackends, which are safe for concurrent use.
 package slots
 
 import (
-	"encoding/json"
 	"errors"
-	"fmt"
 	"slices"
 	"sync"
 	"time"
 
-	"thymechute/internal/decide/lease"
 	"thymechute/internal/decide/ring"
 )
 
-// Duty is the ring's.
+// Duty is the name of the ring's lease in the log.
 const Duty = "ring"
 
-// MostCalls in flight at one member.
-const MostCalls = 1 << 16
+const (
+	// MaxCalls bounds the calls in flight at one member.
+	MaxCalls = 1 << 16
 
-const mostAcks = 16
-
-// word is the body of an entry; one of them.
-type word struct {
-	Freeze *freeze     `json:"freeze,omitempty"`
-	Open   uint64      `json:"open,omitempty"` // the version
-	Ack    uint64      `json:"ack,omitempty"`  // the version that its sender goes by
-	Ends   bool        `json:"ends,omitempty"` // its sender has ended its calls and makes no more
-	Lot    *ring.Grant `json:"lot,omitempty"`  // calls that the cold backends may be sent
-}
-
-type freeze struct {
-	Version  uint64         `json:"version"`
-	Backends []ring.Backend `json:"backends"`
-	Slack    float64        `json:"slack"`
-	Digest   uint64         `json:"digest"`
-}
+	maxPendingAcks     = 16
+	ackPerLease        = 5 // acknowledgements sent in a lease
+	memberExpiryLeases = 2 // leases without an acknowledgement after which a member is forgotten
+)
 
-// Log is what a Keeper says its words by.
+// Log is where a Controller proposes its entries.
 type Log interface {
 	DecideNow(duty, body string) bool
 	Announce(duty, body string) (seq uint64)
 	Now() time.Duration
 }
 
-// Config of a Keeper; the same in all members, but for Process and Life.
+// Config of a Controller. It is the same in all members, except for Process, Incarnation and Notify.
 type Config struct {
-	Process string
-	Life    uint64
-	Slots   int
-	Terms   ring.LeaseTerms
-	Band    ring.BalanceBound
-	Ramp    ring.SlowStart    // of a backend that comes in cold
-	Budget  ring.CallBudget   // of the same; zero: none is taken for cold
-	Say     func(line string) // one line to the operators
+	Process     string
+	Incarnation uint64
+	Slots       int
+	Terms       ring.LeaseTerms
+	Bound       ring.BalanceBound
+	SlowStart   ring.SlowStart       // of backends that join cold
+	Budget      ring.CallBudget      // of backends in slow start; the zero value disables slow start
+	Notify      func(message string) // reports one line to the operators
 }
 
-// Keeper is one member's ring. Its methods but Begin, Done and Want are called on the log driver's goroutine.
-type Keeper struct {
-	c   Config
-	log Log
-
-	mu     sync.Mutex // guards all below, for Begin and Done
-	agreed ring.ReplicatedState
-	calls  *ring.CallGate
-	out    map[int]int // calls in flight by slot
-	outAll int
-	broken bool // its plan differs from the fleet's
-
-	mover   *ring.Migrator         // at the owner
-	ramps   *ring.WarmUpController // at the owner, where there is a budget
-	want    []ring.Backend
-	heard   map[string]time.Duration // acknowledgements: by process, when; emptied by time
-	sent    []sent
-	nextAck time.Duration
-	ends    bool
+// Controller is one member's part of the ring.
+type Controller struct {
+	config Config
+	log    Log
+
+	mu            sync.Mutex // guards all below
+	state         ring.ReplicatedState
+	gate          *ring.CallGate
+	inFlight      map[int]int // calls by slot
+	inFlightTotal int
+	isDiverged    bool // its plan differs from the leader's
+	isDraining    bool
+
+	wanted           []ring.Backend
+	migrator         *ring.Migrator         // nil unless this member leads
+	warmUp           *ring.WarmUpController // nil unless this member leads and there is a budget
+	lastAcknowledged map[string]time.Duration
+	pendingAcks      []pendingAck
+	nextAck          time.Duration
 }
 
-type sent struct {
-	seq uint64
-	at  time.Duration
+// pendingAck is an acknowledgement that is not in the log yet.
+type pendingAck struct {
+	seq    uint64
+	sentAt time.Duration
 }
 
-// New is of a process that has just started: it has no table until it has heard one. Errors: a number of slots that is no
-// table's, a budget or a ramp beside it that is none.
-func New(c Config, log Log) (*Keeper, error) {
-	if c.Budget != (ring.CallBudget{}) {
-		if err := errors.Join(c.Budget.Validate(), c.Ramp.Validate()); err != nil {
+// New returns the controller of a process that has just started. It has no table until it has applied one. It fails on
+// a number of slots that ring.New rejects, and on a budget or a slow start beside it that is not valid.
+func New(config Config, log Log) (*Controller, error) {
+	if config.Budget != (ring.CallBudget{}) {
+		if err := errors.Join(config.Budget.Validate(), config.SlowStart.Validate()); err != nil {
 			return nil, err
 		}
 	}
-	empty, err := ring.New(c.Slots)
+	empty, err := ring.New(config.Slots)
 	if err != nil {
 		return nil, err
 	}
-	return &Keeper{c: c, log: log, agreed: ring.ReplicatedState{Active: empty}, calls: ring.NewCallGate(empty), out: map[int]int{},
-		heard: map[string]time.Duration{}}, nil
+	return &Controller{
+		config:           config,
+		log:              log,
+		state:            ring.ReplicatedState{Active: empty},
+		gate:             ring.NewCallGate(empty),
+		inFlight:         map[int]int{},
+		lastAcknowledged: map[string]time.Duration{},
+	}, nil
 }
 
-// Want tells the backends that should be there, and which of them have come in cold; the owner acts on its own.
-func (k *Keeper) Want(backends []ring.Backend) {
-	k.mu.Lock()
-	k.want = slices.Clone(backends)
-	k.mu.Unlock()
+// SetBackends sets the backends that should own slots, and which of them start cold. The leader acts on its own.
+func (c *Controller) SetBackends(backends []ring.Backend) {
+	c.mu.Lock()
+	c.wanted = slices.Clone(backends)
+	c.mu.Unlock()
 }
 
-// Entry is one of the log's, with what became of it.
-func (k *Keeper) Entry(now time.Duration, c lease.Command, o lease.Outcome) {
-	if c.Duty != Duty || !o.Accepted || c.Body == "" {
-		return
-	}
-	var w word
-	if json.Unmarshal([]byte(c.Body), &w) != nil {
-		return
-	}
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	switch {
-	case c.Kind == lease.Decide && w.Freeze != nil:
-		if next, slots, ok := k.c.follow(&k.agreed, *w.Freeze); ok {
-			k.calls.Freeze(slots)
-			k.nextAck = now
-			if k.mover != nil {
-				k.mover.Frozen(next.Version)
-			}
-		} else if next != nil && !k.broken {
-			k.broken = true
-			k.c.Say(fmt.Sprintf("ring: plan %d came out otherwise than the fleet's: no calls by it; is this another build?", next.Version))
-		}
-	case c.Kind == lease.Decide && w.Open != 0:
-		if k.agreed.Activate(w.Open) {
-			k.calls.Activate(k.agreed.Active)
-			if k.mover != nil {
-				k.mover.Activated(w.Open)
-			}
-			k.c.Say(fmt.Sprintf("ring: table %d", w.Open))
-		}
-	case c.Kind == lease.Decide && w.Lot != nil:
-		if k.agreed.ApplyGrant(*w.Lot) {
-			k.calls.SetQuotas(w.Lot.QuotasFor(k.agreed.Participants, k.c.Process))
-			if k.ramps != nil {
-				k.ramps.GrantApplied(now)
-			}
-		}
-	case c.Kind == lease.Announce && w.Ack != 0:
-		k.acknowledged(now, c, w)
-	case c.Kind == lease.Announce && w.Ends:
-		delete(k.heard, c.Member)
-		k.agreed.RemoveParticipant(c.Member)
-		if k.mover != nil {
-			k.mover.MemberLeft(c.Member)
-		}
-	}
+// TableVersion returns the version of the active table.
+func (c *Controller) TableVersion() uint64 {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.state.Active.Version
 }
 
-// follow makes the plan that a freeze names. next without ok: it differs.
-func (c *Config) follow(a *ring.ReplicatedState, f freeze) (next *ring.Table, slots []int, ok bool) {
-	next, moves, _, err := a.Active.Plan(f.Backends, ring.BalanceBound{Slack: f.Slack}, nil)
-	if err != nil || next.Version != f.Version || a.Pending != nil {
-		return nil, nil, false
-	}
-	if next.Digest() != f.Digest {
-		return next, nil, false
-	}
-	for _, m := range moves {
-		slots = append(slots, m.Slot)
+// Restore replaces the state by a snapshot's. If that is not valid, this member has no table.
+func (c *Controller) Restore(snapshot []byte) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if err := c.state.Decode(snapshot); err != nil {
+		c.isDiverged = true
+		c.config.Notify("ring: " + err.Error())
+		return
 	}
-	return next, slots, a.Freeze(next, slots)
+	c.gate.Activate(c.state.Active)
+	c.gate.Freeze(c.state.MigratingSlots)
 }
 
-func (k *Keeper) acknowledged(now time.Duration, c lease.Command, w word) {
-	if !k.agreed.AcceptsAcknowledgement(w.Ack) {
-		return
-	}
-	if _, known := k.heard[c.Member]; known || len(k.heard) < ring.MaxMembers {
-		k.heard[c.Member] = now
-	}
-	k.agreed.RecordAcknowledgement(c.Member)
-	if k.mover != nil {
-		k.mover.Acknowledged(now, c.Member, w.Ack)
-	}
-	if c.Member != k.c.Process || c.Incarnation != k.c.Life {
-		return
-	}
-	for n, s := range k.sent {
-		if s.seq == c.Seq {
-			k.sent = slices.Delete(k.sent, 0, n+1)
-			k.calls.ExtendLease(s.at, k.c.Terms)
-			return
+// Tick sends acknowledgements and, at the leader, starts and continues migrations and grants.
+func (c *Controller) Tick(now time.Duration) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.acknowledge(now)
+	for process, at := range c.lastAcknowledged {
+		if now-at > memberExpiryLeases*c.config.Terms.Duration {
+			delete(c.lastAcknowledged, process)
 		}
 	}
-}
-
-// Restored takes a snapshot's state; what it can't read leaves this member without a table.
-func (k *Keeper) Restored(machine []byte) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	if err := k.agreed.Decode(machine); err != nil {
-		k.broken = true
-		k.c.Say("ring: " + err.Error())
-		return
+	if c.migrator != nil {
+		c.lead(now)
 	}
-	k.calls.Activate(k.agreed.Active)
-	k.calls.Freeze(k.agreed.MigratingSlots)
 }
 
-// Tick acknowledges, and at the owner begins and carries on what is to move.
-func (k *Keeper) Tick(now time.Duration) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	if now >= k.nextAck && !k.forbidden() && !k.ends && !k.broken {
-		version := k.agreed.Active.Version
-		if k.agreed.Pending != nil {
-			version = k.agreed.Pending.Version
-		}
-		if version > 0 {
-			k.say(word{Ack: version}, now)
-		}
+// acknowledge sends an acknowledgement of the newest version, if one is due and nothing forbids it.
+func (c *Controller) acknowledge(now time.Duration) {
+	if now < c.nextAck || c.isDraining || c.isDiverged || c.hasCallOnMigratingSlot() {
+		return
 	}
-	for process, at := range k.heard {
-		if now-at > 2*k.c.Terms.Duration {
-			delete(k.heard, process)
-		}
+	version := c.state.Active.Version
+	if c.state.Pending != nil {
+		version = c.state.Pending.Version
 	}
-	if k.mover != nil {
-		k.own(now)
+	if version == 0 {
+		return
 	}
-}
-
-// forbidden: a call is out on a slot that moves.
-func (k *Keeper) forbidden() bool {
-	for _, s := range k.agreed.MigratingSlots {
-		if k.out[s] > 0 {
-			return true
-		}
+	seq := c.log.Announce(Duty, command{Ack: version}.encode())
+	c.pendingAcks = append(c.pendingAcks, pendingAck{seq, now})
+	if len(c.pendingAcks) > maxPendingAcks {
+		c.pendingAcks = slices.Delete(c.pendingAcks, 0, 1)
 	}
-	return false
+	c.nextAck = now + c.config.Terms.Duration/ackPerLease
 }
 
-func (k *Keeper) say(w word, now time.Duration) {
-	b, _ := json.Marshal(w)
-	if k.sent = append(k.sent, sent{k.log.Announce(Duty, string(b)), now}); len(k.sent) > mostAcks {
-		k.sent = slices.Delete(k.sent, 0, 1)
-	}
-	k.nextAck = now + k.c.Terms.Duration/5
+func (c *Controller) hasCallOnMigratingSlot() bool {
+	return slices.ContainsFunc(c.state.MigratingSlots, func(slot int) bool { return c.inFlight[slot] > 0 })
 }
--- /dev/null
+++ b/internal/fleet/slots/warm_up_test.go
@@ -0,0 +1,220 @@
+package slots
+
+import (
+	"fmt"
+	"io"
+	"math"
+	"math/rand/v2"
+	"net"
+	"os"
+	"path/filepath"
+	"slices"
+	"testing"
+	"time"
+
+	"thymechute/internal/decide/ring"
+	"thymechute/internal/testutil"
+	"thymechute/internal/testutil/member"
+)
+
+// A backend in slow start takes a tenth of 200 calls a second at first.
+var (
+	warmUpSlowStart = ring.SlowStart{InitialFraction: 0.1, Increment: 0.3, StepInterval: 1500 * time.Millisecond,
+		BackoffFactor: 0.5, MaxLatency: time.Second, MaxErrorRate: 0.5}
+	warmUpBudget = ring.CallBudget{CallsPerWindow: 200, Window: time.Second, GrantInterval: 250 * time.Millisecond}
+)
+
+const (
+	warmingBackend    = "b4"
+	warmUpCallerCount = 3
+)
+
+// warmUpConfig is a member's. The mutation disables the quotas: a grant is then all that anybody could want.
+func warmUpConfig(c Config) Config {
+	c.Slots, c.SlowStart, c.Budget = 256, warmUpSlowStart, warmUpBudget
+	if os.Getenv(warmUpVariable) == withoutQuotas {
+		c.Budget.CallsPerWindow = 1 << 20
+	}
+	return c
+}
+
+// startWarmUpCallers starts callers that call as often as the Controller admits, all of it at the backend in slow start.
+func (m *testMember) startWarmUpCallers() {
+	for n := range warmUpCallerCount {
+		go m.callAsOftenAsAdmitted(rand.New(rand.NewPCG(m.Incarnation, uint64(n))))
+	}
+	if file := os.Getenv(cutInboundVariable); file != "" {
+		go m.cutInboundFrom(file)
+	}
+}
+
+// cutInboundFrom makes the member apply no entry once a file exists.
+func (m *testMember) cutInboundFrom(file string) {
+	for ; ; time.Sleep(pollInterval) {
+		if _, err := os.Stat(file); err == nil {
+			m.isInboundCut.Store(true)
+			return
+		}
+	}
+}
+
+// callAsOftenAsAdmitted draws keys until the owner of one is warming up, and then stays with that key as long as it is.
+// Every second call is idempotent: that must not get round the quotas.
+func (m *testMember) callAsOftenAsAdmitted(random *rand.Rand) {
+	for key := ""; ; {
+		if key == "" {
+			key = fmt.Sprint("k", random.IntN(4096))
+		}
+		call := m.controller.BeginCall(key, random.IntN(2) == 0)
+		if call.Decision != ring.RejectQuotaExhausted && (call.Decision != ring.Allow || !call.Backend.WarmingUp) {
+			key = ""
+		}
+		if call.Decision == ring.Allow {
+			m.callBackend(call)
+		}
+		if call.IsAllowed() { // AllowStale is for an existing connection, and there is none
+			m.controller.EndCall(call.Slot)
+		}
+		time.Sleep(time.Duration(2+random.IntN(6)) * time.Millisecond)
+	}
+}
+
+func (m *testMember) callBackend(call Call) {
+	connection, err := net.DialTimeout("tcp", call.Backend.Zone, time.Second)
+	if err != nil {
+		return
+	}
+	defer connection.Close()
+	if m.Now() < call.Deadline { // dialling took its time, or this process was suspended
+		fmt.Fprintln(connection, m.Name, call.Backend.WarmingUp)
+		_, _ = io.Copy(io.Discard, connection)
+	}
+}
+
+// maxCallsAfter is the most calls that the slow start can allow in a window so long after the backend was wanted, by the
+// terms alone: the leader cannot have started sooner.
+func maxCallsAfter(since time.Duration) int {
+	steps := float64(since / warmUpSlowStart.StepInterval)
+	return int(float64(warmUpBudget.CallsPerWindow)*min(warmUpSlowStart.InitialFraction+warmUpSlowStart.Increment*steps, 1) + 1e-9)
+}
+
+// slowStartDuration is when the backend may have its full weight, and no budget any more.
+func slowStartDuration() time.Duration {
+	return time.Duration(math.Ceil((1-warmUpSlowStart.InitialFraction)/warmUpSlowStart.Increment-1e-9)) * warmUpSlowStart.StepInterval
+}
+
+// worstWindow judges every window that ends with an arrival before the slow start is over: not before it may be, nor while
+// all senders' tables have the backend in slow start. It returns the calls judged, and those by which the worst window is
+// over N + 2√N + 2 (below 0: under it).
+func worstWindow(got []arrival, wantedAt time.Time) (judged, over int) {
+	over = math.MinInt
+	for last, first := 0, 0; last < len(got) && (got[last].isWarmingUp || got[last].at.Sub(wantedAt) < slowStartDuration()); last++ {
+		for got[last].at.Sub(got[first].at) >= warmUpBudget.Window {
+			first++
+		}
+		n := maxCallsAfter(got[last].at.Sub(wantedAt))
+		over = max(over, last-first+1-int(float64(n)+2*math.Sqrt(float64(n))+2))
+		judged++
+	}
+	return judged, over
+}
+
+// warmUpFleet is members that press on a backend in slow start.
+type warmUpFleet struct {
+	*testutil.Cluster[memberEvent]
+	t           *testing.T
+	environment []string
+	wantedFile  string
+	backends    []ring.Backend // four at full weight
+}
+
+// startWarmUpFleet starts so many members, and waits until all go by a table of four backends. mode is warmUpVariable's value.
+func startWarmUpFleet(t *testing.T, subnet, members int, mode string) *warmUpFleet {
+	f := &warmUpFleet{t: t, wantedFile: filepath.Join(t.TempDir(), "want.json")}
+	f.environment = []string{wantedFileVariable + "=" + f.wantedFile, warmUpVariable + "=" + mode}
+	for n := range 4 {
+		f.backends = append(f.backends, ring.Backend{Name: fmt.Sprint("b", n), Zone: new(countingBackend).serve(t), Weight: 1})
+	}
+	setWantedBackends(t, f.wantedFile, f.backends)
+	f.Cluster = testutil.NewCluster(t, subnet, member.Ports, func(e *memberEvent, name string) { e.member = name })
+	f.Start("m0", append(f.environment, member.FounderVariable+"=1")...)
+	f.WaitFor("first leader", 0, isLeaseAcquired)
+	for n := 1; n < members; n++ {
+		f.Start(fmt.Sprint("m", n), f.environment...)
+	}
+	for _, name := range f.Names() {
+		f.WaitFor("first table at "+name, 0, isTableAt(name, 0))
+	}
+	return f
+}
+
+// addWarmingBackend adds a backend in slow start, and returns it and the time from which it was wanted.
+func (f *warmUpFleet) addWarmingBackend() (backend *countingBackend, wantedAt time.Time) {
+	backend = &countingBackend{}
+	wantedAt = time.Now()
+	setWantedBackends(f.t, f.wantedFile, append(slices.Clone(f.backends),
+		ring.Backend{Name: warmingBackend, Zone: backend.serve(f.t), Weight: 1, WarmingUp: true}))
+	return backend, wantedAt
+}
+
+// 24 processes press on a backend in slow start. One is cut off inbound: it acknowledges and calls on and applies nothing of
+// the log; one joins during the slow start. All calls that arrive are counted, in each window, against what is allowed.
+func TestProcessesStayWithinBudgetOfWarmingUpBackend(t *testing.T) {
+	const cutName, lateName = "m22", "m23"
+	cutFile := filepath.Join(t.TempDir(), "cut")
+	f := startWarmUpFleet(t, 16, 22, "1")
+	f.Start(cutName, append(f.environment, cutInboundVariable+"="+cutFile)...)
+	f.WaitFor("table at "+cutName, 0, isTableAt(cutName, 0))
+	backend, wantedAt := f.addWarmingBackend()
+	testutil.Eventually(t, "calls from the one that will be cut off", func() bool { return hasCallFrom(backend.all(), cutName, time.Time{}) })
+	if err := os.WriteFile(cutFile, nil, 0o600); err != nil {
+		t.Fatal(err)
+	}
+	cutAt := time.Now()
+	f.Start(lateName, f.environment...)
+	f.WaitFor("table at the late one", 0, isTableAt(lateName, 0))
+	testutil.Eventually(t, "calls from the late one, and the end of the slow start", func() bool {
+		got := backend.all()
+		return hasCallFrom(got, lateName, time.Time{}) && !got[len(got)-1].isWarmingUp
+	})
+
+	got := backend.all()
+	judged, over := worstWindow(got, wantedAt)
+	t.Logf("%d calls judged of %d, the worst window %d under what is allowed", judged, len(got), -over)
+	if over > 0 || judged < 20 {
+		t.Errorf("%d calls in the worst window over the budget and its chance, %d judged", over, judged)
+	}
+	if hasCallFrom(got, cutName, cutAt.Add(2*terms.Duration)) { // its lease, and as much again for a machine that is busy
+		t.Error("the one that is cut off still calls")
+	}
+	for _, e := range f.Events() {
+		if isDigestMismatch(e) {
+			t.Errorf("%s: %s", e.member, e.Text)
+		}
+	}
+}
+
+// The mutation that the check must notice: grants without a bound, so that only the fraction of the slots is paced.
+func TestBudgetIsExceededWithoutQuotas(t *testing.T) {
+	f := startWarmUpFleet(t, 18, 8, withoutQuotas)
+	backend, wantedAt := f.addWarmingBackend()
+	testutil.Eventually(t, "the end of the slow start", func() bool { return time.Since(wantedAt) > slowStartDuration() })
+	if judged, over := worstWindow(backend.all(), wantedAt); over <= 0 {
+		t.Errorf("%d calls judged, no window over the budget (%d under): the check sees nothing", judged, -over)
+	} else {
+		t.Logf("%d calls judged, the worst window %d over", judged, over)
+	}
+}
+
+func TestBudgetRequiresSlowStart(t *testing.T) {
+	for name, c := range map[string]struct {
+		budget    ring.CallBudget
+		slowStart ring.SlowStart
+		isValid   bool
+	}{"neither": {isValid: true}, "both": {warmUpBudget, warmUpSlowStart, true}, "no slow start": {budget: warmUpBudget},
+		"half a budget": {ring.CallBudget{CallsPerWindow: 1}, warmUpSlowStart, false}} {
+		if _, err := New(Config{Slots: 64, SlowStart: c.slowStart, Budget: c.budget}, nil); (err == nil) != c.isValid {
+			t.Errorf("%s: %v", name, err)
+		}
+	}
+}
--- a/internal/lab/scale/decisions/ring.go
+++ b/internal/lab/scale/decisions/ring.go
@@ -1,6 +1,3 @@
-// This file owns the ring: plans timed, the words of a move and of the leases as internal/fleet/slots encodes them, and
-// moves over the least after each loss of backends.
-
 package decisions
 
 import (
@@ -13,10 +10,12 @@
 )
 
 const (
-	ringSlack = 0.05
-	ackLeases = 4
-	ackStep   = 20 * time.Millisecond
-	fewSlots  = 64 // of the members that only acknowledge
+	ringSlack         = 0.05
+	measuredLeases    = 4
+	tickInterval      = 20 * time.Millisecond
+	fewSlots          = 64                 // of the members that only acknowledge
+	memberIncarnation = 0x18f3a2b4c5000000 // of all members
+	leaderToken       = 7
 )
 
 // ringTerms are a lease of 2 s, as the log's own.
@@ -62,130 +61,145 @@
 	if err != nil {
 		return err
 	}
-	agreed := ring.ReplicatedState{Active: table}
-	encoded, err := agreed.Encode()
+	state := ring.ReplicatedState{Active: table}
+	encoded, err := state.Encode()
 	if err != nil {
 		return err
 	}
 	c.point("ring_snapshot_bytes", "member", 0, l.Size, float64(len(encoded)))
 	c.point("ring_table_heap_bytes", "member", 0, l.Size, heapOf(func() any { made, _ := l.table(); return made }))
-	freeze, open, err := moveWords(l)
+	freeze, activation, err := migrationEntryBytes(l)
 	if err != nil {
 		return err
 	}
 	c.point("ring_freeze_entry_bytes", "log_leader", 0, l.Size, float64(freeze))
-	c.point("ring_open_entry_bytes", "log_leader", 0, l.Size, float64(open))
-	return acknowledge(c, l)
+	c.point("ring_open_entry_bytes", "log_leader", 0, l.Size, float64(activation))
+	return measureAcknowledgements(c, l)
 }
 
-// words is the log as one Keeper sees it: what it says is kept.
-type words struct {
-	process string
-	now     time.Duration
-	seq     uint64
-	said    []lease.Command
+// recordedLog is the log as one Controller sees it: what it proposes is recorded, and applied by the caller.
+type recordedLog struct {
+	process  string
+	now      time.Duration
+	seq      uint64
+	proposed []lease.Command
 }
 
-func (w *words) say(c lease.Command) uint64 {
-	w.seq++
-	c.Member, c.Incarnation, c.Seq, c.Duty = w.process, 0x18f3a2b4c5000000, w.seq, slots.Duty
-	w.said = append(w.said, c)
-	return w.seq
+func (l *recordedLog) propose(c lease.Command) uint64 {
+	l.seq++
+	c.Member, c.Incarnation, c.Seq, c.Duty = l.process, memberIncarnation, l.seq, slots.Duty
+	l.proposed = append(l.proposed, c)
+	return l.seq
 }
 
 // DecideNow implements slots.Log.
-func (w *words) DecideNow(_, body string) bool {
-	w.say(lease.Command{Kind: lease.Decide, Token: 7, Body: body})
+func (l *recordedLog) DecideNow(_, body string) bool {
+	l.propose(lease.Command{Kind: lease.Decide, Token: leaderToken, Body: body})
 	return true
 }
 
 // Announce implements slots.Log.
-func (w *words) Announce(_, body string) uint64 {
-	return w.say(lease.Command{Kind: lease.Announce, Body: body})
+func (l *recordedLog) Announce(_, body string) uint64 {
+	return l.propose(lease.Command{Kind: lease.Announce, Body: body})
 }
 
 // Now implements slots.Log.
-func (w *words) Now() time.Duration { return w.now }
+func (l *recordedLog) Now() time.Duration { return l.now }
+
+// step ticks a controller, and applies what it proposes.
+func (l *recordedLog) step(c *slots.Controller) (applied []lease.Command) {
+	c.Tick(l.now)
+	applied, l.proposed = l.proposed, nil
+	for _, entry := range applied {
+		c.Apply(l.now, entry, accepted)
+	}
+	l.now += tickInterval
+	return applied
+}
 
-func keeper(process string, count int) (*slots.Keeper, *words, error) {
-	w := &words{process: process}
-	k, err := slots.New(slots.Config{Process: process, Life: 0x18f3a2b4c5000000, Slots: count, Terms: ringTerms,
-		Band: ring.BalanceBound{Slack: ringSlack}, Say: func(string) {}}, w)
-	return k, w, err
+func newController(process string, slotCount int) (*slots.Controller, *recordedLog, error) {
+	l := &recordedLog{process: process}
+	c, err := slots.New(slots.Config{Process: process, Incarnation: memberIncarnation, Slots: slotCount, Terms: ringTerms,
+		Bound: ring.BalanceBound{Slack: ringSlack}, Notify: func(string) {}}, l)
+	return c, l, err
 }
 
 var accepted = lease.Outcome{Accepted: true}
 
-// move lets an owner freeze and open a table over these backends, and gives both entries.
-func move(k *slots.Keeper, w *words, backends []ring.Backend) (entries []lease.Command, err error) {
-	k.Want(backends)
-	k.Held(0)
-	for len(entries) < 2 && w.now < 10*ringTerms.Duration {
-		k.Tick(w.now)
-		for _, c := range w.said {
-			if c.Kind == lease.Decide {
-				entries = append(entries, c)
+// migrate lets a leader freeze and activate a table over these backends, and returns both entries.
+func migrate(c *slots.Controller, l *recordedLog, backends []ring.Backend) (entries []lease.Command, err error) {
+	const wanted = 2
+	c.SetBackends(backends)
+	c.LeaseAcquired(0)
+	for len(entries) < wanted && l.now < 10*ringTerms.Duration {
+		for _, entry := range l.step(c) {
+			if entry.Kind == lease.Decide {
+				entries = append(entries, entry)
 			}
-			k.Entry(w.now, c, accepted)
 		}
-		w.said = nil
-		w.now += ackStep
 	}
-	if len(entries) < 2 {
-		return nil, fmt.Errorf("ring: found %d entries of a move, expected a freeze and an opening", len(entries))
+	if len(entries) < wanted {
+		return nil, fmt.Errorf("ring: found %d entries of a migration, expected a freeze and an activation", len(entries))
 	}
-	return entries[:2], nil
+	return entries[:wanted], nil
 }
 
-func moveWords(l Layout) (freeze, open int, err error) {
-	k, w, err := keeper(processName(0, 0), l.slots())
+// migrationEntryBytes are the sizes of a migration's entries.
+func migrationEntryBytes(l Layout) (freeze, activation int, err error) {
+	c, log, err := newController(processName(0, 0), l.slots())
 	if err != nil {
 		return 0, 0, err
 	}
-	entries, err := move(k, w, l.backends())
+	entries, err := migrate(c, log, l.backends())
 	if err != nil {
 		return 0, 0, err
 	}
 	return entryBytes(entries[0]), entryBytes(entries[1]), nil
 }
 
-// acknowledge counts what all members put into the log to hold their leases of a table that does not change.
-func acknowledge(c *collector, l Layout) error {
+// measureAcknowledgements counts what all members put into the log to renew their leases of a table that does not change.
+func measureAcknowledgements(c *collector, l Layout) error {
 	backends := Layout{Size: 12, Zones: 3, Regions: 1}.backends()
-	first, w, err := keeper(processName(0, 0), fewSlots)
+	leader, log, err := newController(processName(0, 0), fewSlots)
 	if err != nil {
 		return err
 	}
-	entries, err := move(first, w, backends)
+	table, err := migrate(leader, log, backends)
 	if err != nil {
 		return err
 	}
 	count, bytes := 0, 0
 	for n := range l.Size {
-		k, said, err := keeper(processName(n, 0), fewSlots)
+		entries, err := acknowledgements(processName(n, 0), table)
 		if err != nil {
 			return err
 		}
-		for _, e := range entries {
-			k.Entry(0, e, accepted)
-		}
-		for said.now < ackLeases*ringTerms.Duration {
-			k.Tick(said.now)
-			for _, e := range said.said {
-				count++
-				bytes += entryBytes(e)
-				k.Entry(said.now, e, accepted)
-			}
-			said.said = nil
-			said.now += ackStep
+		for _, entry := range entries {
+			count++
+			bytes += entryBytes(entry)
 		}
 	}
-	spent := (ackLeases * ringTerms.Duration).Seconds()
-	c.point("ring_acknowledgements_s", "log_leader", 0, l.Size, float64(count)/spent)
-	c.point("ring_acknowledgement_bytes_s_member", "member", boundBytes, l.Size, float64(bytes)/spent)
+	seconds := (measuredLeases * ringTerms.Duration).Seconds()
+	c.point("ring_acknowledgements_s", "log_leader", 0, l.Size, float64(count)/seconds)
+	c.point("ring_acknowledgement_bytes_s_member", "member", boundBytes, l.Size, float64(bytes)/seconds)
 	return nil
 }
 
+// acknowledgements are what one member proposes in measuredLeases after a table has become active.
+func acknowledgements(process string, table []lease.Command) (entries []lease.Command, err error) {
+	c, log, err := newController(process, fewSlots)
+	if err != nil {
+		return nil, err
+	}
+	for _, entry := range table {
+		c.Apply(0, entry, accepted)
+	}
+	for log.now < measuredLeases*ringTerms.Duration {
+		entries = append(entries, log.step(c)...)
+	}
+	return entries, nil
+}
+
 // measureRingLosses takes backends away at once and back: moves over the least, and the slowest plan.
 func measureRingLosses(c *collector, l Layout) error {
 	table, err := l.table()
--- a/internal/lab/scale/decisions/roll.go
+++ b/internal/lab/scale/decisions/roll.go
@@ -46,7 +46,7 @@
 func (l Layout) instances() (fleet []rollout.Instance, load map[string]float64) {
 	load = map[string]float64{}
 	for n, m := range l.rolloutMembers(Loss{}) {
-		fleet = append(fleet, rollout.Instance{Name: processName(n, 0), Zone: m.Zone, Release: installedRelease, Incarnation: 0x18f3a2b4c5000000 + uint64(n),
+		fleet = append(fleet, rollout.Instance{Name: processName(n, 0), Zone: m.Zone, Release: installedRelease, Incarnation: memberIncarnation + uint64(n),
 			Capacity: memberCapacity, Age: time.Hour, IsVoter: m.IsVoter, IsLeader: m.IsLeader})
 		load[m.Zone] += memberLoad
 	}
@@ -67,8 +67,8 @@
 	single := paced
 	single.MaxUnavailable = 1
 	c.timing("roll_plan_one_by_one", "owner_of_roll", l.Size, plan(single))
-	agreed := rollout.New(wantedRelease)
-	c.timing("roll_step", "owner_of_roll", l.Size, func(int) { agreed.Next(0, fleet, load, fast) })
+	state := rollout.New(wantedRelease)
+	c.timing("roll_step", "owner_of_roll", l.Size, func(int) { state.Next(0, fleet, load, fast) })
 	if err != nil {
 		return err
 	}
@@ -77,25 +77,12 @@
 
 // measureRolloutSizes drains all, and sizes entries, table and snapshot.
 func measureRolloutSizes(c *collector, l Layout, fleet []rollout.Instance, load map[string]float64) error {
-	bodies := []string{}
-	k := rolling.New(rolling.Config{Name: "x", Bounds: l.rolloutLimits(), Fleet: func() ([]rollout.Instance, map[string]float64) { return fleet, load },
-		Absent: func() []string { return nil }, Decide: func(body string) bool { bodies = append(bodies, body); return true },
-		HandOn: func() {}, Drain: func() {}, Say: func(string) {}})
-	k.Want(wantedRelease)
-	k.Held()
-	entry := func(body string) lease.Command {
-		return lease.Command{Kind: lease.Decide, Duty: rolling.Duty, Member: processName(0, 0), Incarnation: 0x18f3a2b4c5000000, Seq: 99999, Token: 7, Body: body}
-	}
-	k.Tick(time.Second)
-	if len(bodies) == 1 {
-		k.Entry(0, entry(bodies[0]), accepted)
-		k.Tick(2 * time.Second)
-	}
+	bodies := rolloutCommands(l.rolloutLimits(), fleet, load)
 	if len(bodies) < 2 {
-		c.result.Fault("roll at %d: nobody was drained", l.Size)
+		c.result.Fault("rollout at %d: nobody was drained", l.Size)
 		return nil
 	}
-	c.point("roll_entry_bytes", "log_leader", 0, l.Size, float64(entryBytes(entry(bodies[1]))))
+	c.point("roll_entry_bytes", "log_leader", 0, l.Size, float64(entryBytes(rolloutEntry(bodies[1]))))
 	drained := func() any {
 		r := rollout.New(wantedRelease)
 		for _, i := range fleet {
@@ -109,8 +96,32 @@
 	return err
 }
 
-// measureRolloutLosses replaces half the members in an hour through each loss; the others' load rises by what the lost part carried. A
-// region is cut off and comes back as it was; the rest is restarted.
+// rolloutCommands are the first commands of a rollout's leader: the release and, once that is applied, the first drains.
+func rolloutCommands(limits rollout.Limits, fleet []rollout.Instance, load map[string]float64) (bodies []string) {
+	c := rolling.New(rolling.Config{
+		Name: "x", Limits: limits,
+		Fleet:             func() ([]rollout.Instance, map[string]float64) { return fleet, load },
+		UnreachableVoters: func() []string { return nil },
+		Propose:           func(body string) bool { bodies = append(bodies, body); return true },
+		Resign:            func() {}, Drain: func() {}, Notify: func(string) {},
+	})
+	c.SetRelease(wantedRelease)
+	c.LeaseAcquired()
+	c.Tick(time.Second)
+	if len(bodies) == 1 {
+		c.Apply(0, rolloutEntry(bodies[0]), accepted)
+		c.Tick(2 * time.Second)
+	}
+	return bodies
+}
+
+func rolloutEntry(body string) lease.Command {
+	return lease.Command{Kind: lease.Decide, Duty: rolling.Duty, Member: processName(0, 0), Incarnation: memberIncarnation, Seq: 99999,
+		Token: leaderToken, Body: body}
+}
+
+// measureRolloutLosses replaces half the members in an hour through each loss; the others' load rises by what the lost part
+// carried. A region is cut off and comes back as it was; the rest is restarted.
 func measureRolloutLosses(c *collector, l Layout) error {
 	r := chance(c.seed, 0x6011)
 	for _, kind := range append([]string{"none"}, lossKinds...) {
@@ -118,8 +129,10 @@
 		if kind != "none" {
 			loss = l.drawn(kind, r)
 		}
-		scenario := emulator.RolloutLoss{Members: l.rolloutMembers(loss), Limits: l.rolloutLimits(), DrainTime: rolloutDrainTime, LossAt: rolloutLossAt, LossDuration: rolloutLossDuration,
-			Load: rolloutLoad, LoadShift: float64(l.Size) / float64(l.Size-(loss.To-loss.From)), MaxDuration: rolloutMaxDuration}
+		lost := loss.To - loss.From
+		scenario := emulator.RolloutLoss{Members: l.rolloutMembers(loss), Limits: l.rolloutLimits(), DrainTime: rolloutDrainTime,
+			LossAt: rolloutLossAt, LossDuration: rolloutLossDuration, Load: rolloutLoad,
+			LoadShift: float64(l.Size) / float64(l.Size-lost), MaxDuration: rolloutMaxDuration}
 		f, err := emulator.RunRolloutLoss(scenario)
 		if err != nil {
 			return err
