--- a/internal/catalog/catalog_test.go
+++ b/internal/catalog/catalog_test.go
@@ -12,8 +12,8 @@
 
 func TestSeveralReportsGoOutWhileAnEntryLasts(t *testing.T) {
 	var dialled []*socket
-	r := New("n3", func(p loop.Peer) { dialled = append(dialled, p.(*socket)) })
-	now, w := time.Now(), &testutil.Wire{}
+	r := New("n3", func(p loop.Handler) { dialled = append(dialled, p.(*socket)) })
+	now, w := time.Now(), &testutil.FakeConn{}
 	r.Sweep(now, true)
 	dialled[0].Opened(w)
 	for at := now; at.Before(now.Add(3 * time.Second)); at = at.Add(20 * time.Millisecond) {
@@ -24,7 +24,7 @@
 	}
 	r.Move()
 	r.Sweep(now.Add(4*time.Second), false)
-	again := &testutil.Wire{}
+	again := &testutil.FakeConn{}
 	dialled[1].Opened(again)
 	if r.Sweep(now.Add(4*time.Second), false); !w.Closed || again.Out != "alive n3 critical" {
 		t.Errorf("closed %v, wrote %q", w.Closed, again.Out)
@@ -34,19 +34,19 @@
 // A catalog that refuses costs the report that found it away, and no later one: the socket is opened anew for the next.
 func TestSocketWithAnErrorIsReplaced(t *testing.T) {
 	var dialled []*socket
-	r := New("n3", func(p loop.Peer) { dialled = append(dialled, p.(*socket)) })
+	r := New("n3", func(p loop.Handler) { dialled = append(dialled, p.(*socket)) })
 	now := time.Now()
 	for n := range 3 {
 		r.Sweep(now, true)
 		if len(dialled) != n+1 {
 			t.Fatalf("dialled %d times after %d errors", len(dialled), n)
 		}
-		w := &testutil.Wire{}
+		w := &testutil.FakeConn{}
 		dialled[n].Opened(w)
 		if r.Sweep(now, true); w.Out != "alive n3 passing" {
 			t.Errorf("wrote %q after %d errors", w.Out, n)
 		}
-		dialled[n].Closed(&loop.Broken{Connected: true, Err: errors.New("connection refused")})
+		dialled[n].Closed(&loop.ConnError{Connected: true, Err: errors.New("connection refused")})
 		if n > 0 {
 			dialled[n-1].Closed(errors.New("once more")) // one that was replaced
 		}
--- a/internal/lab/scale/decisions/ring.go
+++ b/internal/lab/scale/decisions/ring.go
@@ -10,12 +10,11 @@
 )
 
 const (
-	ringSlack         = 0.05
-	measuredLeases    = 4
-	tickInterval      = 20 * time.Millisecond
-	fewSlots          = 64                 // of the members that only acknowledge
-	memberIncarnation = 0x18f3a2b4c5000000 // of all members
-	leaderToken       = 7
+	ringSlack          = 0.05
+	acknowledgedLeases = 4
+	tickInterval       = 20 * time.Millisecond
+	fewSlots           = 64 // of the members that only acknowledge
+	leaderToken        = 7
 )
 
 // ringTerms are a lease of 2 s, as the log's own.
@@ -87,7 +86,7 @@
 
 func (l *recordedLog) propose(c lease.Command) uint64 {
 	l.seq++
-	c.Member, c.Incarnation, c.Seq, c.Duty = l.process, memberIncarnation, l.seq, slots.Duty
+	c.Member, c.Incarnation, c.Seq, c.Duty = l.process, sampleIncarnation, l.seq, slots.Duty
 	l.proposed = append(l.proposed, c)
 	return l.seq
 }
@@ -119,7 +118,7 @@
 
 func newController(process string, slotCount int) (*slots.Controller, *recordedLog, error) {
 	l := &recordedLog{process: process}
-	c, err := slots.New(slots.Config{Process: process, Incarnation: memberIncarnation, Slots: slotCount, Terms: ringTerms,
+	c, err := slots.New(slots.Config{Process: process, Incarnation: sampleIncarnation, Slots: slotCount, Terms: ringTerms,
 		Bound: ring.BalanceBound{Slack: ringSlack}, Notify: func(string) {}}, l)
 	return c, l, err
 }
@@ -179,13 +178,13 @@
 			bytes += entryBytes(entry)
 		}
 	}
-	seconds := (measuredLeases * ringTerms.Duration).Seconds()
+	seconds := (acknowledgedLeases * ringTerms.Duration).Seconds()
 	c.point("ring_acknowledgements_s", "log_leader", 0, l.Size, float64(count)/seconds)
 	c.point("ring_acknowledgement_bytes_s_member", "member", boundBytes, l.Size, float64(bytes)/seconds)
 	return nil
 }
 
-// acknowledgements are what one member proposes in measuredLeases after a table has become active.
+// acknowledgements are what one member proposes in acknowledgedLeases after a table has become active.
 func acknowledgements(process string, table []lease.Command) (entries []lease.Command, err error) {
 	c, log, err := newController(process, fewSlots)
 	if err != nil {
@@ -194,7 +193,7 @@
 	for _, entry := range table {
 		c.Apply(0, entry, accepted)
 	}
-	for log.now < measuredLeases*ringTerms.Duration {
+	for log.now < acknowledgedLeases*ringTerms.Duration {
 		entries = append(entries, log.step(c)...)
 	}
 	return entries, nil
--- a/internal/lab/scale/decisions/roll.go
+++ b/internal/lab/scale/decisions/roll.go
@@ -46,7 +46,7 @@
 func (l Layout) instances() (fleet []rollout.Instance, load map[string]float64) {
 	load = map[string]float64{}
 	for n, m := range l.rolloutMembers(Loss{}) {
-		fleet = append(fleet, rollout.Instance{Name: processName(n, 0), Zone: m.Zone, Release: installedRelease, Incarnation: memberIncarnation + uint64(n),
+		fleet = append(fleet, rollout.Instance{Name: processName(n, 0), Zone: m.Zone, Release: installedRelease, Incarnation: sampleIncarnation + uint64(n),
 			Capacity: memberCapacity, Age: time.Hour, IsVoter: m.IsVoter, IsLeader: m.IsLeader})
 		load[m.Zone] += memberLoad
 	}
@@ -116,7 +116,7 @@
 }
 
 func rolloutEntry(body string) lease.Command {
-	return lease.Command{Kind: lease.Decide, Duty: rolling.Duty, Member: processName(0, 0), Incarnation: memberIncarnation, Seq: 99999,
+	return lease.Command{Kind: lease.Decide, Duty: rolling.Duty, Member: processName(0, 0), Incarnation: sampleIncarnation, Seq: 99999,
 		Token: leaderToken, Body: body}
 }
 
--- /dev/null
+++ b/internal/loop/tick_test.go
@@ -0,0 +1,25 @@
+package loop
+
+import (
+	"testing"
+	"time"
+)
+
+func TestTickDeferredAfterStallUntilInputIsRead(t *testing.T) {
+	at := time.Now()
+	l := &Loop{nextTick: at, hasReceived: true}
+	if l.deferTick(at.Add(stallThreshold / 2)) {
+		t.Error("a tick in time was deferred")
+	}
+	for n := range maxDeferrals {
+		if l.hasReceived = true; !l.deferTick(at.Add(time.Second)) {
+			t.Fatalf("deferred only %d times while input arrived", n)
+		}
+	}
+	if l.hasReceived = true; l.deferTick(at.Add(time.Second)) {
+		t.Error("deferred without bound")
+	}
+	if l.deferTick(at.Add(time.Second)) {
+		t.Error("deferred though nothing arrived")
+	}
+}
