--- a/internal/decide/ring/failover.go
+++ b/internal/decide/ring/failover.go
@@ -25,7 +25,7 @@
 		if bestInOtherZone && !inOtherZone {
 			continue
 		}
-		score := b.score(slot, t.equalWeights)
+		score := t.score(b, slot)
 		if inOtherZone && !bestInOtherZone || score > bestScore {
 			best, bestScore, bestInOtherZone = n, score, inOtherZone
 		}
@@ -34,9 +34,9 @@
 }
 
 // score is the weighted rendezvous score: -weight/log(u), with u uniform by slot and name.
-func (b *Backend) score(slot int, equalWeights bool) float64 {
+func (t *Table) score(b *Backend, slot int) float64 {
 	u := (float64(rendezvousHash(b.hash, slotSalt(slot))) + 0.5) / (1 << 53)
-	if equalWeights {
+	if t.equalWeights {
 		return u // the same order without the logarithm
 	}
 	return -b.Weight / math.Log(u)
@@ -84,7 +84,7 @@
 	}
 }
 
-// bestOutside returns the candidate of another zone with the highest score, the first of equals, as Backend.score has it.
+// bestOutside returns the candidate of another zone with the highest score, the first of equals, as Table.score has it.
 func (c *failoverCandidates) bestOutside(slot int, zone int32) (best int, ok bool) {
 	salt := slotSalt(slot)
 	highest, at := uint64(0), -1
--- a/internal/decide/ring/flap_damper.go
+++ b/internal/decide/ring/flap_damper.go
@@ -62,10 +62,10 @@
 // observation (0: not).
 func (d *FlapDamper) Present(now time.Duration) (names []string, nextChange time.Duration) {
 	for name, b := range d.backends {
-		if isUp := b.observed == Up; isUp != b.isPresent {
+		if b.isPresent != (b.observed == Up) {
 			at := b.observedAt + d.delay(b)
 			if now >= at {
-				d.setPresent(now, b, isUp)
+				d.confirm(now, b)
 			} else if nextChange == 0 || at < nextChange {
 				nextChange = at
 			}
@@ -96,9 +96,10 @@
 	return delay
 }
 
-func (d *FlapDamper) setPresent(now time.Duration, b *backendHealth, isPresent bool) {
-	b.isPresent = isPresent
-	if isPresent {
+// confirm makes the observed health count.
+func (d *FlapDamper) confirm(now time.Duration, b *backendHealth) {
+	b.isPresent = b.observed == Up
+	if b.isPresent {
 		return
 	}
 	b.flaps++
--- a/internal/decide/ring/plan.go
+++ b/internal/decide/ring/plan.go
@@ -1,6 +1,7 @@
 package ring
 
 import (
+	"cmp"
 	"math"
 	"slices"
 )
@@ -143,7 +144,11 @@
 			continue
 		}
 		if p.slotLoad != nil {
-			p.sortByLoad(slots, p.load[b] > meanLoad)
+			order := p.leastLoadedFirst
+			if p.load[b] > meanLoad {
+				order = p.mostLoadedFirst
+			}
+			slices.SortStableFunc(slots, order)
 		}
 		for _, slot := range slots[:excess] {
 			p.next.slots[slot] = unassigned
@@ -154,18 +159,8 @@
 	return released
 }
 
-// sortByLoad sorts the most loaded slots first for an overloaded owner, the least loaded first for another.
-func (p *planner) sortByLoad(slots []int, isOverloaded bool) {
-	slices.SortStableFunc(slots, func(x, y int) int {
-		if p.slotLoad[x] == p.slotLoad[y] {
-			return 0
-		}
-		if (p.slotLoad[x] > p.slotLoad[y]) == isOverloaded {
-			return -1
-		}
-		return 1
-	})
-}
+func (p *planner) leastLoadedFirst(x, y int) int { return cmp.Compare(p.slotLoad[x], p.slotLoad[y]) }
+func (p *planner) mostLoadedFirst(x, y int) int  { return cmp.Compare(p.slotLoad[y], p.slotLoad[x]) }
 
 // placeOrphans assigns orphans to their failover targets up to the targets' counts, and returns the rest.
 func (p *planner) placeOrphans(failover []int16, target []int) (unplaced []int) {
--- a/internal/decide/rollout/rollout.go
+++ b/internal/decide/rollout/rollout.go
@@ -56,10 +56,22 @@
 	return true
 }
 
+// BlockCause says why a Step drains nobody.
+type BlockCause uint8
+
+// The causes.
+const (
+	NotBlocked           BlockCause = iota
+	BlockedByReplacement            // instances are being replaced
+	BlockedByCapacity               // a zone can't spare an instance
+	BlockedByInstance               // of another voter, a slot migration, or the leadership
+)
+
 // Step is what the leader does now.
 type Step struct {
 	Drain         []Instance // to be proposed to the log, one entry each
-	BlockedReason string     // why no more are drained now; "" if some are, or if IsDone
+	BlockedBy     BlockCause // NotBlocked if some are drained, or if IsDone
+	BlockedReason string     // the same for operators, in one line; "" if NotBlocked
 	Stuck         []string   // drained longer than ReplaceTimeout ago, or restarted with the old release
 	// TransferLeadership says that only the leader itself is left: it resigns, and its successor drains it.
 	TransferLeadership bool
@@ -74,17 +86,17 @@
 	case len(state.remaining) == 0:
 		step.IsDone = state.draining == 0
 		if !step.IsDone {
-			step.BlockedReason = fmt.Sprintf("%d being replaced", state.draining)
+			step.block(BlockedByReplacement, "%d being replaced", state.draining)
 		}
 		return step
 	case len(state.remaining) == 1 && state.remaining[0].IsLeader:
 		step.TransferLeadership = state.draining == 0
 		if !step.TransferLeadership {
-			step.BlockedReason = fmt.Sprintf("%d being replaced before the leader resigns", state.draining)
+			step.block(BlockedByReplacement, "%d being replaced before the leader resigns", state.draining)
 		}
 		return step
 	case state.draining >= limits.MaxUnavailable:
-		step.BlockedReason = fmt.Sprintf("%d being replaced, at most %d", state.draining, limits.MaxUnavailable)
+		step.block(BlockedByReplacement, "%d being replaced, at most %d", state.draining, limits.MaxUnavailable)
 		return step
 	}
 	zones := limits.zones(state.fleet, load)
@@ -93,7 +105,7 @@
 		step.Drain = append(step.Drain, c.Instance)
 	}
 	if len(wave) == 0 {
-		step.BlockedReason = blockedReason(state.remaining, zones)
+		step.blockFirst(state.remaining[0], zones)
 	}
 	return step
 }
@@ -133,11 +145,16 @@
 	return state
 }
 
-// blockedReason says in one line why none of the remaining may be drained now.
-func blockedReason(remaining []Instance, zones map[string]*zone) string {
-	first := remaining[0]
+func (s *Step) block(cause BlockCause, reason string, args ...any) {
+	s.BlockedBy, s.BlockedReason = cause, fmt.Sprintf(reason, args...)
+}
+
+// blockFirst says why the first of those that remain can't be drained now.
+func (s *Step) blockFirst(first Instance, zones map[string]*zone) {
 	if z := zones[first.Zone]; !z.canSpare(first.Capacity, 0, 0) {
-		return fmt.Sprintf("zone %s has %.6g of capacity, expected %.6g and %.6g for %s", z.name, z.available, z.required+z.largest, first.Capacity, first.Name)
+		s.block(BlockedByCapacity, "zone %s has %.6g of capacity, expected %.6g and %.6g for %s",
+			z.name, z.available, z.required+z.largest, first.Capacity, first.Name)
+		return
 	}
-	return fmt.Sprintf("%s waits: another voter is unavailable, a migration waits for it, or it leads the rollout", first.Name)
+	s.block(BlockedByInstance, "%s waits: another voter is unavailable, a migration waits for it, or it leads the rollout", first.Name)
 }
--- a/internal/fleet/consensus/log_test.go
+++ b/internal/fleet/consensus/log_test.go
@@ -111,7 +111,7 @@
 			return isEntryAt(holder.member)(e) && e.Token > holder.Token
 		})
 	}
-	c.checkLog(false)
+	c.checkLog(0)
 }
 
 // Five processes over raft: the holder of a lease is suspended past it and resumed, killed, the leader and another voter
@@ -122,7 +122,7 @@
 	next := c.suspendHolder()
 	c.killHolder(next)
 	c.killLeaderAndVoter()
-	c.checkLog(true)
+	c.checkLog(1)
 }
 
 // suspendHolder suspends the ring's holder past its lease, and returns its successor.
@@ -183,8 +183,8 @@
 }
 
 // checkLog checks all events: the same log in all members, no stale command accepted, no decision of a holder after its
-// successor's first, one leader a term. With lateProposals there must be some.
-func (c *logCluster) checkLog(withLateProposals bool) {
+// successor's first, one leader a term, and so many late proposals at least.
+func (c *logCluster) checkLog(minLateProposals int) {
 	entries, leaders := map[uint64]memberEvent{}, map[uint64]string{}
 	firstDecision, lastDecision := map[string]int64{}, map[string]int64{}
 	lateProposals := 0
@@ -217,7 +217,7 @@
 	}
 	accepted := c.checkTokens(entries)
 	c.checkSuccessions(firstDecision, lastDecision)
-	if withLateProposals && lateProposals == 0 || accepted < 20 {
+	if lateProposals < minLateProposals || accepted < 20 {
 		c.t.Errorf("%d late commands proposed, %d decisions accepted", lateProposals, accepted)
 	}
 	c.t.Logf("%d late commands proposed, %d decisions accepted, %d leaders' terms", lateProposals, accepted, len(leaders))
--- a/internal/fleet/rolling/rolling.go
+++ b/internal/fleet/rolling/rolling.go
@@ -138,7 +138,7 @@
 	case step.TransferLeadership:
 		c.notify("rollout: only the leader is left; it resigns")
 		c.config.Resign()
-	case step.BlockedReason != "":
+	case step.BlockedBy != rollout.NotBlocked:
 		c.notify("rollout blocked: " + step.BlockedReason)
 	}
 	for _, i := range step.Drain {
--- a/internal/lab/emulator/rollout_loss.go
+++ b/internal/lab/emulator/rollout_loss.go
@@ -4,17 +4,15 @@
 	"fmt"
 	"math"
 	"slices"
-	"strings"
 	"time"
 
 	"thymechute/internal/decide/rollout"
 )
 
 const (
-	rolloutLossTick     = time.Second
-	lossMemberCapacity  = 100
-	capacityTolerance   = 1e-6
-	zoneBlockedByPrefix = "zone " // of a BlockedReason for lack of capacity
+	rolloutLossTick    = time.Second
+	lossMemberCapacity = 100
+	capacityTolerance  = 1e-6
 )
 
 // RolloutMember is where one member stands in a RolloutLoss.
@@ -149,7 +147,7 @@
 	if step.IsDone && !s.isDuringLoss() && s.now >= s.LossAt {
 		f.Duration = s.now
 	}
-	if strings.HasPrefix(step.BlockedReason, zoneBlockedByPrefix) {
+	if step.BlockedBy == rollout.BlockedByCapacity {
 		f.BlockedTime += rolloutLossTick
 	}
 	if step.TransferLeadership {
