--- a/internal/lab/scale/instance/reports.go
+++ b/internal/lab/scale/instance/reports.go
@@ -12,6 +12,7 @@
 	fakecatalog "thymechute/internal/fake/catalog"
 	"thymechute/internal/lab/scale"
 	"thymechute/internal/loop"
+	"thymechute/internal/node"
 )
 
 const (
@@ -107,7 +108,7 @@
 			due = int(float64(size) * float64(since) / float64(reportGap))
 		}
 		for _, reporter := range reporters[:due] {
-			reporter.Sweep(now, true)
+			reporter.Sweep(now, node.Healthy)
 		}
 		time.Sleep(sweepGap)
 	}
@@ -118,9 +119,9 @@
 		m.result.Fault("%d of %d hollow instances listed", len(names), size)
 	}
 	if m.result.Single["list_bytes_subset"] == 0 {
-		m.result.Put("list_bytes_subset", float64(len(fakecatalog.List(names[:min(subsetListed, size)], listedAddress))))
+		m.result.Put("list_bytes_subset", float64(len(fakecatalog.EncodeList(names[:min(subsetListed, size)], listedAddress))))
 	}
-	return counts, fakecatalog.List(names, listedAddress), m.ctx.Err()
+	return counts, fakecatalog.EncodeList(names, listedAddress), m.ctx.Err()
 }
 
 // listedAddress is one of usual length.
--- a/internal/rpc/server.go
+++ b/internal/rpc/server.go
@@ -23,16 +23,16 @@
 	maxIdleTimeout = time.Minute            // higher settings are lowered to it
 )
 
-// Admission decides on requests. Answers come back through the node.Responder by the tag given with the request.
+// Admission decides on requests. Answers come back through the node.Responder under the id given with the request.
 type Admission interface {
 	// HasClass reports whether a request class is configured.
 	HasClass(class string) bool
 	// Admit takes a request. An error, such as node.ErrUnknownClass, means that no answer follows.
-	Admit(responder node.Responder, tag string, request node.Request) error
+	Admit(responder node.Responder, id node.MessageID, request node.Request) error
 	// CallerGone tells that no answer can be delivered any more.
 	CallerGone(responder node.Responder)
-	// CheckHealth takes a health check; a full one tests the parts as well.
-	CheckHealth(responder node.Responder, tag string, full bool)
+	// CheckHealth takes a health check; a deep one tests the runtime as well.
+	CheckHealth(responder node.Responder, id node.MessageID, depth node.HealthCheckDepth)
 }
 
 // Config is what NewServer needs.
--- a/internal/rpc/server_test.go
+++ b/internal/rpc/server_test.go
@@ -16,10 +16,13 @@
 
 type fakeAdmission struct{ admitted, callersGone int }
 
-func (a *fakeAdmission) HasClass(class string) bool                       { return class == "excursion" }
-func (a *fakeAdmission) Admit(node.Responder, string, node.Request) error { a.admitted++; return nil }
-func (a *fakeAdmission) CallerGone(node.Responder)                        { a.callersGone++ }
-func (a *fakeAdmission) CheckHealth(node.Responder, string, bool)         {}
+func (a *fakeAdmission) HasClass(class string) bool { return class == "excursion" }
+func (a *fakeAdmission) Admit(node.Responder, node.MessageID, node.Request) error {
+	a.admitted++
+	return nil
+}
+func (a *fakeAdmission) CallerGone(node.Responder)                                         { a.callersGone++ }
+func (a *fakeAdmission) CheckHealth(node.Responder, node.MessageID, node.HealthCheckDepth) {}
 
 // newTestServer allows one spare connection.
 func newTestServer(admission Admission, maxConns int) *Server {
--- a/internal/testutil/cluster.go
+++ b/internal/testutil/cluster.go
@@ -32,7 +32,7 @@
 // Cluster is several processes of the test's own binary behind a fault network. Each writes events, one JSON object a
 // line, to its standard output; E is their type. All its processes end with the test.
 type Cluster[E any] struct {
-	Net       *faultnet.Net
+	Net       *faultnet.Network
 	t         testing.TB
 	subnet    int // members bind 127.0.subnet.n, their proxies 127.0.subnet+1.n
 	ports     int // of each member
@@ -75,6 +75,17 @@
 	return address
 }
 
+// StartProxy chooses an address to bind for a member, 127.0.subnet.n, and one at which others reach it through the fault
+// network, 127.0.subnet+1.n.
+func StartProxy(t testing.TB, network *faultnet.Network, name string, subnet, n int) (bind, proxy string) {
+	bind = FreePort(t, fmt.Sprintf("127.0.%d.%d", subnet, n))
+	proxy = FreePort(t, fmt.Sprintf("127.0.%d.%d", subnet+1, n))
+	if err := network.StartProxy(name, bind, proxy); err != nil {
+		t.Fatal(err)
+	}
+	return bind, proxy
+}
+
 // Start starts a member, without any state; under a name that was started before, at the same addresses. environment
 // is added to the member's variables above.
 func (c *Cluster[E]) Start(name string, environment ...string) {
@@ -105,10 +116,7 @@
 	m := &clusterMember{}
 	n := len(c.names) + 1
 	for range c.ports {
-		bind, proxy := FreePort(c.t, fmt.Sprintf("127.0.%d.%d", c.subnet, n)), FreePort(c.t, fmt.Sprintf("127.0.%d.%d", c.subnet+1, n))
-		if err := c.Net.Front(name, bind, proxy); err != nil {
-			c.t.Fatal(err)
-		}
+		bind, proxy := StartProxy(c.t, c.Net, name, c.subnet, n)
 		m.binds, m.proxies = append(m.binds, bind), append(m.proxies, proxy)
 	}
 	c.members[name], c.names = m, append(c.names, name)
