--- a/internal/lab/lab_test.go
+++ b/internal/lab/lab_test.go
@@ -6,8 +6,8 @@
 	"thymechute/internal/testutil"
 )
 
-// A small size of each experiment: the claim holds, and its figures are there.
-func TestExperimentsAtASmallSize(t *testing.T) {
+// At a small size, the claims of the AMQP experiments hold and their figures are present.
+func TestAMQPExperiments(t *testing.T) {
 	folder := t.TempDir()
 	program := testutil.Built(t)
 	for name, run := range map[string]Experiment{
@@ -29,9 +29,9 @@
 	}
 }
 
-// The fleet experiment at a small size: six processes agree after kill -9, SIGSTOP, a restart, an isolated member, a one-way
-// partition, a partition and a drain.
-func TestFleetAtASmallSize(t *testing.T) {
+// Six processes agree after each of kill -9, a pause, a restart without state, an isolated member, a one-way cut, a partition
+// and a graceful shutdown.
+func TestFleetSteps(t *testing.T) {
 	if testing.Short() {
 		t.Skip("starts processes")
 	}
--- a/internal/lab/scale/members/summary.go
+++ b/internal/lab/scale/members/summary.go
@@ -9,8 +9,8 @@
 
 // Shares of the bounds that membership may take; the rest is for the configuration and the replicated log.
 const (
-	maxBytesPerSecond = scale.BoundBytesSecond / 2
-	maxCorePercent    = scale.BoundCorePercent / 2
+	maxBytesPerSecond = scale.MaxControlBytesPerSecond / 2
+	maxCorePercent    = scale.MaxCPUPercent / 2
 )
 
 // The restarts of a fleet of the target size.
@@ -79,15 +79,15 @@
 func addSeries(result *scale.Result, outcomes []Outcome, largest int) (map[string]float64, error) {
 	atTarget := map[string]float64{}
 	for _, f := range figures() {
-		series := scale.Series{Name: f.name, Role: "member", Of: "members", Target: scale.TargetMembers, Bound: f.bound,
-			Ran: fmt.Sprintf("to %d hollow members in one process", largest)}
+		series := scale.Series{Name: f.name, Role: "member", SizeUnit: "members", Target: scale.TargetMembers, Bound: f.bound,
+			Coverage: fmt.Sprintf("to %d hollow members in one process", largest)}
 		for _, outcome := range outcomes {
 			series.Points = append(series.Points, scale.Point{Size: float64(outcome.Size), Value: f.value(outcome)})
 		}
-		if err := result.Add(series); err != nil {
+		if err := result.AddSeries(series); err != nil {
 			return nil, err
 		}
-		atTarget[f.name] = result.Series[len(result.Series)-1].Worked
+		atTarget[f.name] = result.Series[len(result.Series)-1].Extrapolated
 	}
 	return atTarget, nil
 }
--- a/internal/lab/scale/members/trial.go
+++ b/internal/lab/scale/members/trial.go
@@ -119,7 +119,7 @@
 	if err != nil {
 		return err
 	}
-	t.outcome.ResidentBytes = float64(usage.Resident) / float64(t.plan.Size)
+	t.outcome.ResidentBytes = float64(usage.ResidentBytes) / float64(t.plan.Size)
 	if err := t.pushPulls(); err != nil {
 		return err
 	}
--- a/internal/lab/scale/members/window.go
+++ b/internal/lab/scale/members/window.go
@@ -60,7 +60,7 @@
 		StreamBytes:     float64(used.StreamBytes) / size,
 		Datagrams:       float64(used.Datagrams) / size,
 		Streams:         float64(used.Streams) / size,
-		ProcessorMillis: millis(now.usage.Processor-before.usage.Processor) / size,
+		ProcessorMillis: millis(now.usage.CPU-before.usage.CPU) / size,
 	}
 	for kind, bytes := range used.Kinds {
 		if bytes == 0 {
