--- a/cmd/thymechute/consensus.go
+++ b/cmd/thymechute/consensus.go
@@ -42,9 +42,9 @@
 func newConsensusNode(settings *operator.Log, record *membership.Record, name string, log *zap.Logger) *consensusNode {
 	c := &consensusNode{log: log, process: fmt.Sprintf("%s#%x", name, record.Epoch)}
 	record.Process = c.process
-	record.Log = settings.Advertise
+	record.LogAddress = settings.Advertise
 	if settings.Advertise == "" {
-		record.Log = settings.Bind
+		record.LogAddress = settings.Bind
 	}
 	if now := time.Now(); !settings.BootstrapAt.IsZero() && now.Sub(settings.BootstrapAt).Abs() < bootstrapWindow {
 		c.bootstrapAt = now.Add(bootstrapDelay)
@@ -87,8 +87,8 @@
 // peers returns the membership view.
 func (c *consensusNode) peers() (peers []consensus.Peer) {
 	for _, r := range c.member.View() {
-		peers = append(peers, consensus.Peer{Process: r.Process, Address: r.Log, Zone: r.Zone, Region: r.Region, Applied: r.Applied,
-			Draining: r.Flag == "leaving"})
+		peers = append(peers, consensus.Peer{Process: r.Process, Address: r.LogAddress, Zone: r.Zone, Region: r.Region, Applied: r.AppliedIndex,
+			Draining: r.Flag == membership.FlagLeaving})
 	}
 	return peers
 }
@@ -123,11 +123,11 @@
 		c.logLeader()
 	}
 	applied, _ := driver.Log.Applied()
-	isFirst := record.Applied == 0 && applied > 0
-	if !isFirst && applied < record.Applied+maxPublishLag {
+	isFirst := record.AppliedIndex == 0 && applied > 0
+	if !isFirst && applied < record.AppliedIndex+maxPublishLag {
 		return false
 	}
-	record.Applied = applied
+	record.AppliedIndex = applied
 	return true
 }
 
@@ -142,7 +142,7 @@
 // bootstrap starts a new log with this process, unless another member has one.
 func (c *consensusNode) bootstrap(driver *consensus.Driver) {
 	for _, r := range c.member.View() {
-		if r.Applied > 0 && r.Process != c.process {
+		if r.AppliedIndex > 0 && r.Process != c.process {
 			c.log.Warn("fleet log: bootstrap skipped, another member has a log", zap.String("member", r.Name))
 			return
 		}
--- a/internal/lab/instance_pair.go
+++ b/internal/lab/instance_pair.go
@@ -26,7 +26,7 @@
 		return p, err
 	}
 	for n := range p.instances {
-		fake, address, err := runtime.Start("127.0.0.1:0", rig.Brief, r.observeStart(instanceName(n)))
+		fake, address, err := runtime.Start("127.0.0.1:0", rig.ShortRun, r.observeStart(instanceName(n)))
 		if err != nil {
 			return p, err
 		}
@@ -41,12 +41,12 @@
 
 // memory is the higher resident memory of the two, in bytes.
 func (p *instancePair) memory() int64 {
-	return max(p.instances[0].Memory(), p.instances[1].Memory())
+	return max(p.instances[0].PeakMemory(), p.instances[1].PeakMemory())
 }
 
 // cpu is the CPU time of both.
 func (p *instancePair) cpu() time.Duration {
-	return p.instances[0].CPU() + p.instances[1].CPU()
+	return p.instances[0].CPUTime() + p.instances[1].CPUTime()
 }
 
 // drain shuts both down gracefully, one after the other; a failure is a fault of the report.
--- a/internal/testutil/member/member.go
+++ b/internal/testutil/member/member.go
@@ -78,7 +78,7 @@
 
 // Config says how a member joins.
 type Config struct {
-	Record        membership.Record // its Process, Log and Rank are filled in
+	Record        membership.Record // its Process, LogAddress and Rank are filled in
 	Duties        []string          // leases in the log
 	StateMachine  consensus.StateMachine
 	Watcher       consensus.Watcher
@@ -88,11 +88,11 @@
 // Join joins the gossip membership and the log. The process exits if it can't.
 func (m *Member) Join(c Config) {
 	m.record = c.Record
-	m.record.Process, m.record.Log, m.record.Rank = m.Process, proxy(logPort), -1
+	m.record.Process, m.record.LogAddress, m.record.Rank = m.Process, proxy(logPort), -1
 	var err error
 	m.Membership, err = membership.Start(membership.Config{
-		Name: m.Name, Bind: bind(membershipPort), Advertise: proxy(membershipPort), Seeds: seeds(), Most: maxMembers,
-		Probe: healthCheckInterval, Sync: exchangeInterval, Record: m.record, Message: m.receive,
+		Name: m.Name, Bind: bind(membershipPort), Advertise: proxy(membershipPort), Seeds: seeds(), MaxMembers: maxMembers,
+		ProbeInterval: healthCheckInterval, SyncInterval: exchangeInterval, Record: m.record, OnMessage: m.receive,
 	}, ignoredEvents{})
 	m.ExitOn(err)
 	driver, err := consensus.StartDriver(consensus.Config{
@@ -132,17 +132,17 @@
 	m.recordMutex.Lock()
 	defer m.recordMutex.Unlock()
 	change(&m.record)
-	_ = m.Membership.Set(m.record) // announced again with the next change
+	_ = m.Membership.SetRecord(m.record) // announced again with the next change
 }
 
 // PublishApplied announces how far the member has applied the log, if that has changed.
 func (m *Member) PublishApplied() {
 	applied, _ := m.Driver().Log.Applied()
 	m.recordMutex.Lock()
-	isNews := applied != m.record.Applied
+	isNews := applied != m.record.AppliedIndex
 	m.recordMutex.Unlock()
 	if isNews {
-		m.UpdateRecord(func(r *membership.Record) { r.Applied = applied })
+		m.UpdateRecord(func(r *membership.Record) { r.AppliedIndex = applied })
 	}
 }
 
@@ -164,7 +164,7 @@
 // peers are the members that may vote.
 func (m *Member) peers() (peers []consensus.Peer) {
 	for _, r := range m.Membership.View() {
-		peers = append(peers, consensus.Peer{Process: r.Process, Address: r.Log, Zone: r.Zone, Applied: r.Applied, Draining: r.Flag == "leaving"})
+		peers = append(peers, consensus.Peer{Process: r.Process, Address: r.LogAddress, Zone: r.Zone, Applied: r.AppliedIndex, Draining: r.Flag == membership.FlagLeaving})
 	}
 	return peers
 }
@@ -192,4 +192,4 @@
 func (ignoredEvents) Joined(membership.Record)  {}
 func (ignoredEvents) Updated(membership.Record) {}
 func (ignoredEvents) Left(string)               {}
-func (ignoredEvents) Refused(string, error)     {}
+func (ignoredEvents) Rejected(string, error)    {}
