--- a/internal/decide/ring/budget.go
+++ b/internal/decide/ring/budget.go
@@ -17,13 +17,13 @@
 	GrantInterval  time.Duration // between grants; over 0, at most Window; the shorter, the more of the budget is usable
 }
 
-// Validate reports fields out of range.
+// Validate returns a *ValueError for a field out of range.
 func (b CallBudget) Validate() error {
-	if b.CallsPerWindow <= 0 || b.Window <= 0 || b.GrantInterval <= 0 || b.GrantInterval > b.Window {
-		return fmt.Errorf("budget: found %d calls, window %v, grant interval %v, expected each over 0 and the interval at most the window",
-			b.CallsPerWindow, b.Window, b.GrantInterval)
-	}
-	return nil
+	return firstInvalid([]rangeCheck{
+		{b.CallsPerWindow > 0, "budget calls per window", b.CallsPerWindow, "over 0"},
+		{b.Window > 0, "budget window", b.Window, "over 0"},
+		{b.GrantInterval > 0 && b.GrantInterval <= b.Window, "budget grant interval", b.GrantInterval, "over 0 and at most the window"},
+	})
 }
 
 // CallsAt returns the calls in a window that a backend at this fraction of its weight can take.
--- a/internal/decide/ring/codec.go
+++ b/internal/decide/ring/codec.go
@@ -3,7 +3,6 @@
 import (
 	"encoding/binary"
 	"encoding/json"
-	"errors"
 	"fmt"
 	"slices"
 
@@ -12,11 +11,6 @@
 
 const bytesPerSlot = 2
 
-var (
-	errNoTable      = errors.New("ring: found no table, expected the active one")
-	errParticipants = errors.New("ring: participants out of order or too many")
-)
-
 // Digest returns a hash that is the same for tables with the same assignment. A member whose plan has another digest
 // than the leader's must not use it.
 func (t *Table) Digest() uint64 {
@@ -62,28 +56,33 @@
 	})
 }
 
-// Decode replaces the state by a snapshot's. If the snapshot is not valid it fails and changes nothing.
+// Decode replaces the state by a snapshot's. If that is not valid, it fails with ErrInvalidSnapshot and changes nothing.
 func (s *ReplicatedState) Decode(snapshot []byte) error {
 	var e encodedState
 	if err := json.Unmarshal(snapshot, &e); err != nil {
-		return fmt.Errorf("ring: found no JSON object (%w)", err)
-	}
-	if e.Active == nil {
-		return errNoTable
+		return fmt.Errorf("%w: %w", ErrInvalidSnapshot, err)
 	}
-	active, err := e.Active.decode()
+	state, err := e.decode()
 	if err != nil {
-		return err
+		return fmt.Errorf("%w: %w", ErrInvalidSnapshot, err)
 	}
-	pending, err := e.Pending.decode()
-	if err != nil {
-		return err
+	*s = state
+	return nil
+}
+
+func (e *encodedState) decode() (state ReplicatedState, err error) {
+	if e.Active == nil {
+		return state, newValueError("active table", "none", "one")
 	}
 	if !slices.IsSorted(e.Participants) || len(e.Participants) > MaxMembers {
-		return fmt.Errorf("%w: found %d, expected at most %d in order", errParticipants, len(e.Participants), MaxMembers)
+		return state, newValueError("participants", len(e.Participants), "at most %d, in order", MaxMembers)
 	}
-	*s = ReplicatedState{Active: active, Pending: pending, MigratingSlots: e.MigratingSlots, Participants: e.Participants, LastGrant: e.LastGrant}
-	return nil
+	state = ReplicatedState{MigratingSlots: e.MigratingSlots, Participants: e.Participants, LastGrant: e.LastGrant}
+	if state.Active, err = e.Active.decode(); err != nil {
+		return state, err
+	}
+	state.Pending, err = e.Pending.decode()
+	return state, err
 }
 
 func (t *Table) encode() *encodedTable {
@@ -115,7 +114,7 @@
 	for slot := range t.slots {
 		owner := int16(binary.LittleEndian.Uint16(e.Slots[bytesPerSlot*slot:]))
 		if owner < unassigned || int(owner) >= len(t.backends) {
-			return nil, fmt.Errorf("slot %d: owner found %d, expected one of %d backends", slot, owner, len(t.backends))
+			return nil, newValueError(fmt.Sprint("owner of slot ", slot), owner, "one of %d backends", len(t.backends))
 		}
 		t.slots[slot] = owner
 	}
--- a/internal/decide/ring/codec_test.go
+++ b/internal/decide/ring/codec_test.go
@@ -86,3 +86,28 @@
 		t.Errorf("found %+v", s)
 	}
 }
+
+func TestSnapshotRoundTrip(t *testing.T) {
+	empty, _ := New(16)
+	table, _, _ := mustPlan(t, empty, testBackends(3), BalanceBound{})
+	next, migrations, _ := mustPlan(t, table, testBackends(4), BalanceBound{})
+	a := ReplicatedState{Active: table}
+	a.Freeze(next, []int{migrations[0].Slot})
+	b, err := a.Encode()
+	if err != nil {
+		t.Fatal(err)
+	}
+	var back ReplicatedState
+	if err := back.Decode(b); err != nil || back.Active.Digest() != table.Digest() || back.Pending.Digest() != next.Digest() ||
+		back.Pending.Version != next.Version || len(back.MigratingSlots) != 1 {
+		t.Errorf("%v: %+v", err, back)
+	}
+	if table.Digest() == next.Digest() {
+		t.Error("two tables with one digest")
+	}
+	for _, bad := range []string{"", "{}", `{"Table":{"Slots":"AAAA"}}`, `{"Table":{"Backends":[{"Name":"a","Weight":1}],"Slots":"BQAFAA=="}}`} {
+		if err := back.Decode([]byte(bad)); err == nil {
+			t.Errorf("%q was accepted", bad)
+		}
+	}
+}
--- a/internal/decide/ring/ring.go
+++ b/internal/decide/ring/ring.go
@@ -11,9 +11,9 @@
 package ring
 
 import (
-	"fmt"
 	"math/bits"
 	"slices"
+	"strconv"
 	"strings"
 
 	"github.com/cespare/xxhash/v2"
@@ -51,10 +51,11 @@
 	equalWeights bool      // all backends have the same weight
 }
 
-// New returns a table of so many slots, all unassigned. The number of slots must be a power of two from 2 to MaxSlots.
+// New returns a table of so many slots, all unassigned. It fails with a *ValueError unless their number is a power of two from
+// 2 to MaxSlots.
 func New(slots int) (*Table, error) {
 	if slots < minSlots || slots > MaxSlots || bits.OnesCount(uint(slots)) != 1 {
-		return nil, fmt.Errorf("slots: found %d, expected a power of two from %d to %d", slots, minSlots, MaxSlots)
+		return nil, newValueError("slots", slots, "a power of two from %d to %d", minSlots, MaxSlots)
 	}
 	t := &Table{slots: make([]int16, slots), mask: uint64(slots - 1)}
 	for slot := range t.slots {
@@ -126,12 +127,12 @@
 	return slices.BinarySearchFunc(sorted, name, func(b Backend, name string) int { return strings.Compare(b.Name, name) })
 }
 
-// normalizeBackends returns a copy sorted by name, with the fields that a table needs. It fails on no or too many
-// backends, on an empty or repeated name, and on a weight out of range.
+// normalizeBackends returns a copy sorted by name, with the fields that a table needs. It fails with a *ValueError
+// on no or too many backends, on an empty or repeated name, and on a weight out of range.
 func normalizeBackends(backends []Backend) ([]Backend, error) {
 	sorted := slices.SortedFunc(slices.Values(backends), func(a, b Backend) int { return strings.Compare(a.Name, b.Name) })
 	if len(sorted) == 0 || len(sorted) > MaxBackends {
-		return nil, fmt.Errorf("backends: found %d, expected 1 to %d", len(sorted), MaxBackends)
+		return nil, newValueError("backends", len(sorted), "1 to %d", MaxBackends)
 	}
 	zones := map[string]int{}
 	for n := range sorted {
@@ -142,10 +143,10 @@
 		b.zoneIndex = zones[b.Zone]
 		b.hash = xxhash.Sum64String(b.Name)
 		if b.Name == "" || n > 0 && sorted[n-1].Name == b.Name {
-			return nil, fmt.Errorf("backends: found the name %q twice or empty, expected each once", b.Name)
+			return nil, newValueError("backend name", strconv.Quote(b.Name), "not empty, and each once")
 		}
 		if !(b.Weight > 0) || b.Weight > maxWeight {
-			return nil, fmt.Errorf("backend %s: weight found %g, expected over 0 and at most %g", b.Name, b.Weight, float64(maxWeight))
+			return nil, newValueError("weight of backend "+b.Name, b.Weight, "over 0 and at most %g", float64(maxWeight))
 		}
 	}
 	return sorted, nil
--- a/internal/decide/ring/slow_start.go
+++ b/internal/decide/ring/slow_start.go
@@ -1,9 +1,6 @@
 package ring
 
-import (
-	"fmt"
-	"time"
-)
+import "time"
 
 // SlowStart says how a backend that joins warms up. Fractions are of its full weight.
 type SlowStart struct {
@@ -15,16 +12,14 @@
 	MaxErrorRate    float64       // fraction of its calls that fail; above this it counts as overloaded
 }
 
-// Validate reports fields out of range.
+// Validate returns a *ValueError for a field out of range.
 func (s SlowStart) Validate() error {
-	isValid := s.InitialFraction > 0 && s.InitialFraction <= 1 && s.Increment > 0 &&
-		s.BackoffFactor >= 0 && s.BackoffFactor <= 1 && s.StepInterval > 0
-	if !isValid {
-		return fmt.Errorf("slow start: found initial fraction %g, increment %g, backoff factor %g, step interval %v, "+
-			"expected an initial fraction over 0 to 1, increment and interval over 0, a backoff factor of 0 to 1",
-			s.InitialFraction, s.Increment, s.BackoffFactor, s.StepInterval)
-	}
-	return nil
+	return firstInvalid([]rangeCheck{
+		{s.InitialFraction > 0 && s.InitialFraction <= 1, "slow start initial fraction", s.InitialFraction, "over 0 and at most 1"},
+		{s.Increment > 0, "slow start increment", s.Increment, "over 0"},
+		{s.BackoffFactor >= 0 && s.BackoffFactor <= 1, "slow start backoff factor", s.BackoffFactor, "0 to 1"},
+		{s.StepInterval > 0, "slow start step interval", s.StepInterval, "over 0"},
+	})
 }
 
 // SlowStartProgress is how far one backend has warmed up. The zero value has not started.
--- a/internal/decide/ring/slow_start_test.go
+++ b/internal/decide/ring/slow_start_test.go
@@ -1,12 +1,26 @@
 package ring
 
 import (
+	"math"
 	"testing"
 	"time"
 )
 
 var slowStart = SlowStart{InitialFraction: 0.1, Increment: 0.2, BackoffFactor: 0.5, StepInterval: time.Second, MaxLatency: 50 * time.Millisecond, MaxErrorRate: 0.02}
 
+func TestSlowStartValidate(t *testing.T) {
+	if err := slowStart.Validate(); err != nil {
+		t.Error(err)
+	}
+	for name, change := range map[string]func(r *SlowStart){"initial fraction": func(r *SlowStart) { r.InitialFraction = 0 }, "over one": func(r *SlowStart) { r.InitialFraction = 2 }, "no number": func(r *SlowStart) { r.InitialFraction = math.NaN() },
+		"increment": func(r *SlowStart) { r.Increment = 0 }, "backoff factor": func(r *SlowStart) { r.BackoffFactor = 2 }, "step interval": func(r *SlowStart) { r.StepInterval = 0 }} {
+		bad := slowStart
+		if change(&bad); bad.Validate() == nil {
+			t.Errorf("%s: %+v was accepted", name, bad)
+		}
+	}
+}
+
 func TestSlowStartIncreasesInSteps(t *testing.T) {
 	var p SlowStartProgress
 	last, migrated := 0.0, 0
--- a/internal/decide/rollout/codec.go
+++ b/internal/decide/rollout/codec.go
@@ -3,11 +3,15 @@
 import (
 	"cmp"
 	"encoding/json"
+	"errors"
 	"fmt"
 	"slices"
 	"time"
 )
 
+// ErrInvalidSnapshot is the error of bytes that Rollout.Encode did not produce.
+var ErrInvalidSnapshot = errors.New("invalid snapshot of a rollout")
+
 // encodedRollout is a Rollout in a snapshot. The keys are part of its format.
 type encodedRollout struct {
 	Release  string         `json:"Want"`
@@ -34,15 +38,15 @@
 	return json.Marshal(e)
 }
 
-// Decode replaces the rollout by a snapshot's; drained processes count as drained now. If the snapshot is not valid it
-// fails and changes nothing.
+// Decode replaces the rollout by a snapshot's; drained processes count as drained now. If the snapshot is not valid, it
+// fails with ErrInvalidSnapshot and changes nothing.
 func (r *Rollout) Decode(now time.Duration, snapshot []byte) error {
 	var e encodedRollout
 	if err := json.Unmarshal(snapshot, &e); err != nil {
-		return fmt.Errorf("rollout: found no JSON object (%w)", err)
+		return fmt.Errorf("%w: %w", ErrInvalidSnapshot, err)
 	}
 	if len(e.Drained) > MaxInstances {
-		return fmt.Errorf("rollout: found %d drained, expected at most %d", len(e.Drained), MaxInstances)
+		return fmt.Errorf("%w: drained: found %d, expected at most %d", ErrInvalidSnapshot, len(e.Drained), MaxInstances)
 	}
 	*r = *New(e.Release)
 	for _, d := range e.Drained {
--- a/internal/fleet/slots/slots.go
+++ b/internal/fleet/slots/slots.go
@@ -119,7 +119,7 @@
 	defer c.mu.Unlock()
 	if err := c.state.Decode(snapshot); err != nil {
 		c.isDiverged = true
-		c.config.Notify("ring: " + err.Error())
+		c.config.Notify(err.Error())
 		return
 	}
 	c.gate.Activate(c.state.Active)
