--- a/cmd/thymechute/consensus_test.go
+++ b/cmd/thymechute/consensus_test.go
@@ -35,31 +35,27 @@
 }
 
 // startLogFleet starts one at each location; the first bootstraps the log.
-func startLogFleet(t *testing.T, octet int, locations []location) *logFleet {
+func startLogFleet(t *testing.T, subnet int, locations []location) *logFleet {
 	f := &logFleet{t: t, net: faultnet.New(1), environments: map[string]*testutil.Environment{}, settings: map[string]string{}, earlierLogs: map[string]string{}}
 	t.Cleanup(f.net.Close)
-	type ports struct{ bind, front, logBind, logFront string }
-	var all []ports
+	type addresses struct{ bind, proxy, logBind, logProxy string }
+	var all []addresses
 	for n := range locations {
 		name := fmt.Sprint("m", n)
-		own, front := fmt.Sprintf("127.0.%d.%d", octet, n+1), fmt.Sprintf("127.0.%d.%d", octet+1, n+1)
-		p := ports{testutil.FreePort(t, own), testutil.FreePort(t, front), testutil.FreePort(t, own), testutil.FreePort(t, front)}
-		for _, pair := range [][2]string{{p.bind, p.front}, {p.logBind, p.logFront}} {
-			if err := f.net.StartProxy(name, pair[0], pair[1]); err != nil {
-				t.Fatal(err)
-			}
-		}
-		all, f.names = append(all, p), append(f.names, name)
+		var a addresses
+		a.bind, a.proxy = testutil.StartProxy(t, f.net, name, subnet, n+1)
+		a.logBind, a.logProxy = testutil.StartProxy(t, f.net, name, subnet, n+1)
+		all, f.names = append(all, a), append(f.names, name)
 	}
 	for n, name := range f.names {
-		p, seed, bootstrap := all[n], all[0], ""
+		a, seed, bootstrap := all[n], all[0], ""
 		if n == 0 { // its seed is for when it starts again
 			seed, bootstrap = all[1], ` found="`+time.Now().Format(time.RFC3339)+`"`
 		}
 		f.settings[name] = filepath.Join(t.TempDir(), name+".xml")
 		text := fmt.Sprintf(`<thymechute xmlns="urn:thymechute:operator:1"><fleet bind="%s" advertise="%s" %v probe-ms="200" sync-ms="500">`+
 			`<seed address="%s"/><log bind="%s" advertise="%s" lease-ms="1000"%s/></fleet></thymechute>`,
-			p.bind, p.front, locations[n], seed.front, p.logBind, p.logFront, bootstrap)
+			a.bind, a.proxy, locations[n], seed.proxy, a.logBind, a.logProxy, bootstrap)
 		if err := os.WriteFile(f.settings[name], []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
--- a/internal/decide/configuration/tree.go
+++ b/internal/decide/configuration/tree.go
@@ -40,7 +40,7 @@
 }
 
 func namesByRank(members []subset.Claim) []string {
-	ranks := subset.Rank(members)
+	ranks := subset.AssignRanks(members)
 	names := make([]string, len(ranks))
 	for name, rank := range ranks {
 		names[rank] = name
--- a/internal/lab/amqp.go
+++ b/internal/lab/amqp.go
@@ -41,7 +41,7 @@
 	if err != nil {
 		return err
 	}
-	r.progress(fmt.Sprintf("%d messages, half of them %s", r.size, rig.Excursion))
+	r.progress(fmt.Sprintf("%d messages, half of them %s", r.size, rig.ClassExcursion))
 	f := &faultRun{run: r, recorded: recorded, pair: pair, lastDelivery: time.Now(), lastProgress: time.Now()}
 	begin := time.Now()
 	drainError, err := f.untilDrained(begin.Add(maxRunTime))
@@ -144,7 +144,7 @@
 	}
 	f.killed = true
 	f.progress("n2 is killed and starts without state")
-	f.noteMemory(f.pair.instances[1].Memory())
+	f.noteMemory(f.pair.instances[1].PeakMemory())
 	f.pair.instances[1].Kill()
 	f.pair.instances[1], err = f.launch(instanceName(1), f.pair.runtimes[1], settingsPath(f.folder), f.seed+9)
 	return err
--- a/internal/lab/amqp_cost.go
+++ b/internal/lab/amqp_cost.go
@@ -64,7 +64,7 @@
 	}
 	defer recorded.broker.Close()
 	recorded.broker.Watch(func(broker.Event) {}) // the checker is not part of the cost
-	fake, address, err := runtime.Start("127.0.0.1:0", rig.Instant, func(string, []byte) {})
+	fake, address, err := runtime.Start("127.0.0.1:0", rig.ImmediateRun, func(string, []byte) {})
 	if err != nil {
 		return cost{}, err
 	}
@@ -92,14 +92,14 @@
 	timeout := time.AfterFunc(maxRunTime, recorded.broker.Close)
 	defer timeout.Stop()
 	recorded.publishAndSettle(size / warmUpPart)
-	cpu, begin := instance.CPU(), time.Now()
+	cpu, begin := instance.CPUTime(), time.Now()
 	recorded.publishAndSettle(size)
-	return cost{instance.CPU() - cpu, time.Since(begin)}
+	return cost{instance.CPUTime() - cpu, time.Since(begin)}
 }
 
 func (r *recordedBroker) publishAndSettle(count int) {
 	for n := range count {
-		r.publish(rig.Trace, n)
+		r.publish(rig.ClassTrace, n)
 	}
 	r.broker.WaitForQueue(readingsQueue, func(s broker.QueueState) bool { return s.Ready+s.Unacked == 0 })
 }
--- a/internal/lab/emulator/configuration.go
+++ b/internal/lab/emulator/configuration.go
@@ -93,7 +93,7 @@
 	for n := range s.scenario.Members {
 		zone := n % s.scenario.Zones
 		p := s.addProcess(fmt.Sprintf("member-%04d", n), zone%s.scenario.Regions, zone)
-		p.claim = subset.Claim{Name: p.name, Rank: -1, Since: uint64(n)}
+		p.claim = subset.Claim{Name: p.name, Rank: -1, JoinEpoch: uint64(n)}
 		s.zones[zone].members = append(s.zones[zone].members, p)
 	}
 	for _, z := range s.zones {
@@ -125,7 +125,7 @@
 	for n, p := range z.members {
 		claims[n] = p.claim
 	}
-	ranks := subset.Rank(claims)
+	ranks := subset.AssignRanks(claims)
 	for n, p := range z.members {
 		p.claim.Rank, claims[n].Rank = ranks[p.name], ranks[p.name]
 	}
--- a/internal/lab/emulator/configuration_faults.go
+++ b/internal/lab/emulator/configuration_faults.go
@@ -55,7 +55,7 @@
 		return
 	}
 	if z := s.zones[p.zone]; !slices.Contains(z.members, p) {
-		p.claim.Since = uint64(s.now)
+		p.claim.JoinEpoch = uint64(s.now)
 		z.members = append(z.members, p)
 		s.rebuildTree(z)
 		s.distributeTree(z)
--- a/internal/lab/lab_test.go
+++ b/internal/lab/lab_test.go
@@ -37,7 +37,7 @@
 	}
 	folder := t.TempDir()
 	program := testutil.Built(t)
-	r, err := FleetScript(program, folder, 1, 6, func(line string) { t.Log(line) }, 0)
+	r, err := FleetWithClaim(program, folder, 1, 6, func(line string) { t.Log(line) }, 0)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/lab/recorded_broker.go
+++ b/internal/lab/recorded_broker.go
@@ -46,9 +46,9 @@
 // idempotencyOf is the idempotency of a class of messages.
 func idempotencyOf(class string) invariant.Idempotency {
 	switch class {
-	case rig.Trace:
+	case rig.ClassTrace:
 		return invariant.Safe
-	case rig.Excursion:
+	case rig.ClassExcursion:
 		return invariant.Idempotent
 	}
 	return invariant.NonIdempotent
@@ -59,7 +59,7 @@
 	if err != nil {
 		return nil, err
 	}
-	r := &recordedBroker{broker: b, start: time.Now(), checker: invariant.New(rig.Window),
+	r := &recordedBroker{broker: b, start: time.Now(), checker: invariant.New(rig.IdempotencyWindow),
 		republished: map[messageKey]invariant.Outcome{}, acked: map[string]bool{}}
 	if err := b.DeclareReadings(deadLetterExchange, nil); err != nil {
 		return nil, err
@@ -138,7 +138,7 @@
 
 // publishNext publishes the n-th message, from 0; the classes alternate.
 func (r *recordedBroker) publishNext(n int) {
-	classes := []string{rig.Excursion, rig.Trace}
+	classes := []string{rig.ClassExcursion, rig.ClassTrace}
 	r.publish(classes[n%len(classes)], n)
 }
 
