--- a/cmd/testbed/emulator_experiments.go
+++ b/cmd/testbed/emulator_experiments.go
@@ -11,46 +11,53 @@
 	"thymechute/internal/lab/emulator"
 )
 
-// subsetsCommand compares the subsetting strategies in the emulator over one script of views, and holds the chosen one (stable
-// ranks) to its claim: load imbalance at most 1.10 at stable views, churn by members at most 1.5 of the minimum.
+// subsetsCommand compares the subsetting strategies in the emulator over one script of views, and checks the chosen one (stable
+// ranks).
 func subsetsCommand() *cobra.Command {
-	const maxImbalance, maxChurn, maxSubsetSize, measuredSteps = 1.10, 1.5, 64, 20
 	var subsetSize int
 	c := newExperimentCommand("subsets", "Subsets of services below as members join and leave, in the emulator",
 		sizeRange{defaultSize: 24, minSize: 6, maxSize: 100_000, unit: "members at the most; services below are a quarter of it, at least 6"},
-		func(t trialOptions) (*lab.Report, error) {
-			if subsetSize < 1 || subsetSize > maxSubsetSize {
-				return nil, usageError{fmt.Errorf("--subset: found %d, expected 1 to %d", subsetSize, maxSubsetSize)}
-			}
-			backends := max(6, t.size/4)
-			figures, err := emulator.CompareSubsets(emulator.SubsetOptions{Members: t.size, Backends: backends, SubsetSize: subsetSize,
-				Seed: t.seed, MaxMeasuredSteps: measuredSteps})
-			if err != nil {
-				return nil, usageError{err}
-			}
-			r := &lab.Report{}
-			r.Put("members_most", float64(t.size))
-			r.Put("below", float64(backends))
-			r.Put("subset_size", float64(subsetSize))
-			for _, f := range figures {
-				r.Put(string(f.Strategy)+"_spread_max_over_mean", f.WorstImbalance)
-				r.Put(string(f.Strategy)+"_churn_members_over_minimum", f.MemberChurn)
-				r.Put(string(f.Strategy)+"_churn_below_over_minimum", f.BackendChurn)
-				if f.Strategy != subset.StrategyDeterministic {
-					continue
-				}
-				r.Put("subset_max_over_mean", f.WorstImbalance)
-				r.Put("subset_churn_over_minimum", f.MemberChurn)
-				if f.WorstImbalance > maxImbalance || f.MemberChurn > maxChurn {
-					r.Fault("spread %.3f (at most %.2f), churn %.2f (at most %.1f)", f.WorstImbalance, maxImbalance, f.MemberChurn, maxChurn)
-				}
-			}
-			return r, nil
-		})
+		func(t trialOptions) (*lab.Report, error) { return compareSubsets(t, subsetSize) })
 	c.Flags().IntVar(&subsetSize, "subset", 3, "services below a member")
 	return c
 }
 
+func compareSubsets(t trialOptions, subsetSize int) (*lab.Report, error) {
+	const maxSubsetSize, measuredSteps = 64, 20
+	if subsetSize < 1 || subsetSize > maxSubsetSize {
+		return nil, usageError{fmt.Errorf("--subset: found %d, expected 1 to %d", subsetSize, maxSubsetSize)}
+	}
+	options := emulator.SubsetOptions{Members: t.size, Backends: max(6, t.size/4), SubsetSize: subsetSize,
+		Seed: t.seed, MaxMeasuredSteps: measuredSteps}
+	figures, err := emulator.CompareSubsets(options)
+	if err != nil {
+		return nil, usageError{err}
+	}
+	r := &lab.Report{}
+	r.Put("members_most", float64(options.Members))
+	r.Put("below", float64(options.Backends))
+	r.Put("subset_size", float64(options.SubsetSize))
+	for _, f := range figures {
+		r.Put(string(f.Strategy)+"_spread_max_over_mean", f.WorstImbalance)
+		r.Put(string(f.Strategy)+"_churn_members_over_minimum", f.MemberChurn)
+		r.Put(string(f.Strategy)+"_churn_below_over_minimum", f.BackendChurn)
+		if f.Strategy == subset.StrategyDeterministic {
+			checkSubsets(r, f)
+		}
+	}
+	return r, nil
+}
+
+// checkSubsets checks the strategy that the program uses: load imbalance at stable views, and churn by members over the minimum.
+func checkSubsets(r *lab.Report, f emulator.StrategyFigures) {
+	const maxImbalance, maxChurn = 1.10, 1.5
+	r.Put("subset_max_over_mean", f.WorstImbalance)
+	r.Put("subset_churn_over_minimum", f.MemberChurn)
+	if f.WorstImbalance > maxImbalance || f.MemberChurn > maxChurn {
+		r.Fault("spread %.3f (at most %.2f), churn %.2f (at most %.1f)", f.WorstImbalance, maxImbalance, f.MemberChurn, maxChurn)
+	}
+}
+
 // ownerCommand checks the lease algorithm. Its takeover is in emulated time, with leases of 1 s.
 func ownerCommand() *cobra.Command {
 	return newExperimentCommand("owner", "One lease holder per duty through pauses, partitions and restarts, in the emulator",
--- a/cmd/testbed/experiment.go
+++ b/cmd/testbed/experiment.go
@@ -37,11 +37,11 @@
 		if err != nil {
 			return err
 		}
-		printFigures := printText
+		printReport := printText
 		if asJSON {
-			printFigures = printJSON
+			printReport = printJSON
 		}
-		if err := printFigures(c.OutOrStdout(), report.Figures); err != nil {
+		if err := printReport(c.OutOrStdout(), report); err != nil {
 			return err
 		}
 		for _, failure := range report.Faults {
@@ -59,21 +59,17 @@
 }
 
 // printJSON prints the figures as one JSON object.
-func printJSON(out io.Writer, figures []lab.Figure) error {
-	object := map[string]float64{}
-	for _, f := range figures {
-		object[f.Name] = f.Value
-	}
-	return json.NewEncoder(out).Encode(object)
+func printJSON(out io.Writer, report *lab.Report) error {
+	return json.NewEncoder(out).Encode(report.ByName())
 }
 
 // printText prints one figure a line, the values aligned.
-func printText(out io.Writer, figures []lab.Figure) error {
+func printText(out io.Writer, report *lab.Report) error {
 	width := 0
-	for _, f := range figures {
+	for _, f := range report.Figures {
 		width = max(width, len(f.Name))
 	}
-	for _, f := range figures {
+	for _, f := range report.Figures {
 		if _, err := fmt.Fprintf(out, "%-*s %.6g\n", width, f.Name, f.Value); err != nil {
 			return err
 		}
--- a/internal/lab/lab_test.go
+++ b/internal/lab/lab_test.go
@@ -10,8 +10,7 @@
 func TestAMQPExperiments(t *testing.T) {
 	folder := t.TempDir()
 	program := testutil.Built(t)
-	for name, run := range map[string]Experiment{
-		"amqp": AMQP, "amqp-storm": AMQPStorm} {
+	for name, run := range map[string]Experiment{"amqp": AMQP, "amqp-storm": AMQPStorm} {
 		r, err := run(program, folder, 1, 1500, func(string) {})
 		if err != nil {
 			t.Fatal(err)
@@ -19,10 +18,7 @@
 		for _, f := range r.Faults {
 			t.Errorf("%s: %s", name, f)
 		}
-		figures := map[string]float64{}
-		for _, f := range r.Figures {
-			figures[f.Name] = f.Value
-		}
+		figures := r.ByName()
 		if figures["read"] < 1500 || figures["fulfilled"] == 0 || figures["acks_dropped"] == 0 || figures["most_memory_mb"] == 0 {
 			t.Errorf("%s: %v", name, figures)
 		}
@@ -44,10 +40,7 @@
 	for _, f := range r.Faults {
 		t.Error(f)
 	}
-	figures := map[string]float64{}
-	for _, f := range r.Figures {
-		figures[f.Name] = f.Value
-	}
+	figures := r.ByName()
 	if _, ok := figures["smaller_side_still_holds"]; !ok || figures["converge_ms_p99"] == 0 {
 		t.Errorf("figures missing: %v", figures)
 	}
--- a/internal/lab/report.go
+++ b/internal/lab/report.go
@@ -33,3 +33,12 @@
 func (r *Report) Fault(why string, args ...any) {
 	r.Faults = append(r.Faults, fmt.Sprintf(why, args...))
 }
+
+// ByName returns the values of the figures by their names.
+func (r *Report) ByName() map[string]float64 {
+	values := map[string]float64{}
+	for _, f := range r.Figures {
+		values[f.Name] = f.Value
+	}
+	return values
+}
--- a/internal/lab/scale/decisions/collector.go
+++ b/internal/lab/scale/decisions/collector.go
@@ -21,8 +21,8 @@
 	return &collector{seed: seed, samples: samples, result: result, series: map[string]*scale.Series{}}
 }
 
-// point adds one measured value of a series. A bound of 0 stands for none.
-func (c *collector) point(name, role string, bound float64, size int, value float64) {
+// addPoint adds one measured value of a series. A bound of 0 stands for none.
+func (c *collector) addPoint(name, role string, bound float64, size int, value float64) {
 	s := c.series[name]
 	if s == nil {
 		s = &scale.Series{Name: name, Role: role, SizeUnit: "members", Target: scale.TargetMembers, Bound: bound}
@@ -32,18 +32,18 @@
 	s.Points = append(s.Points, scale.Point{Size: float64(size), Value: value})
 }
 
-// last is the value of a series at the largest size measured so far.
-func (c *collector) last(name string) float64 {
+// lastValue is the value of a series at the largest size measured so far.
+func (c *collector) lastValue(name string) float64 {
 	s := c.series[name]
 	return s.Points[len(s.Points)-1].Value
 }
 
-// timing adds the median, the 99th percentile and the maximum of the time of one decision, in milliseconds.
-func (c *collector) timing(name, role string, size int, decide func(sample int)) {
-	times := timed(c.samples, decide)
-	c.point(name+"_ms_p50", role, decisionBound, size, milliseconds(times.p50))
-	c.point(name+"_ms_p99", role, decisionBound, size, milliseconds(times.p99))
-	c.point(name+"_ms_worst", role, decisionBound, size, milliseconds(times.worst))
+// addTiming adds the median, the 99th percentile and the maximum of the time of one decision, in milliseconds.
+func (c *collector) addTiming(name, role string, size int, decide func(sample int)) {
+	times := timeDecision(c.samples, decide)
+	c.addPoint(name+"_ms_p50", role, maxDecisionMillis, size, milliseconds(times.p50))
+	c.addPoint(name+"_ms_p99", role, maxDecisionMillis, size, milliseconds(times.p99))
+	c.addPoint(name+"_ms_worst", role, maxDecisionMillis, size, milliseconds(times.worst))
 }
 
 func milliseconds(d time.Duration) float64 { return float64(d.Nanoseconds()) / 1e6 }
--- a/internal/lab/scale/decisions/daily_traffic.go
+++ b/internal/lab/scale/decisions/daily_traffic.go
@@ -23,22 +23,22 @@
 // once; the framing, heartbeats and acknowledgements of raft are measured by the part of the log.
 func addDailyTraffic(c *collector, largest int) {
 	share := float64(largest) / scale.TargetMembers // of the target
-	membershipBytes := c.last("log_membership_entry_bytes")
+	membershipBytes := c.lastValue("log_membership_entry_bytes")
 
-	renewals := c.last("owner_entries_day")
-	c.addDaily("renewals", renewals, c.last("owner_entry_bytes"))
+	renewals := c.lastValue("owner_entries_day")
+	c.addDaily("renewals", renewals, c.lastValue("owner_entry_bytes"))
 
 	incarnationChanges := float64(2*(restarts+machineFailures)) * share // an end and a start
 	c.addDaily("membership", incarnationChanges, membershipBytes)
 	c.addDaily("release_membership", 2*drainedInRelease*share, membershipBytes)
-	c.addDaily("release_drains", drainedInRelease*share+1, c.last("roll_entry_bytes"))
+	c.addDaily("release_drains", drainedInRelease*share+1, c.lastValue("roll_entry_bytes"))
 
 	backendFailures := float64(machineFailures*backendsPerGroup) / membersPerGroup * share
-	c.addDaily("ring_freezes", backendFailures*plansPerBackendFailure, c.last("ring_freeze_entry_bytes"))
-	c.addDaily("ring_openings", backendFailures*plansPerBackendFailure, c.last("ring_open_entry_bytes"))
+	c.addDaily("ring_freezes", backendFailures*plansPerBackendFailure, c.lastValue("ring_freeze_entry_bytes"))
+	c.addDaily("ring_openings", backendFailures*plansPerBackendFailure, c.lastValue("ring_open_entry_bytes"))
 
-	acknowledgementsPerSecond := c.last("ring_acknowledgements_s")
-	acknowledgementBytes := c.last("ring_acknowledgement_bytes_s_member") / acknowledgementsPerSecond
+	acknowledgementsPerSecond := c.lastValue("ring_acknowledgements_s")
+	acknowledgementBytes := c.lastValue("ring_acknowledgement_bytes_s_member") / acknowledgementsPerSecond
 	c.addDaily("ring_acknowledgements", acknowledgementsPerSecond*secondsPerDay, acknowledgementBytes)
 
 	c.result.Put("release_hour_membership_bytes_s_member", 2*drainedInRelease*share*membershipBytes/releaseHourSeconds)
--- a/internal/lab/scale/decisions/decisions.go
+++ b/internal/lab/scale/decisions/decisions.go
@@ -14,10 +14,10 @@
 )
 
 const (
-	decisionBound = 50 // milliseconds that one decision may take on its goroutine
-	boundBytes    = scale.MaxControlBytesPerSecond
-	manySamples   = 200 // of each timed decision
-	fewSamples    = 6   // the same, in a small run
+	maxDecisionMillis = 50 // milliseconds that one decision may take on its goroutine
+	maxBytesPerSecond = scale.MaxControlBytesPerSecond
+	fullSamples       = 200 // of each timed decision
+	smallSamples      = 6   // the same, in a small run
 )
 
 // sizes are the fleets' sizes in members; each has a zone for membersPerZone and four regions. The last is the target.
@@ -34,9 +34,9 @@
 
 // Run implements scale.Part.
 func (p Part) Run(ctx context.Context, options scale.Options) (*scale.Result, error) {
-	fleetSizes, zoneSize, samples := sizes, membersPerZone, manySamples
+	fleetSizes, zoneSize, samples := sizes, membersPerZone, fullSamples
 	if p.Small {
-		fleetSizes, zoneSize, samples = smallSizes, smallMembersPerZone, fewSamples
+		fleetSizes, zoneSize, samples = smallSizes, smallMembersPerZone, smallSamples
 	}
 	c := newCollector(options.Seed, samples)
 	for _, size := range fleetSizes {
--- a/internal/lab/scale/decisions/decisions_test.go
+++ b/internal/lab/scale/decisions/decisions_test.go
@@ -59,9 +59,9 @@
 	for _, zones := range []int{40, tenZones} {
 		l := Layout{Size: scale.TargetMembers, Zones: zones, Regions: scale.TargetRegions}
 		for n := range l.Size {
-			rack, zone, region := l.lose("rack", n), l.lose("zone", n), l.lose("region", n)
-			for _, loss := range []Loss{l.lose("machine", n), rack, zone, region} {
-				if !loss.takes(n) {
+			rack, zone, region := l.lossAround("rack", n), l.lossAround("zone", n), l.lossAround("region", n)
+			for _, loss := range []Loss{l.lossAround("machine", n), rack, zone, region} {
+				if !loss.contains(n) {
 					t.Fatalf("%d zones: %+v does not take %d", zones, loss, n)
 				}
 			}
--- a/internal/lab/scale/decisions/lease.go
+++ b/internal/lab/scale/decisions/lease.go
@@ -35,7 +35,7 @@
 
 // newLeaseFleet returns an emulated fleet, to be run by runLeases.
 func newLeaseFleet(c *collector, size int) (*emulator.LeaseSim, error) {
-	return emulator.NewLeaseSim(size, leaseConfig, chance(c.seed, leaseSeed), duties...)
+	return emulator.NewLeaseSim(size, leaseConfig, newRandom(c.seed, leaseSeed), duties...)
 }
 
 // runLeases runs a fleet until the given time, with a log that commits every proposal at once and in order.
@@ -66,8 +66,8 @@
 		total += entryBytes(e)
 	}
 	measured := (measuredLeases * leaseConfig.Duration).Seconds()
-	c.point("owner_entries_day", "log_leader", 0, l.Size, float64(len(entries))/measured*86400)
-	c.point("owner_entry_bytes", "log_leader", 0, l.Size, float64(total)/float64(max(len(entries), 1)))
+	c.addPoint("owner_entries_day", "log_leader", 0, l.Size, float64(len(entries))/measured*86400)
+	c.addPoint("owner_entry_bytes", "log_leader", 0, l.Size, float64(total)/float64(max(len(entries), 1)))
 	if err := s.Check(); err != nil {
 		c.result.Fault("owner at %d: %v", l.Size, err)
 	}
@@ -81,7 +81,7 @@
 		return err
 	}
 	elector := lease.NewElector(discardHost{}, table, leaseConfig, processName(0, 0), 1)
-	c.timing("owner_entry", "member", l.Size, func(n int) {
+	c.addTiming("owner_entry", "member", l.Size, func(n int) {
 		now := time.Duration(n) * time.Millisecond
 		state, _ := table.At(duties[0])
 		elector.Apply(now, table.Index()+1, lease.Command{Kind: lease.Acquire, Duty: duties[0], Member: processName(n, 0),
@@ -89,7 +89,7 @@
 		elector.Tick(now)
 	})
 	encoded, err := table.Encode()
-	c.point("owner_snapshot_bytes", "member", 0, l.Size, float64(len(encoded)))
+	c.addPoint("owner_snapshot_bytes", "member", 0, l.Size, float64(len(encoded)))
 	return err
 }
 
@@ -117,7 +117,7 @@
 		if holder == nil {
 			return fmt.Errorf("owner: nobody holds %s at %d members", duties[0], l.Size)
 		}
-		c.measureTakeover("owner_"+l.label()+"_"+kind, s, l.lose(kind, slices.Index(s.Members, holder)))
+		c.measureTakeover("owner_"+l.label()+"_"+kind, s, l.lossAround(kind, slices.Index(s.Members, holder)))
 	}
 	return nil
 }
@@ -154,7 +154,7 @@
 func isTakenOver(s *emulator.LeaseSim, loss Loss) bool {
 	leases := 0
 	for n, m := range s.Members {
-		if !loss.takes(n) {
+		if !loss.contains(n) {
 			leases += m.Elector.LeaseCount()
 		}
 	}
--- a/internal/lab/scale/decisions/loss.go
+++ b/internal/lab/scale/decisions/loss.go
@@ -8,8 +8,8 @@
 	From, To int
 }
 
-// takes reports whether member n fails.
-func (l Loss) takes(n int) bool { return n >= l.From && n < l.To }
+// contains reports whether member n fails.
+func (l Loss) contains(n int) bool { return n >= l.From && n < l.To }
 
 // The kinds of losses.
 const (
@@ -22,8 +22,8 @@
 // lossKinds are the kinds of losses, from the smallest.
 var lossKinds = []string{lossOfMachine, lossOfRack, lossOfZone, lossOfRegion}
 
-// lose is the loss of a kind that takes member n.
-func (l Layout) lose(kind string, n int) Loss {
+// lossAround is the loss of a kind that takes member n.
+func (l Layout) lossAround(kind string, n int) Loss {
 	switch kind {
 	case lossOfMachine:
 		return Loss{kind, n, n + 1}
@@ -52,8 +52,8 @@
 	return from, to
 }
 
-// drawn is a random loss of a kind.
-func (l Layout) drawn(kind string, r *rand.Rand) Loss { return l.lose(kind, r.IntN(l.Size)) }
+// randomLoss is a random loss of a kind.
+func (l Layout) randomLoss(kind string, r *rand.Rand) Loss { return l.lossAround(kind, r.IntN(l.Size)) }
 
-// chance is the random generator of one measurement, by the run's seed and a stream of its own.
-func chance(seed, stream uint64) *rand.Rand { return rand.New(rand.NewPCG(seed, stream)) }
+// newRandom is the random generator of one measurement, by the run's seed and a stream of its own.
+func newRandom(seed, stream uint64) *rand.Rand { return rand.New(rand.NewPCG(seed, stream)) }
--- a/internal/lab/scale/decisions/ring.go
+++ b/internal/lab/scale/decisions/ring.go
@@ -33,7 +33,7 @@
 // without is the backends that a loss leaves.
 func without(backends []ring.Backend, loss Loss) (rest []ring.Backend) {
 	for n, b := range backends {
-		if !loss.takes(n) {
+		if !loss.contains(n) {
 			rest = append(rest, b)
 		}
 	}
@@ -52,9 +52,9 @@
 	}
 	backends := l.backends()
 	for _, kind := range []string{"machine", "region"} {
-		r := chance(c.seed, 0x41a6)
-		c.timing("ring_plan_"+kind+"_lost", "owner_of_ring", l.Size, func(int) {
-			_, _, _, err = table.Plan(without(backends, l.backendLosses().drawn(kind, r)), ring.BalanceBound{Slack: ringSlack}, nil)
+		r := newRandom(c.seed, 0x41a6)
+		c.addTiming("ring_plan_"+kind+"_lost", "owner_of_ring", l.Size, func(int) {
+			_, _, _, err = table.Plan(without(backends, l.backendLosses().randomLoss(kind, r)), ring.BalanceBound{Slack: ringSlack}, nil)
 		})
 	}
 	if err != nil {
@@ -65,14 +65,14 @@
 	if err != nil {
 		return err
 	}
-	c.point("ring_snapshot_bytes", "member", 0, l.Size, float64(len(encoded)))
-	c.point("ring_table_heap_bytes", "member", 0, l.Size, heapOf(func() any { made, _ := l.table(); return made }))
+	c.addPoint("ring_snapshot_bytes", "member", 0, l.Size, float64(len(encoded)))
+	c.addPoint("ring_table_heap_bytes", "member", 0, l.Size, meanHeapBytes(func() any { made, _ := l.table(); return made }))
 	freeze, activation, err := migrationEntryBytes(l)
 	if err != nil {
 		return err
 	}
-	c.point("ring_freeze_entry_bytes", "log_leader", 0, l.Size, float64(freeze))
-	c.point("ring_open_entry_bytes", "log_leader", 0, l.Size, float64(activation))
+	c.addPoint("ring_freeze_entry_bytes", "log_leader", 0, l.Size, float64(freeze))
+	c.addPoint("ring_open_entry_bytes", "log_leader", 0, l.Size, float64(activation))
 	return measureAcknowledgements(c, l)
 }
 
@@ -179,8 +179,8 @@
 		}
 	}
 	seconds := (acknowledgedLeases * ringTerms.Duration).Seconds()
-	c.point("ring_acknowledgements_s", "log_leader", 0, l.Size, float64(count)/seconds)
-	c.point("ring_acknowledgement_bytes_s_member", "member", boundBytes, l.Size, float64(bytes)/seconds)
+	c.addPoint("ring_acknowledgements_s", "log_leader", 0, l.Size, float64(count)/seconds)
+	c.addPoint("ring_acknowledgement_bytes_s_member", "member", maxBytesPerSecond, l.Size, float64(bytes)/seconds)
 	return nil
 }
 
@@ -205,11 +205,11 @@
 	if err != nil {
 		return err
 	}
-	r := chance(c.seed, 0x41a7)
+	r := newRandom(c.seed, 0x41a7)
 	backends := l.backends()
 	for _, kind := range lossKinds {
 		name := "ring_" + l.label() + "_" + kind
-		rest := without(backends, l.backendLosses().drawn(kind, r))
+		rest := without(backends, l.backendLosses().randomLoss(kind, r))
 		less, err := c.plan(name+"_lost", table, rest)
 		if err != nil {
 			return err
@@ -226,7 +226,7 @@
 	var moves []ring.Migration
 	var least int
 	var err error
-	t := timed(max(c.samples/3, 1), func(int) { next, moves, least, err = table.Plan(backends, ring.BalanceBound{Slack: ringSlack}, nil) })
+	t := timeDecision(max(c.samples/3, 1), func(int) { next, moves, least, err = table.Plan(backends, ring.BalanceBound{Slack: ringSlack}, nil) })
 	if err != nil {
 		return nil, err
 	}
--- a/internal/lab/scale/decisions/ring_test.go
+++ b/internal/lab/scale/decisions/ring_test.go
@@ -25,9 +25,9 @@
 		}
 		table := planned(t, empty, backends)
 		for seed := range uint64(3) {
-			r := chance(seed, 0x41a7)
+			r := newRandom(seed, 0x41a7)
 			for _, kind := range lossKinds {
-				table = planned(t, table, without(backends, l.backendLosses().drawn(kind, r)))
+				table = planned(t, table, without(backends, l.backendLosses().randomLoss(kind, r)))
 				key := fmt.Sprint(name, "-", l.Size, "-", seed, "-", kind)
 				out[key+"-lost"] = table.Digest()
 				table = planned(t, table, backends)
@@ -67,7 +67,7 @@
 			if err != nil {
 				b.Fatal(err)
 			}
-			rest := without(l.backends(), l.backendLosses().lose("region", 0))
+			rest := without(l.backends(), l.backendLosses().lossAround("region", 0))
 			for b.Loop() {
 				_, _, _, _ = table.Plan(rest, ring.BalanceBound{Slack: ringSlack}, nil)
 			}
--- a/internal/lab/scale/decisions/roll.go
+++ b/internal/lab/scale/decisions/roll.go
@@ -36,7 +36,7 @@
 func (l Layout) rolloutMembers(loss Loss) []emulator.RolloutMember {
 	members := make([]emulator.RolloutMember, l.Size)
 	for n := range members {
-		members[n] = emulator.RolloutMember{Zone: l.zoneName(n), IsUpdated: n%2 == 1, IsLost: loss.takes(n), IsUpdatedByLoss: loss.Kind != "region"}
+		members[n] = emulator.RolloutMember{Zone: l.zoneName(n), IsUpdated: n%2 == 1, IsLost: loss.contains(n), IsUpdatedByLoss: loss.Kind != "region"}
 	}
 	emulator.SpreadVoters(members, targetVoters)
 	return members
@@ -60,15 +60,15 @@
 		return func(int) { _, _, err = rollout.Plan(fleet, load, wantedRelease, limits) }
 	}
 	paced := l.rolloutLimits()
-	c.timing("roll_plan_paced", "owner_of_roll", l.Size, plan(paced))
+	c.addTiming("roll_plan_paced", "owner_of_roll", l.Size, plan(paced))
 	fast := paced
 	fast.MaxUnavailable = l.Size / 8
-	c.timing("roll_plan_eighth", "owner_of_roll", l.Size, plan(fast))
+	c.addTiming("roll_plan_eighth", "owner_of_roll", l.Size, plan(fast))
 	single := paced
 	single.MaxUnavailable = 1
-	c.timing("roll_plan_one_by_one", "owner_of_roll", l.Size, plan(single))
+	c.addTiming("roll_plan_one_by_one", "owner_of_roll", l.Size, plan(single))
 	state := rollout.New(wantedRelease)
-	c.timing("roll_step", "owner_of_roll", l.Size, func(int) { state.Next(0, fleet, load, fast) })
+	c.addTiming("roll_step", "owner_of_roll", l.Size, func(int) { state.Next(0, fleet, load, fast) })
 	if err != nil {
 		return err
 	}
@@ -82,7 +82,7 @@
 		c.result.Fault("rollout at %d: nobody was drained", l.Size)
 		return nil
 	}
-	c.point("roll_entry_bytes", "log_leader", 0, l.Size, float64(entryBytes(rolloutEntry(bodies[1]))))
+	c.addPoint("roll_entry_bytes", "log_leader", 0, l.Size, float64(entryBytes(rolloutEntry(bodies[1]))))
 	drained := func() any {
 		r := rollout.New(wantedRelease)
 		for _, i := range fleet {
@@ -91,8 +91,8 @@
 		return r
 	}
 	encoded, err := drained().(*rollout.Rollout).Encode()
-	c.point("roll_snapshot_bytes", "member", 0, l.Size, float64(len(encoded)))
-	c.point("roll_heap_bytes", "member", 0, l.Size, heapOf(drained))
+	c.addPoint("roll_snapshot_bytes", "member", 0, l.Size, float64(len(encoded)))
+	c.addPoint("roll_heap_bytes", "member", 0, l.Size, meanHeapBytes(drained))
 	return err
 }
 
@@ -123,11 +123,11 @@
 // measureRolloutLosses replaces half the members in an hour through each loss; the others' load rises by what the lost part
 // carried. A region is cut off and comes back as it was; the rest is restarted.
 func measureRolloutLosses(c *collector, l Layout) error {
-	r := chance(c.seed, 0x6011)
+	r := newRandom(c.seed, 0x6011)
 	for _, kind := range append([]string{"none"}, lossKinds...) {
 		loss := Loss{Kind: kind}
 		if kind != "none" {
-			loss = l.drawn(kind, r)
+			loss = l.randomLoss(kind, r)
 		}
 		lost := loss.To - loss.From
 		scenario := emulator.RolloutLoss{Members: l.rolloutMembers(loss), Limits: l.rolloutLimits(), DrainTime: rolloutDrainTime,
--- a/internal/lab/scale/decisions/subsets.go
+++ b/internal/lab/scale/decisions/subsets.go
@@ -53,33 +53,33 @@
 // measureSubsets times the decisions at one size, and counts what the loss of one backend opens.
 func measureSubsets(c *collector, l Layout) error {
 	view := l.subsetView()
-	c.timing("subset_ranks", "member", l.Size, func(int) { subset.AssignRanks(view.claims) })
-	c.timing("subset_own", "member", l.Size, func(sample int) {
+	c.addTiming("subset_ranks", "member", l.Size, func(int) { subset.AssignRanks(view.claims) })
+	c.addTiming("subset_own", "member", l.Size, func(sample int) {
 		subset.Deterministic(view.backends, sample*l.Size/c.samples, subsetSize)
 	})
-	c.point("subset_ranks_heap_bytes", "member", 0, l.Size, heapOf(func() any { return subset.AssignRanks(view.claims) }))
-	c.point("subset_spread", "member", 0, l.Size, subset.LoadImbalance(view.subsets(), view.backends))
+	c.addPoint("subset_ranks_heap_bytes", "member", 0, l.Size, meanHeapBytes(func() any { return subset.AssignRanks(view.claims) }))
+	c.addPoint("subset_spread", "member", 0, l.Size, subset.LoadImbalance(view.subsets(), view.backends))
 	fewer := view
 	fewer.backends = slices.Delete(slices.Clone(view.backends), len(view.backends)/2, len(view.backends)/2+1)
 	opened := subset.OpenedConnections(view.subsets(), fewer.subsets())
 	change := subset.ViewChange{SubsetSize: subsetSize, Members: l.Size, Backends: len(fewer.backends), BackendsRemoved: 1}
-	c.point("subset_opened_over_least_one_below_gone", "member", 0, l.Size, float64(opened)/float64(change.MinOpenedConnections()))
+	c.addPoint("subset_opened_over_least_one_below_gone", "member", 0, l.Size, float64(opened)/float64(change.MinOpenedConnections()))
 	return nil
 }
 
 // loseSubsets loses members and takes them back, then loses backends, for each kind of loss.
 func loseSubsets(c *collector, l Layout) error {
-	random := chance(c.seed, lossStream)
+	random := newRandom(c.seed, lossStream)
 	full := l.subsetView()
 	for _, kind := range lossKinds {
 		prefix := "subset_" + l.label() + "_" + kind + "_"
-		loss := l.drawn(kind, random)
+		loss := l.randomLoss(kind, random)
 		c.loseMembers(prefix, l, full, loss)
 		if kind == "region" {
 			c.healRegion(prefix+"healed", full, loss)
 		}
 		backends := Layout{Size: len(full.backends), Zones: l.Zones, Regions: l.Regions}
-		c.loseBackends(prefix+"below_lost", full, backends.drawn(kind, random))
+		c.loseBackends(prefix+"below_lost", full, backends.randomLoss(kind, random))
 	}
 	return nil
 }
--- a/internal/lab/scale/decisions/timing.go
+++ b/internal/lab/scale/decisions/timing.go
@@ -12,11 +12,11 @@
 	heapCopies    = 64
 )
 
-// times are statistics of the time of one decision.
-type times struct{ p50, p99, worst time.Duration }
+// decisionTimes are statistics of the time of one decision.
+type decisionTimes struct{ p50, p99, worst time.Duration }
 
-// timed runs a decision up to samples times and measures each run. A first run, which grows caches, is not measured.
-func timed(samples int, decide func(sample int)) times {
+// timeDecision runs a decision up to samples times and measures each run. A first run, which grows caches, is not measured.
+func timeDecision(samples int, decide func(sample int)) decisionTimes {
 	decide(0)
 	var took []time.Duration
 	for begin := time.Now(); len(took) < samples && (len(took) < minSamples || time.Since(begin) < maxTimingTime); {
@@ -26,11 +26,11 @@
 	}
 	slices.Sort(took)
 	n := len(took)
-	return times{p50: took[n/2], p99: took[(n*99-1)/100], worst: took[n-1]}
+	return decisionTimes{p50: took[n/2], p99: took[(n*99-1)/100], worst: took[n-1]}
 }
 
-// heapOf is the mean heap size, in bytes, of a value that construct returns.
-func heapOf(construct func() any) float64 {
+// meanHeapBytes is the mean heap size, in bytes, of a value that construct returns.
+func meanHeapBytes(construct func() any) float64 {
 	var before, after runtime.MemStats
 	values := [heapCopies]any{}
 	runtime.GC()
--- a/internal/lab/scale/decisions/voters.go
+++ b/internal/lab/scale/decisions/voters.go
@@ -101,8 +101,8 @@
 	last := f.Voters[targetVoters-1]
 	f.Members[f.position(last)].UnreachableFor = time.Minute
 	f.Learners = nil
-	c.timing("voters", "log_leader", l.Size, func(int) { quorum.NextChange(f.Fleet, voterConfig) })
-	c.point("log_membership_entry_bytes", "log_leader", 0, l.Size, float64(membershipEntryBytes(l.Size)))
+	c.addTiming("voters", "log_leader", l.Size, func(int) { quorum.NextChange(f.Fleet, voterConfig) })
+	c.addPoint("log_membership_entry_bytes", "log_leader", 0, l.Size, float64(membershipEntryBytes(l.Size)))
 	return nil
 }
 
@@ -121,17 +121,17 @@
 // quorum: with regions known, and with zones alone.
 func loseVoters(c *collector, l Layout) error {
 	for _, knowledge := range []regionKnowledge{regionsKnown, regionsUnknown} {
-		r := chance(c.seed, votersSeed)
+		r := newRandom(c.seed, votersSeed)
 		name := "voters_" + l.label()
 		if knowledge == regionsUnknown {
 			name += "_zones_alone"
 		}
 		for _, kind := range lossKinds {
 			f := newVoterFleet(l, r.Perm(l.Size), knowledge)
-			c.measureReplacement(name+"_"+kind, f, l.lose(kind, f.position(f.Voters[0])))
+			c.measureReplacement(name+"_"+kind, f, l.lossAround(kind, f.position(f.Voters[0])))
 		}
 		orders, withQuorum := joinOrders, 0
-		if c.samples == fewSamples {
+		if c.samples == smallSamples {
 			orders /= 10
 		}
 		for range orders {
@@ -152,13 +152,13 @@
 func (c *collector) measureReplacement(name string, f *voterFleet, loss Loss) {
 	lost, changes, took := 0, 0, time.Duration(0)
 	for n, m := range f.Members {
-		if loss.takes(n) && slices.Contains(f.Voters, m.Process) {
+		if loss.contains(n) && slices.Contains(f.Voters, m.Process) {
 			lost++
 		}
 	}
 	for now := voterChangeInterval; now < maxReplacementTime; now += voterChangeInterval {
 		for n := range f.Members {
-			if loss.takes(n) {
+			if loss.contains(n) {
 				f.Members[n].UnreachableFor = now
 			}
 		}
