--- a/internal/lab/scale/decisions/decisions.go
+++ b/internal/lab/scale/decisions/decisions.go
@@ -79,5 +79,5 @@
 // each region, and ten in all.
 var (
 	measurements     = []measurement{measureSubsets, measureLeases, measureVoters, measureRing, measureRollout}
-	lossMeasurements = []measurement{loseSubsets, loseHolder, loseVoters, measureRingLosses, measureRolloutLosses}
+	lossMeasurements = []measurement{measureSubsetLosses, measureLeaseLosses, measureVoterLosses, measureRingLosses, measureRolloutLosses}
 )
--- a/internal/lab/scale/decisions/lease.go
+++ b/internal/lab/scale/decisions/lease.go
@@ -105,8 +105,8 @@
 // LeaseLost implements lease.Host.
 func (discardHost) LeaseLost(string) {}
 
-// loseHolder measures the takeover after each kind of loss that takes the holder of a duty.
-func loseHolder(c *collector, l Layout) error {
+// measureLeaseLosses measures the takeover after each kind of loss that takes the holder of a duty.
+func measureLeaseLosses(c *collector, l Layout) error {
 	for _, kind := range lossKinds {
 		s, err := newLeaseFleet(c, l.Size)
 		if err != nil {
@@ -117,7 +117,7 @@
 		if holder == nil {
 			return fmt.Errorf("owner: nobody holds %s at %d members", duties[0], l.Size)
 		}
-		c.measureTakeover("owner_"+l.label()+"_"+kind, s, l.lossAround(kind, slices.Index(s.Members, holder)))
+		c.measureTakeover("owner_"+l.label()+"_"+string(kind), s, l.lossAround(kind, slices.Index(s.Members, holder)))
 	}
 	return nil
 }
--- a/internal/lab/scale/decisions/loss.go
+++ b/internal/lab/scale/decisions/loss.go
@@ -2,28 +2,32 @@
 
 import "math/rand/v2"
 
+// LossKind is what fails at once.
+type LossKind string
+
+// The kinds of losses.
+const (
+	noLoss        LossKind = "none"
+	lossOfMachine LossKind = "machine"
+	lossOfRack    LossKind = "rack"
+	lossOfZone    LossKind = "zone"
+	lossOfRegion  LossKind = "region"
+)
+
+// lossKinds are the kinds of losses, from the smallest.
+var lossKinds = []LossKind{lossOfMachine, lossOfRack, lossOfZone, lossOfRegion}
+
 // Loss is a range of members that fail at once, from From to before To.
 type Loss struct {
-	Kind     string // one of lossKinds
+	Kind     LossKind
 	From, To int
 }
 
 // contains reports whether member n fails.
 func (l Loss) contains(n int) bool { return n >= l.From && n < l.To }
 
-// The kinds of losses.
-const (
-	lossOfMachine = "machine"
-	lossOfRack    = "rack"
-	lossOfZone    = "zone"
-	lossOfRegion  = "region"
-)
-
-// lossKinds are the kinds of losses, from the smallest.
-var lossKinds = []string{lossOfMachine, lossOfRack, lossOfZone, lossOfRegion}
-
 // lossAround is the loss of a kind that takes member n.
-func (l Layout) lossAround(kind string, n int) Loss {
+func (l Layout) lossAround(kind LossKind, n int) Loss {
 	switch kind {
 	case lossOfMachine:
 		return Loss{kind, n, n + 1}
@@ -53,7 +57,9 @@
 }
 
 // randomLoss is a random loss of a kind.
-func (l Layout) randomLoss(kind string, r *rand.Rand) Loss { return l.lossAround(kind, r.IntN(l.Size)) }
+func (l Layout) randomLoss(kind LossKind, r *rand.Rand) Loss {
+	return l.lossAround(kind, r.IntN(l.Size))
+}
 
 // newRandom is the random generator of one measurement, by the run's seed and a stream of its own.
 func newRandom(seed, stream uint64) *rand.Rand { return rand.New(rand.NewPCG(seed, stream)) }
--- a/internal/lab/scale/decisions/ring.go
+++ b/internal/lab/scale/decisions/ring.go
@@ -51,9 +51,9 @@
 		return err
 	}
 	backends := l.backends()
-	for _, kind := range []string{"machine", "region"} {
+	for _, kind := range []LossKind{lossOfMachine, lossOfRegion} {
 		r := newRandom(c.seed, 0x41a6)
-		c.addTiming("ring_plan_"+kind+"_lost", "owner_of_ring", l.Size, func(int) {
+		c.addTiming("ring_plan_"+string(kind)+"_lost", "owner_of_ring", l.Size, func(int) {
 			_, _, _, err = table.Plan(without(backends, l.backendLosses().randomLoss(kind, r)), ring.BalanceBound{Slack: ringSlack}, nil)
 		})
 	}
@@ -208,7 +208,7 @@
 	r := newRandom(c.seed, 0x41a7)
 	backends := l.backends()
 	for _, kind := range lossKinds {
-		name := "ring_" + l.label() + "_" + kind
+		name := "ring_" + l.label() + "_" + string(kind)
 		rest := without(backends, l.backendLosses().randomLoss(kind, r))
 		less, err := c.plan(name+"_lost", table, rest)
 		if err != nil {
--- a/internal/lab/scale/decisions/roll.go
+++ b/internal/lab/scale/decisions/roll.go
@@ -36,7 +36,7 @@
 func (l Layout) rolloutMembers(loss Loss) []emulator.RolloutMember {
 	members := make([]emulator.RolloutMember, l.Size)
 	for n := range members {
-		members[n] = emulator.RolloutMember{Zone: l.zoneName(n), IsUpdated: n%2 == 1, IsLost: loss.contains(n), IsUpdatedByLoss: loss.Kind != "region"}
+		members[n] = emulator.RolloutMember{Zone: l.zoneName(n), IsUpdated: n%2 == 1, IsLost: loss.contains(n), IsUpdatedByLoss: loss.Kind != lossOfRegion}
 	}
 	emulator.SpreadVoters(members, targetVoters)
 	return members
@@ -124,9 +124,9 @@
 // carried. A region is cut off and comes back as it was; the rest is restarted.
 func measureRolloutLosses(c *collector, l Layout) error {
 	r := newRandom(c.seed, 0x6011)
-	for _, kind := range append([]string{"none"}, lossKinds...) {
+	for _, kind := range append([]LossKind{noLoss}, lossKinds...) {
 		loss := Loss{Kind: kind}
-		if kind != "none" {
+		if kind != noLoss {
 			loss = l.randomLoss(kind, r)
 		}
 		lost := loss.To - loss.From
@@ -137,7 +137,7 @@
 		if err != nil {
 			return err
 		}
-		c.putRollout("roll_"+l.label()+"_"+kind, f)
+		c.putRollout("roll_"+l.label()+"_"+string(kind), f)
 	}
 	return nil
 }
--- a/internal/lab/scale/decisions/subsets.go
+++ b/internal/lab/scale/decisions/subsets.go
@@ -67,15 +67,15 @@
 	return nil
 }
 
-// loseSubsets loses members and takes them back, then loses backends, for each kind of loss.
-func loseSubsets(c *collector, l Layout) error {
+// measureSubsetLosses measures the loss and return of members, and then of backends, for each kind of loss.
+func measureSubsetLosses(c *collector, l Layout) error {
 	random := newRandom(c.seed, lossStream)
 	full := l.subsetView()
 	for _, kind := range lossKinds {
-		prefix := "subset_" + l.label() + "_" + kind + "_"
+		prefix := "subset_" + l.label() + "_" + string(kind) + "_"
 		loss := l.randomLoss(kind, random)
 		c.loseMembers(prefix, l, full, loss)
-		if kind == "region" {
+		if kind == lossOfRegion {
 			c.healRegion(prefix+"healed", full, loss)
 		}
 		backends := Layout{Size: len(full.backends), Zones: l.Zones, Regions: l.Regions}
--- a/internal/lab/scale/decisions/voters.go
+++ b/internal/lab/scale/decisions/voters.go
@@ -117,9 +117,9 @@
 	return len(raft.EncodeConfiguration(raft.Configuration{Servers: servers}))
 }
 
-// loseVoters measures each loss that takes the first voter, and counts the orders of joining in which a region has a
+// measureVoterLosses measures each loss that takes the first voter, and counts the orders of joining in which a region has a
 // quorum: with regions known, and with zones alone.
-func loseVoters(c *collector, l Layout) error {
+func measureVoterLosses(c *collector, l Layout) error {
 	for _, knowledge := range []regionKnowledge{regionsKnown, regionsUnknown} {
 		r := newRandom(c.seed, votersSeed)
 		name := "voters_" + l.label()
@@ -128,7 +128,7 @@
 		}
 		for _, kind := range lossKinds {
 			f := newVoterFleet(l, r.Perm(l.Size), knowledge)
-			c.measureReplacement(name+"_"+kind, f, l.lossAround(kind, f.position(f.Voters[0])))
+			c.measureReplacement(name+"_"+string(kind), f, l.lossAround(kind, f.position(f.Voters[0])))
 		}
 		orders, withQuorum := joinOrders, 0
 		if c.samples == smallSamples {
