--- a/internal/lab/emulator/configuration.go
+++ b/internal/lab/emulator/configuration.go
@@ -125,9 +125,9 @@
 	for n, p := range z.members {
 		claims[n] = p.claim
 	}
-	ranks := subset.AssignRanks(claims)
+	SettleRanks(claims)
 	for n, p := range z.members {
-		p.claim.Rank, claims[n].Rank = ranks[p.name], ranks[p.name]
+		p.claim = claims[n]
 	}
 	z.tree = configuration.Tree(z.name, claims, s.controlNames)
 }
--- a/internal/lab/emulator/subsets.go
+++ b/internal/lab/emulator/subsets.go
@@ -99,7 +99,7 @@
 	for _, name := range members {
 		v.claims = append(v.claims, subset.Claim{Name: name, Rank: unranked})
 	}
-	v.settleRanks()
+	SettleRanks(v.claims)
 	return v
 }
 
@@ -119,14 +119,14 @@
 		v.backends = append(slices.Clone(v.backends), step.name)
 		slices.Sort(v.backends)
 	}
-	v.settleRanks()
+	SettleRanks(v.claims)
 }
 
-// settleRanks has each member claim the rank that the view gives it.
-func (v *subsetView) settleRanks() {
-	ranks := subset.AssignRanks(v.claims)
-	for n := range v.claims {
-		v.claims[n].Rank = ranks[v.claims[n].Name]
+// SettleRanks has each member claim the rank that the view gives it.
+func SettleRanks(claims []subset.Claim) {
+	ranks := subset.AssignRanks(claims)
+	for n := range claims {
+		claims[n].Rank = ranks[claims[n].Name]
 	}
 }
 
--- a/internal/lab/scale/decisions/subsets.go
+++ b/internal/lab/scale/decisions/subsets.go
@@ -5,6 +5,7 @@
 	"strconv"
 
 	"thymechute/internal/decide/subset"
+	"thymechute/internal/lab/emulator"
 )
 
 const (
@@ -32,11 +33,8 @@
 
 // settled returns the view after each member has claimed the rank that the view gives it.
 func (v subsetView) settled() subsetView {
-	ranks := subset.AssignRanks(v.claims)
 	v.claims = slices.Clone(v.claims)
-	for n := range v.claims {
-		v.claims[n].Rank = ranks[v.claims[n].Name]
-	}
+	emulator.SettleRanks(v.claims)
 	return v
 }
 
