--- a/cmd/testbed/configuration.go
+++ b/cmd/testbed/configuration.go
@@ -16,12 +16,12 @@
 // minMeanZoneSize is the fewest members of a zone, on average.
 const minMeanZoneSize = 6
 
-// runConfiguration is the experiment that simulates a day's changes of configuration and failures. It runs the decisions in the
+// configurationCommand is the experiment that simulates a day's changes of configuration and failures. It runs the decisions in the
 // emulator, without processes or sockets.
-func runConfiguration() *cobra.Command {
+func configurationCommand() *cobra.Command {
 	var zones int
-	c := experiment("configuration", "A day's changes of configuration with faults, in the emulator",
-		sizes{usual: 1200, least: 24, most: 3000, unit: "members, in 4 regions"}, func(t trial) (*lab.Report, error) {
+	c := newExperimentCommand("configuration", "A day's changes of configuration with faults, in the emulator",
+		sizeRange{defaultSize: 1200, minSize: 24, maxSize: 3000, unit: "members, in 4 regions"}, func(t trialOptions) (*lab.Report, error) {
 			scenario := emulator.NewConfigurationScenario(t.size)
 			if maxZones := t.size / minMeanZoneSize; zones != 0 && (zones < scenario.Regions || zones > maxZones) {
 				return nil, usageError{fmt.Errorf("--zones: found %d, expected %d to %d", zones, scenario.Regions, maxZones)}
--- a/cmd/thymechute/amqp_environment_test.go
+++ b/cmd/thymechute/amqp_environment_test.go
@@ -84,8 +84,8 @@
 		e.T.Fatal(err)
 	}
 	e.T.Cleanup(e.broker.Close)
-	deadLetterErr := e.broker.Depot("given-up", broker.Table{"x-dead-letter-exchange": "given-up"})
-	if err := errors.Join(deadLetterErr, e.broker.Declare("replies", nil)); err != nil {
+	deadLetterErr := e.broker.DeclareReadings("given-up", broker.Table{"x-dead-letter-exchange": "given-up"})
+	if err := errors.Join(deadLetterErr, e.broker.DeclareQueue("replies", nil)); err != nil {
 		e.T.Fatal(err)
 	}
 }
@@ -121,22 +121,22 @@
 }
 
 // expectQueue waits until the queue has so many messages ready and unacknowledged.
-func (e *amqpEnvironment) expectQueue(queue string, ready, out int) {
+func (e *amqpEnvironment) expectQueue(queue string, ready, unacked int) {
 	e.T.Helper()
 	done := time.AfterFunc(brokerTimeout, e.broker.Close)
 	defer done.Stop()
-	if !e.broker.Wait(queue, func(s broker.State) bool { return s.Ready == ready && s.Out == out }) {
-		e.T.Fatalf("%s holds %+v, want %d ready and %d out", queue, e.broker.State(queue), ready, out)
+	if !e.broker.WaitForQueue(queue, func(s broker.QueueState) bool { return s.Ready == ready && s.Unacked == unacked }) {
+		e.T.Fatalf("%s holds %+v, want %d ready and %d unacknowledged", queue, e.broker.QueueState(queue), ready, unacked)
 	}
 }
 
 // expectEvent waits until the broker has counted n of these events.
-func (e *amqpEnvironment) expectEvent(what string, n int) {
+func (e *amqpEnvironment) expectEvent(kind broker.EventKind, n int) {
 	e.T.Helper()
 	done := time.AfterFunc(brokerTimeout, e.broker.Close)
 	defer done.Stop()
-	if !e.broker.Seen(what, n) {
-		e.T.Fatalf("%s: not seen %d times", what, n)
+	if !e.broker.WaitForEvents(kind, n) {
+		e.T.Fatalf("%s: not seen %d times", kind, n)
 	}
 }
 
@@ -144,7 +144,7 @@
 func (e *amqpEnvironment) expectDeadLetter(key, reason string) {
 	e.T.Helper()
 	e.expectQueue("dead", 1, 0)
-	m := e.broker.Take("dead")[0]
+	m := e.broker.TakeMessages("dead")[0]
 	if got, _ := m.Props.Header("x-thymechute-reason").(string); m.Props.Text(broker.MessageID) != key || !strings.Contains(got, reason) {
 		e.T.Errorf("dead letter %q because %q, want %q because %q", m.Props.Text(broker.MessageID), got, key, reason)
 	}
--- a/cmd/thymechute/amqp_faults_test.go
+++ b/cmd/thymechute/amqp_faults_test.go
@@ -26,18 +26,18 @@
 	second := e.expectStart("b")
 	e.publish("excursion", "k2", "c")
 	third := e.expectStart("c")
-	e.broker.Cut()
+	e.broker.CutNewest()
 	e.expectEvent("delivered", 6) // all three again, on another connection, on which the same tags are of other messages
 	e.expectDeadLetter("", "may have run already")
 	e.Runtime.SendEnd(1, third, "good", "")
 	e.Runtime.SendEnd(2, second, "good", "") // its caller is gone and its message dead-lettered: without effect
 	e.Runtime.SendEnd(3, first, "good", "")
 	e.expectNoEarlierStart(4)
-	if e.broker.Counted("unknown-tag") != 0 {
+	if e.broker.EventCount("unknown-tag") != 0 {
 		t.Error("a tag of the old connection was settled on the new one")
 	}
-	if e.broker.Counted("acked") != 4 {
-		t.Errorf("%d acked, want 4", e.broker.Counted("acked"))
+	if e.broker.EventCount("acked") != 4 {
+		t.Errorf("%d acked, want 4", e.broker.EventCount("acked"))
 	}
 }
 
@@ -46,7 +46,7 @@
 	e := startAMQP(t, amqpOptions{})
 	e.publish("trace", "", "a")
 	first := e.expectStart("a")
-	e.broker.Cut()
+	e.broker.CutNewest()
 	if task, _ := e.Runtime.ExpectCommand("stop"); task != first {
 		t.Errorf("stopped %s, want %s", task, first)
 	}
@@ -76,7 +76,7 @@
 	e.publishProps(broker.Props{broker.Type: "excursion", broker.MessageID: "k2", broker.ReplyTo: "replies"}, "b")
 	e.Runtime.SendEnd(2, e.expectStart("b"), "good", "r")
 	e.expectQueue("replies", 1, 0)
-	if e.broker.State("readings").Out != 1 {
+	if e.broker.QueueState("readings").Unacked != 1 {
 		t.Error("acked before the reply was confirmed")
 	}
 	e.broker.Release()
@@ -94,7 +94,7 @@
 	e.expectEvent("requeued", 1)
 	e.expectDeadLetter("m", "unknown class")
 	e.expectNoEarlierStart(1)
-	if requeued, lost := e.broker.Counted("requeued"), e.broker.Counted("lost"); requeued != 2 || lost != 0 {
+	if requeued, lost := e.broker.EventCount("requeued"), e.broker.EventCount("lost"); requeued != 2 || lost != 0 {
 		t.Errorf("%d requeued, %d connections lost: a closed channel must affect its publishes only", requeued, lost)
 	}
 }
--- a/cmd/thymechute/amqp_shutdown_test.go
+++ b/cmd/thymechute/amqp_shutdown_test.go
@@ -18,7 +18,7 @@
 	e.Runtime.SendEnd(1, task, "good", "")
 	e.Program.ExpectExit(0)
 	e.expectQueue("readings", 1, 0)
-	if acked, back := e.broker.Counted("acked"), e.broker.Counted("requeued"); acked != 1 || back != 0 {
+	if acked, back := e.broker.EventCount("acked"), e.broker.EventCount("requeued"); acked != 1 || back != 0 {
 		t.Errorf("%d acked, %d requeued", acked, back)
 	}
 }
@@ -38,7 +38,7 @@
 	}
 	e.broker.Release()
 	e.Program.ExpectExit(0)
-	testutil.Eventually(t, "the ack is read", func() bool { return e.broker.Counted("acked") == 1 }) // the program does not wait for it
+	testutil.Eventually(t, "the ack is read", func() bool { return e.broker.EventCount("acked") == 1 }) // the program does not wait for it
 }
 
 // A message delivered after the grace period is not run, though the broker goes on delivering: it is returned as not run.
@@ -55,7 +55,7 @@
 	e.expectEvent("acked", 2) // the one that ran, and the one that was returned as a copy
 	e.Program.ExpectExit(0)
 	e.expectQueue("readings", 1, 0)
-	if n := e.broker.Counted("delivered"); n != 3 {
+	if n := e.broker.EventCount("delivered"); n != 3 {
 		t.Errorf("%d deliveries: the message loops", n)
 	}
 }
--- a/cmd/thymechute/amqp_test.go
+++ b/cmd/thymechute/amqp_test.go
@@ -15,7 +15,7 @@
 	e.Runtime.SendEnd(1, e.expectStart("body\x00\xff"), "good", "result\x00")
 	e.expectAllSettled()
 	e.expectQueue("replies", 1, 0)
-	m := e.broker.Take("replies")[0]
+	m := e.broker.TakeMessages("replies")[0]
 	if string(m.Body) != "result\x00" || m.Props.Text(broker.CorrelationID) != "c7" || m.Props.Header("x-thymechute-outcome") != "fulfilled" {
 		t.Errorf("%q %v", m.Body, m.Props)
 	}
@@ -126,7 +126,7 @@
 	}})
 	e.publish("excursion", "k1", "a")
 	e.expectDeadLetter("k1", "turned back 3 times")
-	if n := e.broker.Counted("requeued"); n != 0 {
+	if n := e.broker.EventCount("requeued"); n != 0 {
 		t.Errorf("%d requeued as redelivered: another instance would assume that they ran", n)
 	}
 	e.expectNoEarlierStart(1)
--- a/cmd/thymechute/shutdown_test.go
+++ b/cmd/thymechute/shutdown_test.go
@@ -49,7 +49,7 @@
 	s.ExpectClosing()
 	env.Program.Terminate()
 	env.Runtime.Send(`{"verb":"ready","outcome":"old","spent":3600000}` + "\n")
-	testutil.Eventually(t, "the runtime is up", func() bool { return strings.Contains(env.Program.Log(), "runtime link") })
+	testutil.Eventually(t, "the runtime is up", func() bool { return strings.Contains(env.Program.Log(), "runtime link established") })
 	s.SendRequest(2, "trace", "aa02", body, "")
 	s.ExpectResponse(2, -32001, "")
 	s.ExpectEnd()
--- a/internal/rpc/conn.go
+++ b/internal/rpc/conn.go
@@ -156,11 +156,12 @@
 	c.hasRequested = true
 	c.lastActive = time.Now()
 	c.pending[message.ID] = struct{}{}
+	id := node.MessageID(message.ID)
 	if message.IsHealthCheck {
-		c.server.config.Admission.CheckHealth(c, message.ID, message.IsDeepCheck)
+		c.server.config.Admission.CheckHealth(c, id, message.depth())
 		return nil
 	}
-	err := c.server.config.Admission.Admit(c, message.ID, message.Request)
+	err := c.server.config.Admission.Admit(c, id, message.Request)
 	if err != nil {
 		delete(c.pending, message.ID)
 		return rejectedRequest(err)
@@ -189,19 +190,19 @@
 }
 
 // Answer implements node.Responder.
-func (c *conn) Answer(tag string, answer node.Answer) {
-	c.complete(tag)
-	c.transport.Write(AppendResponse(nil, tag, answer))
+func (c *conn) Answer(id node.MessageID, answer node.Answer) {
+	c.complete(id)
+	c.transport.Write(AppendResponse(nil, string(id), answer))
 }
 
 // HealthChecked implements node.Responder.
-func (c *conn) HealthChecked(tag string, isServing bool, advertised float64) {
-	c.complete(tag)
-	c.transport.Write(AppendHealthStatus(nil, tag, isServing, advertised))
+func (c *conn) HealthChecked(id node.MessageID, result node.HealthCheckResult) {
+	c.complete(id)
+	c.transport.Write(AppendHealthStatus(nil, string(id), result.Status == node.Healthy, result.Advertised))
 }
 
-func (c *conn) complete(tag string) {
-	delete(c.pending, tag)
+func (c *conn) complete(id node.MessageID) {
+	delete(c.pending, string(id))
 	c.lastActive = time.Now()
 	c.releaseIfDone()
 }
--- a/internal/rpc/params.go
+++ b/internal/rpc/params.go
@@ -45,7 +45,7 @@
 			return &FieldError{name, errMissingField}
 		}
 	}
-	if !isPlainID(m.Request.ID) {
+	if !isPlainID(string(m.Request.ID)) {
 		return &FieldError{"rid", errNotPlainID}
 	}
 	return nil
@@ -69,7 +69,7 @@
 	request := &d.message.Request
 	switch string(name) {
 	case "rid":
-		return readString(d.reader, &request.ID)
+		return readString(d.reader, (*string)(&request.ID))
 	case "t0":
 		request.ReceivedAt, err = readTimestamp(d.reader)
 	case "peer":
