--- /dev/null
+++ b/cmd/thymechute/command.go
@@ -0,0 +1,118 @@
+package main
+
+import (
+	"errors"
+	"fmt"
+	"os"
+	"runtime/debug"
+
+	"github.com/spf13/cobra"
+
+	"thymechute/internal/config"
+)
+
+const configVariable = "GW_CONFIG" // names the configuration file
+
+var errNothingToCheck = errors.New("check: found nothing, expected --settings or GW_CONFIG")
+
+// newCommand returns the command line's root, which serves without a sub-command.
+func newCommand(signals <-chan os.Signal) *cobra.Command {
+	var operatorFile string
+	serve := func(*cobra.Command, []string) error { return loadAndServe(operatorFile, signals) }
+	root := &cobra.Command{
+		Use:   "thymechute",
+		Short: "One service instance with its overload controller",
+		Long: "thymechute is one service instance: it serves requests, and rejects them at admission while their queueing\n" +
+			"delay is over a threshold. Without a sub-command it serves. The platform configures it by the variables\n" +
+			"GW_CONFIG, GW_NAME and GW_LISTEN, the operator of another installation by --settings.",
+		Args:              expectNoArgs,
+		RunE:              serve,
+		SilenceErrors:     true,
+		SilenceUsage:      true,
+		CompletionOptions: cobra.CompletionOptions{HiddenDefaultCmd: true},
+	}
+	root.PersistentFlags().StringVar(&operatorFile, "settings", "",
+		"the operator's file, XML by deploy/thymechute.xsd; without it all in it is off")
+	root.SetFlagErrorFunc(func(_ *cobra.Command, err error) error { return &configurationError{err} })
+	root.AddCommand(newServeCommand(serve), newCheckCommand(&operatorFile), newVersionCommand())
+	return root
+}
+
+func expectNoArgs(c *cobra.Command, args []string) error {
+	if len(args) == 0 {
+		return nil
+	}
+	return &configurationError{
+		fmt.Errorf("found %q, expected a sub-command or none: %s --help lists them", args[0], c.CommandPath())}
+}
+
+func newServeCommand(serve func(*cobra.Command, []string) error) *cobra.Command {
+	return &cobra.Command{
+		Use:   "serve",
+		Short: "Serve until SIGTERM",
+		Long: "Serves in the foreground and logs to standard error. SIGTERM starts a graceful shutdown, SIGHUP reads\n" +
+			"GW_CONFIG again. Exits with 0 after a shutdown, 1 if the address can't be listened on, 2 if the\n" +
+			"configuration is invalid.",
+		Args: expectNoArgs,
+		RunE: serve,
+	}
+}
+
+func newCheckCommand(operatorFile *string) *cobra.Command {
+	return &cobra.Command{
+		Use:   "check",
+		Short: "Validate the configuration of serve without starting",
+		Long: "Reads the file of --settings with all files it names, and GW_CONFIG where that is set. Prints ok and exits\n" +
+			"with 0, or prints one line (what, where, found, expected) and exits with 2.",
+		Args: expectNoArgs,
+		RunE: func(c *cobra.Command, _ []string) error {
+			if err := checkConfiguration(*operatorFile); err != nil {
+				return &configurationError{err}
+			}
+			fmt.Fprintln(c.OutOrStdout(), "ok")
+			return nil
+		},
+	}
+}
+
+func checkConfiguration(operatorFile string) error {
+	hasConfig := os.Getenv(configVariable) != ""
+	if operatorFile == "" && !hasConfig {
+		return errNothingToCheck
+	}
+	if _, err := loadOperatorFile(operatorFile); err != nil {
+		return err
+	}
+	if !hasConfig {
+		return nil
+	}
+	_, err := config.Load(os.Getenv)
+	return err
+}
+
+func newVersionCommand() *cobra.Command {
+	return &cobra.Command{
+		Use:   "version",
+		Short: "Print what the program was built from",
+		Args:  expectNoArgs,
+		Run: func(c *cobra.Command, _ []string) {
+			fmt.Fprintln(c.OutOrStdout(), "thymechute", version())
+		},
+	}
+}
+
+// version returns the module's version, the commit if known, and the Go version.
+func version() string {
+	info, ok := debug.ReadBuildInfo()
+	if !ok {
+		return "unknown"
+	}
+	text := info.Main.Version
+	for _, setting := range info.Settings {
+		isModified := setting.Key == "vcs.modified" && setting.Value == "true"
+		if setting.Key == "vcs.revision" || isModified {
+			text += " " + setting.Key + "=" + setting.Value
+		}
+	}
+	return text + " " + info.GoVersion
+}
--- a/cmd/thymechute/connections_test.go
+++ b/cmd/thymechute/connections_test.go
@@ -216,7 +216,7 @@
 // At the limit the least needed connection is evicted; a request that crosses its closing notification is served.
 func TestRequestCrossingEvictionIsServed(t *testing.T) {
 	env := testutil.StartEnvironment(t, func(config map[string]any) { config["limits"].(map[string]any)["sockets"] = 64 })
-	const maxConns = (64 - own) / 8 * stubParts
+	const maxConns = (64 - reservedDescriptors) / 8 * stubDescriptorParts
 	var stubs []*testutil.Stub
 	for range maxConns {
 		s := env.Connect()
--- a/cmd/thymechute/descriptors_test.go
+++ b/cmd/thymechute/descriptors_test.go
@@ -113,7 +113,7 @@
 // expectLimitReached fails unless the idle clients use all connections that stubs may have.
 func expectLimitReached(t *testing.T, env *testutil.Environment) {
 	t.Helper()
-	stubConns := stubParts * ((socketLimit - own) / 8)
+	stubConns := stubDescriptorParts * ((socketLimit - reservedDescriptors) / 8)
 	open := env.Program.OpenDescriptors()
 	if t.Logf("%d of %d descriptors open", open, socketLimit); open < stubConns {
 		t.Errorf("only %d of %d descriptors are open, but stubs may have %d: the limit was not reached", open, socketLimit, stubConns)
--- a/cmd/thymechute/log.go
+++ b/cmd/thymechute/log.go
@@ -1,9 +1,7 @@
-// The log: this file owns the lines on their way to standard error. It must never make the loop wait, whoever reads
-// them or not, nor keep more than its bound.
-
 package main
 
 import (
+	"bytes"
 	"io"
 	"time"
 
@@ -12,50 +10,59 @@
 )
 
 const (
-	mostLines = 1024        // waiting to be written; emptied by the writer, dropped when full
-	alikeEach = time.Second // of lines alike
-	alikeMost = 20          // so many are written
-	flushFor  = 200 * time.Millisecond
+	maxQueuedLines   = 1024                   // log lines waiting to be written; more are dropped
+	samplingInterval = time.Second            // over which lines with the same level and message are counted
+	maxAlikeLines    = 20                     // of those lines per interval; more are dropped
+	logFlushTimeout  = 200 * time.Millisecond // for writing the queued lines at the end
 )
 
-// lines hands log lines to a goroutine of its own: who reads them may stop reading, and the loop must not wait.
-type lines struct {
+// logWriter writes log lines from a goroutine of its own, so that a reader of the log that stops reading never blocks the
+// event loop. It queues at most maxQueuedLines.
+type logWriter struct {
 	queue chan []byte
-	done  chan struct{}
+	done  chan struct{} // closed once all of the queue is written
 }
 
-func newLines(to io.Writer) *lines {
-	l := &lines{make(chan []byte, mostLines), make(chan struct{})}
-	go func() {
-		defer close(l.done)
-		for p := range l.queue {
-			_, _ = to.Write(p)
-		}
-	}()
-	return l
+func newLogWriter(destination io.Writer) *logWriter {
+	w := &logWriter{
+		queue: make(chan []byte, maxQueuedLines),
+		done:  make(chan struct{}),
+	}
+	go w.run(destination)
+	return w
+}
+
+func (w *logWriter) run(destination io.Writer) {
+	defer close(w.done)
+	for line := range w.queue {
+		_, _ = destination.Write(line)
+	}
 }
 
-// Write takes a line, or drops it where too many wait.
-func (l *lines) Write(p []byte) (int, error) {
+// Write queues a line, or drops it if the queue is full. It never fails.
+func (w *logWriter) Write(line []byte) (int, error) {
 	select {
-	case l.queue <- append([]byte(nil), p...):
+	case w.queue <- bytes.Clone(line):
 	default:
 	}
-	return len(p), nil
+	return len(line), nil
 }
 
-// close gives what waits a little time to be written. Nothing may be logged after it.
-func (l *lines) close() {
-	close(l.queue)
+// close waits up to logFlushTimeout for the queued lines to be written. Nothing may be logged after it.
+func (w *logWriter) close() {
+	close(w.queue)
 	select {
-	case <-l.done:
-	case <-time.After(flushFor):
+	case <-w.done:
+	case <-time.After(logFlushTimeout):
 	}
 }
 
-func newLog(name string, to io.Writer) *zap.Logger {
-	form := zap.NewProductionEncoderConfig()
-	form.EncodeTime, form.EncodeDuration = zapcore.ISO8601TimeEncoder, zapcore.StringDurationEncoder
-	core := zapcore.NewCore(zapcore.NewConsoleEncoder(form), zapcore.AddSync(to), zap.InfoLevel)
-	return zap.New(zapcore.NewSamplerWithOptions(core, alikeEach, alikeMost, 0)).Named(name)
+// newLog returns the log of the instance with that name.
+func newLog(name string, destination io.Writer) *zap.Logger {
+	encoding := zap.NewProductionEncoderConfig()
+	encoding.EncodeTime = zapcore.ISO8601TimeEncoder
+	encoding.EncodeDuration = zapcore.StringDurationEncoder
+	core := zapcore.NewCore(zapcore.NewConsoleEncoder(encoding), zapcore.AddSync(destination), zap.InfoLevel)
+	sampled := zapcore.NewSamplerWithOptions(core, samplingInterval, maxAlikeLines, 0)
+	return zap.New(sampled).Named(name)
 }
--- a/cmd/thymechute/reload.go
+++ b/cmd/thymechute/reload.go
@@ -1,7 +1,3 @@
-// Reading the configuration again: this file owns which settings are in force, and turns a whole file into what differs.
-// It must never do any of this on the loop, which gets the difference alone, nor start on the next file before the loop
-// has taken or refused this one.
-
 package main
 
 import (
@@ -15,55 +11,69 @@
 	"thymechute/policy/settings"
 )
 
-// inForce is what the next file is compared with. One goroutine has it.
-type inForce struct {
-	settings settings.Settings
-	version  uint64
-}
+// errApplyPanicked is the result of a reload during which the loop panicked; the loop logs the panic itself.
+var errApplyPanicked = errors.New("settings: found a panic, expected none")
 
-// errNotTaken is of a change in the middle of which the loop panicked, which has a line of its own.
-var errNotTaken = errors.New("settings: found a panic, expected none")
+// reloader reads the configuration again and passes its difference from the settings in effect to the loop. It runs on a
+// goroutine of its own, so that a file that is large or slow to read does not block the loop. It reads the next file only
+// once the loop has applied or rejected the one before.
+type reloader struct {
+	settings settings.Settings // in effect
+	version  uint64            // of settings
+	post     func(func())      // runs a function on the loop
+	apply    func(config.Config, settings.Delta) error
+	log      *zap.Logger
+}
 
-// reloads reads the file again at each signal, and hands what differs to take on the loop. It has a goroutine of its own:
-// a file that is slow to read, or long, must not keep the loop from what it does, also where they share a core. A file
-// that is faulty, or refused by take, is refused whole in one line.
-func (f *inForce) reloads(hups <-chan os.Signal, onLoop func(func()), take func(config.Config, settings.Delta) error, log *zap.Logger) {
-	for range hups {
-		if err := f.reload(onLoop, take); err != nil {
-			log.Error("configuration not taken, the old one stays", zap.Error(err), zap.Uint64("version in force", f.version))
+// run reloads at each request. A file that is invalid, or rejected by apply, has no effect but a log line.
+func (r *reloader) run(requests <-chan struct{}) {
+	for range requests {
+		if err := r.reload(); err != nil {
+			r.log.Error("configuration rejected, keeping the current one",
+				zap.Error(err), zap.Uint64("current_version", r.version))
 		}
 	}
 }
 
-func (f *inForce) reload(onLoop func(func()), take func(config.Config, settings.Delta) error) error {
-	later, err := config.Load(os.Getenv)
+func (r *reloader) reload() error {
+	reloaded, err := config.Load(os.Getenv)
 	if err != nil {
 		return err
 	}
-	delta, err := settings.Compare(f.version, f.settings, later.Settings, runtime.Gosched)
+	delta, err := settings.Compare(r.version, r.settings, reloaded.Settings, runtime.Gosched)
 	if err != nil {
 		return err
 	}
-	given := later
-	given.Settings = settings.Settings{} // the loop has no use for them
-	taken := make(chan error, 1)
-	onLoop(func() {
-		err := errNotTaken
-		defer func() { taken <- err }() // also where take panics: the loop goes on, and so must the next file
-		err = take(given, delta)
-	})
-	if err := <-taken; err != nil {
+	withoutSettings := reloaded
+	withoutSettings.Settings = settings.Settings{} // the loop gets the delta alone
+	if err := r.applyOnLoop(withoutSettings, delta); err != nil {
 		return err
 	}
 	if !delta.IsEmpty() {
-		f.settings, f.version = later.Settings, delta.To
+		r.settings, r.version = reloaded.Settings, delta.To
 	}
 	return nil
 }
 
-// changed are the fields of the log for a delta that was taken.
-func changed(d settings.Delta, version uint64) []zap.Field {
-	return []zap.Field{zap.Bool("settings", !d.IsEmpty()), zap.Uint64("version", version),
-		zap.Int("classes set", len(d.Classes.Set)), zap.Int("classes removed", len(d.Classes.Removed)),
-		zap.Int("tenants set", len(d.Tenants.Set)), zap.Int("tenants removed", len(d.Tenants.Removed))}
+// applyOnLoop calls apply on the loop and waits for its result, also if apply panics.
+func (r *reloader) applyOnLoop(reloaded config.Config, delta settings.Delta) error {
+	result := make(chan error, 1)
+	r.post(func() {
+		err := errApplyPanicked
+		defer func() { result <- err }()
+		err = r.apply(reloaded, delta)
+	})
+	return <-result
+}
+
+// deltaFields returns the log fields of an applied delta.
+func deltaFields(delta settings.Delta, version uint64) []zap.Field {
+	return []zap.Field{
+		zap.Bool("settings_changed", !delta.IsEmpty()),
+		zap.Uint64("version", version),
+		zap.Int("classes_set", len(delta.Classes.Set)),
+		zap.Int("classes_removed", len(delta.Classes.Removed)),
+		zap.Int("tenants_set", len(delta.Tenants.Set)),
+		zap.Int("tenants_removed", len(delta.Tenants.Removed)),
+	}
 }
--- a/cmd/thymechute/reload_settings_test.go
+++ b/cmd/thymechute/reload_settings_test.go
@@ -65,7 +65,7 @@
 	start(2, "trace", "aa02", "")
 	expectUnknown(3, "issue")
 
-	env.Program.Reload(other, `"settings": true`)
+	env.Program.Reload(other, `"settings_changed": true`)
 	start(4, "issue", "bb01", `,"token":"77"`)
 	expectUnknown(5, "trace")
 	end(2, "aa02") // of a class that only the earlier settings have
@@ -76,14 +76,14 @@
 		string(otherSettings(t, env, func(s map[string]any) { s["classes"].([]any)[0].(map[string]any)["aim_s"] = 31 })):            "settings.classes.0.aim_s: found 31, expected at most its deadline_s, 30",
 		string(otherSettings(t, env, func(s map[string]any) { s["classes"].([]any)[2].(map[string]any)["repeat"] = "repeatable" })): "settings.classes: found seal as \\\"repeatable\\\"",
 	} {
-		env.Program.Reload([]byte(text), "configuration not taken")
+		env.Program.Reload([]byte(text), "configuration rejected")
 		if !strings.Contains(env.Program.Log(), words) {
 			t.Errorf("the log does not say %s:\n%s", words, env.Program.Log())
 		}
 	}
 	expectUnknown(6, "trace") // the later settings still apply
 
-	env.Program.Reload(original, `"settings": true`)
+	env.Program.Reload(original, `"settings_changed": true`)
 	expectUnknown(7, "issue")
 	start(8, "trace", "aa03", "")
 	s.SendRequest(9, "excursion", "aa04", body, `,"token":"5c0f","again":1`) // joins the run from before both reloads
@@ -96,11 +96,11 @@
 		}
 	}
 
-	env.Program.Reload(other, `"settings": true`)
+	env.Program.Reload(other, `"settings_changed": true`)
 	s.SendRequest(10, "issue", "bb02", body, `,"token":"77","again":1`) // its result was retained over both reloads
 	s.ExpectResponse(10, 0, "bb01")
 	end(8, "aa03")
 	start(11, "issue", "bb03", `,"token":"78"`) // and nothing else was started meanwhile
 	end(11, "bb03")
-	env.Program.Reload(other, `"settings": false`)
+	env.Program.Reload(other, `"settings_changed": false`)
 }
--- a/cmd/thymechute/reload_test.go
+++ b/cmd/thymechute/reload_test.go
@@ -19,13 +19,13 @@
 	s.SendRequest(1, "excursion", "aa01", body, `,"token":"5c0f"`)
 	env.Runtime.ExpectCommand("start")
 	good, _ := json.Marshal(env.Config)
-	env.Program.Reload(good[:len(good)/2], "configuration not taken")
+	env.Program.Reload(good[:len(good)/2], "configuration rejected")
 	env.Program.Reload([]byte(strings.Replace(string(good), env.Runtime.Address, "nowhere", 1)), `runtime: found \"nowhere\"`)
 	old, oldIndex := env.Runtime, env.Index
 	env.Runtime, env.Index = testutil.NewFakeRuntime(t), testutil.NewFakeIndex(t)
 	env.Config["runtime"], env.Config["index"], env.Config["listen"] = env.Runtime.Address, env.Index.Address, testutil.FreeAddress(t)
 	again, _ := json.Marshal(env.Config)
-	env.Program.Reload(again, `"not changed while running": ["listen"]`)
+	env.Program.Reload(again, `"restart_keys": ["listen"]`)
 	env.Runtime.AcceptSync(0, "new", 50)
 	if task, _ := env.Runtime.ExpectCommand("start"); task != "aa01" { // its start may have been lost
 		t.Errorf("%s was started", task)
@@ -174,9 +174,9 @@
 	env := testutil.StartEnvironment(t, func(config map[string]any) {
 		config["settings"].(map[string]any)["tenants"] = tenantList(1001, -1, 0) // more than could once be reloaded
 	})
-	env.Program.Reload(withTenants(t, env.Config, tenantList(1001, 1000, 5)), `"settings": true, "version": 2`)
-	env.Program.Reload(withTenants(t, env.Config, tenantList(settings.MaxTenants+1, -1, 0)), "configuration not taken")
-	for _, words := range []string{`settings.tenants: found more than 100000, expected at most 100000`, `"version in force": 2`} {
+	env.Program.Reload(withTenants(t, env.Config, tenantList(1001, 1000, 5)), `"settings_changed": true, "version": 2`)
+	env.Program.Reload(withTenants(t, env.Config, tenantList(settings.MaxTenants+1, -1, 0)), "configuration rejected")
+	for _, words := range []string{`settings.tenants: found more than 100000, expected at most 100000`, `"current_version": 2`} {
 		if !strings.Contains(env.Program.Log(), words) {
 			t.Errorf("the log does not say %s:\n%s", words, env.Program.Log())
 		}
@@ -204,7 +204,7 @@
 	s := env.Connect()
 	s.SendRequest(1, "trace", "aa01", body, "")
 	env.Runtime.ExpectCommand("start")
-	env.Program.Reload(withTenants(t, env.Config, json.RawMessage(`[{"name":"other"}]`)), `"tenants set": 1, "tenants removed": 1`)
+	env.Program.Reload(withTenants(t, env.Config, json.RawMessage(`[{"name":"other"}]`)), `"tenants_set": 1, "tenants_removed": 1`)
 	s.SendRequest(2, "trace", "aa02", body, "")
 	s.ExpectResponse(2, -32602, "")
 	env.Runtime.SendEnd(1, "aa01", "good", "one")
--- a/cmd/thymechute/restart_test.go
+++ b/cmd/thymechute/restart_test.go
@@ -63,10 +63,12 @@
 	restartCount   = 10
 	readyDeadline  = 10 * time.Second
 	unfinishedRuns = 2 // at each kill
+
+	unfinishedPrefix = "unfinished" // of tasks that the runtime never completes
 )
 
 // runtimeDriver serves as the runtime over all incarnations of the program: it completes all runs but those of tasks whose
-// name begins with held.
+// name begins with unfinishedPrefix.
 type runtimeDriver struct {
 	env          *testutil.Environment
 	unfinished   chan string
@@ -80,11 +82,11 @@
 	go func() {
 		defer close(disconnected)
 		d.env.Runtime.ServeAllExcept(missed+1, result, func(task string) bool {
-			isHeld := strings.HasPrefix(task, "held")
-			if isHeld {
+			isUnfinished := strings.HasPrefix(task, unfinishedPrefix)
+			if isUnfinished {
 				d.unfinished <- task
 			}
-			return isHeld
+			return isUnfinished
 		})
 	}()
 }
@@ -164,15 +166,15 @@
 	startBackgroundLoad(env, 4)
 	for incarnation := range restartCount {
 		for n := range unfinishedRuns {
-			env.Connect().SendRequest(1, "trace", fmt.Sprintf("held%dx%d", incarnation, n), body, "")
-			testutil.Next(t, runtime.unfinished, "a start of a held run")
+			env.Connect().SendRequest(1, "trace", fmt.Sprintf("%s%dx%d", unfinishedPrefix, incarnation, n), body, "")
+			testutil.Next(t, runtime.unfinished, "a start of an unfinished run")
 		}
 		env.Program.Kill()
 		testutil.Next(t, runtime.disconnected, "the end of the link")
 
 		start := time.Now()
 		env.Program = testutil.StartProgramFromFile(t, file)
-		env.Runtime.AcceptSync(0, "old", 60000+1000*incarnation, testutil.EndLine(1, fmt.Sprintf("held%dx0", incarnation), "good", result))
+		env.Runtime.AcceptSync(0, "old", 60000+1000*incarnation, testutil.EndLine(1, fmt.Sprintf("%s%dx0", unfinishedPrefix, incarnation), "good", result))
 		runtime.serve(1)
 		s := env.Connect()
 		retryUntil(t, s, func(id int) { s.SendLine(`{"jsonrpc":"2.0","id":%d,"method":"check"}`, id) },
--- a/cmd/thymechute/serve.go
+++ b/cmd/thymechute/serve.go
@@ -1,14 +1,8 @@
-// One instance: this file owns Go's limits, the signals, and the wiring of the parts. It must never hold anything
-// that one of the parts could.
-
 package main
 
 import (
-	"math"
 	"os"
 	"os/signal"
-	"runtime"
-	"runtime/debug"
 	"syscall"
 	"time"
 
@@ -26,103 +20,145 @@
 	"thymechute/policy/settings"
 )
 
-const (
-	own        = 32  // descriptors for the links, Go's own and those on their way; of the rest, in eighths:
-	stubParts  = 5   // the stubs'; one more each for stubs over that, for connections that end, and for calls
-	memoryPart = 0.7 // of the memory limit, for Go; the rest is the kernel's and the code's
-	moreHeap   = 100 // percent of growth between two collections, under that limit
-	dialFor    = time.Second
-)
+const dialTimeout = time.Second
 
-// host puts the instance and its front before the loop.
+// host combines the server and the instance to the application of the event loop.
 type host struct {
 	*rpc.Server
 	*node.Instance
 }
 
-// timed is the loop, with what is to be done on it later.
-type timed struct {
-	*loop.Loop
-	after func(time.Duration, func())
+// service is one running instance with the parts that its configuration connects.
+type service struct {
+	config   config.Config // in effect; without the settings, which the reloader has
+	operator *operator.Settings
+	log      *zap.Logger
+	instance *node.Instance
+	server   *rpc.Server
+	fleet    *fleet // nil if the operator's file has none
+
+	descriptorPart int // see resources.go
+
+	// The links to other programs, created on the loop.
+	runtime *runtimelink.Link
+	index   *index.Pool
+	catalog *catalog.Reporter
 }
 
-func (t timed) After(wait time.Duration, what func()) { t.after(wait, what) }
-
-// serve runs one instance until its end.
-func serve(g config.Config, o *operator.Settings, signals <-chan os.Signal) error {
-	runtime.GOMAXPROCS(max(int(math.Ceil(g.Cores)), 1))
-	debug.SetMemoryLimit(int64(float64(g.MemoryBytes) * memoryPart))
-	debug.SetGCPercent(moreHeap)
-	sockets := g.MaxSockets
-	var rl syscall.Rlimit
-	if syscall.Getrlimit(syscall.RLIMIT_NOFILE, &rl) == nil && rl.Cur < uint64(sockets) {
-		sockets = int(rl.Cur)
-	}
-	signal.Ignore(syscall.SIGPIPE) // a log that nobody reads any more must not end the instance
-	out := newLines(os.Stderr)
-	defer out.close()
-	log := newLog(g.Name, out)
+// serve runs one instance until its graceful shutdown is complete. It returns an error if an address can't be listened on.
+func serve(c config.Config, o *operator.Settings, signals <-chan os.Signal) error {
+	limitRuntime(c)
+	signal.Ignore(syscall.SIGPIPE) // standard error may be closed by its reader
+	writer := newLogWriter(os.Stderr)
+	defer writer.close()
+	log := newLog(c.Name, writer)
 
-	fl, err := startFleet(g.Name, o.Fleet, g.StopTimeout, log)
+	fleet, err := startFleet(c.Name, o.Fleet, c.StopTimeout, log)
 	if err != nil {
 		return err
 	}
-	defer fl.leave(log)
-	inst := node.New(g.Settings, g.Seed, g.StopTimeout, g.MemoryBytes, log)
-	inForce := inForce{settings: g.Settings, version: inst.Version()}
-	g.Settings = settings.Settings{} // later ones take their place in inForce
-	part := (sockets - own) / 8
-	front := rpc.NewServer(rpc.Config{Admission: inst, MaxConns: stubParts * part, SpareConns: part, Log: log})
-	return loop.Run(loop.Config{Address: g.Listen, Host: host{front, inst}, MemoryLimit: g.MemoryBytes, MaxLingering: part, Log: log, OnStart: func(l *loop.Loop) {
-		dial := func(network string, address *string) func(loop.Handler) { // the address may change
-			return func(p loop.Handler) { l.Dial(network, *address, dialFor, p) }
-		}
-		after := func(wait time.Duration, f func()) { time.AfterFunc(wait, func() { l.Post(f) }) }
-		cores := runtimelink.NewLink(inst, dial("tcp", &g.Runtime), after, g.Seed, log)
-		calls := index.NewPool(inst, dial("tcp", &g.Index), part, log)
-		reports := catalog.New(g.Name, dial("udp", &g.Catalog))
-		fronts := []node.Front{front}
-		if o.AMQP != nil {
-			fronts = append(fronts, amqp.New(inst, timed{l, after}, o.AMQP, g.Name, g.Seed, inst.Idempotency, log))
-		}
-		inst.Connect(cores, calls, reports, fronts...)
-		cores.Open()
-		take := func(later config.Config, delta settings.Delta) error {
-			if !delta.IsEmpty() {
-				if err := inst.Apply(delta); err != nil {
-					return err
-				}
+	defer fleet.leave(log)
+
+	s := &service{
+		config:         c,
+		operator:       o,
+		log:            log,
+		instance:       node.New(c.Settings, c.Seed, c.StopTimeout, c.MemoryBytes, log),
+		fleet:          fleet,
+		descriptorPart: descriptorPart(c),
+	}
+	s.config.Settings = settings.Settings{}
+	return s.run(&reloader{settings: c.Settings, version: s.instance.Version(), log: log}, signals)
+}
+
+func (s *service) run(r *reloader, signals <-chan os.Signal) error {
+	s.server = rpc.NewServer(rpc.Config{
+		Admission:  s.instance,
+		MaxConns:   stubDescriptorParts * s.descriptorPart,
+		SpareConns: s.descriptorPart,
+		Log:        s.log,
+	})
+	return loop.Run(loop.Config{
+		Address:      s.config.Listen,
+		Host:         host{s.server, s.instance},
+		MemoryLimit:  s.config.MemoryBytes,
+		MaxLingering: s.descriptorPart,
+		Log:          s.log,
+		OnStart: func(l *loop.Loop) {
+			s.connect(l)
+			s.handleSignals(l, r, signals)
+		},
+	})
+}
+
+// connect creates the links to the other programs and connects them to the instance.
+func (s *service) connect(l *loop.Loop) {
+	s.runtime = runtimelink.NewLink(s.instance, dialer(l, "tcp", &s.config.Runtime), l.After, s.config.Seed, s.log)
+	s.index = index.NewPool(s.instance, dialer(l, "tcp", &s.config.Index), s.descriptorPart, s.log)
+	s.catalog = catalog.New(s.config.Name, dialer(l, "udp", &s.config.Catalog))
+	fronts := []node.Front{s.server}
+	if s.operator.AMQP != nil {
+		consumer := amqp.New(s.instance, l, s.operator.AMQP, s.config.Name, s.config.Seed, s.instance.Idempotency, s.log)
+		fronts = append(fronts, consumer)
+	}
+	s.instance.Connect(s.runtime, s.index, s.catalog, fronts...)
+	s.runtime.Open()
+}
+
+// dialer returns a function that connects a handler to the address, which a reload may change.
+func dialer(l *loop.Loop, network string, address *string) func(loop.Handler) {
+	return func(handler loop.Handler) { l.Dial(network, *address, dialTimeout, handler) }
+}
+
+// handleSignals starts reloading at SIGHUP, and the graceful shutdown at all other signals.
+func (s *service) handleSignals(l *loop.Loop, r *reloader, signals <-chan os.Signal) {
+	r.post, r.apply = l.Post, s.applyReload
+	requests := make(chan struct{}, 1) // one more while a file is read is served by reading it once more
+	go r.run(requests)
+	go func() {
+		for received := range signals {
+			if received == syscall.SIGHUP {
+				requestReload(requests)
+				continue
 			}
-			log.Info("configuration read again", append(changed(delta, inst.Version()), zap.String("runtime", later.Runtime),
-				zap.String("index", later.Index), zap.String("directory", later.Catalog),
-				zap.Strings("not changed while running", g.RestartKeys(later)))...)
-			move(&g.Runtime, later.Runtime, cores.Open)
-			move(&g.Index, later.Index, calls.Move)
-			move(&g.Catalog, later.Catalog, reports.Move)
-			return nil
+			l.Post(s.instance.Drain)
+			go s.fleet.leave(s.log) // off the loop: it waits up to a second for the other members
 		}
-		hups := make(chan os.Signal, 1) // one that comes while the file is read is answered by reading it once more
-		go inForce.reloads(hups, l.Post, take, log)
-		go func() {
-			for s := range signals {
-				if s == syscall.SIGHUP {
-					select {
-					case hups <- s:
-					default:
-					}
-					continue
-				}
-				l.Post(inst.Drain)
-				go fl.leave(log) // off the loop: it waits up to a second for the others to hear
-			}
-		}()
-	}})
+	}()
+}
+
+func requestReload(requests chan<- struct{}) {
+	select {
+	case requests <- struct{}{}:
+	default:
+	}
+}
+
+// applyReload applies a reloaded configuration, whose settings differ from those in effect by delta. It runs on the loop.
+// On error nothing of the configuration takes effect.
+func (s *service) applyReload(reloaded config.Config, delta settings.Delta) error {
+	if !delta.IsEmpty() {
+		if err := s.instance.Apply(delta); err != nil {
+			return err
+		}
+	}
+	fields := append(deltaFields(delta, s.instance.Version()),
+		zap.String("runtime", reloaded.Runtime),
+		zap.String("index", reloaded.Index),
+		zap.String("directory", reloaded.Catalog),
+		zap.Strings("restart_keys", s.config.RestartKeys(reloaded)))
+	s.log.Info("configuration reloaded", fields...)
+	switchAddress(&s.config.Runtime, reloaded.Runtime, s.runtime.Open)
+	switchAddress(&s.config.Index, reloaded.Index, s.index.Move)
+	switchAddress(&s.config.Catalog, reloaded.Catalog, s.catalog.Move)
+	return nil
 }
 
-// move goes to another address.
-func move(address *string, later string, moved func()) {
-	if *address != later {
-		*address = later
-		moved()
+// switchAddress sets the address and calls reconnect, if the new one differs.
+func switchAddress(address *string, reloaded string, reconnect func()) {
+	if *address == reloaded {
+		return
 	}
+	*address = reloaded
+	reconnect()
 }
--- a/internal/lab/scale/instance/reload.go
+++ b/internal/lab/scale/instance/reload.go
@@ -12,8 +12,8 @@
 const (
 	reloadLimit  = 10 * time.Second      // waited for the log's line; as landed 60,000 tenants take longer
 	lineGap      = 60 * time.Millisecond // between two reloads: the log leaves out what is said over 20 times a second
-	wordsTaken   = "configuration read again"
-	wordsRefused = "configuration not taken"
+	wordsTaken   = "configuration reloaded"
+	wordsRefused = "configuration rejected"
 )
 
 // outcome of a reload, by the log.
--- a/internal/loop/loop.go
+++ b/internal/loop/loop.go
@@ -169,6 +169,11 @@
 	})
 }
 
+// After runs task on the loop after the delay. It may be called from any goroutine and does not wait.
+func (l *Loop) After(delay time.Duration, task func()) {
+	time.AfterFunc(delay, func() { l.Post(task) })
+}
+
 func (l *Loop) execute(task func()) {
 	_ = l.eventLoop.Execute(context.Background(), gnet.RunnableFunc(func(context.Context) error {
 		task()
--- a/internal/rpc/server.go
+++ b/internal/rpc/server.go
@@ -29,7 +29,7 @@
 	HasClass(class string) bool
 	// Admit takes a request. An error, such as node.ErrUnknownClass, means that no answer follows.
 	Admit(responder node.Responder, id node.MessageID, request node.Request) error
-	// CallerGone tells that no answer can be delivered any more.
+	// CallerGone reports that no answer can be delivered any more.
 	CallerGone(responder node.Responder)
 	// CheckHealth takes a health check; a deep one tests the runtime as well.
 	CheckHealth(responder node.Responder, id node.MessageID, depth node.HealthCheckDepth)
--- a/internal/testutil/fakeindex.go
+++ b/internal/testutil/fakeindex.go
@@ -31,7 +31,7 @@
 	var timeoutMillis, size int
 	_, parseErr := fmt.Sscanf(line, "GET %s %d %d\r\n", &rid, &timeoutMillis, &size)
 	if err != nil || parseErr != nil || timeoutMillis < 1 {
-		x.t.Fatalf("%q came, want a call (%v)", line, err)
+		x.t.Fatalf("received %q, want a call (%v)", line, err)
 	}
 	content := make([]byte, size+len("\r\n"))
 	if _, err := io.ReadFull(x.reader, content); err != nil || !bytes.HasSuffix(content, []byte("\r\n")) {
--- a/internal/testutil/fakeruntime.go
+++ b/internal/testutil/fakeruntime.go
@@ -162,7 +162,7 @@
 			return command
 		}
 		if command["verb"] != "gauges" {
-			r.t.Fatalf("%q came, want %s", line, verb)
+			r.t.Fatalf("received %q, want %s", line, verb)
 		}
 	}
 }
--- a/internal/testutil/stub.go
+++ b/internal/testutil/stub.go
@@ -118,7 +118,7 @@
 	line, err := s.reader.ReadString('\n')
 	if err != nil {
 		if e, ok := err.(net.Error); ok && e.Timeout() {
-			s.t.Fatal("nothing came to a stub")
+			s.t.Fatal("a stub received nothing")
 		}
 		return r, true
 	}
--- a/internal/testutil/wait.go
+++ b/internal/testutil/wait.go
@@ -35,7 +35,7 @@
 	select {
 	case value = <-from:
 	case <-time.After(waitTimeout):
-		t.Fatalf("nothing came: %s", what)
+		t.Fatalf("nothing received: %s", what)
 	}
 	return value
 }
