--- a/cmd/thymechute/amqp_faults_test.go
+++ b/cmd/thymechute/amqp_faults_test.go
@@ -120,8 +120,8 @@
 		"deliver:1:stop-reading", "login:1:nonsense", "login:1:cut", "consume:1:cut", "heartbeat:1:mute"} {
 		t.Run(fault, func(t *testing.T) {
 			e := startAMQP(t, amqpOptions{faults: []string{fault}})
-			s := e.Connect()
-			s.SendRequest(1, "trace", "aa01", body, "")
+			stub := e.Connect()
+			stub.SendRequest(1, "trace", "aa01", body, "")
 			e.publish("excursion", "k1", "a") // not known after a redelivery: not run, but not lost
 			started, got := e.Runtime.ExpectCommand("start")
 			for n := 1; got != body; n++ {
@@ -129,7 +129,7 @@
 				started, got = e.Runtime.ExpectCommand("start")
 			}
 			e.Runtime.SendEnd(9, started, "good", result)
-			s.ExpectResponse(1, 0, result)
+			stub.ExpectResponse(1, 0, result)
 			e.expectEvent("fault", 1)
 			e.broker.Release()
 			e.publish("trace", "", "b")
@@ -147,10 +147,10 @@
 
 func TestRefusedLoginIsLoggedOnce(t *testing.T) {
 	e := startAMQP(t, amqpOptions{faults: []string{"login:1+1:refuse"}})
-	s := e.Connect()
-	s.SendRequest(1, "trace", "aa01", body, "")
+	stub := e.Connect()
+	stub.SendRequest(1, "trace", "aa01", body, "")
 	e.Runtime.SendEnd(1, e.expectStart(body), "good", result)
-	s.ExpectResponse(1, 0, result)
+	stub.ExpectResponse(1, 0, result)
 	e.expectEvent("lost", 1)
 	testutil.Eventually(t, "the log reports the refused login", func() bool { return strings.Contains(e.Program.Log(), "broker 1 lost") })
 	if log := e.Program.Log(); strings.Count(log, "lost:") != 1 || strings.Contains(log, "guest") {
--- a/cmd/thymechute/command_test.go
+++ b/cmd/thymechute/command_test.go
@@ -21,8 +21,8 @@
 	env.Runtime.AcceptSync(0, "new", 0)
 	env.Runtime.Disconnect() // this and the sync log a line each
 	env.Runtime.AcceptSync(0, "new", 50)
-	s := env.Connect()
-	s.SendRequest(1, "trace", "aa01", body, "")
+	stub := env.Connect()
+	stub.SendRequest(1, "trace", "aa01", body, "")
 	env.Runtime.ExpectCommand("start")
 }
 
--- a/cmd/thymechute/connections_test.go
+++ b/cmd/thymechute/connections_test.go
@@ -34,44 +34,44 @@
 		strings.Replace(ask, `"mem":10`, `"mem":10,"mem":11`, 1):   -32602,
 		strings.Replace(ask, `"peer":1`, `"peer":1.5`, 1):          -32602,
 	} {
-		s := env.Connect()
-		s.SendLine("%s", line)
-		if r, closed := s.Receive(); closed || r.Code() != code {
+		stub := env.Connect()
+		stub.SendLine("%s", line)
+		if r, closed := stub.Receive(); closed || r.Code() != code {
 			t.Errorf("%s: got %+v (closed %v), want %d", line, r, closed, code)
 		}
-		s.SendRequest(9, "excursion", "aa09", "another body", `,"token":"5c0f"`) // never gets another's result
-		s.ExpectResponse(9, -32000, "")
+		stub.SendRequest(9, "excursion", "aa09", "another body", `,"token":"5c0f"`) // never gets another's result
+		stub.ExpectResponse(9, -32000, "")
 	}
 	for _, line := range []string{ask[len(ask)/2:], strings.Replace(ask, `"id":1`, `"id":"1"`, 1), strings.Replace(ask, `"id":1,`, "", 1),
 		`[` + ask + `]`, strings.Replace(ask, `"id":1`, `"id":1,"id":2`, 1)} {
-		s := env.Connect()
-		s.SendLine("%s", line)
+		stub := env.Connect()
+		stub.SendLine("%s", line)
 		for closed := false; !closed; { // an error without ID comes first
 			var r testutil.Response
-			if r, closed = s.Receive(); !closed && (r.Code() >= 0 || r.Result.Doc != "") {
+			if r, closed = stub.Receive(); !closed && (r.Code() >= 0 || r.Result.Doc != "") {
 				t.Errorf("%s: got %+v", line, r)
 			}
 		}
 	}
-	s := env.Connect()
-	s.SendRequest(2, "trace", "aa02", body, "")
+	stub := env.Connect()
+	stub.SendRequest(2, "trace", "aa02", body, "")
 	env.Runtime.ExpectCommand("start")
-	s.SendRequest(3, "trace", "aa02", body, "")
-	s.ExpectResponse(3, -32600, "")
+	stub.SendRequest(3, "trace", "aa02", body, "")
+	stub.ExpectResponse(3, -32600, "")
 	env.Runtime.SendEnd(1, "aa02", "good", result)
-	s.ExpectResponse(2, 0, result)
-	s.SendRequest(4, "trace", "aa04", body, "")
+	stub.ExpectResponse(2, 0, result)
+	stub.SendRequest(4, "trace", "aa04", body, "")
 	env.Runtime.ExpectCommand("start")
-	s.SendRequest(4, "trace", "aa05", body, "") // its ID is in use: only this connection closes, after the response to the first
-	s.SendRequest(5, "trace", "aa05", body, "") // is sent after the close: discarded
+	stub.SendRequest(4, "trace", "aa05", body, "") // its ID is in use: only this connection closes, after the response to the first
+	stub.SendRequest(5, "trace", "aa05", body, "") // is sent after the close: discarded
 	env.Runtime.SendEnd(2, "aa04", "good", result)
-	s.ExpectResponse(4, 0, result)
-	if _, closed := s.Receive(); !closed {
+	stub.ExpectResponse(4, 0, result)
+	if _, closed := stub.Receive(); !closed {
 		t.Error("the connection stays open after two requests under one id")
 	}
-	s = env.Connect()
-	s.SendLine("%s", strings.Repeat("x", 10000)) // longer than a line may be
-	if _, closed := s.Receive(); !closed {
+	stub = env.Connect()
+	stub.SendLine("%s", strings.Repeat("x", 10000)) // longer than a line may be
+	if _, closed := stub.Receive(); !closed {
 		t.Error("the connection stays open after an endless line")
 	}
 	env.Runtime.SendEnd(3, "cc01", "good", "\x00")
@@ -89,11 +89,9 @@
 		env.Connect() // sends nothing
 	}
 	for range 3 * 64 {
-		s := env.Connect()
-		s.SendLine(`{"jsonrpc":"2.0","id":1,"method":"check"}`)
-		if r, closed := s.Receive(); closed || !r.Result.Serving {
-			t.Fatalf("%+v, closed %v", r, closed)
-		}
+		stub := env.Connect()
+		stub.SendHealthCheck(1)
+		stub.ExpectServing()
 	}
 	env.Runtime.SendEnd(1, "aa01", "good", result)
 	busy.ExpectResponse(1, 0, result)
@@ -101,19 +99,17 @@
 
 func TestSlowReaderIsClosedAndOthersServed(t *testing.T) {
 	env := testutil.StartEnvironment(t, nil)
-	s, other := env.Connect(), env.Connect()
+	stub, other := env.Connect(), env.Connect()
 	go func() { // until the program closes this connection over its unread responses
 		for {
-			if _, err := s.Conn.Write([]byte(strings.Repeat(`{"jsonrpc":"2.0","id":1,"method":"check"}`+"\n", 1000))); err != nil {
+			if _, err := stub.Conn.Write([]byte(strings.Repeat(`{"jsonrpc":"2.0","id":1,"method":"check"}`+"\n", 1000))); err != nil {
 				return
 			}
 		}
 	}()
 	for id := 1; ; id++ {
-		other.SendLine(`{"jsonrpc":"2.0","id":%d,"method":"check"}`, id)
-		if r, closed := other.Receive(); closed || !r.Result.Serving {
-			t.Fatalf("%+v, closed %v", r, closed)
-		}
+		other.SendHealthCheck(id)
+		other.ExpectServing()
 		if strings.Contains(env.Program.Log(), "peer does not read") {
 			return
 		}
@@ -124,17 +120,17 @@
 // its connection get their responses.
 func TestNotificationsAreIgnored(t *testing.T) {
 	env := testutil.StartEnvironment(t, nil)
-	s := env.Connect()
-	s.SendRequest(1, "trace", "aa01", body, "")
+	stub := env.Connect()
+	stub.SendRequest(1, "trace", "aa01", body, "")
 	env.Runtime.ExpectCommand("start")
-	s.SendLine(`{"jsonrpc":"2.0","method":"interrupt","params":{"id":7}}`)
-	s.SendLine(`{"jsonrpc":"2.0","method":"progress"}`)
-	s.SendRequest(2, "trace", "aa02", body, "") // proves that the notifications were received and the connection is open
+	stub.SendLine(`{"jsonrpc":"2.0","method":"interrupt","params":{"id":7}}`)
+	stub.SendLine(`{"jsonrpc":"2.0","method":"progress"}`)
+	stub.SendRequest(2, "trace", "aa02", body, "") // proves that the notifications were received and the connection is open
 	env.Runtime.ExpectCommand("start")
 	env.Runtime.SendEnd(1, "aa01", "good", result)
-	s.ExpectResponse(1, 0, result)
+	stub.ExpectResponse(1, 0, result)
 	env.Runtime.SendEnd(2, "aa02", "good", result)
-	s.ExpectResponse(2, 0, result)
+	stub.ExpectResponse(2, 0, result)
 }
 
 // A protocol error that can't be answered by ID closes the connection, but not before its pending requests have their responses;
@@ -144,23 +140,23 @@
 	for n, invalid := range []string{`{"jsonrpc":"2.0","method":`, `{"jsonrpc":"2.0","method":"trace","params":{}}`, `{"jsonrpc":"2.0","method":"check"}`,
 		`[]`, strings.Repeat("x", 10000)} {
 		rid := fmt.Sprintf("aa%d", n)
-		s := env.Connect()
-		s.SendRequest(1, "seal", rid, body, "")
+		stub := env.Connect()
+		stub.SendRequest(1, "seal", rid, body, "")
 		env.Runtime.ExpectCommand("start")
-		s.SendLine("%s", invalid)
-		s.SendRequest(2, "seal", rid+"b", body, "")
+		stub.SendLine("%s", invalid)
+		stub.SendRequest(2, "seal", rid+"b", body, "")
 		other := env.Connect()
 		other.SendRequest(1, "trace", rid+"c", body, "")
 		if task, _ := env.Runtime.ExpectCommand("start"); task != rid+"c" {
 			t.Errorf("after %.30s %s was started", invalid, task)
 		}
 		env.Runtime.SendEnd(2*n+1, rid, "good", result)
-		if r, closed := s.Receive(); !closed && r.ID == nil { // the response to the error, without ID
-			s.ExpectResponse(1, 0, result)
+		if r, closed := stub.Receive(); !closed && r.ID == nil { // the response to the error, without ID
+			stub.ExpectResponse(1, 0, result)
 		} else if closed || r.ID != 1.0 || r.Doc() != result {
 			t.Fatalf("after %.30s got %+v, closed %v", invalid, r, closed)
 		}
-		s.ExpectEnd()
+		stub.ExpectEnd()
 		env.Runtime.SendEnd(2*n+2, rid+"c", "good", result)
 		other.ExpectResponse(1, 0, result)
 	}
@@ -170,23 +166,23 @@
 // comes too late to be run.
 func TestPartialLineClosesAfterPendingResponses(t *testing.T) {
 	env := testutil.StartEnvironment(t, nil)
-	s := env.Connect()
-	s.SendRequest(1, "seal", "aa01", body, "")
+	stub := env.Connect()
+	stub.SendRequest(1, "seal", "aa01", body, "")
 	env.Runtime.ExpectCommand("start")
 	line := fmt.Sprintf(`{"jsonrpc":"2.0","id":2,"method":"seal","params":{"rid":"aa02","t0":%d,"peer":1,"acct":"acme","mem":10,"prio":0.5,"doc":"AA=="}}`+"\n", time.Now().UnixMilli())
-	if _, err := s.Conn.Write([]byte(line[:40])); err != nil {
+	if _, err := stub.Conn.Write([]byte(line[:40])); err != nil {
 		t.Fatal(err)
 	}
 	silent := env.Connect() // sent nothing either: its close shows that the timeout is over
 	silent.ExpectClosing()
 	silent.ExpectEnd()
-	if _, err := s.Conn.Write([]byte(line[40:])); err != nil {
+	if _, err := stub.Conn.Write([]byte(line[40:])); err != nil {
 		t.Fatal(err)
 	}
 	env.Runtime.SendEnd(1, "aa01", "good", result)
-	s.ExpectClosing()
-	s.ExpectResponse(1, 0, result)
-	s.ExpectEnd()
+	stub.ExpectClosing()
+	stub.ExpectResponse(1, 0, result)
+	stub.ExpectEnd()
 	other := env.Connect()
 	other.SendRequest(1, "trace", "bb01", body, "")
 	if task, _ := env.Runtime.ExpectCommand("start"); task != "bb01" {
@@ -197,20 +193,20 @@
 // A line that takes long to arrive gets a closing notification, and is served if its rest crosses that.
 func TestSlowRequestCrossingClosingIsServed(t *testing.T) {
 	env := testutil.StartEnvironment(t, nil)
-	s := env.Connect()
+	stub := env.Connect()
 	line := fmt.Sprintf(`{"jsonrpc":"2.0","id":1,"method":"seal","params":{"rid":"aa01","t0":%d,"peer":1,"acct":"acme","mem":10,"prio":0.5,"doc":"AA=="}}`+"\n", time.Now().UnixMilli())
 	for n, part := range []string{line[:40], line[40:]} {
-		if _, err := s.Conn.Write([]byte(part)); err != nil {
+		if _, err := stub.Conn.Write([]byte(part)); err != nil {
 			t.Fatal(err)
 		}
 		if n == 0 {
-			s.ExpectClosing()
+			stub.ExpectClosing()
 		}
 	}
 	env.Runtime.ExpectCommand("start")
 	env.Runtime.SendEnd(1, "aa01", "good", result)
-	s.ExpectResponse(1, 0, result)
-	s.ExpectEnd()
+	stub.ExpectResponse(1, 0, result)
+	stub.ExpectEnd()
 }
 
 // At the limit the least needed connection is evicted; a request that crosses its closing notification is served.
@@ -219,24 +215,22 @@
 	const maxConns = (64 - reservedDescriptors) / 8 * stubDescriptorParts
 	var stubs []*testutil.Stub
 	for range maxConns {
-		s := env.Connect()
-		s.SendLine(`{"jsonrpc":"2.0","id":1,"method":"check"}`)
-		s.Receive()
-		stubs = append(stubs, s)
+		stub := env.Connect()
+		stub.SendHealthCheck(1)
+		stub.Receive()
+		stubs = append(stubs, stub)
 	}
 	late := env.Connect() // replaces the first
-	s := stubs[0]
-	s.ExpectClosing()
-	s.SendRequest(2, "seal", "aa01", body, "")
+	stub := stubs[0]
+	stub.ExpectClosing()
+	stub.SendRequest(2, "seal", "aa01", body, "")
 	env.Runtime.ExpectCommand("start")
 	env.Runtime.SendEnd(1, "aa01", "good", result)
-	s.ExpectResponse(2, 0, result)
-	s.ExpectEnd()
-	for _, s := range append(stubs[1:], late) {
-		s.SendLine(`{"jsonrpc":"2.0","id":2,"method":"check"}`)
-		if r, closed := s.Receive(); closed || !r.Result.Serving {
-			t.Fatalf("%+v, closed %v", r, closed)
-		}
+	stub.ExpectResponse(2, 0, result)
+	stub.ExpectEnd()
+	for _, stub := range append(stubs[1:], late) {
+		stub.SendHealthCheck(2)
+		stub.ExpectServing()
 	}
 }
 
@@ -245,15 +239,15 @@
 	env := testutil.StartEnvironment(t, func(config map[string]any) {
 		config["settings"].(map[string]any)["domain"].(map[string]any)["caller_idle_s"] = 4 // the timeout starts at a tenth of it
 	})
-	s := env.Connect()
-	s.SendLine(`{"jsonrpc":"2.0","id":1,"method":"check"}`)
-	s.Receive()
-	s.ExpectClosing()
-	s.SendRequest(2, "trace", "aa01", body, "")
+	stub := env.Connect()
+	stub.SendHealthCheck(1)
+	stub.Receive()
+	stub.ExpectClosing()
+	stub.SendRequest(2, "trace", "aa01", body, "")
 	env.Runtime.ExpectCommand("start")
 	env.Runtime.SendEnd(1, "aa01", "good", result)
-	s.ExpectResponse(2, 0, result)
-	s.ExpectEnd()
+	stub.ExpectResponse(2, 0, result)
+	stub.ExpectEnd()
 }
 
 // The descriptors of a flood of connections are released.
@@ -266,9 +260,9 @@
 		}
 		return len(fds)
 	}
-	s := env.Connect()
-	s.SendLine(`{"jsonrpc":"2.0","id":1,"method":"check"}`)
-	s.Receive()
+	stub := env.Connect()
+	stub.SendHealthCheck(1)
+	stub.Receive()
 	before := count()
 	var conns []*testutil.Stub
 	for range 150 {
@@ -306,11 +300,9 @@
 		full.SendRequest(id, "seal", fmt.Sprintf("ff%d", id), "x", "")
 	}
 	full.ExpectResponse(33, -32600, "")
-	s := env.Connect()
+	stub := env.Connect()
 	for id := 1; id <= 50; id++ {
-		s.SendLine(`{"jsonrpc":"2.0","id":%d,"method":"check"}`, id)
-		if r, closed := s.Receive(); closed || !r.Result.Serving {
-			t.Fatalf("%+v, closed %v", r, closed)
-		}
+		stub.SendHealthCheck(id)
+		stub.ExpectServing()
 	}
 }
--- a/cmd/thymechute/descriptors_test.go
+++ b/cmd/thymechute/descriptors_test.go
@@ -37,16 +37,16 @@
 func expectServed(t *testing.T, env *testutil.Environment, notice *int, rid string) {
 	t.Helper()
 	start := time.Now()
-	s := env.Connect()
-	s.SendRequest(1, "trace", rid, body, "")
+	stub := env.Connect()
+	stub.SendRequest(1, "trace", rid, body, "")
 	env.Runtime.AwaitCommand("start", rid)
 	*notice++
 	env.Runtime.SendEnd(*notice, rid, "good", result)
-	s.ExpectResponse(1, 0, result)
+	stub.ExpectResponse(1, 0, result)
 	if took := time.Since(start); took > requestDeadlineSeconds*time.Second {
 		t.Errorf("%s: answered after %v, its deadline is %d s", rid, took, requestDeadlineSeconds)
 	}
-	s.Conn.Close()
+	stub.Conn.Close()
 }
 
 // Idle clients open four times as many connections as the process may have descriptors, with the catalog down; the kernel
@@ -83,8 +83,8 @@
 	env.Runtime.SendEnd(notice, "standing", "good", result)
 	established.ExpectResponse(1, 0, result)
 	env.Index.Disconnect() // the next call needs a descriptor
-	s := env.Connect()
-	s.SendRequest(1, "seal", "called", body, "")
+	stub := env.Connect()
+	stub.SendRequest(1, "seal", "called", body, "")
 	env.Runtime.AwaitCommand("start", "called")
 	notice++
 	env.Runtime.SendCall(notice, "called", "call")
@@ -94,7 +94,7 @@
 	env.Runtime.AwaitCommand("give", "called")
 	notice++
 	env.Runtime.SendEnd(notice, "called", "good", result)
-	s.ExpectResponse(1, 0, result)
+	stub.ExpectResponse(1, 0, result)
 
 	back, err := net.ListenPacket("udp", catalog)
 	if err != nil {
--- a/cmd/thymechute/peers_test.go
+++ b/cmd/thymechute/peers_test.go
@@ -11,33 +11,33 @@
 
 func TestReconnectedRuntimeLinkAppliesNoticesOnce(t *testing.T) {
 	env := testutil.StartEnvironment(t, nil)
-	s := env.Connect()
+	stub := env.Connect()
 	for id := 1; id <= 3; id++ {
-		s.SendRequest(id, "seal", fmt.Sprintf("aa%d", id), body, "")
+		stub.SendRequest(id, "seal", fmt.Sprintf("aa%d", id), body, "")
 		env.Runtime.ExpectCommand("start")
 	}
 	env.Runtime.SendEnd(1, "aa1", "good", "one")
-	s.ExpectResponse(1, 0, "one")
+	stub.ExpectResponse(1, 0, "one")
 	env.Runtime.Send(`{"verb":"end","index":2,"task":"aa2","out`) // broken at any byte
 	env.Runtime.Disconnect()
 	// Runs that ended meanwhile are not started again; the one without a notice is, as its start may have been lost.
 	env.Runtime.AcceptSync(1, "new", 50, testutil.EndLine(1, "aa1", "good", "one"), testutil.EndLine(2, "aa2", "good", "two"))
-	s.ExpectResponse(2, 0, "two")
+	stub.ExpectResponse(2, 0, "two")
 	if task, _ := env.Runtime.ExpectCommand("start"); task != "aa3" {
 		t.Errorf("%s was started again", task)
 	}
 	env.Runtime.SendEnd(3, "aa3", "good", "three")
-	s.ExpectResponse(3, 0, "three")
+	stub.ExpectResponse(3, 0, "three")
 }
 
 func TestReplyOfUnknownDeliveryIsNotResent(t *testing.T) {
 	env := testutil.StartEnvironment(t, nil)
-	s := env.ConnectWithPendingCall("aa01", body)
+	stub := env.ConnectWithPendingCall("aa01", body)
 	env.Index.Send("aa01 HIT 1\r\nx\r\n")
 	env.Runtime.ExpectCommand("give")
 	env.Runtime.Disconnect()
 	env.Runtime.AcceptSync(1, "new", 50)
-	s.SendRequest(2, "seal", "bb01", body, "")
+	stub.SendRequest(2, "seal", "bb01", body, "")
 	if task, _ := env.Runtime.ExpectCommand("start"); task != "bb01" { // neither start nor give of the first request
 		t.Errorf("%s was started", task)
 	}
@@ -47,35 +47,35 @@
 	env := testutil.NewEnvironment(t, nil)
 	env.Program = testutil.StartProgram(t, env.Config)
 	env.Runtime.AcceptSync(0, "new", 5000)
-	s := env.Connect()
-	s.SendRequest(1, "trace", "aa01", body, "")
+	stub := env.Connect()
+	stub.SendRequest(1, "trace", "aa01", body, "")
 	env.Runtime.ExpectCommand("start")
 	env.Runtime.Disconnect()
 	env.Runtime.AcceptSync(0, "new", 0)
-	s.ExpectResponse(1, -32000, "") // failed: it may have run
+	stub.ExpectResponse(1, -32000, "") // failed: it may have run
 }
 
 func TestRuntimeStartsLate(t *testing.T) {
 	env := testutil.NewEnvironment(t, nil)
 	env.Program = testutil.StartProgram(t, env.Config)
-	s := env.Connect()
-	s.SendLine(`{"jsonrpc":"2.0","id":1,"method":"check"}`)
-	if r, _ := s.Receive(); r.Code() != 0 || r.Result.Serving {
+	stub := env.Connect()
+	stub.SendHealthCheck(1)
+	if r, _ := stub.Receive(); r.Code() != 0 || r.Result.Serving {
 		t.Errorf("reports serving without a runtime: %+v", r)
 	}
-	s.SendRequest(2, "trace", "aa01", body, "")
-	s.ExpectResponse(2, -32001, "")
+	stub.SendRequest(2, "trace", "aa01", body, "")
+	stub.ExpectResponse(2, -32001, "")
 	env.Runtime.AcceptSync(0, "old", 1000)
-	s.SendRequest(3, "trace", "aa02", body, "")
+	stub.SendRequest(3, "trace", "aa02", body, "")
 	env.Runtime.ExpectCommand("start")
 }
 
 func TestCallIsRetriedOnlyIfItNeverRan(t *testing.T) {
 	env := testutil.StartEnvironment(t, nil)
-	s := env.Connect()
+	stub := env.Connect()
 	address := env.Index.Address
 	env.Index.Shutdown() // connections are refused: nothing ran
-	s.SendRequest(1, "seal", "aa01", body, "")
+	stub.SendRequest(1, "seal", "aa01", body, "")
 	env.Runtime.ExpectCommand("start")
 	env.Runtime.SendCall(1, "aa01", "call")
 	env.Index.Listen(address)
@@ -89,21 +89,21 @@
 		}
 	}
 	env.Index.Send("aa01 BROKEN\r\n")
-	s.ExpectResponse(1, -32000, "")
+	stub.ExpectResponse(1, -32000, "")
 }
 
 func TestCallWithTruncatedReplyIsNotRetried(t *testing.T) {
 	env := testutil.StartEnvironment(t, nil)
-	s := env.ConnectWithPendingCall("aa01", body)
+	stub := env.ConnectWithPendingCall("aa01", body)
 	env.Index.Send("aa01 HIT 9\r\nhal")
 	env.Index.Disconnect()
-	s.ExpectResponse(1, -32000, "")
+	stub.ExpectResponse(1, -32000, "")
 }
 
 func TestInvalidInputFromRuntimeAndIndex(t *testing.T) {
 	env := testutil.StartEnvironment(t, nil)
-	s := env.Connect()
-	s.SendRequest(1, "seal", "aa01", body, "")
+	stub := env.Connect()
+	stub.SendRequest(1, "seal", "aa01", body, "")
 	env.Runtime.ExpectCommand("start")
 	env.Runtime.Send(`{"verb":"hum"}` + "\n" + `{"verb":"end","index":1,"task":"zz","outcome":"good"}` + "\n")
 	env.Runtime.SendCall(2, "aa01", "call")
@@ -114,11 +114,11 @@
 	}
 	env.Index.Send("zz HIT 1\r\nx\r\naa01 WHAT\r\nno reply at all\n")
 	env.Index.AwaitClose()
-	s.ExpectResponse(1, -32000, "")
+	stub.ExpectResponse(1, -32000, "")
 	env.Runtime.Send("no notice\n")
 	env.Runtime.AwaitClose()
 	env.Runtime.AcceptSync(2, "new", 50)
-	s.SendRequest(2, "seal", "aa02", body, "")
+	stub.SendRequest(2, "seal", "aa02", body, "")
 	env.Runtime.ExpectCommand("start")
 }
 
@@ -128,12 +128,10 @@
 	testutil.Next(t, env.CatalogReports, "a report")
 	address := env.Catalog.LocalAddr().String()
 	env.Catalog.Close()
-	s := env.Connect()
+	stub := env.Connect()
 	for start := time.Now(); time.Since(start) < time.Second; { // three reports fail meanwhile, on a machine that is not busy
-		s.SendLine(`{"jsonrpc":"2.0","id":1,"method":"check"}`)
-		if r, closed := s.Receive(); closed || !r.Result.Serving {
-			t.Fatalf("%+v, closed %v", r, closed)
-		}
+		stub.SendHealthCheck(1)
+		stub.ExpectServing()
 	}
 	back, err := net.ListenPacket("udp", address)
 	if err != nil {
@@ -150,12 +148,12 @@
 // A link that is open but silent is replaced.
 func TestSilentRuntimeLinkIsReconnected(t *testing.T) {
 	env := testutil.StartEnvironment(t, nil)
-	s := env.Connect()
-	s.SendRequest(1, "seal", "aa01", body, "")
+	stub := env.Connect()
+	stub.SendRequest(1, "seal", "aa01", body, "")
 	env.Runtime.ExpectCommand("start")
 	env.Runtime.IgnoreGauges()
 	env.Runtime.AcceptSync(0, "new", 3000, testutil.EndLine(1, "aa01", "good", result))
-	s.ExpectResponse(1, 0, result)
-	s.SendRequest(2, "seal", "aa02", body, "")
+	stub.ExpectResponse(1, 0, result)
+	stub.SendRequest(2, "seal", "aa02", body, "")
 	env.Runtime.AwaitCommand("start", "aa02")
 }
--- a/cmd/thymechute/reload_settings_test.go
+++ b/cmd/thymechute/reload_settings_test.go
@@ -42,10 +42,10 @@
 		t.Fatal(err)
 	}
 	other := otherSettings(t, env, nil)
-	s, notice := env.Connect(), 0
+	stub, notice := env.Connect(), 0
 	start := func(id int, class, rid, more string) {
 		t.Helper()
-		s.SendRequest(id, class, rid, body, more)
+		stub.SendRequest(id, class, rid, body, more)
 		if task, _ := env.Runtime.ExpectCommand("start"); task != rid {
 			t.Fatalf("%s was started, want %s", task, rid)
 		}
@@ -54,12 +54,12 @@
 		t.Helper()
 		notice++
 		env.Runtime.SendEnd(notice, rid, "good", rid)
-		s.ExpectResponse(id, 0, rid)
+		stub.ExpectResponse(id, 0, rid)
 	}
 	expectUnknown := func(id int, class string) {
 		t.Helper()
-		s.SendRequest(id, class, fmt.Sprint("no", id), body, "")
-		s.ExpectResponse(id, -32601, "")
+		stub.SendRequest(id, class, fmt.Sprint("no", id), body, "")
+		stub.ExpectResponse(id, -32601, "")
 	}
 	start(1, "excursion", "aa01", `,"token":"5c0f"`)
 	start(2, "trace", "aa02", "")
@@ -86,19 +86,19 @@
 	env.Program.Reload(original, `"settings_changed": true`)
 	expectUnknown(7, "issue")
 	start(8, "trace", "aa03", "")
-	s.SendRequest(9, "excursion", "aa04", body, `,"token":"5c0f","again":1`) // joins the run from before both reloads
+	stub.SendRequest(9, "excursion", "aa04", body, `,"token":"5c0f","again":1`) // joins the run from before both reloads
 	end(4, "bb01")
 	notice++
 	env.Runtime.SendEnd(notice, "aa01", "good", "once")
 	for range 2 {
-		if r, closed := s.Receive(); closed || r.Doc() != "once" || r.ID != 1.0 && r.ID != 9.0 {
+		if r, closed := stub.Receive(); closed || r.Doc() != "once" || r.ID != 1.0 && r.ID != 9.0 {
 			t.Fatalf("%+v, closed %v", r, closed)
 		}
 	}
 
 	env.Program.Reload(other, `"settings_changed": true`)
-	s.SendRequest(10, "issue", "bb02", body, `,"token":"77","again":1`) // its result was retained over both reloads
-	s.ExpectResponse(10, 0, "bb01")
+	stub.SendRequest(10, "issue", "bb02", body, `,"token":"77","again":1`) // its result was retained over both reloads
+	stub.ExpectResponse(10, 0, "bb01")
 	end(8, "aa03")
 	start(11, "issue", "bb03", `,"token":"78"`) // and nothing else was started meanwhile
 	end(11, "bb03")
--- a/cmd/thymechute/reload_test.go
+++ b/cmd/thymechute/reload_test.go
@@ -15,8 +15,8 @@
 
 func TestReloadSwitchesAddressesWithWorkInFlight(t *testing.T) {
 	env := testutil.StartEnvironment(t, nil)
-	s := env.Connect()
-	s.SendRequest(1, "excursion", "aa01", body, `,"token":"5c0f"`)
+	stub := env.Connect()
+	stub.SendRequest(1, "excursion", "aa01", body, `,"token":"5c0f"`)
 	env.Runtime.ExpectCommand("start")
 	good, _ := json.Marshal(env.Config)
 	env.Program.Reload(good[:len(good)/2], "configuration rejected")
@@ -38,9 +38,9 @@
 	env.Index.Send("aa01 HIT 1\r\nx\r\n")
 	env.Runtime.ExpectCommand("give")
 	env.Runtime.SendEnd(2, "aa01", "good", result)
-	s.ExpectResponse(1, 0, result)
-	s.SendRequest(2, "excursion", "aa02", body, `,"token":"5c0f","again":1`)
-	s.ExpectResponse(2, 0, result)
+	stub.ExpectResponse(1, 0, result)
+	stub.SendRequest(2, "excursion", "aa02", body, `,"token":"5c0f","again":1`)
+	stub.ExpectResponse(2, 0, result)
 }
 
 // plannedTenants is the number of tenants that the instance is designed for.
@@ -83,12 +83,12 @@
 // requests that are not.
 func isAdmitted(env *testutil.Environment, tenant string) bool {
 	env.T.Helper()
-	s := env.Connect()
-	defer s.Conn.Close()
+	stub := env.Connect()
+	defer stub.Conn.Close()
 	now := time.Now()
-	s.SendLine(`{"jsonrpc":"2.0","id":1,"method":"trace","params":{"rid":"r%d","t0":%d,"peer":1,"acct":%q,"mem":1,"prio":0.5,"doc":""}}`,
+	stub.SendLine(`{"jsonrpc":"2.0","id":1,"method":"trace","params":{"rid":"r%d","t0":%d,"peer":1,"acct":%q,"mem":1,"prio":0.5,"doc":""}}`,
 		now.UnixNano(), now.UnixMilli(), tenant)
-	r, closed := s.Receive()
+	r, closed := stub.Receive()
 	if closed || r.Code() != 0 && r.Code() != -32602 {
 		env.T.Fatalf("%s: %+v, closed %v", tenant, r, closed)
 	}
@@ -201,17 +201,17 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := env.Connect()
-	s.SendRequest(1, "trace", "aa01", body, "")
+	stub := env.Connect()
+	stub.SendRequest(1, "trace", "aa01", body, "")
 	env.Runtime.ExpectCommand("start")
 	env.Program.Reload(withTenants(t, env.Config, json.RawMessage(`[{"name":"other"}]`)), `"tenants_set": 1, "tenants_removed": 1`)
-	s.SendRequest(2, "trace", "aa02", body, "")
-	s.ExpectResponse(2, -32602, "")
+	stub.SendRequest(2, "trace", "aa02", body, "")
+	stub.ExpectResponse(2, -32602, "")
 	env.Runtime.SendEnd(1, "aa01", "good", "one")
-	s.ExpectResponse(1, 0, "one")
+	stub.ExpectResponse(1, 0, "one")
 	env.Program.Reload(original, `"version": 3`)
-	s.SendRequest(3, "trace", "aa03", body, "")
+	stub.SendRequest(3, "trace", "aa03", body, "")
 	env.Runtime.ExpectCommand("start")
 	env.Runtime.SendEnd(2, "aa03", "good", "three")
-	s.ExpectResponse(3, 0, "three")
+	stub.ExpectResponse(3, 0, "three")
 }
--- a/cmd/thymechute/requests_test.go
+++ b/cmd/thymechute/requests_test.go
@@ -15,8 +15,8 @@
 
 func TestRequestIsServedWithCallBytesUnchanged(t *testing.T) {
 	env := testutil.StartEnvironment(t, nil)
-	s := env.Connect()
-	s.SendRequest(1, "trace", "aa01", body, "")
+	stub := env.Connect()
+	stub.SendRequest(1, "trace", "aa01", body, "")
 	if task, got := env.Runtime.ExpectCommand("start"); task != "aa01" || got != body {
 		t.Errorf("started %s with %q", task, got)
 	}
@@ -30,7 +30,7 @@
 		t.Errorf("gave %s %q", task, got)
 	}
 	env.Runtime.SendEnd(2, "aa01", "good", result)
-	s.ExpectResponse(1, 0, result)
+	stub.ExpectResponse(1, 0, result)
 	if report := testutil.Next(t, env.CatalogReports, "a report"); !strings.HasPrefix(report, "alive n3 ") {
 		t.Errorf("reported %q", report)
 	}
@@ -38,18 +38,18 @@
 
 func TestResponsesComeInAnyOrderAndOnce(t *testing.T) {
 	env := testutil.StartEnvironment(t, nil)
-	s := env.Connect()
+	stub := env.Connect()
 	for id := 1; id <= 3; id++ {
-		s.SendRequest(id, "trace", fmt.Sprintf("aa%d", id), body, "")
+		stub.SendRequest(id, "trace", fmt.Sprintf("aa%d", id), body, "")
 		env.Runtime.ExpectCommand("start")
 	}
 	for n, id := range []int{3, 1, 2} {
 		env.Runtime.SendEnd(n+1, fmt.Sprintf("aa%d", id), "good", result)
-		s.ExpectResponse(id, 0, result)
+		stub.ExpectResponse(id, 0, result)
 	}
 	env.Runtime.SendEnd(4, "aa1", "good", result) // repeated: ignored
-	s.SendLine(`{"jsonrpc":"2.0","id":9,"method":"check","params":{"full":true}}`)
-	if r, _ := s.Receive(); r.ID != 9.0 || !r.Result.Serving {
+	stub.SendLine(`{"jsonrpc":"2.0","id":9,"method":"check","params":{"full":true}}`)
+	if r, _ := stub.Receive(); r.ID != 9.0 || !r.Result.Serving {
 		t.Errorf("got %+v, want a passing health check", r)
 	}
 }
@@ -58,25 +58,25 @@
 	env := testutil.StartEnvironment(t, func(config map[string]any) {
 		config["settings"].(map[string]any)["domain"].(map[string]any)["ram_kb"] = 5
 	})
-	s := env.Connect()
-	s.SendRequest(1, "trace", "aa01", body, "")
-	if r := s.ExpectResponse(1, -32001, ""); r.Error.Data.Backoff < 1 {
+	stub := env.Connect()
+	stub.SendRequest(1, "trace", "aa01", body, "")
+	if r := stub.ExpectResponse(1, -32001, ""); r.Error.Data.Backoff < 1 {
 		t.Errorf("no backoff: %+v", r.Error)
 	}
 }
 
 func TestRetryGetsResultOfFirstAttempt(t *testing.T) {
 	env := testutil.StartEnvironment(t, nil)
-	s, other := env.Connect(), env.Connect()
+	stub, other := env.Connect(), env.Connect()
 	const token = `,"token":"5c0f"`
-	s.SendRequest(1, "excursion", "aa01", body, token)
+	stub.SendRequest(1, "excursion", "aa01", body, token)
 	env.Runtime.ExpectCommand("start")
 	other.SendRequest(1, "excursion", "aa02", body, token+`,"again":1`)
-	s.SendRequest(2, "excursion", "bb01", body, `,"token":"77"`) // proves that the retry before it was not started
+	stub.SendRequest(2, "excursion", "bb01", body, `,"token":"77"`) // proves that the retry before it was not started
 	if task, _ := env.Runtime.ExpectCommand("start"); task != "bb01" {
 		t.Errorf("%s was started", task)
 	}
-	s.Conn.Close() // the first attempt's caller disconnects: its run counts all the same
+	stub.Conn.Close() // the first attempt's caller disconnects: its run counts all the same
 	env.Runtime.SendEnd(1, "aa01", "good", result)
 	other.ExpectResponse(1, 0, result)
 	other.SendRequest(2, "excursion", "aa03", body, token+`,"again":1`)
@@ -85,33 +85,33 @@
 
 func TestRetryOfFailedAttemptIsNotRun(t *testing.T) {
 	env := testutil.StartEnvironment(t, nil)
-	s := env.Connect()
-	s.SendRequest(1, "excursion", "aa01", body, `,"token":"5c0f"`)
+	stub := env.Connect()
+	stub.SendRequest(1, "excursion", "aa01", body, `,"token":"5c0f"`)
 	env.Runtime.ExpectCommand("start")
 	env.Runtime.SendEnd(1, "aa01", "bad", "")
-	s.ExpectResponse(1, -32000, "")
-	s.SendRequest(2, "excursion", "aa02", body, `,"token":"5c0f","again":1`)
-	s.ExpectResponse(2, -32000, "")
+	stub.ExpectResponse(1, -32000, "")
+	stub.SendRequest(2, "excursion", "aa02", body, `,"token":"5c0f","again":1`)
+	stub.ExpectResponse(2, -32000, "")
 }
 
 // A connection lost in the middle of a response affects no other: the run counts, and a retry gets its result, not a run.
 func TestTruncatedResponseKeepsIdempotentResult(t *testing.T) {
 	env := testutil.StartEnvironment(t, nil)
 	large := strings.Repeat("r", 4<<10)
-	s := env.Connect()
-	_ = s.Conn.(*net.TCPConn).SetReadBuffer(1 << 10)
+	stub := env.Connect()
+	_ = stub.Conn.(*net.TCPConn).SetReadBuffer(1 << 10)
 	for id := 1; id <= 30; id++ {
-		s.SendRequest(id, "excursion", fmt.Sprintf("aa%d", id), body, fmt.Sprintf(`,"token":"k%d"`, id))
+		stub.SendRequest(id, "excursion", fmt.Sprintf("aa%d", id), body, fmt.Sprintf(`,"token":"k%d"`, id))
 	}
 	for n := 1; n <= 30; n++ {
 		task, _ := env.Runtime.ExpectCommand("start")
 		env.Runtime.SendEnd(n, task, "good", large)
 	}
 	part := make([]byte, 1000)
-	if _, err := s.Conn.Read(part); err != nil {
+	if _, err := stub.Conn.Read(part); err != nil {
 		t.Fatal(err)
 	}
-	s.Conn.Close() // over unread bytes: a reset in the middle of a response
+	stub.Conn.Close() // over unread bytes: a reset in the middle of a response
 	other := env.Connect()
 	for id := 1; id <= 30; id++ {
 		other.SendRequest(id, "excursion", fmt.Sprintf("bb%d", id), body, fmt.Sprintf(`,"token":"k%d","again":1`, id))
@@ -129,20 +129,20 @@
 	env := testutil.StartEnvironment(t, func(config map[string]any) {
 		config["settings"].(map[string]any)["classes"].([]any)[1].(map[string]any)["window_s"] = 1
 	})
-	s := env.Connect()
+	stub := env.Connect()
 	const token = `,"token":"5c0f"`
 	firstSent := time.Now()
-	s.SendRequest(1, "excursion", "aa01", body, token)
+	stub.SendRequest(1, "excursion", "aa01", body, token)
 	env.Runtime.ExpectCommand("start")
-	s.SendRequest(2, "excursion", "aa02", body, token+`,"again":1`) // while the first still runs
+	stub.SendRequest(2, "excursion", "aa02", body, token+`,"again":1`) // while the first still runs
 	env.Runtime.SendEnd(1, "aa01", "good", "one")
-	s.ExpectResponse(1, 0, "one")
-	s.ExpectResponse(2, 0, "one")
+	stub.ExpectResponse(1, 0, "one")
+	stub.ExpectResponse(2, 0, "one")
 	go env.Runtime.ServeAll(2, "two")
 	served, lastSent := 2, time.Now()
 	for id, doc := 3, "one"; doc == "one"; id++ { // up to the expiry and past it
-		s.SendRequest(id, "excursion", fmt.Sprintf("aa%d", id), body, token+`,"again":1`)
-		r, closed := s.Receive()
+		stub.SendRequest(id, "excursion", fmt.Sprintf("aa%d", id), body, token+`,"again":1`)
+		r, closed := stub.Receive()
 		if doc = r.Doc(); closed || r.ID != float64(id) || doc != "one" && doc != "two" {
 			t.Fatalf("got %+v, closed %v", r, closed)
 		}
@@ -156,8 +156,8 @@
 	if lastSent.Sub(firstSent) > 2*time.Second {
 		t.Errorf("the result was still returned %v after the first attempt", lastSent.Sub(firstSent))
 	}
-	s.SendRequest(99999, "excursion", "bb01", "another body", token+`,"again":1`)
-	s.ExpectResponse(99999, -32000, "")
+	stub.SendRequest(99999, "excursion", "bb01", "another body", token+`,"again":1`)
+	stub.ExpectResponse(99999, -32000, "")
 	t.Logf("%d served, of which one was run again", served)
 }
 
@@ -189,7 +189,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			env := testutil.StartEnvironment(t, func(config map[string]any) { config["settings"] = settings })
-			s := env.Connect()
+			stub := env.Connect()
 			go env.Runtime.ServeAll(1, result)
 			for n, c := range settings["classes"].([]any) {
 				className := c.(map[string]any)["name"].(string)
@@ -205,9 +205,9 @@
 				if c.(map[string]any)["repeat"] == "by_key" {
 					more += fmt.Sprintf(`,"token":"k%d"`, n)
 				}
-				s.SendLine(`{"jsonrpc":"2.0","id":%d,"method":%s,"params":{"rid":"aa%d","t0":%d,"peer":1,"mem":10,"prio":0.5,"doc":"AA=="%s}}`,
+				stub.SendLine(`{"jsonrpc":"2.0","id":%d,"method":%s,"params":{"rid":"aa%d","t0":%d,"peer":1,"mem":10,"prio":0.5,"doc":"AA=="%s}}`,
 					n+1, method, n, time.Now().UnixMilli(), more)
-				r, closed := s.Receive()
+				r, closed := stub.Receive()
 				if closed || r.ID != float64(n+1) || r.Code() != 0 && r.Code() != -32000 && r.Code() != -32001 {
 					t.Fatalf("class %q: %+v, closed %v", className, r, closed)
 				}
@@ -216,8 +216,8 @@
 				}
 			}
 			env.Program.Terminate()
-			s.ExpectClosing()
-			s.Conn.Close()
+			stub.ExpectClosing()
+			stub.Conn.Close()
 			env.Program.ExpectExit(0)
 		})
 	}
--- a/cmd/thymechute/resources.go
+++ b/cmd/thymechute/resources.go
@@ -10,8 +10,8 @@
 )
 
 const (
-	heapPart      = 0.7 // of the memory limit, for Go; the rest is for the kernel and the program's code
-	heapGrowthPct = 100 // percent between two garbage collections, below that limit
+	heapFraction      = 0.7 // of the memory limit, for Go; the rest is for the kernel and the program's code
+	heapGrowthPercent = 100 // between two garbage collections, below that limit
 
 	// File descriptors are reserved for the links, Go's own and connections being opened. The others are divided into parts:
 	// most for the stubs' connections, one part each for spare stub connections, for those that are closing, and for calls.
@@ -23,8 +23,8 @@
 // limitRuntime sets the limits of the Go runtime by the instance's cores and memory.
 func limitRuntime(c config.Config) {
 	runtime.GOMAXPROCS(max(int(math.Ceil(c.Cores)), 1))
-	debug.SetMemoryLimit(int64(float64(c.MemoryBytes) * heapPart))
-	debug.SetGCPercent(heapGrowthPct)
+	debug.SetMemoryLimit(int64(float64(c.MemoryBytes) * heapFraction))
+	debug.SetGCPercent(heapGrowthPercent)
 }
 
 // descriptorPart returns the number of file descriptors in one part, by the configured limit or the system's if that is
--- a/cmd/thymechute/restart_test.go
+++ b/cmd/thymechute/restart_test.go
@@ -16,16 +16,16 @@
 
 func TestRetriesAreNotRunAfterProgramRestart(t *testing.T) {
 	env := testutil.StartEnvironment(t, nil)
-	s := env.Connect()
-	s.SendRequest(1, "excursion", "aa01", body, `,"token":"5c0f"`)
+	stub := env.Connect()
+	stub.SendRequest(1, "excursion", "aa01", body, `,"token":"5c0f"`)
 	env.Runtime.ExpectCommand("start")
 	env.Program.Kill()
 	env.Program = testutil.StartProgram(t, env.Config)
 	env.Runtime.AcceptSync(0, "old", 5000, testutil.EndLine(1, "aa01", "good", result)) // of the incarnation before
-	s = env.Connect()
-	s.SendRequest(1, "excursion", "aa02", body, `,"token":"5c0f","again":1`)
-	s.ExpectResponse(1, -32000, "")
-	s.SendRequest(2, "excursion", "bb01", body, `,"token":"77"`)
+	stub = env.Connect()
+	stub.SendRequest(1, "excursion", "aa02", body, `,"token":"5c0f","again":1`)
+	stub.ExpectResponse(1, -32000, "")
+	stub.SendRequest(2, "excursion", "bb01", body, `,"token":"77"`)
 	if task, _ := env.Runtime.ExpectCommand("start"); task != "bb01" {
 		t.Errorf("%s was started", task)
 	}
@@ -42,9 +42,9 @@
 		env.Runtime.AcceptSync(0, state, incarnation*100000)
 		testutil.NextMatching(t, env.CatalogReports, "a passing report", func(report string) bool { return report == "alive n3 passing" })
 		reported := time.Since(start)
-		s := env.Connect()
-		s.SendLine(`{"jsonrpc":"2.0","id":1,"method":"check"}`)
-		if r, closed := s.Receive(); closed || !r.Result.Serving {
+		stub := env.Connect()
+		stub.SendHealthCheck(1)
+		if r, closed := stub.Receive(); closed || !r.Result.Serving {
 			t.Errorf("%s: %+v, closed %v", state, r, closed)
 		}
 		t.Logf("%s: reported after %v, serving after %v", state, reported, time.Since(start))
@@ -123,11 +123,11 @@
 }
 
 // retryUntil sends requests until a response matches.
-func retryUntil(t *testing.T, s *testutil.Stub, send func(id int), matches func(testutil.Response) bool) {
+func retryUntil(t *testing.T, stub *testutil.Stub, send func(id int), matches func(testutil.Response) bool) {
 	t.Helper()
 	for id := 1; ; id++ {
 		send(id)
-		r, closed := s.Receive()
+		r, closed := stub.Receive()
 		if closed {
 			t.Fatal("the connection closed over a request")
 		}
@@ -176,12 +176,12 @@
 		env.Program = testutil.StartProgramFromFile(t, file)
 		env.Runtime.AcceptSync(0, "old", 60000+1000*incarnation, testutil.EndLine(1, fmt.Sprintf("%s%dx0", unfinishedPrefix, incarnation), "good", result))
 		runtime.serve(1)
-		s := env.Connect()
-		retryUntil(t, s, func(id int) { s.SendLine(`{"jsonrpc":"2.0","id":%d,"method":"check"}`, id) },
+		stub := env.Connect()
+		retryUntil(t, stub, func(id int) { stub.SendHealthCheck(id) },
 			func(r testutil.Response) bool { return r.Result.Serving })
 		serving := time.Since(start)
-		s = env.Connect()
-		retryUntil(t, s, func(id int) { s.SendRequest(id, "trace", fmt.Sprintf("first%dx%d", incarnation, id), body, "") },
+		stub = env.Connect()
+		retryUntil(t, stub, func(id int) { stub.SendRequest(id, "trace", fmt.Sprintf("first%dx%d", incarnation, id), body, "") },
 			func(r testutil.Response) bool { return r.Code() == 0 && r.Doc() == result })
 		served := time.Since(start)
 		t.Logf("restart %d: serving after %v, a request served after %v", incarnation, serving.Round(time.Millisecond), served.Round(time.Millisecond))
--- a/cmd/thymechute/shutdown_test.go
+++ b/cmd/thymechute/shutdown_test.go
@@ -17,18 +17,18 @@
 
 func TestShutdownAnswersReceivedRequests(t *testing.T) {
 	env := testutil.StartEnvironment(t, nil)
-	s := env.Connect()
-	s.SendRequest(1, "trace", "aa01", body, "")
-	s.SendRequest(2, "trace", "aa02", body, "")
+	stub := env.Connect()
+	stub.SendRequest(1, "trace", "aa01", body, "")
+	stub.SendRequest(2, "trace", "aa02", body, "")
 	env.Runtime.ExpectCommand("start")
 	env.Runtime.ExpectCommand("start")
 	env.Program.Terminate()
-	if r, _ := s.Receive(); r.Method != "closing" {
+	if r, _ := stub.Receive(); r.Method != "closing" {
 		t.Errorf("got %+v, want closing", r)
 	}
 	env.Runtime.SendEnd(1, "aa01", "good", result)
-	s.ExpectResponse(1, 0, result)
-	s.ExpectResponse(2, -32000, "") // it never ends: failed before the shutdown deadline
+	stub.ExpectResponse(1, 0, result)
+	stub.ExpectResponse(2, -32000, "") // it never ends: failed before the shutdown deadline
 	env.Program.ExpectExit(0)
 	if c, err := net.Dial("tcp", env.ListenAddress); err == nil {
 		c.Close()
@@ -42,18 +42,18 @@
 	env := testutil.NewEnvironment(t, nil)
 	env.Program = testutil.StartProgram(t, env.Config)
 	env.Runtime.Accept()
-	s := env.Connect()
-	s.SendRequest(1, "trace", "aa01", body, "")
-	s.ExpectResponse(1, -32001, "")
+	stub := env.Connect()
+	stub.SendRequest(1, "trace", "aa01", body, "")
+	stub.ExpectResponse(1, -32001, "")
 	env.Program.Terminate()
-	s.ExpectClosing()
+	stub.ExpectClosing()
 	env.Program.Terminate()
 	env.Runtime.Send(`{"verb":"ready","outcome":"old","spent":3600000}` + "\n")
 	testutil.Eventually(t, "the runtime is up", func() bool { return strings.Contains(env.Program.Log(), "runtime link established") })
-	s.SendRequest(2, "trace", "aa02", body, "")
-	s.ExpectResponse(2, -32001, "")
-	s.ExpectEnd()
-	s.Conn.Close()
+	stub.SendRequest(2, "trace", "aa02", body, "")
+	stub.ExpectResponse(2, -32001, "")
+	stub.ExpectEnd()
+	stub.Conn.Close()
 	env.Program.ExpectExit(0)
 }
 
@@ -99,18 +99,18 @@
 	}()
 	env.Program = testutil.StartProgramFromFile(t, file.path)
 	env.Runtime.AcceptSync(0, "new", 0)
-	s := env.Connect()
-	s.SendRequest(1, "trace", "aa01", body, "")
+	stub := env.Connect()
+	stub.SendRequest(1, "trace", "aa01", body, "")
 	env.Runtime.ExpectCommand("start")
 	env.Program.SignalReload()
 	f := file.open() // the program reads, and the file does not end yet
 	defer f.Close()
 	file.write(f)
 	env.Program.Terminate()
-	s.ExpectClosing()
+	stub.ExpectClosing()
 	env.Runtime.SendEnd(1, "aa01", "good", result)
-	s.ExpectResponse(1, 0, result)
-	s.Conn.Close()
+	stub.ExpectResponse(1, 0, result)
+	stub.Conn.Close()
 	env.Program.ExpectExit(0)
 }
 
@@ -119,39 +119,39 @@
 	env := testutil.StartEnvironment(t, func(config map[string]any) {
 		config["settings"].(map[string]any)["rules"].(map[string]any)["drain_grace_s"] = 0
 	})
-	s, other := env.Connect(), env.Connect()
-	s.SendRequest(1, "seal", "aa01", body, "")
+	stub, other := env.Connect(), env.Connect()
+	stub.SendRequest(1, "seal", "aa01", body, "")
 	env.Runtime.ExpectCommand("start")
-	other.SendLine(`{"jsonrpc":"2.0","id":1,"method":"check"}`)
+	other.SendHealthCheck(1)
 	other.Receive()
 	env.Program.Terminate()
-	s.ExpectClosing()
+	stub.ExpectClosing()
 	other.ExpectClosing()
 	other.SendLine(`{"jsonrpc":"2.0","id":2,"method":"check","params":{"full":true}}`)
 	if r, closed := other.Receive(); closed || r.ID != 2.0 || r.Result.Serving {
 		t.Errorf("got %+v (closed %v), want a failing health check", r, closed)
 	}
 	for id := 2; id <= 9; id++ {
-		s.SendRequest(id, "trace", fmt.Sprintf("bb%d", id), body, "")
-		s.ExpectResponse(id, -32001, "")
+		stub.SendRequest(id, "trace", fmt.Sprintf("bb%d", id), body, "")
+		stub.ExpectResponse(id, -32001, "")
 	}
 	env.Runtime.SendEnd(1, "aa01", "good", result)
-	s.ExpectResponse(1, 0, result)
+	stub.ExpectResponse(1, 0, result)
 	other.ExpectEnd()
 	other.Conn.Close()
-	s.ExpectEnd()
-	s.Conn.Close()
+	stub.ExpectEnd()
+	stub.Conn.Close()
 	env.Program.ExpectExit(0)
 }
 
 // A stub that reads nothing before the shutdown still gets all its responses, also those that the kernel did not take.
 func TestShutdownWaitsForSlowReader(t *testing.T) {
 	env := testutil.StartEnvironment(t, nil)
-	s := env.ConnectSlow()
+	stub := env.ConnectSlow()
 	large := strings.Repeat("r", 4<<10)
 	for id := 1; id <= 30; id++ {
 		rid := fmt.Sprintf("aa%d", id)
-		s.SendRequest(id, "trace", rid, "x", "")
+		stub.SendRequest(id, "trace", rid, "x", "")
 	}
 	started := map[string]bool{}
 	for n := 1; len(started) < 30; n++ {
@@ -168,13 +168,13 @@
 	}
 	got := 0
 	for got < 30 {
-		if r, closed := s.Receive(); closed {
+		if r, closed := stub.Receive(); closed {
 			t.Fatalf("closed after %d responses", got)
 		} else if r.Doc() == large {
 			got++
 		}
 	}
-	s.Conn.Close()
+	stub.Conn.Close()
 	env.Program.ExpectExit(0)
 }
 
@@ -182,20 +182,20 @@
 // arrives up to the last moment.
 func TestResponsesAtShutdownDeadlineAreNotReset(t *testing.T) {
 	env := testutil.StartEnvironment(t, nil)
-	s := env.Connect()
-	s.SendRequest(1, "seal", "aa01", body, "")
+	stub := env.Connect()
+	stub.SendRequest(1, "seal", "aa01", body, "")
 	env.Runtime.ExpectCommand("start") // which never ends
 	env.Program.Terminate()
-	s.ExpectClosing()
+	stub.ExpectClosing()
 	flood := bytes.Repeat([]byte(`{"jsonrpc":"2.0","method":"note"}`+"\n"), 1000)
 	go func() {
 		for err := error(nil); err == nil; {
-			_, err = s.Conn.Write(flood)
+			_, err = stub.Conn.Write(flood)
 		}
 	}()
-	s.ExpectResponse(1, -32000, "")
-	s.ExpectEnd()
-	s.Conn.Close()
+	stub.ExpectResponse(1, -32000, "")
+	stub.ExpectEnd()
+	stub.Conn.Close()
 	env.Program.ExpectExit(0)
 }
 
--- a/internal/jsonline/reader_test.go
+++ b/internal/jsonline/reader_test.go
@@ -70,6 +70,20 @@
 	}
 }
 
+func TestSyntaxErrorNamesOffsetAndExpectation(t *testing.T) {
+	err := NewReader([]byte(`{"a" 1}`)).ReadObject(nil)
+	var syntaxErr *SyntaxError
+	if !errors.As(err, &syntaxErr) || !errors.Is(err, ErrSyntax) {
+		t.Fatalf("got %v", err)
+	}
+	if syntaxErr.Offset != 5 || syntaxErr.Expected != "a colon" {
+		t.Errorf("got %+v", syntaxErr)
+	}
+	if want := "no JSON at byte 5: expected a colon"; err.Error() != want {
+		t.Errorf("got %q, want %q", err, want)
+	}
+}
+
 // Objects that encoding/json accepts are read to their end, and no input makes the reader panic.
 func FuzzObject(f *testing.F) {
 	for _, seed := range []string{`{"a":1,"b":[true,null,{"c":"\u0000"}]}`, `{}`, `{"a":-1.5e3}`, `{`, `{"a":}`, `[[[[`, `{"a":1}x`, `{"":"` + "\x80" + `"}`} {
--- a/internal/loop/accept.go
+++ b/internal/loop/accept.go
@@ -15,6 +15,9 @@
 // acceptRetryDelay is the pause after a failed accept, mostly for want of descriptors.
 const acceptRetryDelay = 5 * time.Millisecond
 
+// pastDeadline wakes up a blocked accept.
+var pastDeadline = time.Unix(1, 0)
+
 // acceptedMarker is the context with which accepted connections join the loop.
 type acceptedMarker struct{}
 
@@ -97,5 +100,5 @@
 	}
 	l.listenerClosing = true
 	l.log.Info("no longer listening")
-	_ = l.listener.SetDeadline(time.Unix(1, 0))
+	_ = l.listener.SetDeadline(pastDeadline)
 }
--- a/internal/loop/loop.go
+++ b/internal/loop/loop.go
@@ -21,9 +21,9 @@
 )
 
 const (
-	readBufferSize   = 64 << 10  // bytes read from one connection at a time
-	unsentPart       = 8         // unsent output of all connections may take one part in so many of the memory
-	initialTickDelay = time.Hour // until the first tick has set a time of its own
+	readBufferSize      = 64 << 10  // bytes read from one connection at a time
+	unsentMemoryDivisor = 8         // of the memory limit, for the unsent output of all connections
+	initialTickDelay    = time.Hour // until the first tick has set a time of its own
 )
 
 // Phase is how far the shutdown of a host has come. Phases are ordered; a host only moves forward.
@@ -119,7 +119,7 @@
 		listener:       listener,
 		listening:      true,
 		blocked:        map[*conn]struct{}{},
-		maxTotalUnsent: int(config.MemoryLimit / unsentPart),
+		maxTotalUnsent: int(config.MemoryLimit / unsentMemoryDivisor),
 		acceptedConns:  map[*conn]struct{}{},
 		lingering:      map[*conn]struct{}{},
 		maxLingering:   config.MaxLingering,
--- a/internal/rpc/decode_test.go
+++ b/internal/rpc/decode_test.go
@@ -4,9 +4,11 @@
 	"encoding/json"
 	"errors"
 	"fmt"
+	"strings"
 	"testing"
 	"time"
 
+	"thymechute/internal/jsonline"
 	"thymechute/internal/node"
 )
 
@@ -33,6 +35,21 @@
 	}
 }
 
+func TestProtocolErrorUnwrapsToItsReason(t *testing.T) {
+	_, err := Decode([]byte(strings.Replace(requestLine, `"mem":24.5`, `"mem":2000`, 1)))
+	var protocolErr *ProtocolError
+	var fieldErr *FieldError
+	if !errors.As(err, &protocolErr) || !errors.As(err, &fieldErr) || !errors.Is(err, errMemoryRange) {
+		t.Fatalf("got %v", err)
+	}
+	if protocolErr.Code != codeInvalidParams || fieldErr.Field != "mem" {
+		t.Errorf("got code %d, field %q", protocolErr.Code, fieldErr.Field)
+	}
+	if _, err := Decode([]byte(`{`)); !errors.Is(err, jsonline.ErrSyntax) {
+		t.Errorf("got %v", err)
+	}
+}
+
 func FuzzDecode(f *testing.F) {
 	for _, seed := range []string{requestLine, `{"jsonrpc":"2.0","id":"x","method":"check","params":{"full":true}}`, `{"id":1,"method":5}`, `{"id":00`, `[]`} {
 		f.Add([]byte(seed))
--- a/internal/testutil/stub.go
+++ b/internal/testutil/stub.go
@@ -69,6 +69,12 @@
 	}
 }
 
+// SendHealthCheck sends a shallow health check.
+func (s *Stub) SendHealthCheck(id int) {
+	s.t.Helper()
+	s.SendLine(`{"jsonrpc":"2.0","id":%d,"method":"check"}`, id)
+}
+
 // SendRequest sends a request of the class. moreParams is empty, or further params in JSON, with a comma before each.
 func (s *Stub) SendRequest(id int, class, rid, body, moreParams string) {
 	s.t.Helper()
@@ -154,3 +160,12 @@
 	}
 	return r
 }
+
+// ExpectServing fails unless the next message is the answer to a health check that the program is serving.
+func (s *Stub) ExpectServing() {
+	s.t.Helper()
+	r, closed := s.Receive()
+	if closed || !r.Result.Serving {
+		s.t.Fatalf("got %+v (closed %v), want serving", r, closed)
+	}
+}
