--- a/internal/lab/lab_test.go
+++ b/internal/lab/lab_test.go
@@ -9,7 +9,7 @@
 // At a small size, the claims of the AMQP experiments hold and their figures are present.
 func TestAMQPExperiments(t *testing.T) {
 	folder := t.TempDir()
-	program := testutil.Built(t)
+	program := testutil.BuildProgram(t)
 	for name, run := range map[string]Experiment{
 		"amqp": AMQP, "amqp-storm": AMQPStorm} {
 		r, err := run(program, folder, 1, 1500, func(string) {})
@@ -36,7 +36,7 @@
 		t.Skip("starts processes")
 	}
 	folder := t.TempDir()
-	program := testutil.Built(t)
+	program := testutil.BuildProgram(t)
 	r, err := FleetWithClaim(program, folder, 1, 6, func(line string) { t.Log(line) }, 0)
 	if err != nil {
 		t.Fatal(err)
