--- a/internal/lab/scale/instance/reload.go
+++ b/internal/lab/scale/instance/reload.go
@@ -12,8 +12,8 @@
 	// minReloadInterval separates reloads, since the program's logger samples messages beyond 20 a second.
 	minReloadInterval = 60 * time.Millisecond
 	// The messages by which the program logs the outcome of a reload.
-	appliedMessage  = "configuration read again"
-	rejectedMessage = "configuration not taken"
+	appliedMessage  = "configuration reloaded"
+	rejectedMessage = "configuration rejected"
 )
 
 // outcome is the outcome of a reload, by the program's log.
