--- a/internal/catalog/catalog_test.go
+++ b/internal/catalog/catalog_test.go
@@ -14,7 +14,8 @@
 func TestReportsAreSentOftenWithinAnEntrysLifetime(t *testing.T) {
 	var dialled []*socket
 	r := New("n3", func(p loop.Handler) { dialled = append(dialled, p.(*socket)) })
-	now, w := time.Now(), &testutil.FakeConn{}
+	now := time.Now()
+	w := &testutil.FakeConn{}
 	r.Sweep(now, node.Healthy)
 	dialled[0].Opened(w)
 	for at := now; at.Before(now.Add(3 * time.Second)); at = at.Add(20 * time.Millisecond) {
--- a/internal/front/amqp/decode.go
+++ b/internal/front/amqp/decode.go
@@ -62,7 +62,7 @@
 	return request, err
 }
 
-// mayHaveRunElsewhere tells whether an earlier delivery may have been processed by another instance. Without an
+// mayHaveRunElsewhere reports whether an earlier delivery may have been processed by another instance. Without an
 // idempotency key only the first delivery proves that it was not.
 func mayHaveRunElsewhere(d *amqp.Delivery, fields *operator.FieldMapping, queue *operator.Queue, request *node.Request,
 	idempotency settings.Idempotency) (bool, error) {
--- a/internal/front/amqp/frames.go
+++ b/internal/front/amqp/frames.go
@@ -52,7 +52,7 @@
 	return nil
 }
 
-// check checks the payload of a frame and tells whether the frame is passed on; it may set the size of a body to 0.
+// check checks the payload of a frame and reports whether the frame is passed on; it may set the size of a body to 0.
 func (g *guard) check(kind byte, channel uint16, payload []byte) (pass bool, err error) {
 	switch kind {
 	case kindMethod:
--- a/internal/front/amqp/front.go
+++ b/internal/front/amqp/front.go
@@ -123,7 +123,8 @@
 	s.abandon()
 	f.session = nil
 	f.counts.callerGone += uint64(len(f.unsettled))
-	f.unsettled, f.bounced = nil, nil
+	f.unsettled = nil
+	f.bounced = nil
 	clear(f.unconfirmed)
 	f.admission.CallerGone(s)
 	if f.draining {
--- a/internal/front/amqp/guard.go
+++ b/internal/front/amqp/guard.go
@@ -71,7 +71,9 @@
 	if _, err := io.ReadFull(g.reader, header[:]); err != nil {
 		return err
 	}
-	kind, channel, size := header[0], binary.BigEndian.Uint16(header[1:]), binary.BigEndian.Uint32(header[3:])
+	kind := header[0]
+	channel := binary.BigEndian.Uint16(header[1:])
+	size := binary.BigEndian.Uint32(header[3:])
 	if err := checkFrameHeader(kind, size); err != nil {
 		return err
 	}
@@ -145,7 +147,7 @@
 	g.allowed = g.delivered
 }
 
-// wasClosedByBroker tells whether the broker has closed the connection with a reason: the library takes any end of the
+// wasClosedByBroker reports whether the broker has closed the connection with a reason: the library takes any end of the
 // connection during the login for a rejected login.
 func (g *guard) wasClosedByBroker() bool {
 	g.mu.Lock()
@@ -153,7 +155,7 @@
 	return g.closedByBroker
 }
 
-// takeOversized tells whether the delivered message was oversized, and forgets it.
+// takeOversized reports whether the delivered message was oversized, and forgets it.
 func (g *guard) takeOversized(deliveryTag uint64) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/internal/front/amqp/host.go
+++ b/internal/front/amqp/host.go
@@ -8,7 +8,9 @@
 func (f *Front) Dial(broker int) {
 	f.sessionCount++
 	f.unsettled = map[uint64]*message{}
-	f.isConnected, f.consumersStopped, f.closing = false, true, false
+	f.isConnected = false
+	f.consumersStopped = true
+	f.closing = false
 	f.session = openSession(f.config, f.name, f.config.Brokers[broker].Address, f.maxUnsettled(), f.loop.Post,
 		sessionHandler{events: f.handleEvents, answer: f.handleAnswer})
 }
--- a/internal/front/amqp/message.go
+++ b/internal/front/amqp/message.go
@@ -27,7 +27,7 @@
 	isUnroutable bool // what was published for it reached no queue
 }
 
-// isExpired tells whether its caller waits no longer, or hardly.
+// isExpired reports whether its caller waits no longer, or hardly.
 func (m *message) isExpired() bool {
 	const margin = 100 * time.Millisecond
 	return !m.deadline.IsZero() && time.Until(m.deadline) <= margin
--- a/internal/front/amqp/session.go
+++ b/internal/front/amqp/session.go
@@ -116,7 +116,8 @@
 func (s *session) deliverEvents() {
 	s.mu.Lock()
 	events := s.events
-	s.events, s.isScheduled = nil, false
+	s.events = nil
+	s.isScheduled = false
 	s.mu.Unlock()
 	s.handler.events(s, events)
 }
--- a/internal/index/connection.go
+++ b/internal/index/connection.go
@@ -26,7 +26,7 @@
 	return &connection{pool: p, call: first, carried: map[node.TaskID]struct{}{}}
 }
 
-// hasCarried tells whether a call of the request was sent on this connection.
+// hasCarried reports whether a call of the request was sent on this connection.
 func (c *connection) hasCarried(id node.TaskID) bool {
 	_, ok := c.carried[id]
 	return ok
@@ -101,7 +101,8 @@
 
 // handle ends the call that the reply belongs to. A reply of another call, or with an unknown status, is ignored.
 func (c *connection) handle(r reply) {
-	p, answered := c.pool, c.call
+	p := c.pool
+	answered := c.call
 	outcome, known := outcomes[r.status]
 	if !known || answered == nil || !answered.sent || answered.id != r.id {
 		p.reportAnomaly("unexpected index reply", zap.String("task", string(r.id)), zap.String("status", r.status))
--- a/internal/index/pool.go
+++ b/internal/index/pool.go
@@ -141,7 +141,7 @@
 	p.dialQueued()
 }
 
-// owns tells whether the connection still takes calls.
+// owns reports whether the connection still takes calls.
 func (p *Pool) owns(c *connection) bool {
 	_, ok := p.conns[c]
 	return ok
--- a/internal/index/pool_test.go
+++ b/internal/index/pool_test.go
@@ -24,13 +24,15 @@
 
 // newPool returns a pool and the connections that it dials; open opens one.
 func newPool(maxConns int) (p *Pool, s *sink, dialled *[]*connection) {
-	s, dialled = &sink{}, &[]*connection{}
+	s = &sink{}
+	dialled = &[]*connection{}
 	return NewPool(s, func(to loop.Handler) { *dialled = append(*dialled, to.(*connection)) }, maxConns, zap.NewNop()), s, dialled
 }
 
 // open opens the connection that was dialled last.
 func open(dialled *[]*connection) (*connection, *testutil.FakeConn) {
-	c, w := (*dialled)[len(*dialled)-1], &testutil.FakeConn{}
+	c := (*dialled)[len(*dialled)-1]
+	w := &testutil.FakeConn{}
 	c.Opened(w)
 	return c, w
 }
--- a/internal/loop/conn_test.go
+++ b/internal/loop/conn_test.go
@@ -29,7 +29,8 @@
 }
 
 func (m *connModel) send(t *rapid.T, text string) {
-	server, before := m.handler.conn.(*conn), 0
+	server := m.handler.conn.(*conn)
+	before := 0
 	m.runOnLoop(func() { before = server.discarded })
 	if _, err := m.client.Write([]byte(text)); err != nil {
 		t.Fatalf("the client can't write: %v", err)
@@ -165,7 +166,8 @@
 		all = append(all, e)
 	}
 	host.await(func() bool {
-		unsent, openConns := 0, 0
+		unsent := 0
+		openConns := 0
 		for _, e := range all {
 			if server := e.conn.(*conn); server.state != stateClosed {
 				openConns++
--- a/internal/loop/output.go
+++ b/internal/loop/output.go
@@ -82,7 +82,8 @@
 		}
 		total += unsent
 		if unsent > most {
-			worst, most = c, unsent
+			worst = c
+			most = unsent
 		}
 	}
 	return worst, most, total
--- a/internal/loop/shutdown_test.go
+++ b/internal/loop/shutdown_test.go
@@ -139,7 +139,8 @@
 
 func TestNoCapacityClosesWithoutReset(t *testing.T) {
 	host := startHost(t, replyAtOnce)
-	release, blocked := make(chan struct{}), make(chan struct{})
+	release := make(chan struct{})
+	blocked := make(chan struct{})
 	go host.loop.Post(func() {
 		close(blocked)
 		<-release
--- a/internal/node/admission.go
+++ b/internal/node/admission.go
@@ -7,8 +7,8 @@
 	"thymechute/policy/settings"
 )
 
-// Admit takes in a request that has been read; its answer goes to the responder under the message id. The error is an
-// *AdmissionError; no answer follows it.
+// Admit takes a request that has been read. Its answer goes to the responder under the message id, at once or during a later
+// tick. The error is an *AdmissionError; no answer follows it.
 func (n *Instance) Admit(responder Responder, id MessageID, incoming Request) error {
 	n.lastArrival = n.now
 	class, ok := n.classes.find(incoming.Class)
@@ -45,7 +45,7 @@
 	return nil
 }
 
-// HasClass tells whether requests of this class are admitted.
+// HasClass reports whether requests of this class are admitted.
 func (n *Instance) HasClass(class string) bool {
 	_, ok := n.classes.find(class)
 	return ok
@@ -60,12 +60,13 @@
 	return tenant, ok
 }
 
-// isFull tells whether a table has no capacity for a request of this class and key.
+// isFull reports whether a table has no capacity for a request of this class and key.
 func (n *Instance) isFull(class int, key string) bool {
 	if n.inFlight*requestBytes >= n.tableBytes {
 		return true
 	}
-	return n.keys.bytes >= n.tableBytes && n.idempotencyOf(class) == settings.Idempotent && n.keys.entries[key] == nil
+	needsKeyEntry := n.idempotencyOf(class) == settings.Idempotent && n.keys.entries[key] == nil
+	return needsKeyEntry && n.keys.bytes >= n.tableBytes
 }
 
 // allocate returns a free slot of the table of requests.
@@ -79,7 +80,7 @@
 	return policy.RequestID(len(n.requests) - 1)
 }
 
-// retryAfter is the Retry-After of what the instance itself rejects.
+// retryAfter returns the Retry-After of requests that the instance rejects without the controller; 0: none.
 func (n *Instance) retryAfter() time.Duration {
 	if n.server.RetryAfter.Off() {
 		return 0
@@ -87,7 +88,7 @@
 	return min(fullRetryAfter, n.server.MaxRetryAfter.Seconds(0))
 }
 
-// submit hands an admitted request to the controller, after a look at the keys.
+// submit passes an admitted request to the controller, unless its idempotency key belongs to another request.
 func (n *Instance) submit(id policy.RequestID, incoming Request) {
 	request := &n.requests[id]
 	work := policy.Request{
@@ -99,11 +100,12 @@
 		MemoryKB:  incoming.MemoryKB,
 		ReadDelay: min(max(time.Since(incoming.ReceivedAt), 0), maxReadDelay),
 	}
-	if incoming.CallerTimeout > 0 { // one that is over must not become 0, which means unknown: the controller ends it
+	if incoming.CallerTimeout > 0 {
+		// At least 1 ns, as 0 means unknown: the controller rejects a request whose caller has timed out.
 		work.CallerTimeout = max(incoming.CallerTimeout-work.ReadDelay, 1)
 	}
-	original, conflict := n.findOriginal(request, incoming, n.now-work.ReadDelay)
-	if conflict {
+	original, isConflict := n.findOriginal(request, incoming, n.now-work.ReadDelay)
+	if isConflict {
 		request.cause = KeyConflict
 		n.respond(id, Answer{Status: Failed})
 		n.Release(id)
@@ -131,7 +133,7 @@
 	}
 }
 
-// isCurrent tells whether the slot still belongs to the request of that task id: slots are used again.
+// isCurrent reports whether the slot still belongs to the request with this task id, as slots are reused.
 func (n *Instance) isCurrent(taskID TaskID, id policy.RequestID) bool {
 	current, ok := n.byTaskID[taskID]
 	return ok && current == id
--- a/internal/node/drain.go
+++ b/internal/node/drain.go
@@ -18,7 +18,8 @@
 	listenerClosedAt time.Duration // 0: still listening
 }
 
-// Drain starts the graceful shutdown: the process will be killed once the stop timeout is over. Later calls have no effect.
+// Drain starts the graceful shutdown with the next tick: the process will be killed after the stop timeout. Later calls have
+// no effect.
 func (n *Instance) Drain() {
 	n.enqueue(func() {
 		if n.drain.started {
@@ -27,7 +28,7 @@
 		n.drain.started = true
 		n.drain.deadline = n.now + n.stopTimeout
 		n.drain.graceEnd = n.now
-		n.lastArrival = n.now // requests may be on their way at the notice
+		n.lastArrival = n.now // requests may be in transit at the drain notice
 		if n.controller != nil {
 			n.drain.graceEnd += n.server.DrainGrace.Seconds(0)
 			n.controller.Drain(n.now, n.stopTimeout)
@@ -39,9 +40,10 @@
 	})
 }
 
-// phase returns the phase of the graceful shutdown. The listener closes once the grace period is over, nothing arrives and
-// nothing is pending, or shortly before the stop deadline. The connections end when the requests that crossed that are
-// answered. Just before the deadline all that is pending is answered and the loop ends.
+// phase returns the phase of the graceful shutdown. The listener closes when the grace period is over, no request has arrived
+// for quietInterval and none is pending, or listenerCloseMargin before the stop deadline. The connections close when the
+// requests that arrived up to listenerCloseLinger after that are answered. Just before the deadline everything pending is
+// answered and the loop stops.
 func (n *Instance) phase() loop.Phase {
 	pending := n.hasPendingWork()
 	switch {
@@ -50,7 +52,7 @@
 	case n.now >= n.drain.deadline-exitMargin:
 		n.answerRemaining()
 		return loop.PhaseStopped
-	case n.now >= n.drain.deadline-lastAnswerMargin: // connections still close in order, behind the last answers
+	case n.now >= n.drain.deadline-lastAnswerMargin: // leaves time to close the connections after the last answers
 		n.answerRemaining()
 		return loop.PhaseClosingConns
 	case n.drain.listenerClosedAt == 0:
@@ -64,7 +66,7 @@
 	return loop.PhaseClosingListener
 }
 
-// keepsListening tells whether a draining instance still accepts connections.
+// keepsListening reports whether a draining instance still accepts connections.
 func (n *Instance) keepsListening(pending bool) bool {
 	if n.now >= n.drain.deadline-listenerCloseMargin {
 		return false
@@ -72,11 +74,11 @@
 	return n.now < n.drain.graceEnd || n.now-n.lastArrival <= quietInterval || pending
 }
 
-// awaitsAnswer tells whether a caller waits for the request's answer.
+// awaitsAnswer reports whether a caller waits for the request's answer.
 func (r *requestState) awaitsAnswer() bool { return r.inFlight && !r.answered && r.responder != nil }
 
-// hasPendingWork tells whether anything keeps a draining instance from its end: requests and health checks without an
-// answer, unhandled events, and answers that a front has not delivered. Unwritten output is the event loop's to wait for.
+// hasPendingWork reports whether a draining instance has to wait: for requests and health checks without an answer, for
+// unhandled events, or for answers that a front has not delivered. The event loop itself waits for unsent output.
 func (n *Instance) hasPendingWork() bool {
 	if len(n.events) > 0 || len(n.completions) > 0 || len(n.health.checks) > 0 {
 		return true
@@ -85,7 +87,7 @@
 		slices.ContainsFunc(n.fronts, Front.HasPending)
 }
 
-// answerRemaining answers all requests and health checks: requests that never ran are rejected, the others fail.
+// answerRemaining answers all requests and health checks. Requests that never ran are rejected, the others fail.
 func (n *Instance) answerRemaining() {
 	rejected := n.answerAll(Answer{Status: Rejected, RetryAfter: n.retryAfter()}, func(r *requestState) bool {
 		return !r.started && r.coalescedOn == nil
@@ -100,7 +102,8 @@
 // answerAll gives the answer to all matching requests that await one, and returns their number.
 func (n *Instance) answerAll(answer Answer, matches func(*requestState) bool) (count int) {
 	for index := range n.requests {
-		if request := &n.requests[index]; request.awaitsAnswer() && matches(request) {
+		request := &n.requests[index]
+		if request.awaitsAnswer() && matches(request) {
 			n.respond(policy.RequestID(index), answer)
 			count++
 		}
--- a/internal/node/drain_test.go
+++ b/internal/node/drain_test.go
@@ -23,25 +23,29 @@
 	peers.expect(t, 1, "checked")
 }
 
-// Every front is drained, and answers that one still has to deliver are waited for, up to the stop deadline.
+// All fronts are drained, and a draining instance waits for their undelivered answers up to the stop deadline.
 func TestDrainReachesAllFrontsAndWaitsForPendingAnswers(t *testing.T) {
 	n, peers := newReady(nil)
 	peers.pending = true
 	n.Drain()
 	n.Tick()
 	peers.expect(t, 2, "drain")
-	n.now, n.lastArrival = n.drain.graceEnd+time.Second, n.drain.graceEnd
+	n.now = n.drain.graceEnd + time.Second
+	n.lastArrival = n.drain.graceEnd
 	if n.phase() != loop.PhaseServing {
 		t.Error("the listener closes though a front has pending answers")
 	}
-	if peers.pending = false; n.phase() != loop.PhaseClosingListener {
+	peers.pending = false
+	if n.phase() != loop.PhaseClosingListener {
 		t.Error("the listener stays open though nothing is pending")
 	}
-	peers.pending, n.now = true, n.drain.deadline-lastAnswerMargin
+	peers.pending = true
+	n.now = n.drain.deadline - lastAnswerMargin
 	if n.phase() != loop.PhaseClosingConns {
 		t.Error("a front that stays pending keeps the connections open")
 	}
-	if n.now = n.drain.deadline - exitMargin; n.phase() != loop.PhaseStopped {
+	n.now = n.drain.deadline - exitMargin
+	if n.phase() != loop.PhaseStopped {
 		t.Error("a front that stays pending outlasts the stop deadline")
 	}
 }
@@ -54,18 +58,23 @@
 		t.Fatalf("phase %v at the drain notice", phase)
 	}
 	for _, at := range []struct {
-		left time.Duration
+		left time.Duration // until the stop deadline
 		want loop.Phase
-	}{{listenerCloseMargin + 100*time.Millisecond, loop.PhaseServing}, {listenerCloseMargin - 100*time.Millisecond, loop.PhaseClosingListener},
-		{lastAnswerMargin, loop.PhaseClosingConns}, {exitMargin, loop.PhaseStopped}} {
-		n.now, n.lastArrival = n.drain.deadline-at.left, n.drain.deadline-at.left
+	}{
+		{listenerCloseMargin + 100*time.Millisecond, loop.PhaseServing},
+		{listenerCloseMargin - 100*time.Millisecond, loop.PhaseClosingListener},
+		{lastAnswerMargin, loop.PhaseClosingConns},
+		{exitMargin, loop.PhaseStopped},
+	} {
+		n.now = n.drain.deadline - at.left
+		n.lastArrival = n.drain.deadline - at.left
 		if got := n.phase(); got != at.want {
 			t.Errorf("%v before the stop deadline: phase %v, want %v", at.left, got, at.want)
 		}
 	}
 }
 
-// Requests that cross the drain notice are still accepted, also without a grace period and before the runtime is ready.
+// Requests in transit at the drain notice are accepted, even without a grace period and before the runtime is ready.
 func TestListenerStaysOpenJustAfterTheDrainNotice(t *testing.T) {
 	peers := &recorder{}
 	n := New(testutil.TypedSettings(nil), 7, 3*time.Second, 192<<20, zap.NewNop())
--- a/internal/node/errors.go
+++ b/internal/node/errors.go
@@ -7,25 +7,32 @@
 
 // Reasons of an AdmissionError, for errors.Is.
 var (
-	ErrUnknownClass  = errors.New("unknown class")
+	// ErrUnknownClass means that no class of the name is in force.
+	ErrUnknownClass = errors.New("unknown class")
+	// ErrUnknownTenant means that no tenant of the name is in force.
 	ErrUnknownTenant = errors.New("unknown tenant")
-	ErrDuplicateID   = errors.New("id is in use")
+	// ErrDuplicateID means that a request in flight has the same task id.
+	ErrDuplicateID = errors.New("id is in use")
 )
 
-// AdmissionError is the error of a request that was not admitted because it is invalid. Its text is sent to the caller, and
-// is that of its reason alone.
+// AdmissionError is the error of an invalid request. Its text is sent to the caller, so it contains the reason only and not
+// the value.
 type AdmissionError struct {
-	Reason error  // one of the reasons above
-	Value  string // the class, tenant or id that was found
+	Reason error  // ErrUnknownClass, ErrUnknownTenant or ErrDuplicateID
+	Value  string // the class, tenant or task id of the request
 }
 
+// Error returns the text of the reason.
 func (e *AdmissionError) Error() string { return e.Reason.Error() }
 
 // Unwrap returns the reason.
 func (e *AdmissionError) Unwrap() error { return e.Reason }
 
-// VersionError is the error of a settings delta that does not start from the version in force.
-type VersionError struct{ From, InForce uint64 }
+// VersionError is the error of a settings delta that does not apply to the version in force.
+type VersionError struct {
+	From    uint64 // version to which the delta applies
+	InForce uint64
+}
 
 func (e *VersionError) Error() string {
 	return fmt.Sprintf("settings: found a change of version %d, expected one of %d, which is in force", e.From, e.InForce)
@@ -33,8 +40,9 @@
 
 // BoundError is the error of a settings delta that would leave too many resources of one kind.
 type BoundError struct {
-	Kind         string // "classes" or "tenants"
-	Found, Bound int
+	Kind  string // "classes" or "tenants"
+	Found int    // resources in force after the delta
+	Bound int
 }
 
 func (e *BoundError) Error() string {
--- a/internal/node/gauges.go
+++ b/internal/node/gauges.go
@@ -6,17 +6,17 @@
 	"thymechute/policy"
 )
 
-// gaugeState is the runtime's latest gauges.
+// gaugeState holds the runtime's latest gauges.
 type gaugeState struct {
 	latest      policy.Gauges
-	readAt      time.Duration
-	requestedAt time.Duration // of the earliest request without an answer
+	readAt      time.Duration // when latest was received
+	requestedAt time.Duration // of the earliest unanswered request, if later than readAt
 }
 
-// noGauges are gauges without a reading.
+// noGauges are gauges of which none is available.
 var noGauges = policy.Gauges{Busy: -1, Runnable: -1}
 
-// requestGauges asks for the gauges of the next tick: no tick waits for them.
+// requestGauges requests the gauges for the next tick, as no tick waits for an answer.
 func (n *Instance) requestGauges() {
 	if n.gauges.requestedAt <= n.gauges.readAt {
 		n.gauges.requestedAt = n.now
@@ -24,7 +24,7 @@
 	n.runtime.RequestGauges()
 }
 
-// GaugesRead is called with the runtime's gauges, in the order of the settings.
+// GaugesRead is called with the runtime's gauges, in the order that the settings give (settings.Server.BusyGauge).
 func (n *Instance) GaugesRead(values []float64) {
 	n.gauges.latest = n.parseGauges(values)
 	n.gauges.readAt = time.Since(n.start)
--- a/internal/node/health.go
+++ b/internal/node/health.go
@@ -12,15 +12,16 @@
 	expiresAt time.Duration
 }
 
-// healthState is the verdict for health checks, and the deep checks in progress.
+// healthState is the controller's verdict on the health, and the deep checks in progress.
 type healthState struct {
 	isHealthy bool
 	isCached  bool                   // deep checks are answered without a self-test
 	checks    map[string]healthCheck // by the id of their self-test; at most maxHealthChecks
-	selfTests int                    // requested so far
+	selfTests int                    // number of self-tests requested so far, for their ids
 }
 
-// CheckHealth answers a health check: at once, or a deep one when the runtime's self-test has ended.
+// CheckHealth answers a health check: a shallow one at once, a deep one when the runtime's self-test has ended or after
+// selfTestTimeout. A deep check for which no self-test can be made is answered like a shallow one.
 func (n *Instance) CheckHealth(responder Responder, id MessageID, depth HealthCheckDepth) {
 	if depth == ShallowCheck || !n.canSelfTest() {
 		responder.HealthChecked(id, n.healthResult(HealthOf(n.controller != nil && n.health.isHealthy)))
@@ -32,12 +33,13 @@
 	n.runtime.SelfTest(testID)
 }
 
-// canSelfTest tells whether a deep check is worth a self-test, and there is capacity for one.
+// canSelfTest reports whether a deep check requests a self-test: the verdict is not cached, the runtime can be reached, and
+// fewer than maxHealthChecks are in progress.
 func (n *Instance) canSelfTest() bool {
 	return !n.health.isCached && n.controller != nil && n.runtime.Up() && len(n.health.checks) < maxHealthChecks
 }
 
-// SelfTestEnded is called when the runtime's self-test of that id has ended.
+// SelfTestEnded is called when the runtime's self-test of this id has ended.
 func (n *Instance) SelfTestEnded(testID string, status HealthStatus) {
 	check, ok := n.health.checks[testID]
 	if !ok {
--- a/internal/node/host.go
+++ b/internal/node/host.go
@@ -26,7 +26,7 @@
 	request.responder.Answer(request.messageID, answer)
 }
 
-// abandonCall gives up the call that the request has in flight, if any.
+// abandonCall abandons the call that the request has in flight, if any.
 func (n *Instance) abandonCall(request *requestState) {
 	if request.callInFlight {
 		request.callInFlight = false
@@ -34,7 +34,7 @@
 	}
 }
 
-// Start starts the request's run at the runtime; where the link is down, once it is up.
+// Start starts the request's run at the runtime, or once the link is up again.
 func (n *Instance) Start(id policy.RequestID) {
 	request := &n.requests[id]
 	request.started = true
@@ -48,7 +48,7 @@
 	n.runtime.Start(request.taskID, n.classes.at(request.class).Name, request.body)
 }
 
-// Stop stops the request's run; where the link is down, once it is up.
+// Stop stops the request's run at the runtime, or once the link is up again.
 func (n *Instance) Stop(id policy.RequestID) {
 	request := &n.requests[id]
 	request.stopped = true
@@ -66,21 +66,21 @@
 	})
 }
 
-// Fail answers the request with an error and gives up its call in flight.
+// Fail answers the request with an error and abandons its call in flight.
 func (n *Instance) Fail(id policy.RequestID) {
 	n.respond(id, Answer{Status: Failed})
 	n.abandonCall(&n.requests[id])
 }
 
-// Call issues the call that the request's run waits at.
+// Call issues the call that the request's run waits for.
 func (n *Instance) Call(id policy.RequestID, timeout time.Duration) {
 	request := &n.requests[id]
 	request.callInFlight = true
 	n.dependency.Call(request.taskID, timeout, request.callBody)
 }
 
-// SkipCall panics. The controller never calls it, as withoutDegradedAnswers leaves no class a weight for answers without
-// their call.
+// SkipCall panics. The controller never calls it, as withoutDegradedAnswers removes the weight of answers without their call
+// from all classes.
 func (n *Instance) SkipCall(policy.RequestID) {
 	panic("node: the runtime's protocol has no command to continue a run without its call")
 }
@@ -91,7 +91,7 @@
 	n.health.isCached = health.Cached
 }
 
-// SetIdleTimeout closes callers' connections that were idle for so long.
+// SetIdleTimeout sets the time after which the fronts close idle connections.
 func (n *Instance) SetIdleTimeout(timeout time.Duration) {
 	for _, front := range n.fronts {
 		front.SetIdleTimeout(timeout)
@@ -101,10 +101,10 @@
 // Advertise sets the load value that all answers carry.
 func (n *Instance) Advertise(value float64) { n.advertised = value }
 
-// Wake asks for a tick at that time.
+// Wake schedules the controller's next tick.
 func (n *Instance) Wake(at time.Duration) { n.nextControllerTick = at }
 
-// Release removes a request that the controller has finished; its slot may be used again.
+// Release removes a request to which the controller no longer refers; its slot may be reused.
 func (n *Instance) Release(id policy.RequestID) {
 	request := &n.requests[id]
 	n.releaseKey(id)
@@ -119,7 +119,7 @@
 	n.freeIDs = append(n.freeIDs, id)
 }
 
-// releaseKey ends the request's ownership of its key; a run that never ended counts as failed.
+// releaseKey ends the request's ownership of its key. If its run never ended, requests that coalesced on it fail.
 func (n *Instance) releaseKey(id policy.RequestID) {
 	entry := n.keys.entries[n.requests[id].key]
 	if entry == nil || entry.owner != id {
@@ -131,5 +131,5 @@
 	}
 }
 
-// Log writes one structured line of the controller.
+// Log writes a log line of the controller.
 func (n *Instance) Log(message string, fields ...zap.Field) { n.log.Info(message, fields...) }
--- a/internal/node/idempotency.go
+++ b/internal/node/idempotency.go
@@ -8,23 +8,23 @@
 	"thymechute/policy/settings"
 )
 
-// keyEntry is an entry of the idempotency key table. It stays until it expires, also after its request was released.
+// keyEntry is an entry of the idempotency key table. It remains until it expires, even after its request was released.
 type keyEntry struct {
 	owner      policy.RequestID // the attempt that runs; policy.OriginalGone once that is released
 	class      int
 	expiresAt  time.Duration
-	window     time.Duration // from which expiresAt follows
+	window     time.Duration // key window of the class from which expiresAt was calculated
 	completed  bool          // the run has ended, or will never start
 	succeeded  bool
-	bodyDigest uint64 // all attempts of one request carry the same body
+	bodyDigest uint64 // hash of the body, which is the same for all attempts of one request
 	result     []byte
 	waiters    []policy.RequestID // coalesced requests that wait for the result
 }
 
-// keyTable is the idempotency keys of requests in flight and of completed ones whose results are cached.
+// keyTable holds the idempotency keys of requests in flight, and of completed requests with their cached results.
 type keyTable struct {
 	entries    map[string]*keyEntry
-	bytes      int          // taken by the entries and their results; bounded by Instance.tableBytes
+	bytes      int          // size of the entries and their results; bounded by Instance.tableBytes
 	digestSeed maphash.Seed // of bodyDigest
 }
 
@@ -32,7 +32,7 @@
 	return keyTable{entries: map[string]*keyEntry{}, digestSeed: maphash.MakeSeed()}
 }
 
-// keyOf returns the request's key in the table; empty: none.
+// keyOf returns the request's key in the table, which is specific to its class; empty: none.
 func (n *Instance) keyOf(class int, incoming Request) string {
 	if n.idempotencyOf(class) == settings.Idempotent && incoming.Key != "" {
 		return incoming.Class + " " + incoming.Key
@@ -40,33 +40,43 @@
 	return ""
 }
 
-// findOriginal returns the earlier attempt that the request repeats, as the controller takes it. A conflict is a key that
-// belongs to a request with another body, whose result it must not get.
-func (n *Instance) findOriginal(request *requestState, incoming Request, arrivedAt time.Duration) (original policy.RequestID, conflict bool) {
+// findOriginal returns the earlier attempt that the request retries, as a value of policy.Request.Original. isConflict reports
+// that its key belongs to a request with another body, whose result it must not get.
+func (n *Instance) findOriginal(request *requestState, incoming Request, arrivedAt time.Duration) (original policy.RequestID, isConflict bool) {
 	idempotency := n.idempotencyOf(request.class)
-	entry := n.keys.entries[request.key]
-	sameBody := func() bool { return entry != nil && entry.bodyDigest == n.digest(incoming.Body) }
-	if request.key != "" && entry != nil && (arrivedAt <= entry.expiresAt || !entry.completed) {
-		if idempotency == settings.Idempotent && !sameBody() {
+	entry := n.keys.entries[request.key] // nil for the empty key, which is never recorded
+	hasSameBody := entry != nil && entry.bodyDigest == n.digest(incoming.Body)
+	if entry != nil && entry.isInForce(arrivedAt) {
+		if idempotency == settings.Idempotent && !hasSameBody {
 			return policy.NoOriginal, true
 		}
 		return entry.owner, false
 	}
-	ranElsewhere := incoming.MayHaveRunElsewhere && idempotency != settings.Safe
-	if !ranElsewhere && !n.mayHaveRunEarlier(request.class, incoming, arrivedAt) {
+	mayHaveRunElsewhere := incoming.MayHaveRunElsewhere && idempotency != settings.Safe
+	if !mayHaveRunElsewhere && !n.mayHaveRunEarlier(request.class, incoming, arrivedAt) {
 		return policy.NoOriginal, false
 	}
 	request.cause = MayHaveRun
-	if !sameBody() { // an expired entry with the same body still holds this request's own result
+	if !hasSameBody { // an expired entry with the same body still has the result of this request
 		request.key = ""
 	}
 	return policy.OriginalGone, false
 }
 
-// mayHaveRunEarlier tells whether a retry may repeat a request of an earlier incarnation of this instance.
+// isInForce reports whether the entry counts for a request that arrived at this time: until it expires, and while its run has
+// not ended.
+func (e *keyEntry) isInForce(arrivedAt time.Duration) bool {
+	return arrivedAt <= e.expiresAt || !e.completed
+}
+
+// mayHaveRunEarlier reports whether the request may retry one of an earlier incarnation of this instance, whose keys are
+// unknown. That ends one key window after the instance's start.
 func (n *Instance) mayHaveRunEarlier(class int, incoming Request, arrivedAt time.Duration) bool {
-	return n.idempotencyOf(class) == settings.Idempotent && incoming.IsRetry && n.runtimeStatus.servesEarlierIncarnation &&
-		arrivedAt < n.runtimeStatus.firstReadyAt+n.keyWindowOf(class)
+	if !incoming.IsRetry || n.idempotencyOf(class) != settings.Idempotent {
+		return false
+	}
+	unknownKeysUntil := n.runtimeStatus.firstReadyAt + n.keyWindowOf(class)
+	return n.runtimeStatus.servesEarlierIncarnation && arrivedAt < unknownKeysUntil
 }
 
 func (n *Instance) digest(body []byte) uint64 { return maphash.Bytes(n.keys.digestSeed, body) }
@@ -78,7 +88,8 @@
 		return
 	}
 	entry := n.keys.entries[request.key]
-	if entry == nil || entry.completed { // the result of an expired window must not answer the next window's requests
+	if entry == nil || entry.completed {
+		// A completed entry has expired, and its result must not answer requests of the next window.
 		entry = n.replaceKey(request.key, request.class)
 	}
 	entry.owner = id
@@ -106,7 +117,7 @@
 	}
 }
 
-// Coalesce answers the request with the result of the one that owns its key, now or once that ends.
+// Coalesce answers the request with the result of the request that owns its key, once that has completed.
 func (n *Instance) Coalesce(id policy.RequestID) {
 	request := &n.requests[id]
 	entry := n.keys.entries[request.key]
@@ -121,7 +132,7 @@
 	}
 }
 
-// sharedResult is what a request that coalesced on the completed entry gets.
+// sharedResult returns the result of a request that coalesced on a completed entry.
 func (e *keyEntry) sharedResult() RunResult {
 	if !e.succeeded {
 		return RunResult{Outcome: policy.Failed}
@@ -129,8 +140,8 @@
 	return RunResult{Outcome: policy.OK, Body: e.result}
 }
 
-// completeKey passes the end of the owner's run to all that coalesced on it, and caches the result if there is capacity;
-// else later attempts fail.
+// completeKey passes the end of the owner's run to the requests that coalesced on it, and caches the result. Without the
+// capacity for that, later attempts fail.
 func (n *Instance) completeKey(entry *keyEntry, result RunResult) {
 	entry.completed = true
 	succeeded := result.Outcome == policy.OK
@@ -172,7 +183,7 @@
 	n.dropReferences(entry.class, noTenant)
 }
 
-// sweepKeys drops expired keys that nobody needs any more.
+// sweepKeys drops expired keys without an attempt in flight.
 func (n *Instance) sweepKeys() {
 	for key, entry := range n.keys.entries {
 		if n.now > entry.expiresAt+keyLinger && entry.owner < 0 && len(entry.waiters) == 0 {
@@ -181,8 +192,8 @@
 	}
 }
 
-// extendKeys applies windows that have become longer to the keys in the table. A window that became shorter holds for
-// later keys only, so that a key lasts as long as the longest of its windows.
+// extendKeys applies key windows that have become longer to the keys in the table. A shorter window applies to later keys
+// only, so that a key lasts for the longest window that was in force during its lifetime.
 func (n *Instance) extendKeys() {
 	for _, entry := range n.keys.entries {
 		if window := n.keyWindowOf(entry.class); window > entry.window {
--- a/internal/node/idempotency_test.go
+++ b/internal/node/idempotency_test.go
@@ -35,13 +35,14 @@
 	if n.keys.bytes != otherBytes || len(n.keys.entries) != 0 {
 		t.Errorf("%d bytes, %d keys left", n.keys.bytes-otherBytes, len(n.keys.entries))
 	}
-	n.tableBytes, n.keys.bytes = requestBytes, 0
+	n.tableBytes = requestBytes
+	n.keys.bytes = 0
 	n.admitRequest(peers, "g", "safe", "", 0)
 	n.admitRequest(peers, "h", "safe", "", 0)
 	peers.expect(t, 1, "answer h 1")
 }
 
-func TestRetryReadLateFindsItsKey(t *testing.T) {
+func TestKeyIsInForceAtTheArrivalOfTheRetry(t *testing.T) {
 	n, peers := newReady(func(s *settings.Settings) { s.Classes[1].KeyWindow = settings.NumberOf(0.05) })
 	n.admitRequest(peers, "a", "keyed", "key", 0)
 	n.RunEnded("a", RunResult{Outcome: policy.OK, Body: []byte("one")})
@@ -54,9 +55,9 @@
 	peers.expect(t, 1, "start c")
 }
 
-// A run may take longer than its key window. Its key stays until the run ends: a retry gets its result, and a request with
-// another body does not replace it, as requests coalesced on the first would get the second's result.
-func TestKeyOutlivesItsWindowDuringTheRun(t *testing.T) {
+// A run may take longer than its key window. Its key remains in force until the run ends: a retry gets its result, and a request
+// with another body does not replace it, as requests coalesced on the first one would get the result of the second.
+func TestKeyDoesNotExpireDuringTheRun(t *testing.T) {
 	n, peers := newReady(nil)
 	n.admitRequest(peers, "a", "keyed", "key", 0)
 	n.admitRequest(peers, "b", "keyed", "key", 0)
@@ -79,16 +80,18 @@
 	peers.expect(t, 1, "start e")
 }
 
-// A key lives for the longer of its two windows, whichever settings are in force when the retry arrives.
-func TestKeyLivesForTheLongerWindow(t *testing.T) {
+// A key expires after the longer of its two windows, independent of the settings in force when the retry arrives.
+func TestKeyExpiresAfterTheLongerWindow(t *testing.T) {
 	for _, window := range []float64{90, 1} {
 		n, peers := newReady(nil) // with windows of 10 s
 		n.admitRequest(peers, "a", "keyed", "k", 0)
 		n.RunEnded("a", RunResult{Outcome: policy.OK, Duration: time.Millisecond, Body: []byte("r")})
 		n.Tick()
-		before, expiresAt := testutil.TypedSettings(nil), time.Duration(0)
+		before := testutil.TypedSettings(nil)
+		expiresAt := time.Duration(0)
 		after := testutil.TypedSettings(func(s *settings.Settings) {
-			s.Classes[1].KeyWindow, s.Server.FleetSize = settings.NumberOf(window), settings.NumberOf(2)
+			s.Classes[1].KeyWindow = settings.NumberOf(window)
+			s.Server.FleetSize = settings.NumberOf(2)
 		})
 		n.advertised = 0.5
 		for range 3 { // applied, reverted, and applied again
@@ -155,7 +158,7 @@
 }
 
 // A message that a broker redelivers may have run at another instance, or at an earlier incarnation of this one.
-func TestRedeliveredRequestRunsOnlyIfSafeOrItsKeyIsKnown(t *testing.T) {
+func TestRedeliveredRequestRunsOnlyIfSafe(t *testing.T) {
 	n, peers := newReady(nil)
 	n.admitRedelivered(peers, "a", "keyed", "key", "x")
 	n.admitRedelivered(peers, "b", "unsafe", "", "x")
@@ -165,22 +168,22 @@
 	n.admitRedelivered(peers, "c", "safe", "", "x")
 	peers.expect(t, 1, "start c")
 	n.admitRequest(peers, "d", "keyed", "key", 0)
-	n.RunEnded("d", RunResult{Outcome: policy.OK, Body: []byte("kept")})
+	n.RunEnded("d", RunResult{Outcome: policy.OK, Body: []byte("cached")})
 	n.Tick()
 	n.admitRedelivered(peers, "e", "keyed", "key", "x")
-	peers.expect(t, 1, "answer e 0 kept")
+	peers.expect(t, 1, "answer e 0 cached")
 }
 
-// An expired key stays in the table for a while: a message redelivered then gets its own result, never another's, and does
-// not run.
-func TestRedeliveryAfterTheKeyWindow(t *testing.T) {
+// An expired key remains in the table for keyLinger. A message that is redelivered then gets its own result, never that of
+// another, and does not run.
+func TestRedeliveredRequestGetsOnlyItsOwnResultAfterTheKeyWindow(t *testing.T) {
 	n, peers := newReady(nil)
 	n.admitRequest(peers, "a", "keyed", "key", 0)
-	n.RunEnded("a", RunResult{Outcome: policy.OK, Body: []byte("kept")})
+	n.RunEnded("a", RunResult{Outcome: policy.OK, Body: []byte("cached")})
 	n.Tick()
 	n.keys.entries["keyed key"].expiresAt = n.now - time.Millisecond
 	n.admitRedelivered(peers, "b", "keyed", "key", "x")
-	peers.expect(t, 1, "answer b 0 kept")
+	peers.expect(t, 1, "answer b 0 cached")
 	n.admitRedelivered(peers, "c", "keyed", "key", "another")
 	peers.expect(t, 1, "answer c 2")
 	n.dropKey("keyed key")
--- a/internal/node/messages.go
+++ b/internal/node/messages.go
@@ -6,26 +6,26 @@
 	"thymechute/policy"
 )
 
-// MessageID is the id of a message on the connection that brought it; the answer carries it back.
+// MessageID is the id of a message on its connection; the answer carries the same id.
 type MessageID string
 
-// TaskID is a request's id towards the runtime and the dependency; no two requests in flight share one.
+// TaskID is the id of a request at the runtime and the dependency. It is unique among the requests in flight.
 type TaskID string
 
-// Request is a request as a protocol's front decodes it.
+// Request is a decoded request.
 type Request struct {
 	ID                  TaskID
-	Class               string
+	Class               string // name of a class of the settings
 	Tenant              string // empty: none
 	Key                 string // idempotency key; empty: none
 	Subject             string
 	ReceivedAt          time.Time     // when it reached this machine
 	CallerTimeout       time.Duration // how long the caller waits from ReceivedAt; 0: unknown
-	Caller              int
+	Caller              int           // number of the caller
 	IsRetry             bool
-	MayHaveRunElsewhere bool // an earlier attempt may have run at an instance that shares no keys with this one
-	MemoryKB            float64
-	Priority            float64
+	MayHaveRunElsewhere bool    // an earlier attempt may have run at an instance that shares no keys with this one
+	MemoryKB            float64 // that it takes while it is queued
+	Priority            float64 // rank among all requests by value, 0 to below 1
 	Body                []byte
 }
 
@@ -34,12 +34,12 @@
 
 // Values of Status.
 const (
-	Served Status = iota
-	Rejected
-	Failed
+	Served   Status = iota // the run completed; the answer has its result
+	Rejected               // the request has not run
+	Failed                 // the request may have run
 )
 
-// Cause tells why a request failed, where the instance itself and not the controller knows it.
+// Cause says why a request failed, if that was decided by the instance and not by the controller.
 type Cause int
 
 // Values of Cause.
@@ -53,7 +53,7 @@
 type Answer struct {
 	Status           Status
 	Cause            Cause
-	Result           []byte
+	Result           []byte        // of a served request
 	RetryAfter       time.Duration // 0: none
 	NoRetryElsewhere bool          // a retry at another server would not help
 	Advertised       float64       // the load value advertised to callers; negative: none
@@ -91,11 +91,11 @@
 	Advertised float64 // the load value advertised to callers; negative: none
 }
 
-// RuntimeState is what a runtime says of itself when a link to it is established.
+// RuntimeState is the state that a runtime reports when a link to it is established.
 type RuntimeState struct {
 	Reused      bool          // it has executed requests before this link, for this or an earlier incarnation of the instance
-	Age         time.Duration // since its start
-	RequestedAt time.Time     // when the state was asked for
+	Age         time.Duration // time since its start
+	RequestedAt time.Time     // when the state was requested
 }
 
 // RunResult is the end of a run.
@@ -112,9 +112,9 @@
 	Reply    []byte
 }
 
-// Load is how much of an instance's capacity is in use; a front may leave work at its source by it.
+// Load is the used part of an instance's capacity. A front that fetches its requests can limit how many it fetches by it.
 type Load struct {
-	Ready    bool // the controller exists and the runtime's link is up
-	Requests int  // in flight
-	Capacity int  // bound of Requests
+	Ready    bool // the controller exists and the link to the runtime is up
+	Requests int  // number of requests in flight
+	Capacity int  // upper bound of Requests
 }
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -2,11 +2,11 @@
 // to the dependency that the requests call, to the callers' protocols and to the service catalog.
 //
 // An Instance admits requests (Admit), passes events to the controller and carries out the controller's decisions as its
-// policy.Host. It makes no decision of its own about what runs, waits or is rejected, except where a table is full or no
-// controller exists yet.
+// policy.Host. The controller alone decides which requests run, wait or are rejected, except that the instance rejects
+// requests while a table is full or no controller exists yet.
 //
 // Concurrency: an Instance belongs to the event loop. All methods must be called on the loop's goroutine, and none blocks.
-// Events are queued and handed to the controller in order by Tick.
+// Events are queued, and Tick passes them to the controller in order.
 //
 // Tables and bounds: requests in flight (a quarter of the memory limit; an entry ends with the controller's Release),
 // idempotency keys with their results (a quarter; an entry ends with the controller's ForgetKey or expires), classes and
@@ -31,9 +31,9 @@
 	tenant         int // noTenant: none
 	body           []byte
 	key            string    // of its entry in the key table; empty: none
-	coalescedOn    *keyEntry // whose result it waits for; nil: none
-	callBody       []byte    // body of the call that the run waits at
-	pendingReply   []byte    // reply to that call that could not be delivered yet
+	coalescedOn    *keyEntry // entry whose result it waits for; nil: none
+	callBody       []byte    // body of the call that the run waits for
+	pendingReply   []byte    // reply to that call, not delivered yet as the link is down; nil: none
 	inFlight       bool      // false: the slot is free
 	started        bool      // by the controller
 	startSent      bool      // the start command was written to a link
@@ -41,7 +41,7 @@
 	stopped        bool      // by the controller
 	callInFlight   bool
 	answered       bool
-	cause          Cause // of its failure
+	cause          Cause // why it fails, if it does
 }
 
 // Instance is one server.
@@ -59,14 +59,14 @@
 	healthReporter HealthReporter
 	controller     *policy.Instance // nil until the runtime was ready once
 
-	start              time.Time     // zero of the instance's clock
+	start              time.Time     // from which all times of type time.Duration count
 	now                time.Duration // time of the current tick of the loop
 	events             []func()      // received since the last tick, in order
-	completions        []func()      // for the controller, once its current call has returned
+	completions        []func()      // ends of coalesced requests, for after the controller's current call
 	nextControllerTick time.Duration
 	nextSweep          time.Duration
-	lastEventAt        time.Duration
-	lastArrival        time.Duration
+	lastEventAt        time.Duration // when a tick last had events
+	lastArrival        time.Duration // when a request last arrived, or the drain notice
 
 	classes  *resourceTable[settings.Class]
 	tenants  *resourceTable[settings.Tenant]
@@ -83,9 +83,9 @@
 	drain         drainState
 }
 
-// New returns an instance that waits for its runtime. The stop timeout is the time from the drain notice to the kill; the
-// memory limit, in bytes, bounds the tables.
-func New(s settings.Settings, seed uint64, stopTimeout time.Duration, memoryLimit int64, log *zap.Logger) *Instance {
+// New returns an instance that waits for its runtime. stopTimeout is the time from the drain notice to the kill of the
+// process. memoryLimitBytes bounds the tables.
+func New(s settings.Settings, seed uint64, stopTimeout time.Duration, memoryLimitBytes int64, log *zap.Logger) *Instance {
 	classes := make([]settings.Class, 0, len(s.Classes))
 	for _, class := range s.Classes {
 		classes = append(classes, withoutDegradedAnswers(class))
@@ -96,7 +96,7 @@
 		settingsVersion: firstSettingsVersion,
 		seed:            seed,
 		stopTimeout:     stopTimeout,
-		tableBytes:      int(memoryLimit / 4),
+		tableBytes:      int(memoryLimitBytes / tableMemoryDivisor),
 		start:           time.Now(),
 		classes:         newResourceTable(classes),
 		tenants:         newResourceTable(s.Tenants),
@@ -108,7 +108,7 @@
 	}
 }
 
-// Connect sets the instance's neighbours; it must be called once, before the first Tick.
+// Connect sets the services that the instance uses. It must be called once, before the first Tick.
 func (n *Instance) Connect(runtime Runtime, dependency Dependency, reporter HealthReporter, fronts ...Front) {
 	n.runtime = runtime
 	n.dependency = dependency
@@ -116,7 +116,7 @@
 	n.fronts = fronts
 }
 
-// Load returns how much of the instance's capacity is in use.
+// Load returns the used part of the instance's capacity.
 func (n *Instance) Load() Load {
 	return Load{
 		Ready:    n.controller != nil && n.runtime.Up(),
--- a/internal/node/recorder_test.go
+++ b/internal/node/recorder_test.go
@@ -12,11 +12,11 @@
 	"thymechute/policy/settings"
 )
 
-// recorder stands for all neighbours of an instance and records what they are told.
+// recorder is the Runtime, Dependency, Responder and, by recordingFront, Front of an instance. It records the calls.
 type recorder struct {
-	down    bool
-	pending bool
-	lines   []string
+	down    bool     // the link to the runtime is down
+	pending bool     // the front has undelivered answers
+	lines   []string // one for each call
 }
 
 func (r *recorder) record(format string, args ...any) {
@@ -44,9 +44,11 @@
 	r.record("answer %s %d %s", id, answer.Status, answer.Result)
 }
 
+// expect fails the test unless exactly n recorded lines start with the text.
 func (r *recorder) expect(t *testing.T, n int, text string) {
 	t.Helper()
-	if got := strings.Count("\n"+strings.Join(r.lines, "\n")+"\n", "\n"+text); got != n {
+	got := strings.Count("\n"+strings.Join(r.lines, "\n")+"\n", "\n"+text)
+	if got != n {
 		t.Errorf("%q: %d times, want %d, in %q", text, got, n, r.lines)
 	}
 }
@@ -82,17 +84,34 @@
 	}
 }
 
-// admitRequest admits a request that reached the machine so long ago.
+// admitRequest admits a request that reached the machine that long ago, and ticks.
 func (n *Instance) admitRequest(responder Responder, id TaskID, class, key string, ago time.Duration) {
-	if err := n.Admit(responder, MessageID(id), Request{ID: id, Class: class, Key: key, MemoryKB: 1, ReceivedAt: time.Now().Add(-ago), Body: []byte("x")}); err != nil {
-		panic(err)
-	}
-	n.Tick()
+	n.mustAdmit(responder, Request{
+		ID:         id,
+		Class:      class,
+		Key:        key,
+		MemoryKB:   1,
+		ReceivedAt: time.Now().Add(-ago),
+		Body:       []byte("x"),
+	})
 }
 
-// admitRedelivered admits a request that may have run elsewhere.
+// admitRedelivered admits a request that may have run elsewhere, and ticks.
 func (n *Instance) admitRedelivered(responder Responder, id TaskID, class, key, body string) {
-	if err := n.Admit(responder, MessageID(id), Request{ID: id, Class: class, Key: key, MemoryKB: 1, MayHaveRunElsewhere: true, ReceivedAt: time.Now(), Body: []byte(body)}); err != nil {
+	n.mustAdmit(responder, Request{
+		ID:                  id,
+		Class:               class,
+		Key:                 key,
+		MemoryKB:            1,
+		MayHaveRunElsewhere: true,
+		ReceivedAt:          time.Now(),
+		Body:                []byte(body),
+	})
+}
+
+// mustAdmit admits the request under its own id, panics on an error, and ticks.
+func (n *Instance) mustAdmit(responder Responder, request Request) {
+	if err := n.Admit(responder, MessageID(request.ID), request); err != nil {
 		panic(err)
 	}
 	n.Tick()
--- a/internal/node/resource_table.go
+++ b/internal/node/resource_table.go
@@ -5,24 +5,24 @@
 // resource is a class or a tenant.
 type resource interface{ ResourceName() string }
 
-// resourceTable gives the resources of one kind stable indices. A resource keeps its index while it is in force, and after its
-// removal as long as a request or key refers to it; then the index is free for another. So it has at most as many rows as
-// resources were in force or referred to at one time.
+// resourceTable assigns stable indices to the resources of one kind. A resource has the same index while it is in force, and
+// after its removal while requests or keys refer to it. Then the index can be reused, so the number of rows is at most that of
+// the resources that were in force or referred to at one time.
 type resourceTable[T resource] struct {
-	active   map[string]int32 // in force; at most settings.MaxClasses or settings.MaxTenants
-	retired  map[string]int32 // removed, with references left
+	active   map[string]int32 // indices of those in force; at most settings.MaxClasses or settings.MaxTenants
+	retired  map[string]int32 // indices of removed ones with references left
 	rows     []resourceRow[T]
 	freeRows []int32
 }
 
 type resourceRow[T resource] struct {
 	value      T
-	references int32 // requests and keys
+	references int32 // number of requests and keys that refer to it
 	retired    bool
 }
 
-// newResourceTable returns a table of the resources, with their places as indices. A resource without a name has no index,
-// as no request can name it.
+// newResourceTable returns a table of the resources, with indices in their order. A resource without a name gets no index,
+// as no request can refer to it.
 func newResourceTable[T resource](resources []T) *resourceTable[T] {
 	t := &resourceTable[T]{
 		active:  make(map[string]int32, len(resources)),
@@ -58,7 +58,7 @@
 	return t.at(int(index))
 }
 
-// set puts a resource in force, under its present index if it has one, and returns the index.
+// set puts a resource in force and returns its index, which is the present one if the name has one.
 func (t *resourceTable[T]) set(value T) int {
 	index := t.activate(value.ResourceName())
 	row := &t.rows[index]
@@ -67,7 +67,7 @@
 	return int(index)
 }
 
-// activate returns the index of the active name.
+// activate makes the name active and returns its index.
 func (t *resourceTable[T]) activate(name string) int32 {
 	index, ok := t.active[name]
 	if ok {
@@ -94,8 +94,8 @@
 	return int32(len(t.rows) - 1)
 }
 
-// remove takes a resource out of force. Freed tells that nothing referred to it, and its index is free.
-func (t *resourceTable[T]) remove(name string) (index int, freed bool) {
+// remove takes a resource out of force. isFreed reports that nothing refers to it, so that its index is free.
+func (t *resourceTable[T]) remove(name string) (index int, isFreed bool) {
 	active, ok := t.active[name]
 	if !ok {
 		return -1, false
@@ -111,11 +111,12 @@
 	return int(active), true
 }
 
-// addReference counts a request or key of the resource.
+// addReference counts a request or key that refers to the resource.
 func (t *resourceTable[T]) addReference(index int) { t.rows[index].references++ }
 
-// dropReference undoes addReference. Freed tells that it was the last of a retired resource, whose index is free now.
-func (t *resourceTable[T]) dropReference(index int) (freed bool) {
+// dropReference undoes addReference. isFreed reports that it was the last reference to a retired resource, whose index is free
+// now.
+func (t *resourceTable[T]) dropReference(index int) (isFreed bool) {
 	row := &t.rows[index]
 	row.references--
 	if row.references > 0 || !row.retired {
@@ -131,7 +132,7 @@
 	t.freeRows = append(t.freeRows, index)
 }
 
-// values returns the resources by their indices, those of free rows empty.
+// values returns the resources by index, with zero values for free rows.
 func (t *resourceTable[T]) values() []T {
 	values := make([]T, len(t.rows))
 	for index := range t.rows {
@@ -140,7 +141,7 @@
 	return values
 }
 
-// growth returns by how many the changes raise the number of resources in force.
+// growth returns the difference that the changes make to the number of resources in force.
 func (t *resourceTable[T]) growth(changes settings.Changes[T]) int {
 	added := 0
 	for _, value := range changes.Set {
--- a/internal/node/runs.go
+++ b/internal/node/runs.go
@@ -11,13 +11,13 @@
 // runtimeStatus is what is known of the runtime's process.
 type runtimeStatus struct {
 	startedAt                time.Time     // latest possible time of its start
-	firstReadyAt             time.Duration // when its first link was up
-	isReused                 bool          // it is older than this instance
-	servesEarlierIncarnation bool          // it has named a run of an earlier incarnation of this instance
+	firstReadyAt             time.Duration // when the first link to it was established
+	isReused                 bool          // it had executed requests before the first link
+	servesEarlierIncarnation bool          // it has sent a notice about a run of an earlier incarnation of this instance
 }
 
-// RuntimeReady is called when a link to the runtime is established, with the runtime's answer. The first one creates the
-// controller; a later one of a younger runtime ends all runs, as they are lost.
+// RuntimeReady is called with the runtime's state when a link to it is established. The first call creates the controller. A
+// later one of a runtime that has restarted ends all runs, as they are lost.
 func (n *Instance) RuntimeReady(state RuntimeState) {
 	earliestStart := state.RequestedAt.Add(-state.Age)
 	latestStart := time.Now().Add(-state.Age)
@@ -42,7 +42,7 @@
 	n.controller = n.newController()
 }
 
-// checkRestart ends all runs where the runtime has started again.
+// checkRestart ends all runs if the runtime has restarted: its start is later than that of the runtime known so far.
 func (n *Instance) checkRestart(earliestStart, latestStart time.Time) {
 	if !earliestStart.After(n.runtimeStatus.startedAt.Add(runtimeAgeTolerance)) {
 		return
@@ -50,15 +50,16 @@
 	n.log.Warn("runtime restarted, its runs are lost")
 	n.runtimeStatus.startedAt = latestStart
 	for index := range n.requests {
-		if request := &n.requests[index]; request.inFlight && request.startSent {
+		request := &n.requests[index]
+		if request.inFlight && request.startSent {
 			n.endRun(policy.RequestID(index), RunResult{Outcome: policy.Cancelled})
 		}
 	}
 }
 
-// RuntimeResynced is called when a new link has delivered all notices that were missed. Commands that may not have reached
-// the runtime are repeated: a second start or stop has no effect. A reply that was written to a link is not repeated, as
-// the run may wait at its next call by now.
+// RuntimeResynced is called when a new link has delivered all missed notices. Commands that may not have reached the runtime
+// are repeated: a second start or stop has no effect. A reply that was written to a link is not repeated, as the run may
+// already wait for its next call.
 func (n *Instance) RuntimeResynced() {
 	n.enqueue(func() {
 		for index := range n.requests {
@@ -96,8 +97,8 @@
 	})
 }
 
-// findRun returns the started request of that task id. A reused runtime that names an unknown one still executes requests
-// of an earlier incarnation of this instance.
+// findRun returns the started request with this task id. A reused runtime that sends an unknown id still executes requests of
+// an earlier incarnation of this instance.
 func (n *Instance) findRun(taskID TaskID) (policy.RequestID, bool) {
 	id, ok := n.byTaskID[taskID]
 	if !ok && n.runtimeStatus.isReused && !n.runtimeStatus.servesEarlierIncarnation {
@@ -108,7 +109,7 @@
 	return id, ok && n.requests[id].started
 }
 
-// endRun answers the request, completes its key and tells the controller.
+// endRun answers the request, completes its key and notifies the controller.
 func (n *Instance) endRun(id policy.RequestID, result RunResult) {
 	request := &n.requests[id]
 	n.abandonCall(request)
@@ -125,7 +126,7 @@
 	n.controller.RunEnded(n.now, id, result.Outcome, result.Duration)
 }
 
-// CallRequested is called when a run waits at a call with that body.
+// CallRequested is called when a run has come to a call with this body and waits for the reply.
 func (n *Instance) CallRequested(taskID TaskID, body []byte) {
 	n.enqueue(func() {
 		id, ok := n.findRun(taskID)
--- a/internal/node/runs_test.go
+++ b/internal/node/runs_test.go
@@ -8,8 +8,8 @@
 	"thymechute/policy"
 )
 
-// The runtime rounds its age to milliseconds, so a difference of that size is no restart.
-func TestRuntimeRestartNeedsMuchLowerAge(t *testing.T) {
+// The runtime rounds its age to milliseconds, so a difference of that size is not taken for a restart.
+func TestRuntimeOfSlightlyLowerAgeIsNoRestart(t *testing.T) {
 	n, peers := newReady(nil)
 	n.admitRequest(peers, "a", "safe", "", 0)
 	n.RuntimeReady(RuntimeState{Reused: true, Age: time.Since(n.runtimeStatus.startedAt) - 2*time.Millisecond, RequestedAt: time.Now()})
@@ -27,7 +27,7 @@
 	n.admitRequest(peers, "a", "unsafe", "", 0)
 	n.admitRequest(peers, "b", "unsafe", "", 0)
 	peers.expect(t, 0, "start")
-	n.Fail(n.byTaskID["b"]) // answered before it could start: nothing is left to run
+	n.Fail(n.byTaskID["b"]) // answered before its start, so it need not run
 	peers.down = false
 	n.RuntimeResynced()
 	n.Tick()
@@ -47,7 +47,7 @@
 	peers.expect(t, 1, "give a reply")
 }
 
-// A delay between the runtime's answer and its reading must not make the runtime look younger.
+// A delay between the runtime's answer and its reading must not be taken for a later start of the runtime.
 func TestRuntimeStateReadLateIsNoRestart(t *testing.T) {
 	n, peers := newReady(nil)
 	n.admitRequest(peers, "a", "safe", "", 0)
@@ -70,7 +70,7 @@
 	n.Tick()
 	n.RunEnded("a", RunResult{Outcome: policy.OK})
 	n.admitRequest(peers, "d", "unsafe", "", 0)
-	peers.expect(t, 1, "start d") // on the core that c, still queued, was abandoned for
+	peers.expect(t, 1, "start d") // instead of c, which was still queued
 	peers.expect(t, 0, "start c")
 	if len(other.lines) != 0 {
 		t.Errorf("recorded %q", other.lines)
@@ -89,7 +89,7 @@
 	peers.expect(t, 1, "start b")
 }
 
-// The text of an admission error goes to the caller, and is that of its reason alone.
+// The text of an admission error goes to the caller, so it must not contain more than the reason.
 func TestAdmissionErrorHasTheTextOfItsReason(t *testing.T) {
 	n, peers := newReady(nil)
 	err := n.Admit(peers, "a", Request{ID: "a", Class: "missing"})
--- a/internal/node/settings.go
+++ b/internal/node/settings.go
@@ -10,7 +10,8 @@
 // Version returns the version of the settings in force.
 func (n *Instance) Version() uint64 { return n.settingsVersion }
 
-// Idempotency returns that of the class in force under this name; empty: unknown class, or none is set.
+// Idempotency returns the idempotency of the class in force with this name. It is empty if there is no such class, or if its
+// settings give none.
 func (n *Instance) Idempotency(class string) settings.Idempotency {
 	index, ok := n.classes.find(class)
 	if !ok {
@@ -19,11 +20,12 @@
 	return n.idempotencyOf(index)
 }
 
-// Apply puts a delta into force. Resources that it does not name keep their index and the controller's estimates. A removed
-// class or tenant admits no new requests, and its index is freed with its last request and key. An idempotency key lives
-// for the longest of the windows in force during its life. The work follows the delta's length, not that of the settings.
+// Apply puts a delta into force. Resources that it does not name retain their index and the controller's estimates. Requests of
+// a removed class or tenant are no longer admitted, and its index is freed with its last request and key. An idempotency key
+// expires after the longest window that was in force during its lifetime. The time is linear in the length of the delta, and
+// does not depend on that of the settings; a longer key window also takes a pass over the key table.
 //
-// Errors: *VersionError, *BoundError, *settings.IdempotencyChangedError; nothing of the delta is in force then.
+// The error is a *VersionError, a *BoundError or a *settings.IdempotencyChangedError; the settings are unchanged then.
 func (n *Instance) Apply(delta settings.Delta) error {
 	if err := n.validate(&delta); err != nil {
 		return err
@@ -37,7 +39,7 @@
 	return nil
 }
 
-// validate returns the error of a delta that must not be applied.
+// validate returns the error of Apply.
 func (n *Instance) validate(delta *settings.Delta) error {
 	if delta.From != n.settingsVersion {
 		return &VersionError{From: delta.From, InForce: n.settingsVersion}
@@ -49,7 +51,7 @@
 		return &BoundError{Kind: "tenants", Found: found, Bound: settings.MaxTenants}
 	}
 	for _, class := range delta.Classes.Set {
-		current := n.classes.lookup(class.Name) // a removed class too, while it has requests or keys
+		current := n.classes.lookup(class.Name) // also a removed class that still has requests or keys
 		if current == nil {
 			continue
 		}
@@ -62,7 +64,7 @@
 
 func (n *Instance) applyServer(server settings.Server) {
 	n.server = server
-	n.advertised = noAdvertisedValue // its form may have changed: the controller sets it again
+	n.advertised = noAdvertisedValue // its form may have changed; the controller advertises again
 	if n.controller != nil {
 		n.controller.SetServer(server)
 	}
@@ -105,8 +107,8 @@
 	}
 }
 
-// withoutDegradedAnswers returns the class without a weight for answers that skip the call. The runtime's protocol has no
-// command to continue a run without its call, so the controller must never choose that.
+// withoutDegradedAnswers removes the weight of answers without their call, so that the controller never skips a call: the
+// runtime's protocol has no command to continue a run without it.
 func withoutDegradedAnswers(class settings.Class) settings.Class {
 	class.DegradedWeight = settings.Number{}
 	return class
@@ -128,7 +130,7 @@
 	return controller
 }
 
-// addReferences counts a request or key of the class and, unless that is noTenant, of the tenant.
+// addReferences counts a request or key that refers to the class and to the tenant, if that is not noTenant.
 func (n *Instance) addReferences(class, tenant int) {
 	n.classes.addReference(class)
 	if tenant != noTenant {
@@ -136,7 +138,7 @@
 	}
 }
 
-// dropReferences undoes addReferences, and frees what was removed from the settings meanwhile.
+// dropReferences undoes addReferences, and frees the indices of a removed class and tenant with their last reference.
 func (n *Instance) dropReferences(class, tenant int) {
 	if n.classes.dropReference(class) && n.controller != nil {
 		n.controller.FreeClass(class)
@@ -150,7 +152,7 @@
 	return n.classes.at(class).Idempotency
 }
 
-// keyWindowOf returns how long an idempotency key of the class lives.
+// keyWindowOf returns the time for which an idempotency key of the class is known.
 func (n *Instance) keyWindowOf(class int) time.Duration {
 	return n.classes.at(class).KeyWindow.Seconds(0)
 }
--- a/internal/node/settings_model_test.go
+++ b/internal/node/settings_model_test.go
@@ -15,7 +15,7 @@
 	"thymechute/policy/settings"
 )
 
-// model drives an instance beside a simple model of the settings in force and the requests in flight.
+// model drives an instance, and holds the expected settings in force and requests in flight.
 type model struct {
 	instance *Instance
 	peers    *recorder
@@ -53,7 +53,7 @@
 	m.active = later
 }
 
-// applyStaleDelta tries a delta from a version that is no longer in force.
+// applyStaleDelta checks that a delta to an earlier version is rejected.
 func (m *model) applyStaleDelta(t *rapid.T) {
 	d, _ := settings.Compare(m.instance.Version()-1, m.active, m.drawSettings(t), func() {})
 	if m.instance.Apply(d) == nil {
@@ -62,15 +62,25 @@
 }
 
 func (m *model) admit(t *rapid.T) {
-	r := modelRequest{class: rapid.SampledFrom([]string{"trace", "p", "q", "r"}).Draw(t, "class"),
-		tenant: rapid.SampledFrom([]string{"", "a", "b", "c", "d", "e"}).Draw(t, "tenant"), key: rapid.SampledFrom([]string{"", "k", "l"}).Draw(t, "key")}
+	r := modelRequest{
+		class:  rapid.SampledFrom([]string{"trace", "p", "q", "r"}).Draw(t, "class"),
+		tenant: rapid.SampledFrom([]string{"", "a", "b", "c", "d", "e"}).Draw(t, "tenant"),
+		key:    rapid.SampledFrom([]string{"", "k", "l"}).Draw(t, "key"),
+	}
 	m.lastID++
 	id := TaskID(fmt.Sprint("i", m.lastID))
 	err := m.instance.Admit(m.peers, MessageID(id), Request{ID: id, Class: r.class, Tenant: r.tenant, Key: r.key, MemoryKB: 1, ReceivedAt: time.Now(), Body: []byte("x")})
-	known := slices.ContainsFunc(m.active.Classes, func(c settings.Class) bool { return c.Name == r.class })
-	mine := r.tenant == "" || slices.ContainsFunc(m.active.Tenants, func(c settings.Tenant) bool { return c.Name == r.tenant })
-	if errors.Is(err, ErrUnknownClass) == known || known && errors.Is(err, ErrUnknownTenant) == mine || known && mine && err != nil {
-		t.Fatalf("%+v: %v, class known %v, tenant %v", r, err, known, mine)
+	isClassKnown := slices.ContainsFunc(m.active.Classes, func(c settings.Class) bool { return c.Name == r.class })
+	isTenantKnown := r.tenant == "" || slices.ContainsFunc(m.active.Tenants, func(c settings.Tenant) bool { return c.Name == r.tenant })
+	var want error
+	switch {
+	case !isClassKnown:
+		want = ErrUnknownClass
+	case !isTenantKnown:
+		want = ErrUnknownTenant
+	}
+	if !errors.Is(err, want) {
+		t.Fatalf("%+v: %v, want %v", r, err, want)
 	}
 	if err == nil {
 		m.requests[id] = r
@@ -95,7 +105,8 @@
 }
 
 func (m *model) check(t *rapid.T) {
-	classes, tenants := map[string]int{}, map[string]int{}
+	classes := map[string]int{}
+	tenants := map[string]int{}
 	for id := range m.instance.byTaskID {
 		classes[m.requests[id].class]++
 		if r := m.requests[id]; r.tenant != "" {
@@ -151,13 +162,20 @@
 	}
 }
 
-// An index belongs to one name while that is in force or referred to, and is free afterwards, whatever the order of events.
+// In any order of events, an index belongs to one name while that is in force or referred to, and is free afterwards.
 func TestDeltasWithRequestsInFlight(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := &model{requests: map[TaskID]modelRequest{}}
 		m.active = m.drawSettings(t)
 		m.instance, m.peers = newReadyWith(m.active)
-		t.Repeat(map[string]func(*rapid.T){"change": m.applyDelta, "stale": m.applyStaleDelta, "ask": m.admit, "end": m.endRun, "forget": m.expireKeys, "": m.check})
+		t.Repeat(map[string]func(*rapid.T){
+			"apply delta":       m.applyDelta,
+			"apply stale delta": m.applyStaleDelta,
+			"admit":             m.admit,
+			"end run":           m.endRun,
+			"expire keys":       m.expireKeys,
+			"":                  m.check,
+		})
 		for len(m.instance.byTaskID) > 0 {
 			for _, id := range slices.Sorted(maps.Keys(m.instance.byTaskID)) {
 				m.instance.RunEnded(id, RunResult{Outcome: policy.OK, Duration: time.Millisecond})
--- a/internal/node/settings_test.go
+++ b/internal/node/settings_test.go
@@ -13,14 +13,20 @@
 	"thymechute/policy/settings"
 )
 
-// settingsWithClasses returns settings with these classes, given as names and idempotencies in turn, with their places from
-// 1 as weights.
+// settingsWithClasses returns settings with these classes, given as alternating names and idempotencies. Their weights are 1,
+// 2 and so on.
 func settingsWithClasses(classes ...string) settings.Settings {
 	return testutil.TypedSettings(func(s *settings.Settings) {
 		s.Classes = nil
 		for n := 0; n < len(classes); n += 2 {
-			s.Classes = append(s.Classes, settings.Class{Name: classes[n], Idempotency: settings.Idempotency(classes[n+1]), Weight: settings.NumberOf(float64(n/2 + 1)),
-				LatencyObjective: settings.NumberOf(20), CallerTimeout: settings.NumberOf(30), KeyWindow: settings.NumberOf(10)})
+			s.Classes = append(s.Classes, settings.Class{
+				Name:             classes[n],
+				Idempotency:      settings.Idempotency(classes[n+1]),
+				Weight:           settings.NumberOf(float64(n/2 + 1)),
+				LatencyObjective: settings.NumberOf(20),
+				CallerTimeout:    settings.NumberOf(30),
+				KeyWindow:        settings.NumberOf(10),
+			})
 		}
 		s.Tenants = []settings.Tenant{{Name: "acme", Quota: settings.NumberOf(5)}}
 	})
@@ -36,7 +42,7 @@
 	return n, peers
 }
 
-func TestDeltaKeepsIndicesAndCanBeReverted(t *testing.T) {
+func TestDeltaRetainsIndicesAndCanBeReverted(t *testing.T) {
 	before := settingsWithClasses("trace", "repeatable", "excursion", "by_key")
 	after := settingsWithClasses("issue", "by_key", "excursion", "by_key", "lookup", "repeatable")
 	n, peers := newReadyWith(before)
@@ -70,9 +76,10 @@
 	}
 }
 
-// A removed class keeps its idempotency as long as a request or key refers to it, and no longer.
-func TestRemovedClassMayReturnWithOtherIdempotencyOnceUnreferenced(t *testing.T) {
-	before, without := settingsWithClasses("trace", "repeatable", "seal", "by_key"), settingsWithClasses("trace", "repeatable")
+// The idempotency of a removed class cannot be changed while a request or key refers to it.
+func TestRemovedClassCanChangeIdempotencyOnceUnreferenced(t *testing.T) {
+	before := settingsWithClasses("trace", "repeatable", "seal", "by_key")
+	without := settingsWithClasses("trace", "repeatable")
 	n, peers := newReadyWith(before)
 	n.admitRequest(peers, "a", "seal", "k", 0)
 	n.applySettings(t, before, without)
@@ -128,9 +135,10 @@
 	}
 }
 
-// A delta that is applied before the runtime is ready holds for the controller that starts then.
+// A delta that is applied before the runtime is ready is in force in the controller that is created then.
 func TestDeltaBeforeTheRuntimeIsReady(t *testing.T) {
-	before, after := settingsWithClasses("trace", "repeatable", "seal", "once"), settingsWithClasses("seal", "once")
+	before := settingsWithClasses("trace", "repeatable", "seal", "once")
+	after := settingsWithClasses("seal", "once")
 	after.Tenants = nil
 	peers := &recorder{}
 	n := New(before, 7, 3*time.Second, 192<<20, zap.NewNop())
@@ -148,8 +156,8 @@
 	peers.expect(t, 1, "start c trace x")
 }
 
-// An index that is given to another tenant carries no state: the first one's empty token bucket does not limit the second.
-func TestFreedIndexCarriesNoTokenBucket(t *testing.T) {
+// A tenant that reuses an index does not inherit the empty token bucket of the previous one.
+func TestReusedTenantIndexHasNewTokenBucket(t *testing.T) {
 	before := testutil.TypedSettings(func(s *settings.Settings) {
 		s.Tenants = []settings.Tenant{{Name: "a", Quota: settings.NumberOf(0.001)}, {Name: "other"}}
 		s.Server.OverQuotaWeight = settings.NumberOf(0.001)
@@ -173,10 +181,10 @@
 		admit(id, "safe", "a")
 		end(id)
 	}
-	was, _ := n.tenants.find("a")
+	freed, _ := n.tenants.find("a")
 	n.applySettings(t, before, after)
-	if now, ok := n.tenants.find("b"); !ok || now != was {
-		t.Fatalf("b at %d, want %d", now, was)
+	if reused, ok := n.tenants.find("b"); !ok || reused != freed {
+		t.Fatalf("b at %d, want %d", reused, freed)
 	}
 	if err := n.Admit(peers, "z", Request{ID: "z", Class: "safe", Tenant: "a"}); !errors.Is(err, ErrUnknownTenant) {
 		t.Errorf("a removed tenant: %v", err)
@@ -250,7 +258,7 @@
 
 // The runtime has no command to continue a run without its call. Settings with a weight for degraded answers, from the start
 // or by a later delta, must not make the controller skip a call: that run would wait until it is abandoned.
-func TestNoCallIsSkippedBesideTheRuntime(t *testing.T) {
+func TestCallsAreNeverSkipped(t *testing.T) {
 	degraded := func(s *settings.Settings) {
 		for k := range s.Classes {
 			s.Classes[k].DegradedWeight = settings.NumberOf(0.6)
@@ -271,7 +279,8 @@
 			n.CallRequested("a", []byte("below"))
 			n.Tick()
 			peers.expect(t, 1, "call a below")
-			n.CallReturned("a", CallResult{Outcome: policy.Failed, Duration: 10 * time.Millisecond}) // with a weight for degraded answers the controller would skip the call now
+			// With a weight for degraded answers the controller would skip the call now.
+			n.CallReturned("a", CallResult{Outcome: policy.Failed, Duration: 10 * time.Millisecond})
 			n.Tick()
 			peers.expect(t, 2, "call a below")
 			n.CallReturned("a", CallResult{Outcome: policy.OK, Duration: 10 * time.Millisecond, Reply: []byte("reply")})
--- a/internal/node/tick.go
+++ b/internal/node/tick.go
@@ -6,11 +6,11 @@
 	"thymechute/internal/loop"
 )
 
-// enqueue keeps an event for the next tick of the loop.
+// enqueue queues an event for the next tick of the loop.
 func (n *Instance) enqueue(event func()) { n.events = append(n.events, event) }
 
-// Tick hands all events to the controller and lets it act. It returns when the next tick of the loop is due and the phase that the
-// event loop shall be in.
+// Tick implements loop.Host: it passes all queued events to the controller and lets it decide. It returns when the next tick
+// of the loop is due and the phase of the graceful shutdown.
 func (n *Instance) Tick() (time.Time, loop.Phase) {
 	clock := time.Now()
 	n.now = clock.Sub(n.start)
@@ -32,7 +32,7 @@
 	return earliest(nextTimeout, n.start.Add(nextTick)), n.phase()
 }
 
-// handleEvents runs the queued events. A panic of one does not keep the next from being handled.
+// handleEvents runs the queued events. A panic in one is logged, and the next ones still run.
 func (n *Instance) handleEvents() {
 	events := n.events
 	n.events = nil
@@ -44,7 +44,7 @@
 	}
 }
 
-// handleCompletions ends coalesced requests; what the controller then does may complete more of them.
+// handleCompletions ends coalesced requests until none is left, as the controller's reaction may complete more of them.
 func (n *Instance) handleCompletions() {
 	for len(n.completions) > 0 {
 		completions := n.completions
@@ -70,7 +70,7 @@
 	}
 }
 
-// tickControllerIfDue ticks if it is time to, and returns when the next tick is due.
+// tickControllerIfDue ticks the controller if that is due, and returns when its next tick is due.
 func (n *Instance) tickControllerIfDue() time.Duration {
 	if n.now < n.nextControllerTick {
 		return n.nextControllerTick
@@ -94,12 +94,14 @@
 	}
 }
 
-// controllerTickDue returns when the pending tick is due. It is deferred while the machine is stalled, which shows in gauges that
-// are outstanding and no other events: timers of the whole machine stand still then, and that is no load. The deferral is
-// shorter than the margin of every deadline, and a tick that late tells the controller of the stall.
+// controllerTickDue returns when the controller's pending tick is due. The tick is deferred while the machine is stalled, so
+// that the controller does not mistake the stall for load; the sign of a stall is an outstanding reading of the gauges without
+// any other event. The deferral is shorter than the margin before each deadline, and long enough for the controller to detect
+// the stall.
 func (n *Instance) controllerTickDue() time.Duration {
-	outstanding := n.runtime.Up() && n.gauges.requestedAt > n.gauges.readAt
-	if outstanding && n.now-max(n.gauges.requestedAt, n.lastEventAt) > stallThreshold {
+	areGaugesOutstanding := n.runtime.Up() && n.gauges.requestedAt > n.gauges.readAt
+	silence := n.now - max(n.gauges.requestedAt, n.lastEventAt)
+	if areGaugesOutstanding && silence > stallThreshold {
 		return n.nextControllerTick + maxControllerTickDelay
 	}
 	return n.nextControllerTick
--- a/internal/node/tick_test.go
+++ b/internal/node/tick_test.go
@@ -5,20 +5,28 @@
 	"time"
 )
 
-// A stalled machine delivers neither gauges nor events. That is no load, and the controller must learn of the stall.
+// A stalled machine delivers neither gauges nor events. The late tick lets the controller detect the stall.
 func TestStalledMachineDefersTick(t *testing.T) {
 	n, peers := newReady(nil)
 	for _, stalled := range []bool{false, true} {
 		n.now = time.Since(n.start)
-		n.nextControllerTick, n.gauges.requestedAt, n.gauges.readAt, n.lastEventAt = n.now, n.now-2*stallThreshold, n.now-3*stallThreshold, n.now
+		n.nextControllerTick = n.now
+		n.gauges.requestedAt = n.now - 2*stallThreshold
+		n.gauges.readAt = n.now - 3*stallThreshold
+		n.lastEventAt = n.now
 		if stalled {
 			n.lastEventAt = n.gauges.requestedAt
 		}
-		if late := n.controllerTickDue() - n.nextControllerTick; (late == maxControllerTickDelay) != stalled || !stalled && late != 0 {
-			t.Errorf("stalled %v: %v late", stalled, late)
+		want := time.Duration(0)
+		if stalled {
+			want = maxControllerTickDelay
+		}
+		if late := n.controllerTickDue() - n.nextControllerTick; late != want {
+			t.Errorf("stalled %v: %v late, want %v", stalled, late, want)
 		}
 	}
-	if peers.down = true; n.controllerTickDue() != n.nextControllerTick {
+	peers.down = true
+	if n.controllerTickDue() != n.nextControllerTick {
 		t.Error("a link that is down defers ticks")
 	}
 }
--- a/internal/rpc/decode_test.go
+++ b/internal/rpc/decode_test.go
@@ -25,7 +25,8 @@
 		`"acct":"ac\u006de","peer":4,"t0":` + fmt.Sprint(receivedAtMillis) + `,"rid":"9b1f"},"method":"excursion","more":null,"id":7,"jsonrpc":"2.0"}`
 	for _, line := range []string{requestLine, reordered} {
 		message, err := Decode([]byte(line))
-		got, body := message.Request, string(message.Request.Body)
+		got := message.Request
+		body := string(message.Request.Body)
 		got.Body = nil
 		if err != nil || message.ID != "7" || message.IsHealthCheck || body != string(want.Body) || !got.ReceivedAt.Equal(want.ReceivedAt) ||
 			got.ID != want.ID || got.Class != want.Class || got.Tenant != want.Tenant || got.Key != want.Key ||
--- a/internal/rpc/server_test.go
+++ b/internal/rpc/server_test.go
@@ -32,8 +32,10 @@
 func TestIdleTimeoutSparesConnectionsWithPendingRequests(t *testing.T) {
 	admission := &fakeAdmission{}
 	server := newTestServer(admission, 2)
-	busy, idle := &testutil.FakeConn{}, &testutil.FakeConn{}
-	busyConn, idleConn := server.Accept(), server.Accept()
+	busy := &testutil.FakeConn{}
+	idle := &testutil.FakeConn{}
+	busyConn := server.Accept()
+	idleConn := server.Accept()
 	busyConn.Opened(busy)
 	idleConn.Opened(idle)
 	if err := busyConn.Received([]byte(requestLine + "\n")); err != nil || admission.admitted != 1 {
@@ -73,7 +75,8 @@
 	admission := &fakeAdmission{}
 	server := newTestServer(admission, 2)
 	open := func() (loop.ServerHandler, *testutil.FakeConn) {
-		handler, transport := server.Accept(), &testutil.FakeConn{}
+		handler := server.Accept()
+		transport := &testutil.FakeConn{}
 		if handler != nil {
 			handler.Opened(transport)
 		}
@@ -114,7 +117,8 @@
 	server := newTestServer(&fakeAdmission{}, 9)
 	now := time.Now()
 	for name, input := range map[string]string{"silent": "", "partial request": requestLine[:50], "complete and partial": requestLine + "\n" + requestLine[:50], "complete": requestLine + "\n"} {
-		handler, transport := server.Accept(), &testutil.FakeConn{}
+		handler := server.Accept()
+		transport := &testutil.FakeConn{}
 		handler.Opened(transport)
 		if err := handler.Received([]byte(input)); err != nil {
 			t.Fatal(err)
@@ -139,7 +143,8 @@
 }
 
 func TestPendingRequestsPerConnectionAreBounded(t *testing.T) {
-	admission, transport := &fakeAdmission{}, &testutil.FakeConn{}
+	admission := &fakeAdmission{}
+	transport := &testutil.FakeConn{}
 	handler := newTestServer(admission, 2).Accept()
 	handler.Opened(transport)
 	for n := range maxPendingRequests + 1 {
--- a/internal/runtimelink/link.go
+++ b/internal/runtimelink/link.go
@@ -81,7 +81,7 @@
 	l.dial(l.latest)
 }
 
-// Up tells whether commands reach the runtime.
+// Up reports whether commands reach the runtime.
 func (l *Link) Up() bool { return l.conn != nil && l.resynced }
 
 // Start starts a run of the class with that body.
--- a/internal/runtimelink/link_test.go
+++ b/internal/runtimelink/link_test.go
@@ -32,7 +32,8 @@
 }
 
 func newLink() (*Link, *sink, *[]time.Duration) {
-	s, delays := &sink{}, &[]time.Duration{}
+	s := &sink{}
+	delays := &[]time.Duration{}
 	schedule := func(d time.Duration, _ func()) { *delays = append(*delays, d) }
 	return NewLink(s, func(loop.Handler) {}, schedule, 7, zap.NewNop()), s, delays
 }
@@ -88,7 +89,8 @@
 
 func TestNewConnectionReplacesTheOldOnceItIsOpen(t *testing.T) {
 	l, s, _ := newLink()
-	old, w := &testutil.FakeConn{}, &testutil.FakeConn{}
+	old := &testutil.FakeConn{}
+	w := &testutil.FakeConn{}
 	open(l, old)
 	first := l.latest
 	l.Open()
--- a/internal/settingsjson/names.go
+++ b/internal/settingsjson/names.go
@@ -44,7 +44,7 @@
 	return nameDigests{seed: maphash.MakeSeed(), seen: map[uint64]struct{}{}}
 }
 
-// add adds a name and tells whether it was there; very rarely it says so of a new one.
+// add adds a name and reports whether it was there; very rarely it says so of a new one.
 func (d nameDigests) add(name string) (wasPresent bool) {
 	digest := maphash.String(d.seed, name)
 	_, wasPresent = d.seen[digest]
--- a/internal/settingsjson/server.go
+++ b/internal/settingsjson/server.go
@@ -8,7 +8,9 @@
 
 // server returns the settings that are not of a class or tenant.
 func (d *decoder) server() settings.Server {
-	domain, rules, limits := d.section("domain"), d.section("rules"), d.section("policy_limits")
+	domain := d.section("domain")
+	rules := d.section("rules")
+	limits := d.section("policy_limits")
 	server := settings.Server{
 		Cores:                 d.number("domain", "cores", domain),
 		MemoryKB:              d.number("domain", "ram_kb", domain),
--- a/internal/settingsjson/values.go
+++ b/internal/settingsjson/values.go
@@ -20,7 +20,7 @@
 // section is an object whose values are not decoded yet.
 type section map[string]json.RawMessage
 
-// isMissing tells whether a value is absent or null.
+// isMissing reports whether a value is absent or null.
 func isMissing(raw json.RawMessage) bool { return raw == nil || string(raw) == "null" }
 
 // joinKey returns the dotted key of a value in a section.
--- a/internal/simhost/actions_test.go
+++ b/internal/simhost/actions_test.go
@@ -46,7 +46,8 @@
 
 func TestReleasedIndexIsUsedAgain(t *testing.T) {
 	h := &host{requests: newRequestIDs()}
-	first, second := h.requests.assign(7), h.requests.assign(8)
+	first := h.requests.assign(7)
+	second := h.requests.assign(8)
 	h.Release(first)
 	if _, isKnown := h.requests.byTicket[7]; isKnown {
 		t.Error("a released ticket is known")
