--- a/cmd/thymechute/amqp_test.go
+++ b/cmd/thymechute/amqp_test.go
@@ -121,7 +121,7 @@
 // A rejected message is returned to its queue as a copy that counts the attempts, and not for ever.
 func TestRejectedMessageIsReturnedBoundedly(t *testing.T) {
 	e := startAMQP(t, amqpOptions{amqp: `returns="2"`, change: func(config map[string]any) {
-		d := config["settings"].(map[string]any)["domain"].(map[string]any)
+		d := testutil.SettingsSection(config, "domain")
 		d["ram_kb"], d["entry_kb"] = 50, 100 // no idempotency entry fits
 	}})
 	e.publish("excursion", "k1", "a")
--- a/cmd/thymechute/connections_test.go
+++ b/cmd/thymechute/connections_test.go
@@ -237,7 +237,7 @@
 // An idle connection gets a closing notification first; a request that crosses it is served.
 func TestRequestCrossingIdleCloseIsServed(t *testing.T) {
 	env := testutil.StartEnvironment(t, func(config map[string]any) {
-		config["settings"].(map[string]any)["domain"].(map[string]any)["caller_idle_s"] = 4 // the timeout starts at a tenth of it
+		testutil.SettingsSection(config, "domain")["caller_idle_s"] = 4 // the timeout starts at a tenth of it
 	})
 	stub := env.Connect()
 	stub.SendHealthCheck(1)
--- a/cmd/thymechute/descriptors_test.go
+++ b/cmd/thymechute/descriptors_test.go
@@ -55,7 +55,7 @@
 func TestIdleClientsExhaustDescriptorsWithCatalogDown(t *testing.T) {
 	env := testutil.NewEnvironment(t, func(config map[string]any) {
 		config["limits"].(map[string]any)["sockets"] = socketLimit
-		trace := config["settings"].(map[string]any)["classes"].([]any)[0].(map[string]any)
+		trace := testutil.SettingsClass(config, 0)
 		trace["aim_s"], trace["deadline_s"] = requestDeadlineSeconds, requestDeadlineSeconds
 	})
 	catalog := env.Catalog.LocalAddr().String()
--- a/cmd/thymechute/requests_test.go
+++ b/cmd/thymechute/requests_test.go
@@ -56,7 +56,7 @@
 
 func TestRequestOverMemoryIsRejected(t *testing.T) {
 	env := testutil.StartEnvironment(t, func(config map[string]any) {
-		config["settings"].(map[string]any)["domain"].(map[string]any)["ram_kb"] = 5
+		testutil.SettingsSection(config, "domain")["ram_kb"] = 5
 	})
 	stub := env.Connect()
 	stub.SendRequest(1, "trace", "aa01", body, "")
@@ -127,7 +127,7 @@
 // is a new request. The window counts from the first attempt, and a retry from when it arrived, not from when it was read.
 func TestRetriesAroundKeyWindowExpiry(t *testing.T) {
 	env := testutil.StartEnvironment(t, func(config map[string]any) {
-		config["settings"].(map[string]any)["classes"].([]any)[1].(map[string]any)["window_s"] = 1
+		testutil.SettingsClass(config, 1)["window_s"] = 1
 	})
 	stub := env.Connect()
 	const token = `,"token":"5c0f"`
--- a/cmd/thymechute/shutdown_test.go
+++ b/cmd/thymechute/shutdown_test.go
@@ -117,7 +117,7 @@
 // Requests received before SIGTERM are answered; those after the grace period are rejected and not run.
 func TestShutdownRejectsRequestsAfterGracePeriod(t *testing.T) {
 	env := testutil.StartEnvironment(t, func(config map[string]any) {
-		config["settings"].(map[string]any)["rules"].(map[string]any)["drain_grace_s"] = 0
+		testutil.SettingsSection(config, "rules")["drain_grace_s"] = 0
 	})
 	stub, other := env.Connect(), env.Connect()
 	stub.SendRequest(1, "seal", "aa01", body, "")
