--- a/test.sh
+++ b/test.sh
@@ -1,11 +1,12 @@
 #!/bin/sh
-# gofmt, vet, staticcheck, build and tests; needs Go, and a C compiler to link against the C library.
+# gofmt, vet, staticcheck, revive, build and tests; needs Go, and a C compiler to link against the C library.
 set -eu
 cd "$(dirname "$0")"
 unformatted=$(gofmt -l cmd internal policy)
 [ -z "$unformatted" ] || { echo "gofmt: $unformatted" >&2; exit 1; }
 go vet ./...
-go tool staticcheck ./... # its version is in go.mod
+go tool staticcheck ./...                     # checks: staticcheck.conf; version: go.mod
+go tool revive -config revive.toml ./...      # doc comments of exported names; version: go.mod
 mkdir -p bin
 export CGO_ENABLED=1
 go build -ldflags=-linkmode=external -o bin/ ./cmd/... # as deploy/balancer.toml builds
