--- a/internal/decide/rollout/queue_test.go
+++ b/internal/decide/rollout/queue_test.go
@@ -12,15 +12,15 @@
 )
 
 // waveBySorting is the rule as it was first written: all that remain are sorted anew for each wave.
-func waveBySorting(todo []Instance, zones map[string]*zone, most int, voting bool) (names []string) {
+func waveBySorting(remaining []Instance, zones map[string]*zone, maxSize int, isVoterUnavailable bool) (names []string) {
 	wavesNeeded, chosenCapacity, chosenCount := map[string]float64{}, map[string]float64{}, map[string]int{}
-	for _, i := range todo {
+	for _, i := range remaining {
 		wavesNeeded[i.Zone] += i.Capacity / max(zones[i.Zone].spare(), 1e-9)
 	}
-	order := slices.SortedFunc(slices.Values(todo), func(x, y Instance) int {
+	sorted := slices.SortedFunc(slices.Values(remaining), func(x, y Instance) int {
 		return cmp.Or(-cmp.Compare(wavesNeeded[x.Zone], wavesNeeded[y.Zone]), -cmp.Compare(x.Capacity, y.Capacity), cmp.Compare(x.Name, y.Name))
 	})
-	slices.SortStableFunc(order, func(x, y Instance) int {
+	slices.SortStableFunc(sorted, func(x, y Instance) int {
 		switch {
 		case x.IsVoter == y.IsVoter:
 			return 0
@@ -29,14 +29,14 @@
 		}
 		return 1
 	})
-	for _, i := range order {
-		if len(names) == most || i.IsLeader && len(todo) > 1 || i.IsVoter && voting || i.BlocksMigration {
+	for _, i := range sorted {
+		if len(names) == maxSize || i.IsLeader && len(remaining) > 1 || i.IsVoter && isVoterUnavailable || i.BlocksMigration {
 			continue
 		}
 		if z := zones[i.Zone]; z.canSpare(i.Capacity, chosenCapacity[i.Zone], chosenCount[i.Zone]) {
 			chosenCapacity[i.Zone] += i.Capacity
 			chosenCount[i.Zone]++
-			voting = voting || i.IsVoter
+			isVoterUnavailable = isVoterUnavailable || i.IsVoter
 			names = append(names, i.Name)
 		}
 	}
@@ -60,14 +60,14 @@
 // Wave by wave the queue chooses what sorting all that remain anew chooses.
 func TestDrainQueueMatchesFullSort(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		todo := drawFleet(t)
-		zones := testLimits.zones(todo, nil)
-		order := newDrainQueue(todo, zones)
-		most, voting := rapid.IntRange(1, 20).Draw(t, "most"), rapid.Bool().Draw(t, "voting")
+		remaining := drawFleet(t)
+		zones := testLimits.zones(remaining, nil)
+		queue := newDrainQueue(remaining, zones)
+		maxSize, isVoterUnavailable := rapid.IntRange(1, 20).Draw(t, "most"), rapid.Bool().Draw(t, "voting")
 		for {
-			want := waveBySorting(todo, zones, most, voting)
+			want := waveBySorting(remaining, zones, maxSize, isVoterUnavailable)
 			var got []string
-			for _, w := range order.nextWave(most, voting) {
+			for _, w := range queue.nextWave(maxSize, isVoterUnavailable) {
 				got = append(got, w.Name)
 			}
 			if !slices.Equal(got, want) {
@@ -76,7 +76,7 @@
 			if len(want) == 0 {
 				return
 			}
-			todo = slices.DeleteFunc(todo, func(i Instance) bool { return slices.Contains(want, i.Name) })
+			remaining = slices.DeleteFunc(remaining, func(i Instance) bool { return slices.Contains(want, i.Name) })
 		}
 	})
 }
--- a/internal/decide/rollout/rollout_test.go
+++ b/internal/decide/rollout/rollout_test.go
@@ -44,6 +44,42 @@
 	return best
 }
 
+// zoneWave is what a wave takes from one zone.
+type zoneWave struct {
+	total, drained, largest     float64 // capacity
+	instances, drainedInstances int
+}
+
+// fitsInWave states the limits independently of the plan: may the instances of a bit set drain together?
+func fitsInWave(fleet []rollout.Instance, set uint, limits rollout.Limits) bool {
+	voters, count, zones := 0, 0, map[string]*zoneWave{}
+	for n, i := range fleet {
+		z := zones[i.Zone]
+		if z == nil {
+			z = &zoneWave{}
+			zones[i.Zone] = z
+		}
+		z.total += i.Capacity
+		z.largest = max(z.largest, i.Capacity)
+		z.instances++
+		if set&(1<<n) == 0 {
+			continue
+		}
+		z.drained += i.Capacity
+		z.drainedInstances++
+		count++
+		if i.IsVoter {
+			voters++
+		}
+	}
+	for _, z := range zones {
+		if z.total-z.drained-z.largest < limits.MinCapacityFraction*z.total-1e-9 || z.drainedInstances == z.instances {
+			return false
+		}
+	}
+	return voters <= 1 && count <= limits.MaxUnavailable
+}
+
 func TestPlanIsNearFewestWaves(t *testing.T) {
 	plans, more := 0, 0
 	rapid.Check(t, func(t *rapid.T) {
@@ -64,27 +100,7 @@
 			}
 			return
 		}
-		fits := func(set uint) bool {
-			voters, count := 0, 0
-			away, whole, largest, gone, all := map[string]float64{}, map[string]float64{}, map[string]float64{}, map[string]int{}, map[string]int{}
-			for n, i := range f {
-				whole[i.Zone] += i.Capacity
-				largest[i.Zone] = max(largest[i.Zone], i.Capacity)
-				if all[i.Zone]++; set&(1<<n) != 0 {
-					away[i.Zone] += i.Capacity
-					gone[i.Zone]++
-					if count++; i.IsVoter {
-						voters++
-					}
-				}
-			}
-			for z, w := range whole {
-				if w-away[z]-largest[z] < b.MinCapacityFraction*w-1e-9 || gone[z] == all[z] {
-					return false
-				}
-			}
-			return voters <= 1 && count <= b.MaxUnavailable
-		}
+		fits := func(set uint) bool { return fitsInWave(f, set, b) }
 		best := fewestWaves(1<<len(f)-1, fits, map[uint]int{})
 		drained := map[string]int{}
 		for _, w := range waves {
