--- a/internal/decide/ring/warm_up_test.go
+++ b/internal/decide/ring/warm_up_test.go
@@ -37,11 +37,11 @@
 	for at := time.Second; at <= 3*time.Second; at += time.Second {
 		next.WeightedBackends(at, want, table)
 	}
-	whole := next.WeightedBackends(4*time.Second, want, table)
-	if whole[2].Weight != 2 || whole[2].WarmingUp {
-		t.Errorf("at its full weight it is %+v", whole[2])
+	completed := next.WeightedBackends(4*time.Second, want, table)
+	if completed[2].Weight != 2 || completed[2].WarmingUp {
+		t.Errorf("at its full weight it is %+v", completed[2])
 	}
-	if warm := tableOf(t, whole); !warm.WarmUpChangedSince(table) || table.WarmUpChangedSince(table) || next.WeightedBackends(0, want, warm)[2].WarmingUp {
+	if warm := tableOf(t, completed); !warm.WarmUpChangedSince(table) || table.WarmUpChangedSince(table) || next.WeightedBackends(0, want, warm)[2].WarmingUp {
 		t.Error("a backend at full weight warms up again, or the end of its warm-up is no change")
 	}
 	if next.WeightedBackends(0, want[:2], table); len(next.progress) != 0 {
--- a/internal/fleet/slots/slots.go
+++ b/internal/fleet/slots/slots.go
@@ -45,7 +45,7 @@
 	Slots       int
 	Terms       ring.LeaseTerms
 	Bound       ring.BalanceBound
-	SlowStart   ring.SlowStart       // of backends that join cold
+	SlowStart   ring.SlowStart       // of backends that warm up on joining
 	Budget      ring.CallBudget      // of backends in slow start; the zero value disables slow start
 	Notify      func(message string) // reports one line to the operators
 }
@@ -99,7 +99,7 @@
 	}, nil
 }
 
-// SetBackends sets the backends that should own slots, and which of them start cold. The leader acts on its own.
+// SetBackends sets the backends that should own slots, and which of them warm up first. The leader acts on its own.
 func (c *Controller) SetBackends(backends []ring.Backend) {
 	c.mu.Lock()
 	c.wanted = slices.Clone(backends)
--- a/internal/lab/scale/decisions/ring.go
+++ b/internal/lab/scale/decisions/ring.go
@@ -199,7 +199,7 @@
 	return entries, nil
 }
 
-// measureRingLosses takes backends away at once and back: moves over the least, and the slowest plan.
+// measureRingLosses removes backends at once and adds them again: migrations over the minimum, and the slowest plan.
 func measureRingLosses(c *collector, l Layout) error {
 	table, err := l.table()
 	if err != nil {
@@ -221,21 +221,24 @@
 	return nil
 }
 
+// plan times and puts one plan. It returns the planned table.
 func (c *collector) plan(name string, table *ring.Table, backends []ring.Backend) (*ring.Table, error) {
 	var next *ring.Table
-	var moves []ring.Migration
-	var least int
+	var migrations []ring.Migration
+	var minimum int
 	var err error
-	t := timed(max(c.samples/3, 1), func(int) { next, moves, least, err = table.Plan(backends, ring.BalanceBound{Slack: ringSlack}, nil) })
+	t := timed(max(c.samples/3, 1), func(int) {
+		next, migrations, minimum, err = table.Plan(backends, ring.BalanceBound{Slack: ringSlack}, nil)
+	})
 	if err != nil {
 		return nil, err
 	}
-	c.result.Put(name+"_moved", float64(len(moves)))
-	c.result.Put(name+"_moved_over_least", float64(len(moves))/float64(max(least, 1)))
+	c.result.Put(name+"_moved", float64(len(migrations)))
+	c.result.Put(name+"_moved_over_least", float64(len(migrations))/float64(max(minimum, 1)))
 	c.result.Put(name+"_plan_ms_p50", milliseconds(t.p50))
 	c.result.Put(name+"_plan_ms_worst", milliseconds(t.worst))
-	if len(moves) > least {
-		c.result.Fault("%s: %d slots moved, the least is %d", name, len(moves), least)
+	if len(migrations) > minimum {
+		c.result.Fault("%s: %d slots migrated, the minimum is %d", name, len(migrations), minimum)
 	}
 	return next, nil
 }
--- a/internal/lab/scale/decisions/ring_test.go
+++ b/internal/lab/scale/decisions/ring_test.go
@@ -7,8 +7,8 @@
 	"thymechute/internal/decide/ring"
 )
 
-// planDigests are of the tables that follow each loss and return below, taken from the plan as it was before its look for
-// heirs was made faster: a plan must come out the same in every build of a fleet.
+// planDigests are of the tables that follow each loss and return below, taken from the plan as it was before its search for
+// failover targets was made faster: a plan must come out the same in every build of a fleet.
 var planDigests = map[string]uint64{"alike": 0x53d5c8859716abb1, "unlike": 0x9b2f29c02689bff2}
 
 // losses plays each kind of loss and return on a ring of these weights, and gives each table's digest.
@@ -23,14 +23,14 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		table := planned(t, empty, backends)
+		table := mustPlan(t, empty, backends)
 		for seed := range uint64(3) {
 			r := chance(seed, 0x41a7)
 			for _, kind := range lossKinds {
-				table = planned(t, table, without(backends, l.backendLosses().drawn(kind, r)))
+				table = mustPlan(t, table, without(backends, l.backendLosses().drawn(kind, r)))
 				key := fmt.Sprint(name, "-", l.Size, "-", seed, "-", kind)
 				out[key+"-lost"] = table.Digest()
-				table = planned(t, table, backends)
+				table = mustPlan(t, table, backends)
 				out[key+"-back"] = table.Digest()
 			}
 		}
@@ -38,15 +38,15 @@
 	return out
 }
 
-func planned(t *testing.T, table *ring.Table, backends []ring.Backend) *ring.Table {
-	next, moves, least, err := table.Plan(backends, ring.BalanceBound{Slack: ringSlack}, nil)
-	if err != nil || len(moves) != least {
-		t.Fatalf("%d moves, least %d, %v", len(moves), least, err)
+func mustPlan(t *testing.T, table *ring.Table, backends []ring.Backend) *ring.Table {
+	next, migrations, minimum, err := table.Plan(backends, ring.BalanceBound{Slack: ringSlack}, nil)
+	if err != nil || len(migrations) != minimum {
+		t.Fatalf("%d migrations, minimum %d, %v", len(migrations), minimum, err)
 	}
 	return next
 }
 
-func TestPlansComeOutAsBefore(t *testing.T) {
+func TestPlanDigestsAreStable(t *testing.T) {
 	for name, weight := range map[string]func(int) float64{"alike": func(int) float64 { return 1 }, "unlike": func(n int) float64 { return float64(1 + n%3) }} {
 		all := uint64(0)
 		for key, digest := range losses(t, name, weight) {
