--- a/internal/lab/rpc_load.go
+++ b/internal/lab/rpc_load.go
@@ -33,9 +33,9 @@
 	if err := sendOnAll(conns, "w", max(size/warmUpPart/rpcConns, 1)); err != nil {
 		return cost{}, err
 	}
-	cpu, begin := instance.CPU(), time.Now()
+	cpu, begin := instance.CPUTime(), time.Now()
 	err = sendOnAll(conns, "m", size/rpcConns)
-	return cost{instance.CPU() - cpu, time.Since(begin)}, err
+	return cost{instance.CPUTime() - cpu, time.Since(begin)}, err
 }
 
 // dialAll opens rpcConns connections, and retries until the instance listens. After an error it returns those it has opened.
--- a/internal/lab/scale/instance/instance_test.go
+++ b/internal/lab/scale/instance/instance_test.go
@@ -17,7 +17,7 @@
 	t.Helper()
 	ctx, cancel := context.WithTimeout(t.Context(), 2*time.Minute)
 	defer cancel()
-	result, err := part{s}.Run(ctx, scale.Options{Seed: 1, Folder: t.TempDir(), Program: testutil.Built(t), Progress: func(line string) { t.Log(line) }})
+	result, err := part{s}.Run(ctx, scale.Options{Seed: 1, Folder: t.TempDir(), Program: testutil.BuildProgram(t), Progress: func(line string) { t.Log(line) }})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -75,7 +75,7 @@
 
 // A reload that is never answered is reported within the timeout, and a failed reload ends the trial.
 func TestFailedReloadEndsTrial(t *testing.T) {
-	r, _, err := newRig(t.Context(), testutil.Built(t), t.TempDir(), deployment{tenants: 2, classes: 1, sockets: maxSockets})
+	r, _, err := newRig(t.Context(), testutil.BuildProgram(t), t.TempDir(), deployment{tenants: 2, classes: 1, sockets: maxSockets})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -99,7 +99,7 @@
 // The probe detects whether a limit is in force, and a rejected file changes nothing.
 func TestProbeDetectsLimit(t *testing.T) {
 	d := deployment{tenants: 5, classes: 1, sockets: maxSockets, lastTenantLimited: true}
-	r, _, err := newRig(t.Context(), testutil.Built(t), t.TempDir(), d)
+	r, _, err := newRig(t.Context(), testutil.BuildProgram(t), t.TempDir(), d)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -134,7 +134,7 @@
 // A program that rejects its configuration is a failed trial without figures; the run goes on.
 func TestProgramThatDoesNotStartIsAFault(t *testing.T) {
 	m := &measurement{ctx: t.Context(), workload: smallWorkload(), result: &scale.Result{},
-		options: scale.Options{Folder: t.TempDir(), Program: testutil.Built(t)}}
+		options: scale.Options{Folder: t.TempDir(), Program: testutil.BuildProgram(t)}}
 	r, err := m.runTrial(deployment{tenants: 2, classes: 1, shorterObjective: -1}, func(*deployment) {}, withLoads)
 	if err != nil {
 		t.Fatal(err)
