--- a/internal/decide/intake/connection.go
+++ b/internal/decide/intake/connection.go
@@ -1,6 +1,10 @@
 package intake
 
-import "time"
+import (
+	"time"
+
+	"go.uber.org/zap"
+)
 
 const (
 	minBackoff      = 50 * time.Millisecond // before a broker is dialled again; doubled with each failure
@@ -76,7 +80,7 @@
 	c.connection.establishedAt, c.connection.settled, c.connection.pendingRequests = now, 0, 0
 	c.credit.unsettled, c.credit.peak = 0, 0
 	c.pausedAt = now - minPause
-	c.host.Logf("broker %d up", c.connection.current+1)
+	c.host.Log("broker connected", zap.Int("broker", c.connection.current+1))
 	c.advance(now)
 }
 
@@ -93,8 +97,11 @@
 	}
 	next := c.connection.nextBroker()
 	retryAfter := c.connection.brokers[next].retryAfter
-	c.host.Logf("broker %d lost: %s; broker %d is next, in %v", c.connection.current+1, reason, next+1,
-		max(retryAfter-now, 0).Round(time.Millisecond))
+	c.host.Log("broker connection lost",
+		zap.Int("broker", c.connection.current+1),
+		zap.String("reason", reason),
+		zap.Int("next_broker", next+1),
+		zap.Duration("retry_after", max(retryAfter-now, 0).Round(time.Millisecond)))
 	c.connection.current, c.connection.dialAt = next, max(retryAfter, now)
 	c.advance(now)
 }
--- a/internal/decide/intake/controller.go
+++ b/internal/decide/intake/controller.go
@@ -4,6 +4,8 @@
 	"fmt"
 	"time"
 
+	"go.uber.org/zap"
+
 	"thymechute/internal/decide/random"
 )
 
@@ -18,12 +20,12 @@
 
 // Host performs the actions that a Controller decides on.
 type Host interface {
-	Dial(broker int)                 // connects to a broker; answered by Connected or ConnectionFailed
-	Disconnect(reason string)        // drops the connection; no event of it follows
-	Consume(credit int)              // starts or restarts the consumers with the credit for each queue
-	Pause()                          // cancels the consumers; unsettled messages remain to be settled
-	ScheduleTick(at time.Duration)   // asks for a call of Tick at that time
-	Logf(format string, args ...any) // writes one line to the operators' log
+	Dial(broker int)                         // connects to a broker; answered by Connected or ConnectionFailed
+	Disconnect(reason string)                // drops the connection; no event of it follows
+	Consume(credit int)                      // starts or restarts the consumers with the credit for each queue
+	Pause()                                  // cancels the consumers; unsettled messages remain to be settled
+	ScheduleTick(at time.Duration)           // asks for a call of Tick at that time
+	Log(message string, fields ...zap.Field) // writes one structured log line
 }
 
 // Config is what a Controller is created with.
@@ -117,7 +119,7 @@
 	if c.phase != consuming {
 		return
 	}
-	c.host.Logf("consumer cancelled by the broker")
+	c.host.Log("consumer cancelled by the broker")
 	c.pauseFor(now, cancelledPause)
 }
 
@@ -189,7 +191,7 @@
 	c.phase, c.pausedAt = paused, now
 	c.host.Pause()
 	if reason != pauseBackoff {
-		c.host.Logf("consuming paused: %s", reason)
+		c.host.Log("consuming paused", zap.String("reason", string(reason)))
 	}
 }
 
--- a/internal/front/amqp/commands.go
+++ b/internal/front/amqp/commands.go
@@ -8,13 +8,13 @@
 	amqp "github.com/rabbitmq/amqp091-go"
 )
 
-// command is one thing that a session does for the front. An error ends the session.
+// command is an operation that a session executes for the front, on one of its goroutines. An error ends the session.
 type command func(*session) error
 
-// errDrained is the end of a session that was closed in order.
+// errDrained ends a session after its connection was closed in order.
 var errDrained = errors.New("drained")
 
-// consume starts consumers on all queues, each with the credit, in place of those that run.
+// consume starts consumers on all queues, each with the credit, and replaces the running ones.
 func consume(credit int) command {
 	return func(s *session) error {
 		if err := s.cancelConsumers(); err != nil {
@@ -56,7 +56,8 @@
 	return nil
 }
 
-// consumerTag differs for each start, so that the last messages of a cancelled consumer are not taken for the next one's.
+// consumerTag returns a tag that differs for each start, so that the last deliveries of a cancelled consumer are not taken for
+// those of the next one.
 func (s *session) consumerTag(index int) string {
 	prefix := s.config.Queues[index].ConsumerTag
 	if prefix == "" {
@@ -87,7 +88,7 @@
 	return nil
 }
 
-// ack settles a message, so that the broker may deliver another.
+// ack acknowledges a message, so that the broker may deliver another one.
 func ack(tag uint64) command {
 	return func(s *session) error {
 		s.guard.allow(1)
@@ -95,7 +96,7 @@
 	}
 }
 
-// returnToQueue leaves a message with its queue, which delivers it again, marked as redelivered.
+// returnToQueue returns a message to its queue, which delivers it again, marked as redelivered.
 func returnToQueue(tag uint64) command {
 	return func(s *session) error {
 		s.guard.allow(1)
@@ -103,7 +104,7 @@
 	}
 }
 
-// discard leaves a message to the queue's own dead-letter exchange.
+// discard rejects a message, which the broker publishes to the queue's own dead-letter exchange, if it has one.
 func discard(tag uint64) command {
 	return func(s *session) error {
 		s.guard.allow(1)
@@ -111,8 +112,8 @@
 	}
 }
 
-// publish publishes a message; its confirm is reported under the number. A publishing channel that was just closed by the
-// broker counts as not confirmed.
+// publish publishes a message; its confirm is reported with the publish number. If the broker has just closed the publishing
+// channel, the message counts as not confirmed.
 func publish(number uint64, exchange, key string, publishing amqp.Publishing) command {
 	return func(s *session) error {
 		publishing.Headers[publishNumberHeader] = int64(number)
--- a/internal/front/amqp/connect.go
+++ b/internal/front/amqp/connect.go
@@ -14,7 +14,8 @@
 
 const locale = "en_US"
 
-// connect sets the session up: connection, channels, and a check of all names that it will need.
+// connect sets up the session: the connection, the channels, and a check that all queues and exchanges exist. The failure
+// classifies an error for the controller.
 func (s *session) connect(address string) (intake.Failure, error) {
 	conn, err := s.dial(address)
 	if err != nil {
@@ -82,7 +83,7 @@
 	return s.openPublisher()
 }
 
-// failureOf tells what the broker rejects, and will reject again, from other failures to connect.
+// failureOf returns RejectedByBroker for errors that a retry will not change, and ConnectFailed for all others.
 func failureOf(err error) intake.Failure {
 	var brokerError *amqp.Error
 	if errors.As(err, &brokerError) {
@@ -94,7 +95,7 @@
 	return intake.ConnectFailed
 }
 
-// checkNames asks for the queues and exchanges, on a channel of its own: a missing one closes the channel that asks.
+// checkNames checks that all queues and exchanges exist. It uses a channel of its own, as a missing one closes the channel.
 func (s *session) checkNames() error {
 	channel, err := s.connection.Channel()
 	if err != nil {
--- a/internal/front/amqp/decode.go
+++ b/internal/front/amqp/decode.go
@@ -19,7 +19,7 @@
 	redeliveredRun = "run" // the setting of a queue whose redelivered messages may be processed
 )
 
-// FieldError reports a property or header that can't be decoded. Its text becomes the reason of a dead letter.
+// FieldError is the error of a property or header that can't be decoded. Its text becomes the reason of a dead letter.
 type FieldError struct {
 	Field    string // as the operator's file names it
 	Found    string // empty if the value is not shown
@@ -34,36 +34,56 @@
 	return e.Field + ": found " + e.Found + ", expected " + e.Expected
 }
 
-// Decode makes a request of a message that was received at a time, with the fields of the operator's file. idempotency
-// returns that of a class. Errors are *FieldError.
+// Decode returns the request in a message that was received at that time. The operator's file names the fields that hold
+// its values. idempotency returns the idempotency of a class. The error is a *FieldError.
 func Decode(d *amqp.Delivery, fields *operator.FieldMapping, queue *operator.Queue, receivedAt time.Time,
 	idempotency func(class string) settings.Idempotency) (node.Request, error) {
-	request := node.Request{ReceivedAt: receivedAt, Body: d.Body, MemoryKB: max(float64(len(d.Body))/bytesPerKB, minMemoryKB)}
-	for _, text := range []struct {
-		target *string
-		field  string
-	}{{&request.Class, fields.Class}, {&request.Tenant, fields.Tenant}, {&request.Key, fields.IdempotencyKey}, {&request.Subject, fields.Subject}} {
-		var err error
-		if *text.target, err = textField(d, text.field); err != nil {
-			return request, err
-		}
+	request := node.Request{
+		ReceivedAt: receivedAt,
+		Body:       d.Body,
+		MemoryKB:   max(float64(len(d.Body))/bytesPerKB, minMemoryKB),
 	}
-	if request.Class == "" {
-		return request, &FieldError{Field: fields.Class, Found: "nothing", Expected: "a band"}
+	if err := decodeTexts(d, fields, &request); err != nil {
+		return request, err
 	}
 	var err error
-	if request.MayHaveRunElsewhere, err = mayHaveRunElsewhere(d, fields, queue, &request, idempotency(request.Class)); err != nil {
+	request.MayHaveRunElsewhere, err = mayHaveRunElsewhere(d, fields, queue, &request, idempotency(request.Class))
+	if err != nil {
 		return request, err
 	}
-	if request.Priority, err = priority(d, fields.Priority); err != nil {
+	request.Priority, err = priority(d, fields.Priority)
+	if err != nil {
 		return request, err
 	}
 	request.CallerTimeout, err = callerTimeout(d, fields, receivedAt)
 	return request, err
 }
 
+// decodeTexts sets the fields of the request that are texts. Only the class is required.
+func decodeTexts(d *amqp.Delivery, fields *operator.FieldMapping, request *node.Request) error {
+	for _, text := range []struct {
+		target *string
+		field  string
+	}{
+		{&request.Class, fields.Class},
+		{&request.Tenant, fields.Tenant},
+		{&request.Key, fields.IdempotencyKey},
+		{&request.Subject, fields.Subject},
+	} {
+		value, err := textField(d, text.field)
+		if err != nil {
+			return err
+		}
+		*text.target = value
+	}
+	if request.Class == "" {
+		return &FieldError{Field: fields.Class, Found: "nothing", Expected: "a band"}
+	}
+	return nil
+}
+
 // mayHaveRunElsewhere reports whether an earlier delivery may have been processed by another instance. Without an
-// idempotency key only the first delivery proves that it was not.
+// idempotency key that can be ruled out for the first delivery only.
 func mayHaveRunElsewhere(d *amqp.Delivery, fields *operator.FieldMapping, queue *operator.Queue, request *node.Request,
 	idempotency settings.Idempotency) (bool, error) {
 	switch idempotency {
@@ -71,7 +91,11 @@
 		return false, nil
 	case settings.Idempotent:
 		if request.Key == "" {
-			return false, &FieldError{Field: fields.IdempotencyKey, Found: "nothing", Expected: "a key, as band " + request.Class + " must not run twice"}
+			return false, &FieldError{
+				Field:    fields.IdempotencyKey,
+				Found:    "nothing",
+				Expected: "a key, as band " + request.Class + " must not run twice",
+			}
 		}
 		return d.Redelivered && queue.OnRedelivery != redeliveredRun, nil
 	}
@@ -87,8 +111,8 @@
 	return value, nil
 }
 
-// callerTimeout returns what is left of the time that the caller waits; 0 if it is unknown. It counts from the message's
-// origin if that is known and not in the future, as another machine's clock may be wrong.
+// callerTimeout returns the remaining time for which the caller waits; 0 if it is unknown. The time counts from the message's
+// origin if that is known, and from the receipt if the origin is in the future, as the clocks of two machines may differ.
 func callerTimeout(d *amqp.Delivery, fields *operator.FieldMapping, receivedAt time.Time) (time.Duration, error) {
 	milliseconds, ok, err := numberField(d, fields.CallerTimeout)
 	if err != nil || milliseconds < 0 || math.IsNaN(milliseconds) {
--- a/internal/front/amqp/events.go
+++ b/internal/front/amqp/events.go
@@ -9,13 +9,13 @@
 	"thymechute/internal/decide/intake"
 )
 
-// eventKind is what happened on a session.
+// eventKind is the kind of an event.
 type eventKind uint8
 
 const (
 	eventDelivered       eventKind = iota
 	eventConfirmed                 // a publish was acknowledged, refused, or lost
-	eventReturned                  // a publish reached no queue; its confirm follows
+	eventReturned                  // a publish was not routed to any queue; its confirm follows
 	eventConnected                 // the session is set up
 	eventConsuming                 // the consumers are started
 	eventConsumersEnded            // the consumers are cancelled; no delivery of theirs follows
@@ -38,8 +38,7 @@
 	err           error // of eventPublisherClosed and eventClosed; may be nil
 }
 
-// handleEvents takes in a batch of events. Events of a session that was dropped are ignored: the broker delivers its
-// messages again.
+// handleEvents handles a batch of events. Events of a dropped session are ignored, as the broker delivers its messages again.
 func (f *Front) handleEvents(s *session, events []event) {
 	for n := range events {
 		if f.session != s {
@@ -79,7 +78,7 @@
 	}
 }
 
-// handleConsumersEnded requeues the bounced messages, which cannot come back any more.
+// handleConsumersEnded requeues the bounced messages, which can no longer be delivered to this instance.
 func (f *Front) handleConsumersEnded(now time.Duration) {
 	f.consumersStopped = true
 	for _, m := range f.bounced {
--- a/internal/front/amqp/frames.go
+++ b/internal/front/amqp/frames.go
@@ -33,7 +33,7 @@
 	consumerTagOffset = methodIDSize // in basic.deliver: a length of one byte, and the text
 )
 
-// protocolError is what a broker sends that it must not; the connection ends.
+// protocolError is the error of a broker that violates the protocol. It ends the connection.
 type protocolError string
 
 // Error implements error.
@@ -52,8 +52,9 @@
 	return nil
 }
 
-// check checks the payload of a frame and reports whether the frame is passed on; it may set the size of a body to 0.
-func (g *guard) check(kind byte, channel uint16, payload []byte) (pass bool, err error) {
+// check checks the payload of a frame and reports whether the frame is passed on to the library. It sets the body size in the
+// content header of an oversized message to 0.
+func (g *guard) check(kind byte, channel uint16, payload []byte) (isPassedOn bool, err error) {
 	switch kind {
 	case kindMethod:
 		return true, g.checkMethod(channel, payload)
@@ -65,7 +66,7 @@
 	return true, nil
 }
 
-// checkMethod checks a method, and begins a content after a delivery or a return.
+// checkMethod checks a method frame. A delivery or a return starts a content, whose header and body follow.
 func (g *guard) checkMethod(channel uint16, payload []byte) error {
 	if g.contents[channel] != nil {
 		return protocolError("broker sends a method inside a content")
@@ -105,7 +106,7 @@
 	return binary.BigEndian.Uint64(payload[offset:]), nil
 }
 
-// countDelivery rejects a delivery beyond the credit, as the library buffers without a bound.
+// countDelivery returns an error for a delivery beyond the credit, as the library buffers deliveries without a bound.
 func (g *guard) countDelivery() error {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -124,7 +125,7 @@
 	return nil
 }
 
-// checkContentHeader takes the size of a body, and sets it to 0 if the body is oversized.
+// checkContentHeader records the size of the body that follows, and sets it to 0 in the frame if the body is oversized.
 func (g *guard) checkContentHeader(channel uint16, payload []byte) error {
 	c := g.contents[channel]
 	if c == nil || c.left > 0 || len(payload) < minContentHeader {
@@ -143,7 +144,8 @@
 	return nil
 }
 
-// rememberOversized notes the delivery tag of an oversized message; 0 is a returned one, whose body nobody needs.
+// rememberOversized records the delivery tag of an oversized message. The tag is 0 for a returned message, whose body is not
+// used.
 func (g *guard) rememberOversized(deliveryTag uint64) {
 	if deliveryTag == 0 {
 		return
@@ -153,8 +155,8 @@
 	g.oversized[deliveryTag] = struct{}{}
 }
 
-// checkBody takes a part of a body; that of a dropped one is not passed on.
-func (g *guard) checkBody(channel uint16, payload []byte) (pass bool, err error) {
+// checkBody checks a part of a body. Parts of an oversized body are not passed on.
+func (g *guard) checkBody(channel uint16, payload []byte) (isPassedOn bool, err error) {
 	c := g.contents[channel]
 	if c == nil || uint64(len(payload)) > c.left || len(payload) == 0 {
 		return false, protocolError("broker sends a body out of place")
--- a/internal/front/amqp/front.go
+++ b/internal/front/amqp/front.go
@@ -19,20 +19,25 @@
 	extraUnsettled = 64
 )
 
-// Admission accepts requests.
+// Admission is the instance that decides on the requests; node.Instance implements it.
 type Admission interface {
+	// Admit takes a request; its answer goes to the responder under the id. After an error no answer follows.
 	Admit(responder node.Responder, id node.MessageID, request node.Request) error
+	// CallerGone reports that no answer to the responder's requests can be delivered any more.
 	CallerGone(responder node.Responder)
+	// Load returns the used part of the instance's capacity.
 	Load() node.Load
 }
 
-// Loop is the event loop on which a Front lives.
+// Loop is the event loop on which a Front runs.
 type Loop interface {
-	Post(f func())                         // runs f on the loop; callable from any goroutine
-	After(wait time.Duration, what func()) // runs what on the loop, later
+	// Post runs the task on the loop. It may be called from any goroutine.
+	Post(task func())
+	// After runs the task on the loop after the delay. It may be called from any goroutine.
+	After(delay time.Duration, task func())
 }
 
-// Front consumes messages for one instance. All methods must be called on the loop.
+// Front consumes messages for one instance. All methods must be called on the loop, and none blocks.
 type Front struct {
 	admission   Admission
 	loop        Loop
@@ -51,9 +56,9 @@
 	isConnected      bool // the session is set up
 	consumersStopped bool // the consumers are cancelled and have delivered their last messages
 	draining         bool
-	closing          bool // the session has been told to close
+	closing          bool // closeConnection was submitted to the session
 
-	// requestPrefix begins the ids of this process's requests: a runtime may know those of an earlier one.
+	// requestPrefix begins the ids of this process's requests, as a runtime may still execute requests of an earlier process.
 	requestPrefix string
 	unsettled     map[uint64]*message // by delivery tag
 	unconfirmed   map[uint64]*message // by publish number
@@ -62,12 +67,21 @@
 	counts        messageCounts
 }
 
-// New returns a front for the operator's settings. It connects once the instance is ready. idempotency returns that of a
-// class; seed drives the backoff and the ids of requests.
+// New returns a front for the operator's settings, which connects once the instance is ready. name is that of the instance,
+// idempotency returns the idempotency of a class, and seed determines the jitter of the backoff and the ids of requests.
 func New(admission Admission, loop Loop, config *operator.AMQP, name string, seed uint64,
 	idempotency func(class string) settings.Idempotency, log *zap.Logger) *Front {
-	f := &Front{admission: admission, loop: loop, config: config, name: name, idempotency: idempotency, log: log, start: time.Now(),
-		requestPrefix: requestPrefix(seed, time.Now()), unconfirmed: map[uint64]*message{}}
+	f := &Front{
+		admission:     admission,
+		loop:          loop,
+		config:        config,
+		name:          name,
+		idempotency:   idempotency,
+		log:           log,
+		start:         time.Now(),
+		requestPrefix: requestPrefix(seed, time.Now()),
+		unconfirmed:   map[uint64]*message{},
+	}
 	f.controller = intake.New(f, seed, intake.Config{
 		Brokers:         len(config.Brokers),
 		MinCredit:       config.MinCredit,
@@ -77,13 +91,17 @@
 	return f
 }
 
-// requestPrefix is unlikely to repeat in another process or after a restart.
+// requestPrefix returns a prefix that is unlikely to be used by another process or after a restart.
 func requestPrefix(seed uint64, now time.Time) string {
-	const seedMask, timeMask, base = 0xffffffff, 0xffffff, 36
+	const (
+		seedMask = 0xffffffff
+		timeMask = 0xffffff
+		base     = 36
+	)
 	return "q" + strconv.FormatUint(seed&seedMask, base) + "-" + strconv.FormatInt(now.UnixMilli()&timeMask, base) + "-"
 }
 
-// now is the time since the start, as the controller counts it.
+// now returns the time since the start, which is the controller's clock.
 func (f *Front) now() time.Duration { return time.Since(f.start) }
 
 // maxUnsettled bounds the messages that are received and not settled.
@@ -91,14 +109,14 @@
 	return 2*f.config.MaxCredit*len(f.config.Queues) + extraUnsettled
 }
 
-// SetIdleTimeout implements node.Front. It does nothing: connections to a broker are kept.
+// SetIdleTimeout implements node.Front. It does nothing, as connections to a broker stay open while idle.
 func (f *Front) SetIdleTimeout(time.Duration) {}
 
 // Drain implements node.Front. It stops consuming at once; the connection is closed when all messages are settled.
 func (f *Front) Drain() {
 	f.draining = true
 	f.controller.Drain(f.now())
-	if f.session != nil && !f.isConnected { // it has delivered nothing
+	if f.session != nil && !f.isConnected { // no message was delivered on it
 		f.dropSession(f.session)
 	}
 	f.closeIfDrained()
@@ -117,8 +135,8 @@
 	f.controller.UpdateInstance(f.now(), intake.InstanceState{Ready: load.Ready, Items: load.Requests, Capacity: load.Capacity})
 }
 
-// dropSession forgets a session and its messages, which the broker delivers again elsewhere. Requests that are being
-// processed go on if they are idempotent, and their results are cached.
+// dropSession drops a session and its messages, which the broker delivers again. Runs of idempotent requests continue, and
+// their results are cached.
 func (f *Front) dropSession(s *session) {
 	s.abandon()
 	f.session = nil
--- a/internal/front/amqp/guard.go
+++ b/internal/front/amqp/guard.go
@@ -13,26 +13,28 @@
 const (
 	maxFrameSize = 32 << 10 // bytes, offered to the broker
 	maxChannels  = 8
-	maxBuffered  = 64 << 10 // bytes of output that are held back while it is corked
+	maxBuffered  = 64 << 10 // bytes of output that are buffered while it is corked
 )
 
-// guard is the connection between the socket and the client library. It reads whole frames, bounded before memory is
-// allocated for them, and rejects what would make the library hold more than was agreed: more deliveries than the credit,
-// or contents out of place. An oversized message is passed on with an empty body and its delivery tag remembered. Nothing
-// else is changed. Output can be held back and sent at once (cork).
+// guard is a net.Conn between the socket and the client library that bounds the memory which a broker can make the library
+// use. It reads complete frames, whose size it checks before it allocates memory for them, and returns an error for more
+// deliveries than the credit and for contents out of order. An oversized message is passed on with an empty body, and its
+// delivery tag is recorded. Everything else is passed on unchanged. Output can be buffered to be sent in one write (cork).
 //
-// The tables are one frame, and contents that are half read, by channel; both are bounded by the constants above. Tags of
-// oversized messages are bounded by the credit and removed as the messages are received.
+// Its memory is bounded: one frame, one partial content for each of maxChannels channels, and the tags of oversized messages,
+// of which there are at most as many as the credit and which are removed when the messages are received.
+//
+// Read belongs to the library's reading goroutine. All other methods may be called from any goroutine.
 type guard struct {
 	net.Conn
 	reader   *bufio.Reader
-	frame    []byte // the frame that is being passed on
-	unread   []byte // what is left of it
-	contents map[uint16]*content
-	maxBody  uint64 // bytes
+	frame    []byte              // the frame that is being passed on
+	unread   []byte              // the rest of it
+	contents map[uint16]*content // partly read contents, by channel
+	maxBody  uint64              // bytes
 
 	mu             sync.Mutex // guards the fields below
-	allowed        uint64     // deliveries so far, and those that may still come
+	allowed        uint64     // number of deliveries so far and of further ones within the credit
 	delivered      uint64
 	closedByBroker bool // the broker has sent connection.close
 	oversized      map[uint64]struct{}
@@ -49,8 +51,14 @@
 }
 
 func newGuard(conn net.Conn, maxBody int, writeTimeout time.Duration) *guard {
-	return &guard{Conn: conn, reader: bufio.NewReaderSize(conn, maxFrameSize), contents: map[uint16]*content{}, maxBody: uint64(maxBody),
-		oversized: map[uint64]struct{}{}, writeTimeout: writeTimeout}
+	return &guard{
+		Conn:         conn,
+		reader:       bufio.NewReaderSize(conn, maxFrameSize),
+		contents:     map[uint16]*content{},
+		maxBody:      uint64(maxBody),
+		oversized:    map[uint64]struct{}{},
+		writeTimeout: writeTimeout,
+	}
 }
 
 // Read implements io.Reader. It passes on checked frames.
@@ -86,8 +94,8 @@
 	if g.frame[end] != frameEnd {
 		return protocolError("broker sends a frame without its end")
 	}
-	pass, err := g.check(kind, channel, g.frame[frameHeaderSize:end])
-	if err == nil && pass {
+	isPassedOn, err := g.check(kind, channel, g.frame[frameHeaderSize:end])
+	if err == nil && isPassedOn {
 		g.unread = g.frame
 	}
 	return err
@@ -118,14 +126,14 @@
 	return err
 }
 
-// cork holds output back until uncork.
+// cork buffers output until uncork.
 func (g *guard) cork() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.isCorked = true
 }
 
-// uncork sends what was held back. An error has closed the connection, which its reader reports.
+// uncork sends the buffered output. An error closes the connection, which the reading goroutine then reports.
 func (g *guard) uncork() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -147,15 +155,15 @@
 	g.allowed = g.delivered
 }
 
-// wasClosedByBroker reports whether the broker has closed the connection with a reason: the library takes any end of the
-// connection during the login for a rejected login.
+// wasClosedByBroker reports whether the broker has closed the connection with a reason. The library reports any end of the
+// connection during the login as a rejected login.
 func (g *guard) wasClosedByBroker() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.closedByBroker
 }
 
-// takeOversized reports whether the delivered message was oversized, and forgets it.
+// takeOversized reports whether the delivered message was oversized, and removes its tag.
 func (g *guard) takeOversized(deliveryTag uint64) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/internal/front/amqp/headers.go
+++ b/internal/front/amqp/headers.go
@@ -11,12 +11,12 @@
 	drainingHeader      = "x-thymechute-leaving" // the instance that requeued the message while it drained
 	returnsHeader       = "x-thymechute-returns" // how often the message was requeued
 	reasonHeader        = "x-thymechute-reason"  // why a message was dead-lettered
-	publishNumberHeader = "x-thymechute-publish" // tells which publish was returned
+	publishNumberHeader = "x-thymechute-publish" // number by which a returned publish is identified
 	outcomeHeader       = "x-thymechute-outcome" // of a reply
 	userIDHeader        = "x-thymechute-user-id" // of a copy: brokers accept a user-id from its own user only
 )
 
-const maxReturnCount = 1e6 // a larger number in a header is taken for none
+const maxReturnCount = 1e6 // a larger number in a header counts as 0
 
 // returnCount returns how often a message was requeued so far.
 func returnCount(d *amqp.Delivery) int {
@@ -35,8 +35,8 @@
 	return requeued
 }
 
-// deadLetterCopy returns the message with the reason for which it is dead-lettered, without expiration: a dead letter must
-// not expire.
+// deadLetterCopy returns the message with the reason for which it is dead-lettered. It has no expiration, so that the dead
+// letter does not expire.
 func deadLetterCopy(d *amqp.Delivery, reason string) amqp.Publishing {
 	letter := copyOf(d)
 	letter.Headers[reasonHeader] = reason
--- a/internal/front/amqp/host.go
+++ b/internal/front/amqp/host.go
@@ -1,6 +1,10 @@
 package amqp
 
-import "time"
+import (
+	"time"
+
+	"go.uber.org/zap"
+)
 
 // A Front is the intake.Host of its controller.
 
@@ -32,7 +36,7 @@
 	f.session.submitConsumer(stopConsumers)
 }
 
-// ScheduleTick implements intake.Host. A later tick that is pending does no harm.
+// ScheduleTick implements intake.Host. A pending tick at a later time is not cancelled, as an extra tick does no harm.
 func (f *Front) ScheduleTick(at time.Duration) {
 	if f.tickAt > f.now() && f.tickAt <= at {
 		return
@@ -41,5 +45,5 @@
 	f.loop.After(max(at-f.now(), time.Millisecond), func() { f.controller.Tick(f.now()) })
 }
 
-// Logf implements intake.Host.
-func (f *Front) Logf(format string, args ...any) { f.log.Sugar().Infof("amqp: "+format, args...) }
+// Log implements intake.Host.
+func (f *Front) Log(message string, fields ...zap.Field) { f.log.Info("amqp: "+message, fields...) }
--- a/internal/front/amqp/message.go
+++ b/internal/front/amqp/message.go
@@ -14,28 +14,36 @@
 	"thymechute/internal/operator"
 )
 
-// message is one that was received and is not settled.
+// message is a received message that is not settled.
 type message struct {
 	delivery     amqp.Delivery
-	tag          uint64 // of the delivery
+	tag          uint64 // delivery tag
 	queue        *operator.Queue
 	receivedAt   time.Time
-	deadline     time.Time // until which its caller waits; zero if unknown
+	deadline     time.Time // when its caller stops waiting; zero if unknown
 	outcome      intake.Outcome
 	retryAfter   time.Duration
 	isReply      bool // what is published for it is the reply to its caller
 	isUnroutable bool // what was published for it reached no queue
 }
 
-// isExpired reports whether its caller waits no longer, or hardly.
+// isExpired reports whether its caller will have stopped waiting before a retry could be answered.
 func (m *message) isExpired() bool {
 	const margin = 100 * time.Millisecond
 	return !m.deadline.IsZero() && time.Until(m.deadline) <= margin
 }
 
-// messageCounts counts messages since the start: each received one, and how it ended.
+// messageCounts counts the messages since the start, by how they ended. One message may count in several fields.
 type messageCounts struct {
-	received, completed, rejected, failed, deadLettered, unreadable, unpublished, callerGone, repliesLost uint64
+	received     uint64
+	completed    uint64 // answered with a result
+	rejected     uint64 // by the instance
+	failed       uint64 // answered with an error
+	deadLettered uint64
+	unreadable   uint64 // too large, or not decodable
+	unpublished  uint64 // left to their queue as the broker did not accept a publish
+	callerGone   uint64 // unsettled when the connection ended
+	repliesLost  uint64 // replies that were not routed to any queue
 }
 
 // MarshalLogObject implements zapcore.ObjectMarshaler.
@@ -52,10 +60,15 @@
 	return nil
 }
 
-// receive takes in a delivery and submits it to the instance.
+// receive handles a delivery and submits it to the instance.
 func (f *Front) receive(s *session, e *event) {
 	f.counts.received++
-	m := &message{delivery: e.delivery, tag: e.delivery.DeliveryTag, queue: &f.config.Queues[e.queue], receivedAt: e.receivedAt}
+	m := &message{
+		delivery:   e.delivery,
+		tag:        e.delivery.DeliveryTag,
+		queue:      &f.config.Queues[e.queue],
+		receivedAt: e.receivedAt,
+	}
 	if f.unsettled[m.tag] != nil || len(f.unsettled) >= f.maxUnsettled() {
 		f.controller.ProtocolViolated(f.now(), "more messages than credit, or one tag twice")
 		return
@@ -64,20 +77,23 @@
 	f.controller.MessagesReceived(1)
 	if s.guard.takeOversized(m.tag) {
 		f.counts.unreadable++
-		f.log.Warn("amqp: message too large, rejected", zap.String("queue", m.queue.Name), zap.String("key", m.delivery.MessageId),
-			zap.Int("largest", f.config.MaxBodyBytes))
+		f.log.Warn("amqp: message too large, rejected",
+			zap.String("queue", m.queue.Name),
+			zap.String("key", m.delivery.MessageId),
+			zap.Int("max_body_bytes", f.config.MaxBodyBytes))
 		f.settle(m, discard(m.tag))
 		return
 	}
 	if err := f.admit(s, m); err != nil {
 		f.counts.unreadable++
-		f.log.Warn("amqp: message can't be decoded, dead-lettered", zap.String("queue", m.queue.Name),
+		f.log.Warn("amqp: message can't be decoded, dead-lettered",
+			zap.String("queue", m.queue.Name),
 			zap.String("key", fmt.Sprintf("%.64q", m.delivery.MessageId)), zap.Error(err))
 		f.deadLetter(m, "unreadable: "+err.Error())
 	}
 }
 
-// admit decodes a message and hands it to the instance; the answer arrives at handleAnswer under the delivery tag.
+// admit decodes a message and submits it to the instance. handleAnswer gets the answer under the delivery tag.
 func (f *Front) admit(s *session, m *message) error {
 	const tagBase = 36
 	request, err := Decode(&m.delivery, f.config.Fields, m.queue, m.receivedAt, f.idempotency)
--- a/internal/front/amqp/outcome.go
+++ b/internal/front/amqp/outcome.go
@@ -26,7 +26,7 @@
 	reasonExpired     = "its patience is over"
 )
 
-// handleAnswer takes the answer to a message from the instance, on the session that delivered it.
+// handleAnswer handles the instance's answer to a message that was delivered on the session.
 func (f *Front) handleAnswer(s *session, id node.MessageID, answer node.Answer) {
 	tag, err := strconv.ParseUint(string(id), 10, 64)
 	m := f.unsettled[tag]
@@ -57,21 +57,24 @@
 	return reasonFailed
 }
 
-// complete settles a processed message, after the broker has confirmed the reply if one is wanted.
+// complete settles a processed message. If a reply is requested, that waits until the broker has confirmed the reply.
 func (f *Front) complete(m *message, result []byte) {
 	if m.delivery.ReplyTo == "" {
 		f.settle(m, ack(m.tag))
 		return
 	}
 	m.isReply = true
-	f.publishFor(m, "", m.delivery.ReplyTo, amqp.Publishing{CorrelationId: m.delivery.CorrelationId, Body: result,
-		Headers: amqp.Table{outcomeHeader: replyFulfilled}})
+	f.publishFor(m, "", m.delivery.ReplyTo, amqp.Publishing{
+		CorrelationId: m.delivery.CorrelationId,
+		Body:          result,
+		Headers:       amqp.Table{outcomeHeader: replyFulfilled},
+	})
 }
 
 // reject requeues or dead-letters a message that the instance rejected.
 //
-// While the instance drains, the broker may still deliver to it what it has just requeued; such a message is put aside
-// until the consumers have ended, or it would go round and round.
+// While the instance drains, the broker may deliver messages to it that it has just requeued. These are set aside until the
+// consumers have ended, as they would otherwise be requeued and delivered in a loop.
 func (f *Front) reject(m *message) {
 	returns := returnCount(&m.delivery)
 	switch {
@@ -79,7 +82,7 @@
 		f.deadLetter(m, reasonExpired)
 	case f.draining && !f.consumersStopped && m.delivery.Headers[drainingHeader] == f.name:
 		f.bounced = append(f.bounced, m)
-	case f.draining: // another consumer gets it at once, so this return is not counted
+	case f.draining: // another consumer may process it at once, so this return is not counted
 		f.requeue(m, returns)
 	case returns >= f.config.MaxReturns:
 		f.deadLetter(m, fmt.Sprintf("turned back %d times", returns+1))
@@ -89,7 +92,7 @@
 }
 
 // requeue publishes a copy to the end of the message's queue, with the number of its returns, and settles the message
-// once that is confirmed. A copy is not marked as redelivered, so whoever receives it knows that it was not processed.
+// once that is confirmed. A copy is not marked as redelivered, so its consumer knows that it was not processed.
 func (f *Front) requeue(m *message, returns int) {
 	m.outcome = intake.Requeued
 	requeued := requeuedCopy(&m.delivery, returns)
@@ -105,13 +108,15 @@
 	f.counts.deadLettered++
 	if m.delivery.ReplyTo != "" {
 		f.publishNumber++
-		f.session.submit(publish(f.publishNumber, "", m.delivery.ReplyTo, amqp.Publishing{CorrelationId: m.delivery.CorrelationId,
-			Headers: amqp.Table{outcomeHeader: replyScrapped, reasonHeader: reason}}))
+		f.session.submit(publish(f.publishNumber, "", m.delivery.ReplyTo, amqp.Publishing{
+			CorrelationId: m.delivery.CorrelationId,
+			Headers:       amqp.Table{outcomeHeader: replyScrapped, reasonHeader: reason},
+		}))
 	}
 	f.publishFor(m, m.queue.DeadLetterExchange, m.queue.DeadLetterRoutingKey, deadLetterCopy(&m.delivery, reason))
 }
 
-// publishFor publishes what has to be confirmed before the message is settled.
+// publishFor publishes a message that has to be confirmed before m is settled.
 func (f *Front) publishFor(m *message, exchange, key string, publishing amqp.Publishing) {
 	f.publishNumber++
 	f.unconfirmed[f.publishNumber] = m
@@ -119,8 +124,9 @@
 	f.session.submit(publish(f.publishNumber, exchange, key, publishing))
 }
 
-// handleConfirm settles the message for which something was published. A reply that reached no queue is lost with its
-// caller. Anything else that the broker did not accept leaves the message with the broker, which redelivers it.
+// handleConfirm settles the message for which the confirmed message was published. A reply that was not routed to any queue
+// is lost, as its caller is gone. After any other publish that the broker did not accept, the message is returned to its
+// queue, which redelivers it.
 func (f *Front) handleConfirm(number uint64, isAcked bool) {
 	m := f.unconfirmed[number]
 	if m == nil {
@@ -136,14 +142,17 @@
 		f.settle(m, ack(m.tag))
 	default:
 		f.counts.unpublished++
-		f.log.Error("amqp: publish not accepted, message left to its queue", zap.Bool("reply", m.isReply), zap.Bool("unroutable", m.isUnroutable),
-			zap.String("queue", m.queue.Name), zap.String("dead_letter_exchange", m.queue.DeadLetterExchange))
+		f.log.Error("amqp: publish not accepted, message returned to its queue",
+			zap.Bool("reply", m.isReply),
+			zap.Bool("unroutable", m.isUnroutable),
+			zap.String("queue", m.queue.Name),
+			zap.String("dead_letter_exchange", m.queue.DeadLetterExchange))
 		m.outcome = intake.PublishFailed
 		f.settle(m, returnToQueue(m.tag))
 	}
 }
 
-// settle ends a message.
+// settle submits the settlement of a message and removes it from the tables.
 func (f *Front) settle(m *message, settlement command) {
 	delete(f.unsettled, m.tag)
 	f.session.submit(settlement)
--- a/internal/front/amqp/publisher.go
+++ b/internal/front/amqp/publisher.go
@@ -6,7 +6,7 @@
 	amqp "github.com/rabbitmq/amqp091-go"
 )
 
-// publisher is the publishing side of a session. It belongs to the goroutine of serve.
+// publisher is the publishing side of a session. Only the goroutine that runs serve uses it.
 type publisher struct {
 	channel   *amqp.Channel
 	confirms  chan amqp.Confirmation
@@ -16,8 +16,8 @@
 	numbers   map[uint64]uint64 // publish numbers of the unconfirmed, by the delivery tags of their confirms
 }
 
-// openPublisher opens the channel that publishes, with confirms. The channels of its notices hold as many as can be
-// outstanding, so that the library never waits for the session while the session waits for the library.
+// openPublisher opens the publishing channel in confirm mode. The Go channels for its notices have the capacity for all that
+// can be outstanding, so that the library never blocks on the session while the session blocks on the library.
 func (s *session) openPublisher() error {
 	channel, err := s.connection.Channel()
 	if err != nil {
@@ -36,8 +36,8 @@
 	return nil
 }
 
-// reopenPublisher opens the publishing channel again after the broker closed it. What was published and not confirmed
-// counts as not confirmed, as nothing tells which of it the broker has accepted.
+// reopenPublisher opens the publishing channel again after the broker closed it. Unconfirmed publishes are reported as not
+// accepted, as it is unknown which of them the broker has accepted.
 func (s *session) reopenPublisher(reason *amqp.Error) error {
 	if s.connection.IsClosed() {
 		return closeError(reason)
@@ -54,8 +54,8 @@
 	return s.openPublisher()
 }
 
-// confirm reports a confirm. A return is sent before the confirm of the same message, but select takes either first, so
-// the pending returns are reported before.
+// confirm reports a confirm. The broker sends a return before the confirm of the same message, but select chooses among ready
+// channels at random, so the pending returns are reported first.
 func (s *session) confirm(confirmation amqp.Confirmation) {
 	for pending := len(s.publisher.returns); pending > 0; pending-- {
 		if returned, ok := <-s.publisher.returns; ok {
@@ -74,7 +74,7 @@
 	}
 }
 
-// errClosed is the reason of an end for which the broker gave none.
+// errClosed is the error of a channel or connection that was closed without a reason from the broker.
 var errClosed = errors.New("closed")
 
 // closeError returns the reason for which a channel or the connection was closed.
--- a/internal/front/amqp/serve.go
+++ b/internal/front/amqp/serve.go
@@ -6,12 +6,12 @@
 	amqp "github.com/rabbitmq/amqp091-go"
 )
 
-const maxPendingNotices = 8 // the library waits beyond
+const maxPendingNotices = 8 // of each kind; the library blocks on a full channel
 
-// errAbandoned is the end of a session that the front has dropped.
+// errAbandoned ends a session that the front has dropped.
 var errAbandoned = errors.New("abandoned")
 
-// notices are what the library reports of the connection and the consuming channel.
+// notices are the channels on which the library reports events of the connection and the consuming channel.
 type notices struct {
 	connectionClosed chan *amqp.Error
 	consumerClosed   chan *amqp.Error
@@ -28,8 +28,8 @@
 	}
 }
 
-// serve executes commands and reports notices until the connection ends; it returns why. A channel of notices that the
-// library closes is set to nil, so that it is never ready again.
+// serve executes commands and reports notices until the connection ends, and returns the reason. A channel that the library
+// closes is set to nil, so that select never chooses it again.
 func (s *session) serve() error {
 	notices := s.subscribe()
 	failed := make(chan error, 1)
--- a/internal/front/amqp/session.go
+++ b/internal/front/amqp/session.go
@@ -20,20 +20,23 @@
 	maxConsumerCommands   = 64
 )
 
-// session is one connection to a broker. Its goroutines alone may wait for the broker; delivery tags and publish numbers
-// belong to it, and commands to a session that has ended are dropped.
+// session is one connection to a broker. Delivery tags and publish numbers are valid on one session only, and commands to a
+// session that has ended are dropped.
 //
-// Its command queues never fill, as each unsettled message has at most two commands in them. Its events are handed to the
-// loop in batches.
+// The session owns its goroutines, which may block on the broker, unlike the loop: run, which becomes serve;
+// serveConsumerCommands; one reader for each consumer; and closeWhenAbandoned. All of them end with the connection.
+//
+// Its command queues never fill, as each unsettled message has at most maxCommandsPerMessage commands in them. Its events are
+// passed to the loop in batches.
 type session struct {
 	config  *operator.AMQP
 	name    string // of the instance
 	post    func(f func())
 	handler sessionHandler
 
-	commands         chan command
-	consumerCommands chan command  // these wait for the broker; settlements must not queue behind them
-	abandoned        chan struct{} // closed when nothing more is wanted of the session
+	commands         chan command  // executed by serve
+	consumerCommands chan command  // executed by serveConsumerCommands, as they block on the broker and settlements must not wait for them
+	abandoned        chan struct{} // closed by abandon
 	abandonOnce      sync.Once
 
 	guard      *guard // nil until the connection is open
@@ -43,19 +46,19 @@
 
 	mu          sync.Mutex // guards the fields below
 	events      []event
-	isScheduled bool // the loop will take the events
+	isScheduled bool // deliverEvents was posted to the loop
 }
 
-// sessionHandler receives what happens on a session, on the loop.
+// sessionHandler receives the events of a session and the answers to its messages, on the loop.
 type sessionHandler struct {
 	events func(*session, []event)
 	answer func(s *session, id node.MessageID, answer node.Answer)
 }
 
-// consumer is the consuming side of a session. It belongs to the goroutine of the consumer commands.
+// consumer is the consuming side of a session. After the set-up only the goroutine that runs serveConsumerCommands uses it.
 type consumer struct {
 	channel *amqp.Channel
-	starts  int      // how often consuming was started
+	starts  int      // number of times that consuming was started
 	tags    []string // of the running consumers
 	readers sync.WaitGroup
 }
@@ -91,16 +94,16 @@
 	s.emit(event{kind: eventClosed, failure: failure, err: err})
 }
 
-// closeWhenAbandoned frees the session's goroutine from whatever it waits for.
+// closeWhenAbandoned closes the socket when the session is abandoned, which unblocks its other goroutines.
 func (s *session) closeWhenAbandoned() {
 	<-s.abandoned
 	s.guard.Close()
 }
 
-// abandon ends the session without waiting for the broker. It may be called from any goroutine, and more than once.
+// abandon ends the session without any exchange with the broker. It may be called from any goroutine, and more than once.
 func (s *session) abandon() { s.abandonOnce.Do(func() { close(s.abandoned) }) }
 
-// emit hands an event to the loop, together with what else happens until the loop takes it.
+// emit queues an event for the loop, which handles all queued events in one batch.
 func (s *session) emit(e event) {
 	s.mu.Lock()
 	s.events = append(s.events, e)
@@ -112,7 +115,7 @@
 	}
 }
 
-// deliverEvents runs on the loop.
+// deliverEvents passes the queued events to the handler. It runs on the loop.
 func (s *session) deliverEvents() {
 	s.mu.Lock()
 	events := s.events
@@ -122,14 +125,13 @@
 	s.handler.events(s, events)
 }
 
-// submit queues a command. It does not wait.
+// submit queues a command. It does not block.
 func (s *session) submit(c command) { s.enqueue(s.commands, c) }
 
-// submitConsumer queues a command that may wait for the broker. It does not wait itself.
+// submitConsumer queues a command that may block on the broker. It does not block itself.
 func (s *session) submitConsumer(c command) { s.enqueue(s.consumerCommands, c) }
 
-// enqueue queues a command. The queues are large enough; if one is full all the same, the defect costs the connection and
-// does not block the loop.
+// enqueue queues a command. A full queue would be a defect, which ends the session and does not block the loop.
 func (s *session) enqueue(queue chan command, c command) {
 	select {
 	case queue <- c:
