--- a/internal/decide/configuration/sources.go
+++ b/internal/decide/configuration/sources.go
@@ -50,7 +50,7 @@
 }
 
 func (m *Member) jitter(span time.Duration) time.Duration {
-	return time.Duration(m.random.Float() * float64(span))
+	return time.Duration(m.random.Float64() * float64(span))
 }
 
 // checkSource leaves a source that is silent or stale, and returns to the preferred one when that is due.
