--- a/internal/decide/lease/elector.go
+++ b/internal/decide/lease/elector.go
@@ -13,7 +13,8 @@
 }
 
 // Elector is one member's part in the election for each duty: it claims, renews and releases leases. It never issues a
-// command after its own lease has expired. All times are durations since its start, by the member's own clock.
+// command after its own lease has expired. All times are durations since its start, by the member's own clock. In its
+// methods n is the position of a duty in the table's names.
 type Elector struct {
 	host        Host
 	table       *Table // this member's replica, as far as it has applied the log
@@ -96,7 +97,8 @@
 		return
 	}
 	wasHolder := s.isHolder
-	s.isHolder, s.expiry = true, expiry
+	s.isHolder = true
+	s.expiry = expiry
 	if !wasHolder {
 		e.host.LeaseAcquired(e.table.names[n], e.table.duties[n].Token)
 	}
@@ -123,7 +125,8 @@
 		if d, ok := t.At(name); ok {
 			e.table.duties[n] = d
 		}
-		e.states[n].lastRenewal, e.states[n].pendingSeq = now, 0
+		e.states[n].lastRenewal = now
+		e.states[n].pendingSeq = 0
 		e.expire(now, n)
 	}
 	e.table.index = max(e.table.index, t.index)
--- a/internal/decide/lease/lease_test.go
+++ b/internal/decide/lease/lease_test.go
@@ -14,7 +14,8 @@
 
 var leaseConfig = lease.Config{Duration: time.Second, MaxDrift: 0.05, SafetyMargin: 5 * time.Millisecond}
 
-// Any order of pauses, cuts, cold restarts, lost and late entries, with clocks at any rate within the bound.
+// The faults are any order of pauses, partitions, restarts without state, and lost or delayed entries, with clocks at any
+// rate within the bound.
 func TestAtMostOneHolderUnderAnyFaults(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		r := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "rates"), 1))
@@ -22,7 +23,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		some := func(t *rapid.T) *emulator.LeaseMember {
+		anyMember := func(t *rapid.T) *emulator.LeaseMember {
 			return s.Members[rapid.IntRange(0, len(s.Members)-1).Draw(t, "member")]
 		}
 		inFlight := func(t *rapid.T) int {
@@ -35,19 +36,19 @@
 			"advance": func(t *rapid.T) { s.Advance(time.Duration(rapid.IntRange(1, 400).Draw(t, "ms")) * time.Millisecond) },
 			"commit":  func(t *rapid.T) { s.Commit(inFlight(t)) },
 			"drop":    func(t *rapid.T) { s.Drop(inFlight(t)) },
-			"deliver": func(t *rapid.T) { s.Deliver(some(t), rapid.IntRange(1, 8).Draw(t, "entries")) },
+			"deliver": func(t *rapid.T) { s.Deliver(anyMember(t), rapid.IntRange(1, 8).Draw(t, "entries")) },
 			"deliver all": func(t *rapid.T) {
 				for _, m := range s.Members {
 					s.Deliver(m, 99)
 				}
 			},
-			"pause":        func(t *rapid.T) { some(t).Paused = true },
-			"wake":         func(t *rapid.T) { m := some(t); m.Paused = false; s.ProposeStale(m) },
-			"cut inbound":  func(t *rapid.T) { m := some(t); m.InboundCut = !m.InboundCut },
-			"cut outbound": func(t *rapid.T) { m := some(t); m.OutboundCut = !m.OutboundCut },
-			"restart":      func(t *rapid.T) { s.Restart(some(t)) },
-			"decide":       func(t *rapid.T) { s.Decide(some(t)) },
-			"drain":        func(t *rapid.T) { s.Drain(some(t)) },
+			"pause":        func(t *rapid.T) { anyMember(t).Paused = true },
+			"wake":         func(t *rapid.T) { m := anyMember(t); m.Paused = false; s.ProposeStale(m) },
+			"cut inbound":  func(t *rapid.T) { m := anyMember(t); m.InboundCut = !m.InboundCut },
+			"cut outbound": func(t *rapid.T) { m := anyMember(t); m.OutboundCut = !m.OutboundCut },
+			"restart":      func(t *rapid.T) { s.Restart(anyMember(t)) },
+			"decide":       func(t *rapid.T) { s.Decide(anyMember(t)) },
+			"drain":        func(t *rapid.T) { s.Drain(anyMember(t)) },
 			"": func(t *rapid.T) {
 				if err := s.Check(); err != nil {
 					t.Fatal(err)
@@ -74,22 +75,23 @@
 
 func TestChecksFailWithoutFencing(t *testing.T) {
 	lease.WithoutFencing(func() {
-		accepted, acted := 0, 0
+		accepted, admitted := 0, 0
 		for seed := uint64(1); seed <= 3; seed++ {
 			f, _ := emulator.RunLeases(12, 120, seed)
-			accepted, acted = accepted+f.StaleAccepted, acted+f.StaleAdmitted
+			accepted += f.StaleAccepted
+			admitted += f.StaleAdmitted
 		}
-		if accepted == 0 || acted == 0 {
-			t.Errorf("%d stale commands accepted, %d acted on without a fence: the checks see nothing", accepted, acted)
+		if accepted == 0 || admitted == 0 {
+			t.Errorf("without fencing %d stale commands were accepted and %d admitted: the checks detect nothing", accepted, admitted)
 		}
 		if _, faults := explore(6); faults == 0 {
-			t.Error("the exhaustive search sees nothing either")
+			t.Error("the exhaustive search detects no fault without fencing")
 		}
 	})
 }
 
 func TestClockDriftBeyondBoundGivesTwoHolders(t *testing.T) {
-	two := 0
+	violations := 0
 	for seed := range uint64(20) {
 		r := rand.New(rand.NewPCG(seed, 2))
 		wide := lease.Config{Duration: time.Second, MaxDrift: 0.4}
@@ -109,13 +111,13 @@
 				h.InboundCut, h.OutboundCut = true, true // cut off: it must stop by its own clock
 			}
 			if s.Check() != nil {
-				two++
+				violations++
 				break
 			}
 		}
 	}
-	if two == 0 {
-		t.Error("clocks at 0.6 to 1.4 under a lease that allows no drift never gave two holders: the check sees nothing")
+	if violations == 0 {
+		t.Error("clocks at 0.6 to 1.4 under a lease that allows no drift never gave two holders: the check detects nothing")
 	}
 }
 
@@ -124,10 +126,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	most := 0
+	mostInFlight := 0
 	for range 200 {
 		s.Advance(25 * time.Millisecond)
-		most = max(most, s.InFlight())
+		mostInFlight = max(mostInFlight, s.InFlight())
 		for s.InFlight() > 0 {
 			s.Commit(0)
 		}
@@ -135,14 +137,14 @@
 			s.Deliver(m, 9)
 		}
 	}
-	if h := s.HolderOf("ring"); h == nil || most > 16 {
-		t.Errorf("held by %v, %d proposals at once, want 16 at most", h, most)
+	if h := s.HolderOf("ring"); h == nil || mostInFlight > 16 {
+		t.Errorf("holder %v, %d proposals in flight, want a holder and at most 16", h, mostInFlight)
 	}
 }
 
 func TestResignedLeaseGoesToAnotherMember(t *testing.T) {
 	s, _ := emulator.NewLeaseSim(3, leaseConfig, rand.New(rand.NewPCG(3, 3)), "roll")
-	pass := func() *emulator.LeaseMember {
+	electHolder := func() *emulator.LeaseMember {
 		for range 120 {
 			s.Advance(25 * time.Millisecond)
 			for s.InFlight() > 0 {
@@ -154,44 +156,44 @@
 		}
 		return s.HolderOf("roll")
 	}
-	first := pass()
+	first := electHolder()
 	s.Resign(first, "roll")
-	if next := pass(); next == nil || next == first {
-		t.Errorf("held by %v, then by %v", first, next)
+	if next := electHolder(); next == nil || next == first {
+		t.Errorf("holder %v, then %v, want another one", first, next)
 	}
 }
 
 func TestFenceRejectsOlderDecisions(t *testing.T) {
-	var g lease.Fence
+	var fence lease.Fence
 	for n, c := range []struct {
 		duty         string
 		token, index uint64
 		want         bool
 	}{{"ring", 1, 5, true}, {"ring", 1, 5, false}, {"ring", 2, 9, true}, {"ring", 1, 10, false}, {"roll", 1, 3, true},
 		{"ring", 2, 8, false}, {"ring", 2, 11, true}} {
-		if got := g.Admit(c.duty, c.token, c.index); got != c.want {
-			t.Errorf("%d: %+v: %v", n, c, got)
+		if got := fence.Admit(c.duty, c.token, c.index); got != c.want {
+			t.Errorf("decision %d: Admit(%+v) = %v", n, c, got)
 		}
 	}
 	for n := range 2 * lease.MaxDuties {
-		g.Admit(fmt.Sprint(n), 1, 1)
+		fence.Admit(fmt.Sprint(n), 1, 1)
 	}
-	if g.Admit("one too many", 1, 1) {
-		t.Error("a fence takes any number of duties")
+	if fence.Admit("one more", 1, 1) {
+		t.Error("the fence admits more than MaxDuties duties")
 	}
 }
 
 func TestAnnouncementNeedsNoTokenAndLeavesLeaseUnchanged(t *testing.T) {
-	tab, _ := lease.NewTable("a")
-	tab.Apply(1, lease.Command{Kind: lease.Acquire, Duty: "a", Member: "x", Incarnation: 1})
-	before, _ := tab.At("a")
-	if o := tab.Apply(2, lease.Command{Kind: lease.Announce, Duty: "a", Member: "y", Incarnation: 2}); !o.Accepted {
+	table, _ := lease.NewTable("a")
+	table.Apply(1, lease.Command{Kind: lease.Acquire, Duty: "a", Member: "x", Incarnation: 1})
+	before, _ := table.At("a")
+	if o := table.Apply(2, lease.Command{Kind: lease.Announce, Duty: "a", Member: "y", Incarnation: 2}); !o.Accepted {
 		t.Errorf("%+v", o)
 	}
-	if after, _ := tab.At("a"); after != before {
+	if after, _ := table.At("a"); after != before {
 		t.Errorf("%+v became %+v", before, after)
 	}
-	b, _ := tab.Encode()
+	b, _ := table.Encode()
 	if back, err := lease.Decode(b); err != nil || back.Index() != 2 {
 		t.Errorf("decoded: %v", err)
 	} else if d, _ := back.At("a"); d != before {
@@ -201,16 +203,16 @@
 
 func TestTableRejectsInvalidCommands(t *testing.T) {
 	if _, err := lease.NewTable("a", "a"); err == nil {
-		t.Error("a duty twice")
+		t.Error("a duplicate duty was accepted")
 	}
-	tab, _ := lease.NewTable("a")
+	table, _ := lease.NewTable("a")
 	for n, c := range []lease.Command{{Kind: lease.Acquire, Duty: "b"}, {Kind: lease.Decide, Duty: "a", Token: 0, Member: "x"},
 		{Kind: lease.Kind(9), Duty: "a"}, {Kind: lease.Acquire, Duty: "a", ObservedIndex: 7}} {
-		if o := tab.Apply(uint64(n+1), c); o.Accepted || o.Err == nil {
+		if o := table.Apply(uint64(n+1), c); o.Accepted || o.Err == nil {
 			t.Errorf("%+v: %+v", c, o)
 		}
 	}
-	if o := tab.Apply(2, lease.Command{Kind: lease.Acquire, Duty: "a"}); o.Accepted {
-		t.Error("an index under the last was applied")
+	if o := table.Apply(2, lease.Command{Kind: lease.Acquire, Duty: "a"}); o.Accepted {
+		t.Error("an entry below the last index was applied")
 	}
 }
--- a/internal/decide/lease/proposals.go
+++ b/internal/decide/lease/proposals.go
@@ -76,7 +76,9 @@
 func (e *Elector) propose(now time.Duration, n int, c Command) {
 	s := &e.states[n]
 	c = e.command(e.table.names[n], c)
-	s.pendingSeq, s.proposedAt, s.notBefore = c.Seq, now, now+e.config.proposalInterval()
+	s.pendingSeq = c.Seq
+	s.proposedAt = now
+	s.notBefore = now + e.config.proposalInterval()
 	e.host.Propose(c)
 }
 
--- a/internal/decide/lease/table.go
+++ b/internal/decide/lease/table.go
@@ -92,7 +92,8 @@
 	}
 	if !d.isHeldBy(c) {
 		found := fmt.Sprintf("token %d of %q", c.Token, c.Member)
-		return &RejectedError{c.Duty, ErrFenced, found, fmt.Sprintf("token %d of %q", d.Token, d.Holder)}
+		expected := fmt.Sprintf("token %d of %q", d.Token, d.Holder)
+		return &RejectedError{c.Duty, ErrFenced, found, expected}
 	}
 	switch c.Kind {
 	case Renew:
@@ -110,7 +111,8 @@
 // acquire is the compare-and-set of the lease: it makes the command's process the holder under the next token.
 func (d *Duty) acquire(index uint64, c Command) error {
 	if c.ObservedIndex != d.RenewedIndex {
-		found, expected := strconv.FormatUint(c.ObservedIndex, 10), strconv.FormatUint(d.RenewedIndex, 10)
+		found := strconv.FormatUint(c.ObservedIndex, 10)
+		expected := strconv.FormatUint(d.RenewedIndex, 10)
 		return &RejectedError{c.Duty, ErrRenewed, found, expected}
 	}
 	*d = Duty{Holder: c.Member, Incarnation: c.Incarnation, Token: d.Token + 1, RenewedIndex: index, DecidedIndex: d.DecidedIndex}
