--- a/cmd/thymechute/consensus.go
+++ b/cmd/thymechute/consensus.go
@@ -59,7 +59,9 @@
 	leases := lease.Config{Duration: duration, MaxDrift: maxClockDrift, SafetyMargin: duration / 50}
 	config := consensus.Config{Process: c.process, Bind: settings.Bind, Advertise: settings.Advertise, Duties: duties,
 		HeartbeatTimeout: duration * 3 / 10}
-	driver, err := consensus.StartDriver(config, leases, incarnation, c, c.send, nil)
+	driver, err := consensus.StartDriver(consensus.DriverConfig{
+		Log: config, Leases: leases, Incarnation: incarnation, Watcher: c, Send: c.send,
+	})
 	if err != nil {
 		return err
 	}
@@ -69,9 +71,9 @@
 }
 
 // send sends a message to the member that is a process.
-func (c *consensusNode) send(process string, b []byte) error {
+func (c *consensusNode) send(process string, message []byte) error {
 	name := process[:strings.LastIndexByte(process, '#')]
-	return c.member.Send(name, b)
+	return c.member.Send(name, message)
 }
 
 // receive handles another member's message, on memberlist's goroutine. It is safe on nil and before start.
--- a/internal/decide/lease/encoding_test.go
+++ b/internal/decide/lease/encoding_test.go
@@ -3,25 +3,16 @@
 import (
 	"bytes"
 	"encoding/json"
-	"os"
-	"path/filepath"
 	"testing"
 
 	"thymechute/internal/decide/lease"
+	"thymechute/internal/testutil"
 )
 
-// firstIndex is that of the first entry of testdata/commands.jsonl.
-const firstIndex = 3
+// The files of testdata were encoded by the build d489d24.
 
-// fixture reads a file that the build d489d24 encoded.
-func fixture(t *testing.T, name string) []byte {
-	t.Helper()
-	b, err := os.ReadFile(filepath.Join("testdata", name))
-	if err != nil {
-		t.Fatal(err)
-	}
-	return b
-}
+// firstIndex is the index of the first entry of testdata/commands.jsonl.
+const firstIndex = 3
 
 func TestCommandsOfFirstBuildRoundTrip(t *testing.T) {
 	process := func(c lease.Command, member string, incarnation uint64) lease.Command {
@@ -39,7 +30,7 @@
 		process(lease.Command{Kind: lease.Release, Duty: "roll", Seq: 3, Token: 1}, second, incarnation+1),
 		process(lease.Command{Kind: lease.Acquire, Duty: "ring", Seq: 1, ObservedIndex: 2}, third, incarnation+2),
 	}
-	lines := bytes.Split(bytes.TrimSpace(fixture(t, "commands.jsonl")), []byte("\n"))
+	lines := bytes.Split(bytes.TrimSpace(testutil.ReadFixture(t, "commands.jsonl")), []byte("\n"))
 	if len(lines) != len(want) {
 		t.Fatalf("%d commands, want %d", len(lines), len(want))
 	}
@@ -55,7 +46,7 @@
 }
 
 func TestTableOfFirstBuildRoundTrips(t *testing.T) {
-	encoded := fixture(t, "table.json")
+	encoded := testutil.ReadFixture(t, "table.json")
 	decoded, err := lease.Decode(encoded)
 	if err != nil {
 		t.Fatal(err)
@@ -78,14 +69,14 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	for n, line := range bytes.Split(bytes.TrimSpace(fixture(t, "commands.jsonl")), []byte("\n")) {
+	for n, line := range bytes.Split(bytes.TrimSpace(testutil.ReadFixture(t, "commands.jsonl")), []byte("\n")) {
 		var c lease.Command
 		if err := json.Unmarshal(line, &c); err != nil {
 			t.Fatal(err)
 		}
 		table.Apply(uint64(firstIndex+n), c)
 	}
-	if encoded, err := table.Encode(); err != nil || !bytes.Equal(encoded, fixture(t, "table.json")) {
-		t.Errorf("table %s, %v; want %s", encoded, err, fixture(t, "table.json"))
+	if encoded, err := table.Encode(); err != nil || !bytes.Equal(encoded, testutil.ReadFixture(t, "table.json")) {
+		t.Errorf("table %s, %v; want %s", encoded, err, testutil.ReadFixture(t, "table.json"))
 	}
 }
--- a/internal/fleet/consensus/driver.go
+++ b/internal/fleet/consensus/driver.go
@@ -2,6 +2,7 @@
 
 import (
 	"encoding/json"
+	"fmt"
 	"slices"
 	"sync"
 	"time"
@@ -28,8 +29,23 @@
 	Tick(now time.Duration)
 }
 
-// Driver runs one member's elector over its replica of the log. One goroutine calls the elector and the Watcher: entries,
-// ticks and calls from other goroutines reach it through a bounded queue.
+// DriverConfig is what a Driver is started with.
+type DriverConfig struct {
+	Log         Config
+	Leases      lease.Config // the same in all members
+	Incarnation uint64       // differs from that of every earlier process of this member
+	Watcher     Watcher
+	// Send sends a message to the member that is this process, which calls ReceiveProposal there. It may block; a message
+	// that is lost, or that it fails to send, is proposed again.
+	Send func(process string, message []byte) error
+	// OnReady receives the driver before the first entry comes, and before StartDriver returns; nil for none.
+	OnReady func(*Driver)
+}
+
+// Driver runs one member's elector over its replica of the log. It owns two goroutines until Stop, and those of
+// ManageVoters: one calls the elector and the Watcher, and entries, ticks and calls from other goroutines reach it through
+// a bounded queue; the other sends proposals to the leader. Its methods are safe for concurrent use unless they say
+// otherwise.
 type Driver struct {
 	Log      *Log
 	elector  *lease.Elector
@@ -39,32 +55,38 @@
 	start    time.Time
 	work     chan func()
 	outbox   chan message
-	send     func(process string, b []byte) error
+	send     func(process string, message []byte) error
 	stop     chan struct{}
-	running  sync.WaitGroup
+	running  sync.WaitGroup // the driver's goroutines
 }
 
 // message is a proposal on its way to the leader.
 type message struct {
-	process string
+	process string // the leader's
 	body    []byte
 }
 
-// StartDriver starts a replica and its driver. onReady, if not nil, receives the driver before the first entry comes. send
-// sends a message to the member that is this process, which calls ReceiveProposal there. Errors: those of Start.
-func StartDriver(c Config, leases lease.Config, incarnation uint64, w Watcher,
-	send func(process string, b []byte) error, onReady func(*Driver)) (*Driver, error) {
-	table, err := lease.NewTable(c.Duties...)
+// StartDriver starts a replica and its driver. Errors: those of Start.
+func StartDriver(c DriverConfig) (*Driver, error) {
+	table, err := lease.NewTable(c.Log.Duties...)
 	if err != nil {
-		return nil, err
+		return nil, fmt.Errorf("consensus: %w", err)
 	}
-	d := &Driver{watcher: w, process: c.Process, interval: leases.Duration / ticksPerLease, start: time.Now(),
-		work: make(chan func(), workQueueSize), outbox: make(chan message, sendQueueSize), send: send, stop: make(chan struct{})}
-	d.elector = lease.NewElector(d, table, leases, c.Process, incarnation)
-	if onReady != nil {
-		onReady(d)
+	d := &Driver{
+		watcher:  c.Watcher,
+		process:  c.Log.Process,
+		interval: c.Leases.Duration / ticksPerLease,
+		start:    time.Now(),
+		work:     make(chan func(), workQueueSize),
+		outbox:   make(chan message, sendQueueSize),
+		send:     c.Send,
+		stop:     make(chan struct{}),
 	}
-	if d.Log, err = Start(c, d); err != nil {
+	d.elector = lease.NewElector(d, table, c.Leases, c.Log.Process, c.Incarnation)
+	if c.OnReady != nil {
+		c.OnReady(d)
+	}
+	if d.Log, err = Start(c.Log, d); err != nil {
 		return nil, err
 	}
 	d.running.Go(d.run)
@@ -83,6 +105,7 @@
 	}
 }
 
+// run is the goroutine that calls the elector and the Watcher.
 func (d *Driver) run() {
 	ticker := time.NewTicker(d.interval)
 	defer ticker.Stop()
@@ -106,7 +129,7 @@
 	d.watcher.Tick(d.Now())
 }
 
-// deliver sends proposals to the leader. Errors are ignored: the elector proposes again.
+// deliver is the goroutine that sends proposals to the leader. Errors are ignored: the elector proposes again.
 func (d *Driver) deliver() {
 	for {
 		select {
@@ -200,9 +223,15 @@
 	case <-d.stop:
 		return
 	}
+	d.awaitVoteLoss(timeout)
+}
+
+// awaitVoteLoss returns once this process has no vote, after the timeout, or on Stop.
+func (d *Driver) awaitVoteLoss(timeout time.Duration) {
+	expired := time.After(timeout)
 	ticker := time.NewTicker(drainPollInterval)
 	defer ticker.Stop()
-	for expired := time.After(timeout); slices.Contains(d.Log.Voters(), d.process); {
+	for slices.Contains(d.Log.Voters(), d.process) {
 		select {
 		case <-ticker.C:
 		case <-expired:
@@ -213,7 +242,8 @@
 	}
 }
 
-// Stop ends the driver and the replica.
+// Stop ends the driver and the replica, and returns once its goroutines have ended. It must be called once, and not on the
+// driver's goroutine.
 func (d *Driver) Stop() {
 	close(d.stop)
 	d.running.Wait()
--- a/internal/fleet/consensus/fsm_test.go
+++ b/internal/fleet/consensus/fsm_test.go
@@ -4,13 +4,12 @@
 	"bytes"
 	"errors"
 	"io"
-	"os"
-	"path/filepath"
 	"testing"
 
 	"github.com/hashicorp/raft"
 
 	"thymechute/internal/decide/lease"
+	"thymechute/internal/testutil"
 )
 
 // fixedState is a StateMachine with a given state.
@@ -27,8 +26,8 @@
 func (*sink) Close() error  { return nil }
 func (*sink) Cancel() error { return nil }
 
-// A follower that joins late is handed a snapshot; at the size that is planned for it is some megabytes. Cut off at one, it
-// did not read, and nobody could join any more.
+// A follower that joins late receives a snapshot, which is some megabytes at the planned size. An earlier bound of one
+// megabyte truncated it, so that no further member could join.
 func TestSnapshotOfPlannedSizeIsRestored(t *testing.T) {
 	table := func() *lease.Table {
 		made, err := lease.NewTable("ring")
@@ -43,15 +42,15 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	var kept sink
-	if err := made.Persist(&kept); err != nil {
+	var persisted sink
+	if err := made.Persist(&persisted); err != nil {
 		t.Fatal(err)
 	}
-	if err := (fsm{&Log{table: table(), stateMachine: to, subscriber: discardSubscriber{}}}).Restore(io.NopCloser(&kept)); err != nil {
+	if err := (fsm{&Log{table: table(), stateMachine: to, subscriber: discardSubscriber{}}}).Restore(io.NopCloser(&persisted)); err != nil {
 		t.Fatal(err)
 	}
 	if !bytes.Equal(from.state, to.state) {
-		t.Errorf("restored %d bytes, want the %d that were kept", len(to.state), len(from.state))
+		t.Errorf("restored %d bytes, want the %d that were persisted", len(to.state), len(from.state))
 	}
 }
 
@@ -60,13 +59,13 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	past := &fixedState{make([]byte, maxSnapshotBytes)} // as text it is longer
-	if _, err := (fsm{&Log{table: made, stateMachine: past}}).Snapshot(); err == nil {
-		t.Error("a snapshot past its bound was made: no member could restore it")
+	oversized := &fixedState{make([]byte, maxSnapshotBytes)} // its encoding is longer still
+	if _, err := (fsm{&Log{table: made, stateMachine: oversized}}).Snapshot(); err == nil {
+		t.Error("a snapshot over its bound was made: no member could restore it")
 	}
 	long := io.LimitReader(zeros{}, maxSnapshotBytes+2)
 	if err := (fsm{&Log{table: made, subscriber: discardSubscriber{}}}).Restore(io.NopCloser(long)); err == nil {
-		t.Error("a snapshot past its bound was restored")
+		t.Error("a snapshot over its bound was restored")
 	}
 }
 
@@ -74,17 +73,8 @@
 
 func (zeros) Read(b []byte) (int, error) { clear(b); return len(b), nil }
 
-// fixture reads a file that the build d489d24 encoded.
-func fixture(t *testing.T, name string) []byte {
-	t.Helper()
-	b, err := os.ReadFile(filepath.Join("testdata", name))
-	if err != nil {
-		t.Fatal(err)
-	}
-	return b
-}
-
-// fixtureLog is a replica with the state of testdata/snapshot.json, or none of it yet.
+// fixtureLog returns a replica that can restore testdata/snapshot.json, with its state machines. The files of testdata were
+// encoded by the build d489d24.
 func fixtureLog(t *testing.T) (*Log, StateMachines) {
 	t.Helper()
 	table, err := lease.NewTable("ring", "roll")
@@ -97,14 +87,15 @@
 
 func checkFixtureStates(t *testing.T, states StateMachines) {
 	t.Helper()
-	ring, roll := states["ring"].(*fixedState).state, states["roll"].(*fixedState).state
+	ring := states["ring"].(*fixedState).state
+	roll := states["roll"].(*fixedState).state
 	if string(ring) != "ring state" || !bytes.Equal(roll, []byte{0, 1, 2, 255}) {
 		t.Errorf("states %q and %v", ring, roll)
 	}
 }
 
 func TestSnapshotOfFirstBuildRoundTrips(t *testing.T) {
-	encoded := fixture(t, "snapshot.json")
+	encoded := testutil.ReadFixture(t, "snapshot.json")
 	log, states := fixtureLog(t)
 	if err := (fsm{log}).Restore(io.NopCloser(bytes.NewReader(encoded))); err != nil {
 		t.Fatal(err)
@@ -124,7 +115,7 @@
 }
 
 func TestStatesOfFirstBuildRoundTrip(t *testing.T) {
-	encoded := fixture(t, "states.json")
+	encoded := testutil.ReadFixture(t, "states.json")
 	_, states := fixtureLog(t)
 	if err := states.Decode(encoded); err != nil {
 		t.Fatal(err)
@@ -140,13 +131,14 @@
 
 func TestEntriesOfFirstBuildGiveTheSameSnapshot(t *testing.T) {
 	log, states := fixtureLog(t)
-	states["ring"], states["roll"] = &fixedState{[]byte("ring state")}, &fixedState{[]byte{0, 1, 2, 255}}
-	for n, line := range bytes.Split(bytes.TrimSpace(fixture(t, "commands.jsonl")), []byte("\n")) {
+	states["ring"] = &fixedState{[]byte("ring state")}
+	states["roll"] = &fixedState{[]byte{0, 1, 2, 255}}
+	for n, line := range bytes.Split(bytes.TrimSpace(testutil.ReadFixture(t, "commands.jsonl")), []byte("\n")) {
 		if failed := (fsm{log}).Apply(&raft.Log{Index: uint64(3 + n), Data: line}); failed != nil {
 			t.Fatalf("entry %d: %v", n, failed)
 		}
 	}
-	if encoded, err := (fsm{log}).encode(); err != nil || !bytes.Equal(encoded, fixture(t, "snapshot.json")) {
-		t.Errorf("snapshot %s, %v; want %s", encoded, err, fixture(t, "snapshot.json"))
+	if encoded, err := (fsm{log}).encode(); err != nil || !bytes.Equal(encoded, testutil.ReadFixture(t, "snapshot.json")) {
+		t.Errorf("snapshot %s, %v; want %s", encoded, err, testutil.ReadFixture(t, "snapshot.json"))
 	}
 }
--- a/internal/fleet/consensus/heartbeats_test.go
+++ b/internal/fleet/consensus/heartbeats_test.go
@@ -14,8 +14,8 @@
 	now := time.Unix(1_800_000_000, 0)
 	m := &heartbeatMonitor{failed: map[raft.ServerID]time.Time{}}
 	fail := func(at time.Time) { m.handle(raft.FailedHeartbeatObservation{PeerID: "b"}, at) }
-	for _, ends := range []struct {
-		what  string
+	for _, recovery := range []struct {
+		name  string
 		event any
 	}{
 		{"it answers again", raft.ResumedHeartbeatObservation{PeerID: "b"}},
@@ -25,20 +25,20 @@
 		if fail(now); !m.isFailing("b", now) || m.isFailing("d", now) {
 			t.Errorf("a failed heartbeat to b: failing b %v, d %v", m.isFailing("b", now), m.isFailing("d", now))
 		}
-		if m.handle(ends.event, now); m.isFailing("b", now) {
-			t.Errorf("%s, and its heartbeats still count as failing", ends.what)
+		if m.handle(recovery.event, now); m.isFailing("b", now) {
+			t.Errorf("%s: its heartbeats still count as failing", recovery.name)
 		}
 	}
 	if fail(now); m.isFailing("b", now.Add(failedHeartbeatTTL)) {
-		t.Error("failing for ever by one failed heartbeat")
+		t.Error("one failed heartbeat counts for longer than failedHeartbeatTTL")
 	}
 	if m.handle(raft.Leader, now); !m.isNewLeader(now.Add(newLeaderPeriod-1)) || m.isNewLeader(now.Add(newLeaderPeriod)) {
 		t.Error("a leader is new for newLeaderPeriod, and no longer")
 	}
 }
 
-// Membership detects a failure seconds after the log's heartbeats do. Meanwhile no failed peer may be promoted, and none may be
-// added beside failed voters: with three of six gone the quorum would be lost for good.
+// Membership detects a failure seconds after the log's heartbeats do. Meanwhile no failed peer may be promoted, and no voter
+// added beside failed ones: with three of six voters failed the quorum would be lost permanently.
 func TestUnreachablePeerIsNotPromoted(t *testing.T) {
 	address := testutil.FreePort(t, "127.0.60.4")
 	a := startLog(t, Config{Process: "a#1", Bind: testutil.FreePort(t, "127.0.60.3"), Bootstrap: true})
--- a/internal/fleet/consensus/log_test.go
+++ b/internal/fleet/consensus/log_test.go
@@ -17,6 +17,8 @@
 	votingMembers = 5
 	zoneCount     = 3
 	ringDuty      = "ring"
+
+	minorityPartition = "in a minority" // name of a fault
 )
 
 // logCluster is members that agree on a log, each behind its proxies.
@@ -74,35 +76,37 @@
 	return e.Event == eventEntry && e.Kind == lease.Decide && e.Duty == ringDuty
 }
 
-// Partitions of the five: the holder cut off both ways, then what it sends alone, two against three with the holder among
-// the two. Each time another takes over once its lease has expired, and what it proposes after the heal changes nothing.
+// The five members are partitioned in three ways: the holder isolated in both directions, in its outbound direction only,
+// and in a minority of two. Each time another member acquires the lease once it has expired, and what the old holder proposes
+// after the partition has healed is rejected.
 func TestOneHolderThroughPartitions(t *testing.T) {
 	c := startLogCluster(t)
 	c.WaitFor("a holder", 0, isRingHolder(0))
 	for _, fault := range []struct {
-		what string
+		name string
 		cut  func(holder string, others []string)
 	}{
-		{"cut off", func(holder string, _ []string) { c.Net.Isolate(holder, c.Names()) }},
-		{"not heard", func(holder string, others []string) {
+		{"isolated", func(holder string, _ []string) { c.Net.Isolate(holder, c.Names()) }},
+		{"with its outbound direction cut", func(holder string, others []string) {
 			for _, other := range others {
 				c.Net.Cut(holder, other)
 			}
 		}},
-		{"in the minority", func(holder string, others []string) {
+		{minorityPartition, func(holder string, others []string) {
 			c.Net.Partition([]string{holder, others[0]}, others[1:])
 		}},
 	} {
 		holder := c.Last(isRingHolder(0))
 		others := slices.DeleteFunc(c.Names(), func(name string) bool { return name == holder.member })
-		first, start := c.EventCount(), time.Now()
+		first := c.EventCount()
+		start := time.Now()
 		fault.cut(holder.member, others)
-		next := c.WaitFor("a successor of the holder "+fault.what, first, isRingHolder(holder.Token))
-		t.Logf("%s, replaced after %v", fault.what, time.Since(start).Round(time.Millisecond))
+		next := c.WaitFor("a successor of the holder "+fault.name, first, isRingHolder(holder.Token))
+		t.Logf("%s, replaced after %v", fault.name, time.Since(start).Round(time.Millisecond))
 		if next.member == holder.member {
-			t.Errorf("%s: %s succeeds itself", fault.what, holder.member)
+			t.Errorf("%s: %s is its own successor", fault.name, holder.member)
 		}
-		if fault.what == "in the minority" && next.member == others[0] {
+		if fault.name == minorityPartition && next.member == others[0] {
 			t.Errorf("the minority has a holder of its own: %s", next.member)
 		}
 		c.Net.Heal()
@@ -114,8 +118,8 @@
 	c.checkLog(0)
 }
 
-// Five processes over raft: the holder of a lease is suspended past it and resumed, killed, the leader and another voter
-// killed and started without their state in the middle of the election.
+// The faults of five processes over raft: the holder of a lease is suspended for longer than the lease and resumed; its
+// successor is killed; the log's leader and another voter are killed during the election and restarted without their state.
 func TestOneHolderThroughPauseKillAndRestarts(t *testing.T) {
 	c := startLogCluster(t)
 	c.WaitFor("a holder", 0, isRingHolder(0))
@@ -218,7 +222,7 @@
 	accepted := c.checkTokens(entries)
 	c.checkSuccessions(firstDecision, lastDecision)
 	if lateProposals < minLateProposals || accepted < 20 {
-		c.t.Errorf("%d late commands proposed, %d decisions accepted", lateProposals, accepted)
+		c.t.Errorf("%d late commands proposed, %d decisions accepted; want at least %d and 20", lateProposals, accepted, minLateProposals)
 	}
 	c.t.Logf("%d late commands proposed, %d decisions accepted, %d leaders' terms", lateProposals, accepted, len(leaders))
 }
--- a/internal/fleet/consensus/member_test.go
+++ b/internal/fleet/consensus/member_test.go
@@ -19,8 +19,9 @@
 	zoneVariable = "CONSENSUS_ZONE" // a member's zone, in its environment
 
 	pollInterval        = 20 * time.Millisecond
+	releaseDelay        = 300 * time.Millisecond // for released leases to reach the leader; no check depends on it
 	pollsPerDecision    = 5
-	lateProposals       = 20 // until one surely reached a leader
+	lateProposals       = 20 // enough for one to reach a leader
 	lateProposalsPeriod = 50 * time.Millisecond
 )
 
@@ -76,7 +77,7 @@
 	go m.poll()
 	m.AwaitParent()
 	m.Driver().Drain(0)
-	time.Sleep(300 * time.Millisecond) // what it proposed goes out; the claim is not on this
+	time.Sleep(releaseDelay)
 	_ = m.Membership.Leave(time.Second)
 	m.Driver().Stop()
 }
@@ -108,9 +109,12 @@
 
 var _ consensus.Watcher = (*testMember)(nil)
 
-// poll reports what has changed, and decides as often as it may.
+// poll emits an event for each change of the leadership and of the voters, and decides under the leases it holds, until
+// the process ends.
 func (m *testMember) poll() {
-	term, voters, lastPoll := uint64(0), "", time.Now()
+	var term uint64
+	var voters string
+	lastPoll := time.Now()
 	for n := 0; ; n++ {
 		time.Sleep(pollInterval)
 		if time.Since(lastPoll) > member.LeaseConfig.Duration { // it was suspended
@@ -118,12 +122,12 @@
 		}
 		lastPoll = time.Now()
 		log := m.Driver().Log
-		if _, leads := log.Leader(); leads && log.Term() != term {
+		if _, isLeader := log.Leader(); isLeader && log.Term() != term {
 			term = log.Term()
 			m.emit(memberEvent{Event: eventLeads, Index: term})
 		}
-		if now := strings.Join(slices.Sorted(slices.Values(log.Voters())), ","); now != voters {
-			voters = now
+		if current := strings.Join(slices.Sorted(slices.Values(log.Voters())), ","); current != voters {
+			voters = current
 			m.emit(memberEvent{Event: eventVoters, Text: voters})
 		}
 		if n%pollsPerDecision == 0 {
@@ -133,11 +137,12 @@
 	}
 }
 
-// proposeLate proposes under the leases held before, without checking them: as one does who checked just before it was
-// suspended.
+// proposeLate proposes decisions under the leases held last without checking them again, like a process that was suspended
+// between its check and its proposal.
 func (m *testMember) proposeLate() {
 	m.tokens.Range(func(duty, token any) bool {
-		c := lease.Command{Kind: lease.Decide, Duty: duty.(string), Member: m.Process, Incarnation: m.Incarnation, Token: token.(uint64), Body: "late"}
+		c := lease.Command{Kind: lease.Decide, Duty: duty.(string), Member: m.Process, Incarnation: m.Incarnation,
+			Token: token.(uint64), Body: "late"}
 		m.emit(memberEvent{Event: eventLateProposal, Duty: c.Duty, Token: c.Token})
 		for range lateProposals {
 			m.Driver().Propose(c)
@@ -149,8 +154,8 @@
 
 func (m *testMember) decide() {
 	for _, duty := range duties {
-		m.Driver().Decide(duty, "plan", func(ok bool) {
-			if token, _ := m.tokens.Load(duty); ok {
+		m.Driver().Decide(duty, "plan", func(isProposed bool) {
+			if token, _ := m.tokens.Load(duty); isProposed {
 				m.emit(memberEvent{Event: eventDecides, Duty: duty, Token: token.(uint64)})
 			}
 		})
--- a/internal/fleet/consensus/peers_test.go
+++ b/internal/fleet/consensus/peers_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// A member of a large fleet publishes how far it has applied the log minutes apart, and the log grows meanwhile.
+// In a large fleet a member publishes its applied index only every few minutes, and the log grows meanwhile.
 func TestCaughtUpPeerStaysSoUntilItLagsOrExpires(t *testing.T) {
 	now := time.Unix(1_800_000_000, 0)
 	p := &peerState{}
@@ -24,7 +24,7 @@
 		t.Error("no longer caught up, though it has published nothing else")
 	}
 	if p.isCaughtUp(2000, now.Add(caughtUpTTL)) {
-		t.Error("caught up for ever by one record")
+		t.Error("one record counts as caught up for longer than caughtUpTTL")
 	}
 	p.Applied = 1500
 	if p.isCaughtUp(2000, now.Add(caughtUpTTL/2)) {
--- a/internal/fleet/consensus/voters.go
+++ b/internal/fleet/consensus/voters.go
@@ -12,20 +12,22 @@
 const reconcileInterval = 250 * time.Millisecond
 
 // voterManager is the leader's management of who follows the log and who votes, by internal/decide/quorum. It makes one
-// change of the voters at a time, and waits until each is committed.
+// change of the voters at a time, and waits until each is committed. One goroutine uses it.
 type voterManager struct {
-	log     *Log
-	config  quorum.Config
-	peers   peerTable
-	learner string // chosen to be promoted; empty if none is
+	log        *Log
+	config     quorum.Config
+	onChange   func(quorum.Change)
+	peers      peerTable
+	learner    string // chosen to be promoted; empty if none is
+	lastReason string // of the last change or NoChange as the leader
 }
 
-// ManageVoters manages the log's servers until Stop. It runs at every member, and acts at the leader alone. view returns
-// the membership view; onChange is called with each change and each new reason for none.
+// ManageVoters starts a goroutine that manages the log's servers until Stop. It runs at every member, and acts at the leader
+// alone. view returns the membership view; onChange is called with each change and each new reason for none. Both are
+// called on that goroutine. It must be called at most once, before Stop.
 func (d *Driver) ManageVoters(view func() []Peer, config quorum.Config, onChange func(quorum.Change)) {
-	m := &voterManager{log: d.Log, config: config, peers: peerTable{}}
+	m := &voterManager{log: d.Log, config: config, onChange: onChange, peers: peerTable{}}
 	d.running.Go(func() {
-		lastReason := ""
 		ticker := time.NewTicker(reconcileInterval)
 		defer ticker.Stop()
 		for {
@@ -33,21 +35,26 @@
 			case <-d.stop:
 				return
 			case now := <-ticker.C:
-				m.peers.update(view(), now)
-				if _, isLeader := d.Log.Leader(); !isLeader {
-					m.learner = ""
-					continue
-				}
-				change := m.reconcile(now)
-				if change.Kind != quorum.NoChange || change.Reason != lastReason {
-					onChange(change)
-				}
-				lastReason = change.Reason
+				m.tick(view(), now)
 			}
 		}
 	})
 }
 
+// tick takes over the membership view, reconciles the servers with it at the leader, and reports what is new.
+func (m *voterManager) tick(view []Peer, now time.Time) {
+	m.peers.update(view, now)
+	if _, isLeader := m.log.Leader(); !isLeader {
+		m.learner = ""
+		return
+	}
+	change := m.reconcile(now)
+	if change.Kind != quorum.NoChange || change.Reason != m.lastReason {
+		m.onChange(change)
+	}
+	m.lastReason = change.Reason
+}
+
 // reconcile makes all peers follow the log and changes at most one server beside.
 func (m *voterManager) reconcile(now time.Time) quorum.Change {
 	servers, err := m.log.servers()
@@ -57,7 +64,8 @@
 	voters, followers := classifyServers(servers)
 	for _, process := range followers {
 		if p := m.peers[process]; p == nil || p.isGone(now) {
-			return m.commit(quorum.Change{Kind: quorum.RemoveServer, Process: process, Reason: "a follower that is unreachable or was replaced"})
+			const reason = "a follower that is unreachable or was replaced"
+			return m.commit(quorum.Change{Kind: quorum.RemoveServer, Process: process, Reason: reason})
 		}
 	}
 	committed := m.log.raft.CommitIndex()
--- a/internal/fleet/consensus/voters_test.go
+++ b/internal/fleet/consensus/voters_test.go
@@ -29,7 +29,8 @@
 	}
 	voters, learners := []string{peers[0].Process}, []string{}
 	for range 100 {
-		c := quorum.NextChange(quorum.Fleet{Members: members, Voters: voters, Learners: learners}, quorum.Config{MaxVoters: 5, MinAge: time.Second, HoldDown: time.Second})
+		config := quorum.Config{MaxVoters: 5, MinAge: time.Second, HoldDown: time.Second}
+		c := quorum.NextChange(quorum.Fleet{Members: members, Voters: voters, Learners: learners}, config)
 		isChanged := func(process string) bool { return process == c.Process }
 		switch c.Kind {
 		case quorum.NoChange:
@@ -46,12 +47,12 @@
 			voters, learners = slices.DeleteFunc(voters, isChanged), slices.DeleteFunc(learners, isChanged)
 		}
 	}
-	t.Fatalf("changes without end: %v", voters)
+	t.Fatalf("the changes do not settle: voters %v", voters)
 	return nil
 }
 
-// Who votes follows the region that each record names. Zones alone would take the members of the first region, which joined
-// first and each stand in a zone of their own.
+// Voters are chosen by the region in each record. By zones alone all would be of the first region, whose members joined first
+// and are each in a zone of their own.
 func TestVotersFollowRecordedRegions(t *testing.T) {
 	inRegions := func(regions ...string) (peers []Peer) { // those of other regions than the first share one zone
 		for n, region := range regions {
@@ -64,18 +65,18 @@
 		return peers
 	}
 	for _, c := range []struct {
-		what  string
+		name  string
 		peers []Peer
 		want  map[string]int
 	}{
 		{"three regions", inRegions("a", "a", "a", "a", "b", "b", "c"), map[string]int{"a": 2, "b": 2, "c": 1}},
 		{"two regions: one of them has a quorum", inRegions("a", "a", "a", "a", "b", "b", "b"), map[string]int{"a": 3, "b": 2}},
 		{"four regions", inRegions("a", "a", "a", "a", "b", "c", "d"), map[string]int{"a": 2, "b": 1, "c": 1, "d": 1}},
-		{"records of an older build beside: one region together", inRegions("a", "a", "a", "a", "", "b", ""), map[string]int{"a": 2, "": 2, "b": 1}},
-		{"none named", inRegions("", "", "", "", "", "", ""), map[string]int{"": 5}},
+		{"records of an older build count as one region", inRegions("a", "a", "a", "a", "", "b", ""), map[string]int{"a": 2, "": 2, "b": 1}},
+		{"no region named", inRegions("", "", "", "", "", "", ""), map[string]int{"": 5}},
 	} {
 		if got := votersByRegion(t, c.peers); !maps.Equal(got, c.want) {
-			t.Errorf("%s: voters %v, want %v", c.what, got, c.want)
+			t.Errorf("%s: voters %v, want %v", c.name, got, c.want)
 		}
 	}
 }
--- a/internal/testutil/member/member.go
+++ b/internal/testutil/member/member.go
@@ -95,10 +95,13 @@
 		ProbeInterval: healthCheckInterval, SyncInterval: exchangeInterval, Record: m.record, OnMessage: m.receive,
 	}, ignoredEvents{})
 	m.ExitOn(err)
-	driver, err := consensus.StartDriver(consensus.Config{
-		Process: m.Process, Bind: bind(logPort), Advertise: proxy(logPort), Bootstrap: os.Getenv(FounderVariable) != "",
-		Duties: c.Duties, HeartbeatTimeout: heartbeatTimeout, StateMachine: c.StateMachine,
-	}, LeaseConfig, m.Incarnation, c.Watcher, m.send, m.driver.Store)
+	driver, err := consensus.StartDriver(consensus.DriverConfig{
+		Log: consensus.Config{
+			Process: m.Process, Bind: bind(logPort), Advertise: proxy(logPort), Bootstrap: os.Getenv(FounderVariable) != "",
+			Duties: c.Duties, HeartbeatTimeout: heartbeatTimeout, StateMachine: c.StateMachine,
+		},
+		Leases: LeaseConfig, Incarnation: m.Incarnation, Watcher: c.Watcher, Send: m.send, OnReady: m.driver.Store,
+	})
 	m.ExitOn(err)
 	close(m.joined)
 	for n, duty := range c.Duties {
