--- a/internal/fleet/membership/intervals_test.go
+++ b/internal/fleet/membership/intervals_test.go
@@ -7,16 +7,17 @@
 	"pgregory.net/rapid"
 )
 
-// stateBytes is the most that one member was seen to take up in a push/pull, compressed.
+// stateBytes is the largest measured size of one member's state in a push/pull, compressed, in bytes.
 const stateBytes = 170
 
-// pushPullBytes is what a member sends and receives per second: two push/pulls an interval, the whole view in both directions.
+// pushPullBytes returns the bytes that a member sends and receives per second: it takes part in two push/pulls per interval,
+// each with the whole view in both directions.
 func pushPullBytes(sync time.Duration, members int) float64 {
 	return 4 * stateBytes * float64(members) / PushPullInterval(sync, members).Seconds()
 }
 
-// memberlist's own intervals were 5 s at 32 members, 10 at 64, 20 at 256 and 35 at 1,200, for a state that grows with the members:
-// 23 KB/s a member there.
+// With memberlist's own intervals (5 s at 32 members, 10 s at 64, 20 s at 256 and 35 s at 1,200) the traffic grows with the
+// fleet, to 23 KB/s per member at 1,200.
 func TestPushPullTrafficDoesNotGrowWithFleet(t *testing.T) {
 	const sync = 5 * time.Second
 	last := pushPullBytes(sync, unscaledMembers)
@@ -34,8 +35,8 @@
 
 func TestSmallFleetsAreNotSlowed(t *testing.T) {
 	for members := 0; members <= unscaledMembers; members++ {
-		if every := PushPullInterval(time.Second, members); every != time.Second {
-			t.Errorf("%d members: push/pull every %v, want the interval set", members, every)
+		if interval := PushPullInterval(time.Second, members); interval != time.Second {
+			t.Errorf("%d members: push/pull every %v, want the interval set", members, interval)
 		}
 		if probability := reconnectProbability(members); probability != 1 {
 			t.Errorf("%d members: dead ones contacted with probability %.2f, want 1", members, probability)
@@ -46,15 +47,15 @@
 func TestFleetWideRatesAreBounded(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		members := rapid.IntRange(1, 10_000).Draw(t, "members")
-		if tries := reconnectProbability(members) * float64(members); tries > unscaledMembers+1e-9 {
-			t.Errorf("%.1f attempts to reach the dead a second, want %d at most", tries, unscaledMembers)
+		if attempts := reconnectProbability(members) * float64(members); attempts > unscaledMembers+1e-9 {
+			t.Errorf("%.1f attempts per second to reach dead members, want at most %d", attempts, unscaledMembers)
 		}
-		if changes := float64(members) / loadUpdateInterval(members).Seconds(); changes > 4 {
-			t.Errorf("%.1f load updates a second, want 4 at most", changes)
+		if updates := float64(members) / loadUpdateInterval(members).Seconds(); updates > 4 {
+			t.Errorf("%.1f load updates per second, want at most 4", updates)
 		}
 		wait := rapid.Int64Range(1, int64(time.Hour)).Draw(t, "wait")
-		if drawn := jitter(time.Duration(wait)); drawn < time.Duration(wait)*3/4 || drawn > time.Duration(wait)*5/4+1 {
-			t.Errorf("jitter of %v: %v", time.Duration(wait), drawn)
+		if jittered := jitter(time.Duration(wait)); jittered < time.Duration(wait)*3/4 || jittered > time.Duration(wait)*5/4+1 {
+			t.Errorf("jitter of %v: %v", time.Duration(wait), jittered)
 		}
 	})
 }
--- a/internal/fleet/membership/leave_test.go
+++ b/internal/fleet/membership/leave_test.go
@@ -8,10 +8,10 @@
 	"github.com/hashicorp/memberlist"
 )
 
-// mutedTransport drops all datagrams once mute is set, so that gossip reaches nobody.
+// mutedTransport drops all datagrams once isMuted is set, so that gossip reaches nobody.
 type mutedTransport struct {
 	Transport
-	mute atomic.Bool
+	isMuted atomic.Bool
 }
 
 func (m *mutedTransport) WriteTo(b []byte, address string) (time.Time, error) {
@@ -19,39 +19,39 @@
 }
 
 func (m *mutedTransport) WriteToAddress(b []byte, address memberlist.Address) (time.Time, error) {
-	if m.mute.Load() {
+	if m.isMuted.Load() {
 		return time.Now(), nil
 	}
 	return m.Transport.WriteToAddress(b, address)
 }
 
-// If gossip announces a departure only to others that leave as well, those that stay learn of it by the last push/pull, not by
-// their probes some seconds later.
+// If gossip reaches only members that leave as well, the staying members learn of a departure by its last push/pull, and not
+// by their health checks some seconds later.
 func TestLeaveReachesStayingMembersByPushPull(t *testing.T) {
 	staying, _ := startAlone(t)
-	var quiet *mutedTransport
+	var transport *mutedTransport
 	leaving, err := Start(Config{Name: "b", Bind: freeAddress(t, 22), Seeds: []string{staying.list.LocalNode().Address()}, MaxMembers: 4, SyncInterval: time.Hour,
-		Record: Record{Zone: "z1", Rank: -1}, WrapTransport: func(transport Transport) Transport {
-			quiet = &mutedTransport{Transport: transport}
-			return quiet
+		Record: Record{Zone: "z1", Rank: -1}, WrapTransport: func(inner Transport) Transport {
+			transport = &mutedTransport{Transport: inner}
+			return transport
 		}}, &updateCounter{})
 	if err != nil {
 		t.Fatal(err)
 	}
 	waitFor(t, "both see each other", 20*time.Second, func() bool { return len(staying.View()) == 2 && len(leaving.View()) == 2 })
-	quiet.mute.Store(true)
+	transport.isMuted.Store(true)
 	if err := leaving.Leave(time.Second); err != nil {
 		t.Log("gossip reached nobody, as intended: ", err)
 	}
-	// The first probe that could find it dead takes a second, and its suspicion four more.
+	// Health checks take five seconds at least: one until the first that fails, and four of suspicion.
 	waitFor(t, "the staying member knows of the departure", 2*time.Second, func() bool { return len(staying.View()) == 1 })
 }
 
-func waitFor(t *testing.T, what string, limit time.Duration, holds func() bool) {
+func waitFor(t *testing.T, what string, timeout time.Duration, isMet func() bool) {
 	t.Helper()
-	for began := time.Now(); !holds(); time.Sleep(5 * time.Millisecond) {
-		if time.Since(began) > limit {
-			t.Fatalf("not within %v: %s", limit, what)
+	for start := time.Now(); !isMet(); time.Sleep(5 * time.Millisecond) {
+		if time.Since(start) > timeout {
+			t.Fatalf("%s: not within %v", what, timeout)
 		}
 	}
 }
--- a/internal/fleet/membership/member.go
+++ b/internal/fleet/membership/member.go
@@ -30,20 +30,21 @@
 	onMessage  func([]byte)
 	stop       chan struct{} // closed by Leave and Shutdown; ends the background loops
 
-	gossiping sync.Mutex // serializes the announcements of the own record
+	gossipMutex sync.Mutex // serializes the announcements of the own record
 
-	mu            sync.Mutex // guards the fields below
-	self          Record
-	view          map[string]Record
-	dead          map[string]deadMember // declared dead, not left; at most maxMembers, each for reconnectTimeout
-	reconnects    int                   // number of attempts to reach a dead member
-	lastGossiped  time.Time             // when the own record was announced last
-	pendingGossip *time.Timer           // announces a deferred update; nil for none
-	stopped       bool
+	mu                sync.Mutex // guards the fields below
+	self              Record
+	view              map[string]Record
+	dead              map[string]deadMember // declared dead, not left; at most maxMembers, each for reconnectTimeout
+	reconnectAttempts int                   // number of attempts to reach a dead member
+	lastGossiped      time.Time             // when the own record was announced last
+	pendingGossip     *time.Timer           // announces a deferred update; nil for none
+	isStopped         bool
 }
 
 // Start starts a member and joins the fleet by the seeds. If no seed answers, the member is alone, keeps trying the
-// seeds, and others may join it. Errors: a *ConfigError, a *RecordError, or that an address can't be bound.
+// seeds, and others may join it. Its two background goroutines end after Leave or Shutdown, which do not wait for them.
+// Errors: a *ConfigError, a *RecordError, or that an address can't be bound.
 func Start(config Config, watcher Watcher) (*Member, error) {
 	if config.MaxMembers < 1 || config.MaxMembers > maxMembersLimit {
 		return nil, &ConfigError{Setting: "most", Found: strconv.Itoa(config.MaxMembers), Expected: fmt.Sprintf("1 to %d", maxMembersLimit)}
@@ -111,8 +112,8 @@
 	m.mu.Lock()
 	m.self.Flag = FlagLeaving
 	m.mu.Unlock()
-	m.gossiping.Lock()
-	defer m.gossiping.Unlock()
+	m.gossipMutex.Lock()
+	defer m.gossipMutex.Unlock()
 	_ = m.list.UpdateNode(timeout / 2) // the flag keeps the others from contacting it as a dead member
 	err := m.list.Leave(timeout)
 	m.pushPullBeforeLeave(timeout / 4)
@@ -130,14 +131,14 @@
 	close(m.stop)
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.stopped = true
+	m.isStopped = true
 	m.cancelPendingGossip()
 }
 
 // admit checks a peer before memberlist takes it in.
 func (m *Member) admit(node *memberlist.Node) error {
 	_, err := DecodeRecord(node.Name, node.Meta)
-	if err == nil && m.isFullFor(node.Name) {
+	if err == nil && m.lacksCapacityFor(node.Name) {
 		err = fmt.Errorf("member %q: %w at %d members", node.Name, ErrViewFull, m.maxMembers)
 	}
 	if err != nil {
@@ -146,8 +147,8 @@
 	return err
 }
 
-// isFullFor tells whether the view has no capacity for the named member.
-func (m *Member) isFullFor(name string) bool {
+// lacksCapacityFor reports whether the view has no capacity for the named member.
+func (m *Member) lacksCapacityFor(name string) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	_, known := m.view[name]
--- a/internal/fleet/membership/member_test.go
+++ b/internal/fleet/membership/member_test.go
@@ -2,9 +2,9 @@
 
 import (
 	"bufio"
-	"encoding/json"
 	"fmt"
 	"io"
+	"maps"
 	"net"
 	"os"
 	"os/exec"
@@ -20,123 +20,178 @@
 	"thymechute/internal/testutil"
 )
 
-// The test binary is also the member process: with MEMBER_CHILD set it runs one member on loopback and prints its
-// view after every change, until its standard input closes or its time is up.
+// Environment of a member process.
+const (
+	childVariable   = "MEMBER_CHILD" // set: the test binary runs one member
+	nameVariable    = "MEMBER_NAME"
+	bindVariable    = "MEMBER_BIND"
+	seedsVariable   = "MEMBER_SEEDS"   // separated by commas
+	invalidVariable = "MEMBER_INVALID" // set: the member has an invalid record
+	debugVariable   = "MEMBER_DEBUG"   // set: events and memberlist's log go to standard error
+)
+
+// Lines that a member process prints: one of these words and its argument.
+const (
+	viewLine     = "view"     // the names in its view, sorted and separated by commas
+	rejectedLine = "rejected" // the name of a rejected peer
+	errorLine    = "error"
+)
+
+// maxChildLifetime bounds a member process whose parent does not end it.
+const maxChildLifetime = 60 * time.Second
+
+// TestMain runs the tests or, with childVariable set, a member on loopback. That prints its view after every change, until
+// its standard input is closed or maxChildLifetime is over.
 func TestMain(m *testing.M) {
-	if os.Getenv("MEMBER_CHILD") != "" {
-		child()
+	if os.Getenv(childVariable) != "" {
+		runChild()
 		return
 	}
 	os.Exit(m.Run())
 }
 
-type printer struct {
-	mu     sync.Mutex
+// viewPrinter is the Watcher of a member process. It prints the view and the rejected peers.
+type viewPrinter struct {
+	mu     sync.Mutex // serializes the lines
 	member *Member
-	ready  chan struct{}
+	ready  chan struct{} // closed once member is set
 }
 
-func (p *printer) show() {
+func (p *viewPrinter) printView() {
 	<-p.ready
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	names := make([]string, 0)
-	for n := range p.member.View() {
-		names = append(names, n)
-	}
-	slices.Sort(names)
-	fmt.Println("view", strings.Join(names, ","))
+	names := slices.Sorted(maps.Keys(p.member.View()))
+	fmt.Println(viewLine, strings.Join(names, ","))
 }
-func (p *printer) Joined(r Record)  { p.note("joined", r.Name); go p.show() }
-func (p *printer) Updated(r Record) { p.note("updated", r.Name); go p.show() }
-func (p *printer) Left(name string) { p.note("left", name); go p.show() }
 
-func (p *printer) note(what, name string) {
-	if os.Getenv("MEMBER_DEBUG") != "" {
-		fmt.Fprintln(os.Stderr, os.Getenv("MEMBER_NAME"), what, name)
-	}
+// Joined implements Watcher.
+func (p *viewPrinter) Joined(record Record) {
+	p.debug("joined", record.Name)
+	go p.printView()
+}
+
+// Updated implements Watcher.
+func (p *viewPrinter) Updated(record Record) {
+	p.debug("updated", record.Name)
+	go p.printView()
+}
+
+// Left implements Watcher.
+func (p *viewPrinter) Left(name string) {
+	p.debug("left", name)
+	go p.printView()
 }
-func (p *printer) Rejected(name string, why error) {
-	p.note("rejected "+why.Error(), name)
+
+// Rejected implements Watcher.
+func (p *viewPrinter) Rejected(name string, reason error) {
+	p.debug("rejected "+reason.Error(), name)
 	p.mu.Lock()
-	fmt.Println("rejected", name)
-	p.mu.Unlock()
+	defer p.mu.Unlock()
+	fmt.Println(rejectedLine, name)
+}
+
+func (p *viewPrinter) debug(event, name string) {
+	if os.Getenv(debugVariable) != "" {
+		fmt.Fprintln(os.Stderr, os.Getenv(nameVariable), event, name)
+	}
 }
 
-func child() {
-	name, bind := os.Getenv("MEMBER_NAME"), os.Getenv("MEMBER_BIND")
+// debugLog returns where memberlist logs to; nil discards its log.
+func debugLog() io.Writer {
+	if os.Getenv(debugVariable) != "" {
+		return os.Stderr
+	}
+	return nil
+}
+
+// runChild is the main function of a member process.
+func runChild() {
+	time.AfterFunc(maxChildLifetime, func() { os.Exit(3) })
 	var seeds []string
-	if s := os.Getenv("MEMBER_SEEDS"); s != "" {
-		seeds = strings.Split(s, ",")
+	if list := os.Getenv(seedsVariable); list != "" {
+		seeds = strings.Split(list, ",")
 	}
-	go func() { time.Sleep(60 * time.Second); os.Exit(3) }() // bounded, whatever the parent does
-	if os.Getenv("MEMBER_INVALID") != "" {
-		runInvalidMember(name, bind, seeds)
+	if os.Getenv(invalidVariable) != "" {
+		runInvalidMember(os.Getenv(nameVariable), os.Getenv(bindVariable), seeds)
 		return
 	}
-	p := &printer{ready: make(chan struct{})}
-	m, err := Start(Config{Name: name, Bind: bind, Seeds: seeds, MaxMembers: 16, ProbeInterval: 200 * time.Millisecond, SyncInterval: 500 * time.Millisecond,
-		Record: Record{Zone: "z1", Rank: -1}, LogOutput: debugLog()}, p)
-	if err != nil {
-		fmt.Println("error", err)
-		os.Exit(1)
-	}
-	p.member = m
-	close(p.ready)
-	p.show()
+	runMember(Config{
+		Name: os.Getenv(nameVariable), Bind: os.Getenv(bindVariable), Seeds: seeds, MaxMembers: 16,
+		ProbeInterval: 200 * time.Millisecond, SyncInterval: 500 * time.Millisecond,
+		Record: Record{Zone: "z1", Rank: -1}, LogOutput: debugLog(),
+	})
+}
+
+// runMember runs a member until its standard input is closed, and leaves then.
+func runMember(config Config) {
+	printer := &viewPrinter{ready: make(chan struct{})}
+	member, err := Start(config, printer)
+	exitOn(err)
+	printer.member = member
+	close(printer.ready)
+	printer.printView()
 	_, _ = io.Copy(io.Discard, os.Stdin)
-	_ = m.Leave(time.Second)
+	_ = member.Leave(time.Second)
 }
 
 // runInvalidMember runs memberlist itself with an invalid record: the others must reject it.
 func runInvalidMember(name, bind string, seeds []string) {
 	host, port, _ := net.SplitHostPort(bind)
-	lc := memberlist.DefaultLocalConfig()
-	lc.Name, lc.BindAddr, lc.AdvertiseAddr = name, host, host
-	fmt.Sscan(port, &lc.BindPort)
-	lc.AdvertisePort = lc.BindPort
-	lc.LogOutput = io.Discard
-	lc.Delegate = garbage{}
-	list, err := memberlist.Create(lc)
-	if err != nil {
-		fmt.Println("error", err)
-		os.Exit(1)
-	}
+	config := memberlist.DefaultLocalConfig()
+	config.Name, config.BindAddr, config.AdvertiseAddr = name, host, host
+	fmt.Sscan(port, &config.BindPort)
+	config.AdvertisePort = config.BindPort
+	config.LogOutput = io.Discard
+	config.Delegate = invalidDelegate{}
+	list, err := memberlist.Create(config)
+	exitOn(err)
 	_, _ = list.Join(seeds)
-	fmt.Println("view unknown")
+	fmt.Println(viewLine, "unknown")
 	_, _ = io.Copy(io.Discard, os.Stdin)
 	_ = list.Shutdown()
 }
 
-type garbage struct{}
+// exitOn ends a member process on an error.
+func exitOn(err error) {
+	if err != nil {
+		fmt.Println(errorLine, err)
+		os.Exit(1)
+	}
+}
 
-func (garbage) NodeMeta(int) []byte             { return []byte(`{"v":1,"name":"someone else"}`) }
-func (garbage) NotifyMsg([]byte)                {}
-func (garbage) GetBroadcasts(int, int) [][]byte { return nil }
-func (garbage) LocalState(bool) []byte          { return nil }
-func (garbage) MergeRemoteState([]byte, bool)   {}
+// invalidDelegate is a memberlist.Delegate whose metadata is another member's record.
+type invalidDelegate struct{}
 
-// proc is one member process as the parent sees it.
-type proc struct {
-	name, bind string
-	cmd        *exec.Cmd
-	stdin      io.WriteCloser
+func (invalidDelegate) NodeMeta(int) []byte             { return []byte(`{"v":1,"name":"someone else"}`) }
+func (invalidDelegate) NotifyMsg([]byte)                {}
+func (invalidDelegate) GetBroadcasts(int, int) [][]byte { return nil }
+func (invalidDelegate) LocalState(bool) []byte          { return nil }
+func (invalidDelegate) MergeRemoteState([]byte, bool)   {}
+
+// memberProcess is one member process as the parent sees it.
+type memberProcess struct {
+	bind  string
+	cmd   *exec.Cmd
+	stdin io.WriteCloser
 }
 
-type fleet struct {
-	t        *testing.T
-	mu       sync.Mutex
-	views    map[string]string // last view line of each
+// processFleet is the member processes of a test, which are killed at its end, and what they have printed.
+type processFleet struct {
+	t         *testing.T
+	processes map[string]*memberProcess // by name
+	changed   chan struct{}             // has an element after a further line
+
+	mu       sync.Mutex        // guards the fields below
+	views    map[string]string // by name, as last printed
 	rejected map[string]bool   // names that some member rejected
-	changed  chan struct{}
-	procs    map[string]*proc
 }
 
-func newFleet(t *testing.T) *fleet {
-	f := &fleet{t: t, views: map[string]string{}, rejected: map[string]bool{}, changed: make(chan struct{}, 1),
-		procs: map[string]*proc{}}
+func newProcessFleet(t *testing.T) *processFleet {
+	f := &processFleet{t: t, processes: map[string]*memberProcess{}, changed: make(chan struct{}, 1),
+		views: map[string]string{}, rejected: map[string]bool{}}
 	t.Cleanup(func() {
-		for _, p := range f.procs {
+		for _, p := range f.processes {
 			_ = p.cmd.Process.Kill()
 			_ = p.cmd.Wait()
 		}
@@ -144,77 +199,79 @@
 	return f
 }
 
-// freeAddress is a port free for TCP and UDP on the n-th member's own loopback IP, 127.0.5.n: its sockets and its
-// dials (from its bind address) never take a port of 127.0.0.1 that another test picked and is about to bind.
+// freeAddress returns an address free for TCP and UDP on the n-th member's own loopback IP, 127.0.5.n: its listeners and its
+// outgoing connections do not take a port of 127.0.0.1 that another test has picked and is about to bind.
 func freeAddress(t *testing.T, n int) string {
 	return testutil.FreePort(t, fmt.Sprintf("127.0.5.%d", n))
 }
 
-func (f *fleet) start(name, bind string, invalid bool, seeds ...string) {
+// start starts a member process. environment is added to the test's own.
+func (f *processFleet) start(name, bind string, seeds []string, environment ...string) {
+	f.t.Helper()
 	cmd := exec.Command(os.Args[0], "-test.run=^$")
-	cmd.Env = append(os.Environ(), "MEMBER_CHILD=1", "MEMBER_NAME="+name, "MEMBER_BIND="+bind,
-		"MEMBER_SEEDS="+strings.Join(seeds, ","))
-	if invalid {
-		cmd.Env = append(cmd.Env, "MEMBER_INVALID=1")
-	}
-	stdin, _ := cmd.StdinPipe()
-	out, _ := cmd.StdoutPipe()
+	cmd.Env = append(os.Environ(), childVariable+"=1", nameVariable+"="+name, bindVariable+"="+bind,
+		seedsVariable+"="+strings.Join(seeds, ","))
+	cmd.Env = append(cmd.Env, environment...)
 	cmd.Stderr = os.Stderr
+	stdin, _ := cmd.StdinPipe()
+	stdout, _ := cmd.StdoutPipe()
 	if err := cmd.Start(); err != nil {
 		f.t.Fatal(err)
 	}
-	f.procs[name] = &proc{name, bind, cmd, stdin}
-	go func() {
-		lines := bufio.NewScanner(out)
-		for lines.Scan() {
-			what, rest, _ := strings.Cut(lines.Text(), " ")
-			f.mu.Lock()
-			switch what {
-			case "view":
-				f.views[name] = rest
-			case "rejected":
-				f.rejected[rest] = true
-			}
-			f.mu.Unlock()
-			select {
-			case f.changed <- struct{}{}:
-			default:
-			}
+	f.processes[name] = &memberProcess{bind: bind, cmd: cmd, stdin: stdin}
+	go f.readLines(name, stdout)
+}
+
+// readLines takes in what a member process prints, until it ends.
+func (f *processFleet) readLines(name string, stdout io.Reader) {
+	lines := bufio.NewScanner(stdout)
+	for lines.Scan() {
+		f.handleLine(name, lines.Text())
+		select {
+		case f.changed <- struct{}{}:
+		default:
 		}
-	}()
+	}
+}
+
+func (f *processFleet) handleLine(name, line string) {
+	word, argument, _ := strings.Cut(line, " ")
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	switch word {
+	case viewLine:
+		f.views[name] = argument
+	case rejectedLine:
+		f.rejected[argument] = true
+	}
 }
 
-// until waits for the views to say so, by their changes, for at most limit; it returns how long it took.
-func (f *fleet) until(what string, limit time.Duration, holds func(views map[string]string, rejected map[string]bool) bool) time.Duration {
+// waitFor waits until a condition on what the members printed is met, and returns how long that took. The test fails
+// after the timeout.
+func (f *processFleet) waitFor(what string, timeout time.Duration, isMet func(views map[string]string, rejected map[string]bool) bool) time.Duration {
 	f.t.Helper()
 	start := time.Now()
-	deadline := time.NewTimer(limit)
-	defer deadline.Stop()
+	expired := time.After(timeout)
 	for {
 		f.mu.Lock()
-		ok := holds(f.views, f.rejected)
-		snapshot, _ := json.Marshal(f.views)
+		ok := isMet(f.views, f.rejected)
+		views := maps.Clone(f.views)
 		f.mu.Unlock()
 		if ok {
 			return time.Since(start)
 		}
 		select {
 		case <-f.changed:
-		case <-deadline.C:
-			f.t.Fatalf("%s: not within %v; views %s", what, limit, snapshot)
+		case <-expired:
+			f.t.Fatalf("%s: not within %v; views %v", what, timeout, views)
 		}
 	}
 }
 
-// all holds when each named member's view is exactly want.
-func all(names []string, want string) func(map[string]string, map[string]bool) bool {
+// haveView returns the condition that each named member's view is exactly want.
+func haveView(names []string, want string) func(map[string]string, map[string]bool) bool {
 	return func(views map[string]string, _ map[string]bool) bool {
-		for _, n := range names {
-			if views[n] != want {
-				return false
-			}
-		}
-		return true
+		return !slices.ContainsFunc(names, func(name string) bool { return views[name] != want })
 	}
 }
 
@@ -222,55 +279,52 @@
 	if testing.Short() {
 		t.Skip("starts processes")
 	}
-	f := newFleet(t)
+	f := newProcessFleet(t)
 	names := []string{"m0", "m1", "m2", "m3", "m4"}
 	first := freeAddress(t, 1)
-	for i, n := range names {
-		bind := first
-		if i > 0 {
-			bind = freeAddress(t, i+1)
-			f.start(n, bind, false, first)
-			continue
-		}
-		f.start(n, bind, false)
+	seeds := []string{first}
+	f.start(names[0], first, nil)
+	for n, name := range names[1:] {
+		f.start(name, freeAddress(t, n+2), seeds)
 	}
-	took := f.until("five agree", 10*time.Second, all(names, "m0,m1,m2,m3,m4"))
+	took := f.waitFor("five agree", 10*time.Second, haveView(names, "m0,m1,m2,m3,m4"))
 	t.Logf("five agreed in %v", took)
 
-	f.start("invalid", freeAddress(t, 9), true, first)
-	f.until("the invalid member is rejected", 10*time.Second, func(_ map[string]string, rejected map[string]bool) bool { return rejected["invalid"] })
+	f.start("invalid", freeAddress(t, 9), seeds, invalidVariable+"=1")
+	f.waitFor("the invalid member is rejected", 10*time.Second, func(_ map[string]string, rejected map[string]bool) bool {
+		return rejected["invalid"]
+	})
 
-	_ = f.procs["m4"].cmd.Process.Signal(syscall.SIGKILL)
-	took = f.until("m4 dead after kill -9", 10*time.Second, all(names[:4], "m0,m1,m2,m3"))
-	t.Logf("kill -9 seen by all in %v", took)
+	_ = f.processes["m4"].cmd.Process.Signal(syscall.SIGKILL)
+	took = f.waitFor("m4 dead after SIGKILL", 10*time.Second, haveView(names[:4], "m0,m1,m2,m3"))
+	t.Logf("a killed member was declared dead by all in %v", took)
 
-	_ = f.procs["m3"].cmd.Process.Signal(syscall.SIGSTOP)
-	took = f.until("m3 dead while stopped", 10*time.Second, all(names[:3], "m0,m1,m2"))
-	t.Logf("a stopped member was declared dead in %v", took)
-	_ = f.procs["m3"].cmd.Process.Signal(syscall.SIGCONT)
-	took = f.until("m3 back after SIGCONT", 15*time.Second, all(names[:4], "m0,m1,m2,m3"))
+	_ = f.processes["m3"].cmd.Process.Signal(syscall.SIGSTOP)
+	took = f.waitFor("m3 dead while stopped", 10*time.Second, haveView(names[:3], "m0,m1,m2"))
+	t.Logf("a stopped member was declared dead by all in %v", took)
+	_ = f.processes["m3"].cmd.Process.Signal(syscall.SIGCONT)
+	took = f.waitFor("m3 back after SIGCONT", 15*time.Second, haveView(names[:4], "m0,m1,m2,m3"))
 	t.Logf("it was back in %v", took)
 
-	_ = f.procs["m4"].cmd.Wait()
-	f.start("m4", f.procs["m4"].bind, false, first)
-	took = f.until("m4 back after a restart", 10*time.Second, all(names, "m0,m1,m2,m3,m4"))
-	t.Logf("a restart under the same name was seen in %v", took)
+	_ = f.processes["m4"].cmd.Wait()
+	f.start("m4", f.processes["m4"].bind, seeds)
+	took = f.waitFor("m4 back after a restart", 10*time.Second, haveView(names, "m0,m1,m2,m3,m4"))
+	t.Logf("a restart under the same name was seen by all in %v", took)
 
-	f.mu.Lock()
-	for n, v := range f.views {
-		if strings.Contains(v, "invalid") {
-			t.Errorf("%s admitted the invalid member: %s", n, v)
-		}
-	}
-	f.mu.Unlock()
-	for _, p := range f.procs { // a clean leave: each ends by itself
-		p.stdin.Close()
+	f.checkNotInAnyView("invalid")
+	for _, p := range f.processes {
+		p.stdin.Close() // the member leaves
 	}
 }
 
-func debugLog() io.Writer {
-	if os.Getenv("MEMBER_DEBUG") != "" {
-		return os.Stderr
+// checkNotInAnyView fails the test if a member has admitted the named peer.
+func (f *processFleet) checkNotInAnyView(peer string) {
+	f.t.Helper()
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	for name, view := range f.views {
+		if strings.Contains(view, peer) {
+			f.t.Errorf("%s admitted %s: view %s", name, peer, view)
+		}
 	}
-	return nil
 }
--- a/internal/fleet/membership/reconnect.go
+++ b/internal/fleet/membership/reconnect.go
@@ -68,6 +68,6 @@
 		return ""
 	}
 	names := slices.Sorted(maps.Keys(m.dead))
-	m.reconnects++
-	return m.dead[names[m.reconnects%len(names)]].address
+	m.reconnectAttempts++
+	return m.dead[names[m.reconnectAttempts%len(names)]].address
 }
--- a/internal/fleet/membership/update.go
+++ b/internal/fleet/membership/update.go
@@ -53,12 +53,12 @@
 // gossipRecord announces the present record. Announcements are serialized: memberlist reads the record before it
 // increments the incarnation, so that of two at once the older could win.
 func (m *Member) gossipRecord() {
-	m.gossiping.Lock()
-	defer m.gossiping.Unlock()
+	m.gossipMutex.Lock()
+	defer m.gossipMutex.Unlock()
 	m.mu.Lock()
 	m.cancelPendingGossip()
 	m.lastGossiped = time.Now()
-	stopped := m.stopped
+	stopped := m.isStopped
 	m.mu.Unlock()
 	if stopped {
 		return
--- a/internal/fleet/membership/update_test.go
+++ b/internal/fleet/membership/update_test.go
@@ -77,8 +77,8 @@
 	}
 }
 
-// A member that claims new ranks as others leave, one after the other, must not wait for gossip in between: each update takes
-// four rounds of 200 ms until memberlist counts it as passed on.
+// A member that claims one new rank after another as others leave must not wait for gossip in between: memberlist takes four
+// rounds of 200 ms to count an update as passed on.
 func TestSetRecordDoesNotWaitForGossip(t *testing.T) {
 	m, _ := startAlone(t)
 	other, err := Start(Config{Name: "b", Bind: freeAddress(t, 21), Seeds: []string{m.list.LocalNode().Address()}, MaxMembers: 4,
@@ -89,13 +89,13 @@
 	t.Cleanup(func() { _ = other.Shutdown() })
 	testutil.Eventually(t, "both see each other", func() bool { return len(m.View()) == 2 && len(other.View()) == 2 })
 	const changes = 10
-	began := time.Now()
+	start := time.Now()
 	for n := range changes {
 		if err := m.SetRecord(Record{Zone: "z1", Rank: n}); err != nil {
 			t.Fatal(err)
 		}
 	}
-	if took := time.Since(began); took > changes*200*time.Millisecond {
+	if took := time.Since(start); took > changes*200*time.Millisecond {
 		t.Errorf("%d changes took %v, a round of gossip each at least", changes, took)
 	}
 	testutil.Eventually(t, "the last update arrives", func() bool { return other.View()["a"].Rank == changes-1 })
