--- a/internal/decide/configuration/configuration_test.go
+++ b/internal/decide/configuration/configuration_test.go
@@ -21,20 +21,20 @@
 	message configuration.Message
 }
 
-func (o *recordingHost) Send(to string, m configuration.Message) {
-	o.sent = append(o.sent, sentMessage{to, m})
+func (h *recordingHost) Send(to string, m configuration.Message) {
+	h.sent = append(h.sent, sentMessage{to, m})
 }
 
-func (o *recordingHost) Activated(_ time.Duration, s *configuration.State) {
-	o.activated = append(o.activated, s.Version())
+func (h *recordingHost) Activated(_ time.Duration, s *configuration.State) {
+	h.activated = append(h.activated, s.Version())
 }
 
-// lastTo is the last message sent to a peer.
-func (o *recordingHost) lastTo(t *testing.T, to string) configuration.Message {
+// lastTo returns the last message sent to a peer.
+func (h *recordingHost) lastTo(t *testing.T, to string) configuration.Message {
 	t.Helper()
-	for n := len(o.sent) - 1; n >= 0; n-- {
-		if o.sent[n].to == to {
-			return o.sent[n].message
+	for n := len(h.sent) - 1; n >= 0; n-- {
+		if h.sent[n].to == to {
+			return h.sent[n].message
 		}
 	}
 	t.Fatalf("nothing was sent to %s", to)
@@ -82,11 +82,11 @@
 	return s
 }
 
-func wantRejection(t testing.TB, err error, why configuration.Reason) {
+func wantRejection(t testing.TB, err error, want configuration.Reason) {
 	t.Helper()
 	var rejection *configuration.RejectionError
-	if !errors.As(err, &rejection) || rejection.Reason != why || !errors.Is(err, why) {
-		t.Errorf("found %v, expected a rejection: %v", err, why)
+	if !errors.As(err, &rejection) || rejection.Reason != want || !errors.Is(err, want) {
+		t.Errorf("found %v, expected a rejection: %v", err, want)
 	}
 }
 
@@ -94,7 +94,7 @@
 	v0, v1 := configuration.Version{}, version(3, 1)
 	for name, c := range map[string]struct {
 		command configuration.Command
-		why     configuration.Reason
+		want    configuration.Reason
 	}{
 		"older token":                {command(t, v1, version(2, 2), "a", "2"), configuration.ReasonStale},
 		"duplicate":                  {command(t, v0, v1, "a", "1"), configuration.ReasonStale},
@@ -117,7 +117,7 @@
 				t.Fatal(err)
 			}
 			before := s.State()
-			wantRejection(t, s.Apply(c.command), c.why)
+			wantRejection(t, s.Apply(c.command), c.want)
 			if s.State() != before {
 				t.Error("a rejected command changed the state")
 			}
@@ -169,21 +169,21 @@
 }
 
 func TestDigestsDependOnContentOnly(t *testing.T) {
-	a := tenantState(t, 500)
+	original := tenantState(t, 500)
 	v := version(1, 2)
-	there, err := a.With(v, putChanges(t, v, "tenant-00007", "new", "another", "x"))
+	changed, err := original.With(v, putChanges(t, v, "tenant-00007", "new", "another", "x"))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if there.Root() == a.Root() || there.Get(configuration.Tenant, "another") == nil || a.Get(configuration.Tenant, "another") != nil {
+	if changed.Root() == original.Root() || changed.Get(configuration.Tenant, "another") == nil || original.Get(configuration.Tenant, "another") != nil {
 		t.Fatal("a change had no effect, or modified the previous state")
 	}
-	back, _ := there.With(version(1, 1), []configuration.Change{
-		{Resource: a.Get(configuration.Tenant, "tenant-00007")}, {Resource: resource(t, "another", "", v), Removed: true}})
-	if back.Root() != a.Root() || back.Len() != a.Len() || back.Bytes() != a.Bytes() {
+	restored, _ := changed.With(version(1, 1), []configuration.Change{
+		{Resource: original.Get(configuration.Tenant, "tenant-00007")}, {Resource: resource(t, "another", "", v), Removed: true}})
+	if restored.Root() != original.Root() || restored.Len() != original.Len() || restored.Bytes() != original.Bytes() {
 		t.Error("the same resources at the same version have another digest")
 	}
-	if other, _ := a.With(version(1, 2), nil); other.Root() == a.Root() {
+	if other, _ := original.With(version(1, 2), nil); other.Root() == original.Root() {
 		t.Error("another version has the same digest")
 	}
 }
@@ -234,13 +234,13 @@
 	}
 	for name, n := range pollers {
 		if n > configuration.RelayFanOut {
-			t.Errorf("%d poll %s", n, name)
+			t.Errorf("%d members poll %s", n, name)
 		}
 	}
-	without := configuration.Tree("z", zone[:29], controls) // the last one leaves: no other may move
+	without := configuration.Tree("z", zone[:29], controls) // the last one leaves: no other may change its source
 	for _, claim := range zone[:29] {
 		if without[claim.Name].Primary[0] != tree[claim.Name].Primary[0] {
-			t.Errorf("%s moved", claim.Name)
+			t.Errorf("%s changed its source", claim.Name)
 		}
 	}
 }
--- a/internal/decide/configuration/control.go
+++ b/internal/decide/configuration/control.go
@@ -3,9 +3,9 @@
 import "time"
 
 const (
-	// maxConfirmationAge is how long ago the log may have been confirmed where a change is still accepted.
+	// maxConfirmationAge bounds the time since the last LogConfirmed: once it is exceeded, proposals are rejected.
 	maxConfirmationAge = 2 * time.Second
-	// proposalTimeout is when a proposed command that the log has not returned counts as lost.
+	// proposalTimeout is the time after which a proposed command that was not applied counts as lost.
 	proposalTimeout = 3 * time.Second
 )
 
@@ -77,7 +77,8 @@
 	if err := c.store.validate(command); err != nil {
 		return Command{}, err
 	}
-	c.proposed, c.proposedAt = command.Version, now
+	c.proposed = command.Version
+	c.proposedAt = now
 	return command, nil
 }
 
@@ -104,5 +105,6 @@
 	return reject(ReasonUnknownSender, "reply from %s", from)
 }
 
-// Tick drops silent children and sends what the byte budget held back. The caller calls it at least once a TickInterval.
+// Tick drops silent children and sends what the byte budget held back. It must be called at least once per
+// TickInterval.
 func (c *ControlNode) Tick(now time.Duration) { c.tick(now) }
--- a/internal/decide/configuration/encoding_test.go
+++ b/internal/decide/configuration/encoding_test.go
@@ -114,7 +114,7 @@
 func TestDecodeRejectsInvalidMessages(t *testing.T) {
 	for name, c := range map[string]struct {
 		body []byte
-		why  configuration.Reason
+		want configuration.Reason
 	}{
 		"unknown kind":                   {[]byte{99}, configuration.ReasonUnknownType},
 		"unknown type of resource":       {[]byte{3, 1, 1, 0, 0, 0, 0, 0, 0, 0, 0, 0, 1, 0, 1, 9, 1, 'a', 0}, configuration.ReasonUnknownType},
@@ -127,7 +127,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			_, err := configuration.Decode(configuration.AppendChecksum(c.body))
-			wantRejection(t, err, c.why)
+			wantRejection(t, err, c.want)
 		})
 	}
 	_, err := configuration.Decode(make([]byte, configuration.MaxMessageBytes+1))
@@ -136,11 +136,11 @@
 
 // A count of more elements than the bytes can contain allocates nothing of that size.
 func TestDecodeAllocationsAreBoundedByTheInput(t *testing.T) {
-	at := []byte{1, 1, 0, 0, 0, 0, 0, 0, 0, 0, 0}
+	position := []byte{1, 1, 0, 0, 0, 0, 0, 0, 0, 0, 0}
 	count := []byte{0xff, 0xff, 0x3f} // 2^20 - 1
 	for name, body := range map[string][]byte{
-		"changes": slices.Concat([]byte{3}, at, []byte{1, 0}, count),
-		"groups":  slices.Concat([]byte{5}, at, count),
+		"changes": slices.Concat([]byte{3}, position, []byte{1, 0}, count),
+		"groups":  slices.Concat([]byte{5}, position, count),
 		"digests": slices.Concat([]byte{6, 1, 0}, count),
 	} {
 		var before, after runtime.MemStats
@@ -148,8 +148,8 @@
 		_, err := configuration.Decode(configuration.AppendChecksum(body))
 		runtime.ReadMemStats(&after)
 		wantRejection(t, err, configuration.ReasonMalformed)
-		if made := after.TotalAlloc - before.TotalAlloc; made > 1<<20 {
-			t.Errorf("%s: %d bytes allocated for %d", name, made, len(body))
+		if allocated := after.TotalAlloc - before.TotalAlloc; allocated > 1<<20 {
+			t.Errorf("%s: %d bytes allocated for %d", name, allocated, len(body))
 		}
 	}
 }
--- a/internal/decide/configuration/limits.go
+++ b/internal/decide/configuration/limits.go
@@ -4,8 +4,8 @@
 
 // Limits of the children that poll a relay or control node.
 const (
-	MaxChildren        = 12 // at a relay: its own, those of a relay that is gone, and some that are switching
-	MaxControlChildren = 96 // at a control node: the zones' first members, and members that start or lack much
+	MaxChildren        = 12 // of a relay: its own, those of a failed relay that it backs up, and some that switch sources
+	MaxControlChildren = 96 // of a control node: the zones' first members, starting members, and members far behind
 )
 
 // Byte budgets. A relay's window is a minute, in which it sends 2.7 KB/s of the 6 KB/s that a member may use; the rest is for
@@ -35,27 +35,27 @@
 
 // serverLimits bound what a relay or control node does for its children.
 type serverLimits struct {
-	children     int
-	deltaBytes   int           // of one delta; a child that lacks more is referred to a control node, or compares digests there
-	repairBytes  int           // of one RepairReply
-	digestGroups int           // that differ; a child with more is referred to a control node
-	childTimeout time.Duration // a child that is silent for longer is dropped
+	maxChildren     int
+	maxDeltaBytes   int           // of one delta; a child that lacks more is referred to a control node, or compares digests there
+	maxRepairBytes  int           // of one RepairReply
+	maxDigestGroups int           // groups that differ; a child with more is referred to a control node
+	childTimeout    time.Duration // a child that is silent for longer is dropped
 }
 
 var (
 	relayLimits = serverLimits{
-		children:     MaxChildren,
-		deltaBytes:   MaxChangeBytes,
-		repairBytes:  8 << 10,
-		digestGroups: 6,
-		childTimeout: 10 * time.Second,
+		maxChildren:     MaxChildren,
+		maxDeltaBytes:   MaxChangeBytes,
+		maxRepairBytes:  8 << 10,
+		maxDigestGroups: 6,
+		childTimeout:    10 * time.Second,
 	}
 	controlLimits = serverLimits{
-		children:     MaxControlChildren,
-		deltaBytes:   400 << 10,
-		repairBytes:  256 << 10,
-		digestGroups: digestFanOut,
-		childTimeout: 5 * time.Second,
+		maxChildren:     MaxControlChildren,
+		maxDeltaBytes:   400 << 10,
+		maxRepairBytes:  256 << 10,
+		maxDigestGroups: digestFanOut,
+		childTimeout:    5 * time.Second,
 	}
 )
 
--- a/internal/decide/configuration/member.go
+++ b/internal/decide/configuration/member.go
@@ -7,7 +7,7 @@
 	"thymechute/internal/decide/random"
 )
 
-// TickInterval is the longest time between two calls of Tick.
+// TickInterval bounds the time between two calls of Tick.
 const TickInterval = 400 * time.Millisecond
 
 // Times of polls.
@@ -51,7 +51,7 @@
 	return m
 }
 
-// Tick switches sources, retries repairs and polls, each where it is due. The caller calls it at least once a TickInterval.
+// Tick switches sources, retries repairs and polls, each if it is due. It must be called at least once per TickInterval.
 func (m *Member) Tick(now time.Duration) {
 	m.tick(now)
 	if len(m.sources) == 0 {
@@ -67,7 +67,8 @@
 }
 
 func (m *Member) poll(now time.Duration) {
-	m.lastPoll, m.nextPoll = now, now+pollRetryInterval
+	m.lastPoll = now
+	m.nextPoll = now + pollRetryInterval
 	m.host.Send(m.Source(), Poll{Version: m.state.version, Root: m.state.root})
 }
 
@@ -178,7 +179,8 @@
 
 // activate replaces the active state atomically and pushes it to the children.
 func (m *Member) activate(now time.Duration, s *State, source Position) {
-	m.state, m.repair = s, nil
+	m.state = s
+	m.repair = nil
 	m.noteConfirmation(now, source)
 	if !m.isAtPreferredSource() {
 		m.failbackAt = min(m.failbackAt, now+m.jitter(currentFailbackDelay))
--- a/internal/decide/configuration/member_test.go
+++ b/internal/decide/configuration/member_test.go
@@ -10,10 +10,10 @@
 
 // newTestMember is a member at a state, whose sources are a relay, its backup and two control nodes.
 func newTestMember(s *configuration.State) (*configuration.Member, *recordingHost) {
-	o := &recordingHost{}
-	m := configuration.NewMember(0, o, s, 0, 1)
+	host := &recordingHost{}
+	m := configuration.NewMember(0, host, s, 0, 1)
 	m.SetSources(0, configuration.Sources{Primary: []string{"relay", "backup"}, Fallback: []string{"c1", "c2"}})
-	return m, o
+	return m, host
 }
 
 // nextDelta leads from a state to the next version, with tenants added or replaced.
@@ -37,9 +37,9 @@
 	other.Changes = putChanges(t, good.Version, "a", "1", "b", "3")
 	for name, bad := range map[string]configuration.Delta{"wrong digest": wrongRoot, "missing change": lacksOne, "other body": other} {
 		t.Run(name, func(t *testing.T) {
-			m, o := newTestMember(first)
+			m, host := newTestMember(first)
 			wantRejection(t, m.Receive(time.Second, "relay", bad), configuration.ReasonDigestMismatch)
-			if m.State() != first || len(o.activated) > 0 {
+			if m.State() != first || len(host.activated) > 0 {
 				t.Error("the delta was activated in part")
 			}
 			if m.Source() != "backup" {
@@ -57,14 +57,14 @@
 	s0 := tenantState(t, 10)
 	d1, s1 := nextDelta(t, s0, "a", "1")
 	d2, s2 := nextDelta(t, s1, "a", "2")
-	m, o := newTestMember(s0)
+	m, host := newTestMember(s0)
 	for n, d := range []configuration.Delta{d2, d1, d1, d2, d1, d2} {
 		if err := m.Receive(time.Second, "relay", d); err != nil {
 			t.Errorf("message %d: %v", n, err)
 		}
 	}
-	if m.State().Root() != s2.Root() || len(o.activated) != 2 {
-		t.Errorf("version %v after %v", m.State().Version(), o.activated)
+	if m.State().Root() != s2.Root() || len(host.activated) != 2 {
+		t.Errorf("version %v after %v", m.State().Version(), host.activated)
 	}
 	wantRejection(t, m.Receive(time.Second, "nobody", d2), configuration.ReasonUnknownSender)
 	older := s0.Version() // an older version, though all else matches
@@ -76,16 +76,16 @@
 }
 
 func TestMemberFailsOverFromASilentSourceAndBack(t *testing.T) {
-	m, o := newTestMember(tenantState(t, 1))
+	m, host := newTestMember(tenantState(t, 1))
 	reply := configuration.PollReply{Position: configuration.Position{Version: m.State().Version(), Root: m.State().Root()}}
 	answer := func(now time.Duration, from string) { _ = m.Receive(now, from, reply) }
 	now := time.Duration(0)
 	run := func(span time.Duration, alive ...string) (left map[string]time.Duration) {
 		left = map[string]time.Duration{}
 		for end := now + span; now < end; now += 100 * time.Millisecond {
-			o.sent = nil
+			host.sent = nil
 			m.Tick(now)
-			for _, s := range o.sent {
+			for _, s := range host.sent {
 				for _, a := range alive {
 					if a == s.to {
 						answer(now, a)
@@ -99,15 +99,15 @@
 		return left
 	}
 	run(20*time.Second, "relay")
-	died := now
+	failedAt := now
 	at := run(5*time.Second, "backup", "c1")["backup"]
-	if at == 0 || at-died > 4500*time.Millisecond {
-		t.Errorf("turned to the backup %v after the relay died", at-died)
+	if at == 0 || at-failedAt > 4500*time.Millisecond {
+		t.Errorf("switched to the backup %v after the relay failed", at-failedAt)
 	}
-	died = now
+	failedAt = now
 	at = run(7*time.Second, "c1")["c1"]
-	if at == 0 || at-died > 6500*time.Millisecond {
-		t.Errorf("turned to a control node %v after the backup died", at-died)
+	if at == 0 || at-failedAt > 6500*time.Millisecond {
+		t.Errorf("switched to a control node %v after the backup failed", at-failedAt)
 	}
 	run(20*time.Second, "relay", "backup", "c1")
 	if m.Source() != "relay" {
@@ -119,7 +119,7 @@
 	}
 }
 
-// exchange delivers messages between a member and a control node until both are silent, and counts the bytes each way.
+// exchange delivers messages between a member and a control node until neither has more to send, and counts the bytes each way.
 func exchange(t testing.TB, now time.Duration, m *configuration.Member, mo *recordingHost, c *configuration.ControlNode, co *recordingHost) (up, down int) {
 	t.Helper()
 	for range 1000 {
@@ -191,14 +191,14 @@
 
 func TestMemberAbandonsARepairThatNeverMatches(t *testing.T) {
 	target := tenantState(t, 100)
-	m, o := newTestMember(configuration.Empty())
+	m, host := newTestMember(configuration.Empty())
 	position := configuration.Position{Version: target.Version(), Root: target.Root() + 1} // no state has this digest
 	var err error
 	for now := time.Duration(0); now < 30*time.Second && err == nil; now += configuration.TickInterval {
 		m.Tick(now)
-		for len(o.sent) > 0 && err == nil && m.Source() == "relay" {
-			s := o.sent[0]
-			o.sent = o.sent[1:]
+		for len(host.sent) > 0 && err == nil && m.Source() == "relay" {
+			s := host.sent[0]
+			host.sent = host.sent[1:]
 			switch request := s.message.(type) {
 			case configuration.Poll:
 				err = m.Receive(now, s.to, configuration.PollReply{Position: position, NeedsRepair: true})
@@ -210,21 +210,21 @@
 		}
 	}
 	wantRejection(t, err, configuration.ReasonDigestMismatch)
-	if len(o.activated) > 0 || m.Source() == "relay" {
-		t.Errorf("activated %v, polls %s", o.activated, m.Source())
+	if len(host.activated) > 0 || m.Source() == "relay" {
+		t.Errorf("activated %v, polls %s", host.activated, m.Source())
 	}
 }
 
 func TestRelayRefersLargeRepairsAndLimitsChildren(t *testing.T) {
-	m, o := newTestMember(tenantState(t, 100))
+	m, host := newTestMember(tenantState(t, 100))
 	empty := configuration.Poll{}
 	_ = m.Receive(time.Second, "child", empty)
-	if reply, ok := o.lastTo(t, "child").(configuration.PollReply); !ok || !reply.NeedsRepair {
-		t.Errorf("replied %#v", o.lastTo(t, "child"))
+	if reply, ok := host.lastTo(t, "child").(configuration.PollReply); !ok || !reply.NeedsRepair {
+		t.Errorf("replied %#v", host.lastTo(t, "child"))
 	}
 	_ = m.Receive(time.Second, "child", configuration.DigestRequest{Groups: [64]uint32{1, 2, 3, 4, 5, 6, 7, 8, 9}})
-	if _, ok := o.lastTo(t, "child").(configuration.Referral); !ok {
-		t.Errorf("replied %#v", o.lastTo(t, "child"))
+	if _, ok := host.lastTo(t, "child").(configuration.Referral); !ok {
+		t.Errorf("replied %#v", host.lastTo(t, "child"))
 	}
 	for n := range 2 * configuration.MaxChildren {
 		_ = m.Receive(time.Second, fmt.Sprint("c", n), empty)
@@ -232,7 +232,7 @@
 	if m.Children() != configuration.MaxChildren {
 		t.Errorf("%d children", m.Children())
 	}
-	if _, ok := o.lastTo(t, fmt.Sprint("c", 2*configuration.MaxChildren-1)).(configuration.Referral); !ok {
+	if _, ok := host.lastTo(t, fmt.Sprint("c", 2*configuration.MaxChildren-1)).(configuration.Referral); !ok {
 		t.Error("a child over the limit was not referred")
 	}
 	m.Tick(12 * time.Second)
@@ -255,7 +255,7 @@
 
 func TestPushesStayWithinTheBudget(t *testing.T) {
 	s := tenantState(t, 10)
-	m, o := newTestMember(s)
+	m, host := newTestMember(s)
 	for n := range 5 {
 		_ = m.Receive(time.Second, fmt.Sprint("child", n), configuration.Poll{Version: s.Version(), Root: s.Root()})
 	}
@@ -266,11 +266,11 @@
 		body := fmt.Sprintf("%04000d", n)
 		d, s = nextDelta(t, s, "a", body)
 		now := time.Second + time.Duration(n)*step
-		o.sent = nil
+		host.sent = nil
 		if err := m.Receive(now, "relay", d); err != nil {
 			t.Fatal(err)
 		}
-		for _, out := range o.sent {
+		for _, out := range host.sent {
 			sent[n] += len(configuration.Append(nil, out.message))
 		}
 		for k := range 5 { // they stay and have received everything
@@ -285,7 +285,7 @@
 		}
 		most = max(most, sum)
 	}
-	// The budget also counts the overreply of streams, which these bytes do not include.
+	// The budget also counts the overhead of streams, which these bytes do not include.
 	if most > configuration.RelayBudgetBytes || most < configuration.RelayBudgetBytes*3/4 || m.Counters.Throttled == 0 {
 		t.Errorf("%d bytes in a minute, %d throttled, expected %d at most", most, m.Counters.Throttled, configuration.RelayBudgetBytes)
 	}
@@ -293,41 +293,41 @@
 
 func TestRelayRefersAChildThatLacksTooMuchImmediately(t *testing.T) {
 	s := tenantState(t, 10)
-	m, o := newTestMember(s)
+	m, host := newTestMember(s)
 	_ = m.Receive(time.Second, "child", configuration.Poll{Version: s.Version(), Root: s.Root()})
-	var much []string
+	var tenants []string
 	for n := range configuration.MaxChangeBytes/4000 + 1 {
-		much = append(much, fmt.Sprint("t", n), fmt.Sprintf("%04000d", n))
+		tenants = append(tenants, fmt.Sprint("t", n), fmt.Sprintf("%04000d", n))
 	}
-	d, _ := nextDelta(t, s, much...) // as after a partition: many versions in one
+	d, _ := nextDelta(t, s, tenants...) // as after a partition: the changes of many versions
 	if err := m.Receive(time.Second, "relay", d); err != nil {
 		t.Fatal(err)
 	}
-	if _, ok := o.lastTo(t, "child").(configuration.Referral); !ok {
-		t.Errorf("sent %#v", o.lastTo(t, "child"))
+	if _, ok := host.lastTo(t, "child").(configuration.Referral); !ok {
+		t.Errorf("sent %#v", host.lastTo(t, "child"))
 	}
 }
 
 // A server answers digest requests of known children only, so a repair resumes at another source after its poll reply.
 func TestRepairResumesAtAnotherSourceAfterItsPollReply(t *testing.T) {
-	m, o := newTestMember(configuration.Empty())
+	m, host := newTestMember(configuration.Empty())
 	reply := configuration.PollReply{Position: configuration.Position{Version: version(1, 1), Root: 1}, NeedsRepair: true}
 	_ = m.Receive(time.Second, "relay", reply)
-	if _, ok := o.lastTo(t, "relay").(configuration.DigestRequest); !ok {
-		t.Fatalf("sent %#v", o.lastTo(t, "relay"))
+	if _, ok := host.lastTo(t, "relay").(configuration.DigestRequest); !ok {
+		t.Fatalf("sent %#v", host.lastTo(t, "relay"))
 	}
 	_ = m.Receive(time.Second, "relay", configuration.Referral{})
 	for now := time.Second; now < 2*time.Second; now += 100 * time.Millisecond {
 		m.Tick(now)
 	}
-	for _, s := range o.sent {
+	for _, s := range host.sent {
 		if _, isDigestRequest := s.message.(configuration.DigestRequest); isDigestRequest && s.to == "c1" {
 			t.Error("sent a digest request to c1 before its poll reply")
 		}
 	}
 	_ = m.Receive(2*time.Second, "c1", reply)
-	if _, ok := o.lastTo(t, "c1").(configuration.DigestRequest); !ok {
-		t.Errorf("sent %#v", o.lastTo(t, "c1"))
+	if _, ok := host.lastTo(t, "c1").(configuration.DigestRequest); !ok {
+		t.Errorf("sent %#v", host.lastTo(t, "c1"))
 	}
 }
 
--- a/internal/decide/configuration/repair.go
+++ b/internal/decide/configuration/repair.go
@@ -24,13 +24,17 @@
 	nextRequest time.Duration
 }
 
-// awaitingPollReply as the time of the next request: the source has not said yet that a repair is needed.
+// awaitingPollReply is the time of the next request while the source has not replied yet that a repair is needed.
 const awaitingPollReply = math.MaxInt64
 
-// restart compares all digests again, with the next request at a time.
-func (r *repair) restart(at time.Duration) { r.pending, r.hasDigests, r.nextRequest = nil, false, at }
+// restart makes the repair compare all digests again, with the next request at the given time.
+func (r *repair) restart(at time.Duration) {
+	r.pending = nil
+	r.hasDigests = false
+	r.nextRequest = at
+}
 
-// request sends the next request, or repeats the last, where it is due.
+// request sends the next request, or repeats the last one, if that is due.
 func (r *repair) request(now time.Duration, m *Member) {
 	if now < r.nextRequest {
 		return
@@ -56,7 +60,8 @@
 		return nil
 	}
 	r.pending = append(r.pending, r.staged.differingBuckets(reply)...)
-	r.hasDigests, r.nextRequest = true, now
+	r.hasDigests = true
+	r.nextRequest = now
 	return m.continueRepair(now, from, reply.Position)
 }
 
@@ -71,7 +76,8 @@
 		m.distrust(now, from)
 		return err
 	}
-	r.staged, r.nextRequest = next, now
+	r.staged = next
+	r.nextRequest = now
 	r.pending = slices.DeleteFunc(r.pending, func(index uint16) bool { return slices.Contains(repaired, index) })
 	if applyPartially {
 		m.activate(now, next, reply.Position)
--- a/internal/decide/configuration/server.go
+++ b/internal/decide/configuration/server.go
@@ -66,7 +66,7 @@
 func (s *server) handleRequest(now time.Duration, from string, m Message) {
 	c := s.findChild(from)
 	if c == nil {
-		if _, isPoll := m.(Poll); !isPoll || len(s.children) >= s.limits.children {
+		if _, isPoll := m.(Poll); !isPoll || len(s.children) >= s.limits.maxChildren {
 			s.sendReferral(from)
 			return
 		}
@@ -99,9 +99,9 @@
 	}
 	size, found := s.history.bytesSince(c.version)
 	switch {
-	case !found || s.isControl && size > s.limits.deltaBytes:
+	case !found || s.isControl && size > s.limits.maxDeltaBytes:
 		s.host.Send(c.name, PollReply{Position: s.position(now), NeedsRepair: true})
-	case size > s.limits.deltaBytes:
+	case size > s.limits.maxDeltaBytes:
 		s.sendReferral(c.name)
 	case s.sendDelta(now, c, size):
 	case s.isControl:
@@ -140,7 +140,7 @@
 		}
 		size, found := s.history.bytesSince(c.version)
 		switch {
-		case found && size <= s.limits.deltaBytes:
+		case found && size <= s.limits.maxDeltaBytes:
 			s.sendDelta(now, c, size)
 		case found && !s.isControl && now >= c.referralAt:
 			c.referralAt = now + referralInterval
@@ -158,7 +158,7 @@
 func (s *server) handleDigestRequest(now time.Duration, c *child, m DigestRequest) {
 	groups := s.state.differingGroups(m)
 	switch {
-	case len(groups) > s.limits.digestGroups:
+	case len(groups) > s.limits.maxDigestGroups:
 		s.sendReferral(c.name)
 	case s.allow(now, len(groups)*groupDigestsBytes):
 		s.host.Send(c.name, DigestReply{Position: s.position(now), Groups: groups})
@@ -177,7 +177,7 @@
 	for _, b := range m.Buckets {
 		repair := s.state.bucket(int(b.Bucket)).repairFor(b)
 		added := repair.sizeBytes()
-		if size+added > s.limits.repairBytes && len(repairs) > 0 {
+		if size+added > s.limits.maxRepairBytes && len(repairs) > 0 {
 			break
 		}
 		size += added
--- a/internal/decide/configuration/sources.go
+++ b/internal/decide/configuration/sources.go
@@ -29,11 +29,12 @@
 	isDistrusted bool
 }
 
-// SetSources gives the member its sources. It stays with its current one where that is still preferred, or while a repair is
-// in progress there.
+// SetSources gives the member its sources. It stays with its current one if that is still the preferred one, or while it
+// repairs from it.
 func (m *Member) SetSources(now time.Duration, s Sources) {
 	previous, wasRepairing := m.Source(), m.isRepairing()
-	m.sources, m.primaryCount = slices.Concat(s.Primary, s.Fallback), len(s.Primary)
+	m.sources = slices.Concat(s.Primary, s.Fallback)
+	m.primaryCount = len(s.Primary)
 	m.avoidedSources = slices.DeleteFunc(m.avoidedSources, func(a avoidedSource) bool { return !slices.Contains(m.sources, a.name) })
 	m.current = max(0, slices.Index(m.sources, previous))
 	if previous != m.Source() || !m.isAtPreferredSource() && !wasRepairing {
@@ -55,9 +56,11 @@
 
 // checkSource leaves a source that is silent or stale, and returns to the preferred one when that is due.
 func (m *Member) checkSource(now time.Duration) {
-	silence, timeout := now-m.lastHeard, sourceTimeout
+	silence := now - m.lastHeard
+	timeout := sourceTimeout
 	if m.lastHeard < m.switchedAt {
-		silence, timeout = now-m.switchedAt, firstReplyTimeout
+		silence = now - m.switchedAt
+		timeout = firstReplyTimeout
 	}
 	isStale := m.Age(now) > maxSourceAge && now >= m.nextStaleSwitch
 	switch {
@@ -71,8 +74,8 @@
 	}
 }
 
-// switchSource switches to the first source, counting from an index on, that is not avoided; to the one at the index where all
-// are.
+// switchSource switches to the first source that is not avoided, starting at an index and wrapping around; if all are avoided,
+// to the one at the index.
 func (m *Member) switchSource(now time.Duration, index int) {
 	if len(m.sources) == 0 {
 		return
@@ -88,7 +91,9 @@
 	}
 	m.Counters.SourceChanges++
 	m.sourceVersion = Version{}
-	m.switchedAt, m.nextPoll, m.lastPoll = now, now+m.jitter(minPollInterval/3), 0
+	m.switchedAt = now
+	m.lastPoll = 0
+	m.nextPoll = now + m.jitter(minPollInterval/3)
 	m.failbackAt = now + failbackDelay + m.jitter(failbackDelay/2)
 	if m.repair != nil {
 		m.repair.restart(awaitingPollReply)
@@ -136,7 +141,8 @@
 	return m.current < m.primaryCount && m.primaryCount < len(m.sources)
 }
 
-// leaveStaleControl leaves a control node whose state is too old, where there is another source that is not known to be so.
+// leaveStaleControl avoids a control node whose state is older than maxControlAge, and leaves it if another source is not
+// avoided.
 func (m *Member) leaveStaleControl(now time.Duration, from string, age time.Duration) {
 	if from != m.Source() || m.isSourceRelay() || age <= maxControlAge {
 		return
@@ -147,7 +153,8 @@
 	}
 }
 
-// handleReferral switches to a control node. A control node refers where its table is full: then to the next, after a while.
+// handleReferral switches to a control node. A control node sends a referral if its table of children is full; the member then
+// polls the next source after a backoff.
 func (m *Member) handleReferral(now time.Duration, from string) {
 	if from != m.Source() {
 		return
@@ -158,5 +165,6 @@
 	}
 	m.switchSource(now, m.current+1)
 	wait := minPollInterval + m.jitter(pollInterval)
-	m.switchedAt, m.nextPoll = m.switchedAt+wait, now+wait
+	m.switchedAt += wait
+	m.nextPoll = now + wait
 }
--- a/internal/decide/configuration/store.go
+++ b/internal/decide/configuration/store.go
@@ -54,7 +54,8 @@
 		return reject(ReasonNoEffect, "no changes")
 	}
 	if size := encodedSize(c.Changes); len(c.Changes) > MaxChanges || size > MaxChangeBytes {
-		return reject(ReasonLimitExceeded, "%d changes of %d bytes, expected at most %d of %d", len(c.Changes), size, MaxChanges, MaxChangeBytes)
+		return reject(ReasonLimitExceeded, "%d changes of %d bytes, expected at most %d of %d",
+			len(c.Changes), size, MaxChanges, MaxChangeBytes)
 	}
 	for _, change := range c.Changes {
 		r := change.Resource
--- a/internal/decide/configuration/tree.go
+++ b/internal/decide/configuration/tree.go
@@ -14,13 +14,13 @@
 // control nodes for the top of a zone; Fallback are the control nodes, for when all primary sources are silent.
 type Sources struct{ Primary, Fallback []string }
 
-// Tree gives the sources of each member of one zone. Members are ordered by stable rank as in a heap: the one of rank r polls
+// Tree returns the sources of each member of one zone, by name. Members are ordered by stable rank as in a heap: the one of rank r polls
 // that of rank (r-1)/RelayFanOut, so that a leaving member moves only its own children and the member that takes its rank.
 // A relay's backup is the one that the relay itself polls; the backup of the zone's first member is the second, which then
 // polls a control node. No source has a higher rank than the member that polls it, so that no view, however old, closes a
 // cycle by itself. Control nodes are in rendezvous order, by zone for its first two members and by member for all others.
 func Tree(zone string, members []subset.Claim, controls []string) map[string]Sources {
-	byRank := namesByRank(members)
+	byRank := subset.MembersByRank(members)
 	controlsOfZone := subset.Rendezvous(controls, zone, len(controls))
 	tree := make(map[string]Sources, len(byRank))
 	for rank, name := range byRank {
@@ -39,16 +39,7 @@
 	return tree
 }
 
-func namesByRank(members []subset.Claim) []string {
-	ranks := subset.AssignRanks(members)
-	names := make([]string, len(ranks))
-	for name, rank := range ranks {
-		names[rank] = name
-	}
-	return names
-}
-
-// relayAndBackup are the relay of a rank over 1 and that relay's backup, once where they are the same.
+// relayAndBackup returns the relay of a rank over 1 and that relay's backup; one name if they are the same.
 func relayAndBackup(byRank []string, rank int) []string {
 	relay := (rank - 1) / RelayFanOut
 	backup := byRank[1]
@@ -58,7 +49,8 @@
 	return slices.Compact([]string{byRank[relay], backup})
 }
 
-// secondRankSources let a zone's second member bypass the first where that one has lost the control nodes.
+// secondRankSources returns the sources of a zone's second member. They let it bypass the first if that one cannot reach the
+// control nodes.
 func secondRankSources(first string, controls []string) Sources {
 	if len(controls) == 0 {
 		return Sources{Primary: []string{first}}
--- a/internal/decide/subset/ranks.go
+++ b/internal/decide/subset/ranks.go
@@ -57,8 +57,8 @@
 	})
 }
 
-// membersByRank returns the members' names in the order of their ranks.
-func membersByRank(claims []Claim) []string {
+// MembersByRank returns the members' names in the order of the ranks that AssignRanks gives them.
+func MembersByRank(claims []Claim) []string {
 	ranks := AssignRanks(claims)
 	members := make([]string, len(ranks))
 	for name, rank := range ranks {
--- a/internal/decide/subset/rendezvous.go
+++ b/internal/decide/subset/rendezvous.go
@@ -35,7 +35,7 @@
 // that are below the ceiling of the mean load. The last members may find capacity only at backends that they already
 // use; they exceed the ceiling then. It costs members times backends hashes.
 func BoundedLoad(claims []Claim, backends []string, size int) map[string][]string {
-	members := membersByRank(claims)
+	members := MembersByRank(claims)
 	size = min(max(size, 0), len(backends))
 	subsets := make(map[string][]string, len(members))
 	if len(backends) == 0 {
