--- a/internal/decide/intake/connection.go
+++ b/internal/decide/intake/connection.go
@@ -24,7 +24,7 @@
 	ConnectionLost                  // lost after it was set up
 )
 
-// broker is what is remembered of one broker.
+// broker is the backoff state of one broker.
 type broker struct {
 	backoff    time.Duration // the next one, before jitter
 	retryAfter time.Duration // when it may be dialled again
@@ -49,7 +49,7 @@
 	return c
 }
 
-// isStable tells whether the connection has done well enough to reset its broker's backoff.
+// isStable reports whether the connection lasted stableAfter or settled stableMessages, which resets its broker's backoff.
 func (c *connection) isStable(now time.Duration) bool {
 	return now-c.establishedAt >= stableAfter || c.settled >= stableMessages
 }
@@ -72,10 +72,14 @@
 	if c.phase != dialling {
 		return
 	}
-	c.phase, c.blocked = paused, false
-	c.connection.establishedAt, c.connection.settled, c.connection.pendingRequests = now, 0, 0
-	c.credit.unsettled, c.credit.peak = 0, 0
-	c.pausedAt = now - minPause
+	c.phase = paused
+	c.blocked = false
+	c.connection.establishedAt = now
+	c.connection.settled = 0
+	c.connection.pendingRequests = 0
+	c.credit.unsettled = 0
+	c.credit.peak = 0
+	c.pausedAt = now - minPause // consuming may start at once
 	c.host.Logf("broker %d up", c.connection.current+1)
 	c.advance(now)
 }
@@ -87,7 +91,9 @@
 		return
 	}
 	c.backOff(now, failure)
-	c.phase, c.credit.unsettled, c.connection.pendingRequests = disconnected, 0, 0
+	c.phase = disconnected
+	c.credit.unsettled = 0
+	c.connection.pendingRequests = 0
 	if c.draining {
 		return
 	}
@@ -95,7 +101,8 @@
 	retryAfter := c.connection.brokers[next].retryAfter
 	c.host.Logf("broker %d lost: %s; broker %d is next, in %v", c.connection.current+1, reason, next+1,
 		max(retryAfter-now, 0).Round(time.Millisecond))
-	c.connection.current, c.connection.dialAt = next, max(retryAfter, now)
+	c.connection.current = next
+	c.connection.dialAt = max(retryAfter, now)
 	c.advance(now)
 }
 
@@ -128,8 +135,8 @@
 	c.connection.pendingSince = now
 }
 
-// responseOverdue tells whether a broker that can respond has not done so for Config.ResponseTimeout.
-func (c *Controller) responseOverdue(now time.Duration) bool {
+// isResponseOverdue reports whether a broker that can respond has not done so for Config.ResponseTimeout.
+func (c *Controller) isResponseOverdue(now time.Duration) bool {
 	return c.phase >= paused && !c.blocked && c.connection.pendingRequests > 0 &&
 		now-c.connection.pendingSince > c.config.ResponseTimeout
 }
--- a/internal/decide/intake/controller.go
+++ b/internal/decide/intake/controller.go
@@ -121,10 +121,10 @@
 	c.pauseFor(now, cancelledPause)
 }
 
-// Tick re-evaluates everything that depends on time. The Host calls it when ScheduleTick asked for it; further calls
-// do no harm.
+// Tick re-evaluates everything that depends on time. The Host calls it at the time of the last ScheduleTick; further calls
+// are allowed.
 func (c *Controller) Tick(now time.Duration) {
-	if c.responseOverdue(now) {
+	if c.isResponseOverdue(now) {
 		c.disconnect(now, fmt.Sprintf("no answer for %v", c.config.ResponseTimeout))
 	}
 	if now-c.credit.adjustedAt >= adjustInterval {
@@ -186,7 +186,8 @@
 
 // pause cancels the consumers. A backoff is not logged, as it comes and goes with each peak of load.
 func (c *Controller) pause(now time.Duration, reason pauseReason) {
-	c.phase, c.pausedAt = paused, now
+	c.phase = paused
+	c.pausedAt = now
 	c.host.Pause()
 	if reason != pauseBackoff {
 		c.host.Logf("consuming paused: %s", reason)
--- a/internal/decide/intake/controller_test.go
+++ b/internal/decide/intake/controller_test.go
@@ -11,42 +11,53 @@
 
 const ms = time.Millisecond
 
-// host records the actions and checks the rules that hold in every state.
+// host records the actions, and fails the test if one is not allowed in the present state.
 type host struct {
-	fail                         func(format string, args ...any)
-	lines                        []string
-	dials                        []int
-	credit                       int
-	dialling, connected, drained bool
-	consuming                    bool
-	tickAt                       time.Duration
+	fail      func(format string, args ...any)
+	lines     []string // the actions and log lines
+	dials     []int    // brokers in the order in which they were dialled
+	credit    int      // of the last Consume
+	dialling  bool
+	connected bool
+	consuming bool
+	drained   bool
+	tickAt    time.Duration // of the last ScheduleTick
 }
 
 func (h *host) record(format string, args ...any) {
 	h.lines = append(h.lines, fmt.Sprintf(format, args...))
 }
 
-func (h *host) Dial(b int) {
+// Dial implements Host.
+func (h *host) Dial(broker int) {
 	if h.dialling || h.connected || h.drained {
 		h.fail("dials while dialling %v, connected %v, drained %v", h.dialling, h.connected, h.drained)
 	}
 	h.dialling = true
-	h.dials = append(h.dials, b)
+	h.dials = append(h.dials, broker)
 }
+
+// Disconnect implements Host.
 func (h *host) Disconnect(reason string) {
 	if !h.connected {
 		h.fail("disconnects without a connection")
 	}
-	h.connected, h.consuming = false, false
+	h.connected = false
+	h.consuming = false
 	h.record("disconnect %s", reason)
 }
+
+// Consume implements Host.
 func (h *host) Consume(credit int) {
 	if !h.connected || h.drained {
 		h.fail("consumes while connected %v, drained %v", h.connected, h.drained)
 	}
-	h.credit, h.consuming = credit, true
+	h.credit = credit
+	h.consuming = true
 	h.record("consume %d", credit)
 }
+
+// Pause implements Host.
 func (h *host) Pause() {
 	if !h.consuming {
 		h.fail("pauses while not consuming")
@@ -54,7 +65,11 @@
 	h.consuming = false
 	h.record("pause")
 }
-func (h *host) ScheduleTick(at time.Duration)   { h.tickAt = at }
+
+// ScheduleTick implements Host.
+func (h *host) ScheduleTick(at time.Duration) { h.tickAt = at }
+
+// Logf implements Host.
 func (h *host) Logf(format string, args ...any) { h.record("log "+format, args...) }
 
 func newThreeBrokers(t *testing.T) (*Controller, *host) {
@@ -71,11 +86,11 @@
 	return controller, h
 }
 
-// settle settles so many messages within two intervals, each after the processing time, while the credit is fully used.
-func settle(controller *Controller, now *time.Duration, n int, processing time.Duration, outcome Outcome) {
+// settle settles count messages within two intervals, each after the processing time, while the credit is fully used.
+func settle(controller *Controller, now *time.Duration, count int, processing time.Duration, outcome Outcome) {
 	for range 2 {
 		controller.MessagesReceived(controller.Credit() - controller.Unsettled())
-		for range n / 2 {
+		for range count / 2 {
 			controller.MessageSettled(*now, outcome, processing, 0)
 			controller.MessagesReceived(1)
 		}
@@ -93,14 +108,14 @@
 	if controller.Credit() != 64 || h.credit != 64 {
 		t.Errorf("credit %d", controller.Credit())
 	}
-	for range 3 { // each takes longer the more of them there are: most of them wait
+	for range 3 { // processing takes 30 times the baseline, so most messages wait
 		settle(controller, &now, 100, 300*ms, Completed)
 	}
 	for range 8 {
 		settle(controller, &now, 100, 100*ms, Completed)
 	}
 	if controller.Credit() >= 32 {
-		t.Errorf("credit %d though most of it waits", controller.Credit())
+		t.Errorf("credit %d though most messages wait", controller.Credit())
 	}
 }
 
@@ -125,7 +140,7 @@
 	controller.MessagesReceived(10)
 	controller.MessageSettled(now, Requeued, ms, 700*ms)
 	if h.consuming {
-		t.Fatal("goes on consuming")
+		t.Fatal("continues to consume")
 	}
 	controller.Tick(now + 699*ms)
 	if h.consuming || controller.Credit() != 0 {
@@ -135,7 +150,7 @@
 	if !h.consuming || h.credit != 32 {
 		t.Errorf("consuming %v, credit %d", h.consuming, h.credit)
 	}
-	controller.MessageSettled(now+time.Second, Requeued, ms, time.Hour) // no Retry-After pauses it for good
+	controller.MessageSettled(now+time.Second, Requeued, ms, time.Hour) // a long Retry-After is bounded by maxPause
 	controller.Tick(now + time.Second + maxPause)
 	if !h.consuming {
 		t.Error("pauses for longer than maxPause")
@@ -155,11 +170,11 @@
 		controller, h := newConnected(t)
 		step(controller, 10*time.Second, true)
 		if h.consuming {
-			t.Errorf("%s: goes on", name)
+			t.Errorf("%s: continues to consume", name)
 		}
 		step(controller, 10*time.Second+minPause/2, false)
 		if h.consuming {
-			t.Errorf("%s: flaps", name)
+			t.Errorf("%s: resumes before minPause is over", name)
 		}
 		controller.Tick(10*time.Second + minPause)
 		if !h.consuming {
@@ -178,14 +193,15 @@
 func TestBrokersAreDialledInTurnEachAfterItsBackoff(t *testing.T) {
 	controller, h := newThreeBrokers(t)
 	controller.UpdateInstance(0, InstanceState{Ready: true, Capacity: 100})
-	now, last := time.Duration(0), map[int]time.Duration{}
+	now := time.Duration(0)
+	lastDial := map[int]time.Duration{} // by broker
 	var gaps []time.Duration
 	for len(h.dials) < 30 {
-		b := h.dials[len(h.dials)-1]
-		if at, ok := last[b]; ok && b == 0 {
+		broker := h.dials[len(h.dials)-1]
+		if at, ok := lastDial[broker]; ok && broker == 0 {
 			gaps = append(gaps, now-at)
 		}
-		last[b] = now
+		lastDial[broker] = now
 		h.dialling = false
 		n := len(h.dials)
 		for controller.ConnectionFailed(now, ConnectFailed, "nobody"); len(h.dials) == n; controller.Tick(now) {
@@ -271,7 +287,7 @@
 	controller.Drain(0)
 	h.drained = true
 	if h.consuming {
-		t.Error("goes on consuming")
+		t.Error("continues to consume")
 	}
 	h.connected = false
 	controller.ConnectionFailed(ms, ConnectionLost, "reset")
@@ -280,7 +296,7 @@
 	}
 }
 
-// The rules of the host hold after any sequence of events, and once nothing forbids it the controller consumes within bounds.
+// After any sequence of events the host's checks hold, and the controller consumes within its bounds once nothing prevents it.
 func TestAnySequenceOfEvents(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		h := &host{fail: t.Fatalf}
@@ -361,7 +377,7 @@
 			}
 		}
 		if !h.consuming {
-			t.Fatalf("does not consume though nothing forbids it: %+v", controller)
+			t.Fatalf("does not consume though nothing prevents it: %+v", controller)
 		}
 	})
 }
--- a/internal/decide/intake/credit.go
+++ b/internal/decide/intake/credit.go
@@ -95,13 +95,16 @@
 	}
 }
 
-// shouldChange tells whether the consumers may be restarted with the target.
+// shouldChange reports whether the consumers may be restarted with the target.
 func (c *creditControl) shouldChange(now time.Duration) bool {
 	return c.target != c.inForce && now-c.changedAt >= minChangeInterval
 }
 
 // apply puts the target in force.
-func (c *creditControl) apply(now time.Duration) { c.inForce, c.changedAt = c.target, now }
+func (c *creditControl) apply(now time.Duration) {
+	c.inForce = c.target
+	c.changedAt = now
+}
 
 // adjust moves the target by what happened in the interval that ends now, and begins the next interval.
 func (c *creditControl) adjust(now time.Duration, config Config) {
@@ -120,8 +123,9 @@
 	c.beginInterval(now)
 }
 
-// waiting estimates how many messages wait in the instance and are of no use there: by Little's law the unsettled
-// messages, less the part of their processing time that a message needs without waiting.
+// waiting estimates how many messages wait in the instance instead of being processed. By Little's law that is the part of
+// the unsettled messages that corresponds to the processing time beyond the baseline, the time of a message that does not
+// wait.
 func (c *creditControl) waiting() float64 {
 	mean := c.completedSeconds / max(c.completed, 1)
 	if c.completed > 0 && (c.minMean == 0 || mean < c.minMean) {
@@ -137,7 +141,7 @@
 	return float64(c.peak) * (1 - baseline/mean)
 }
 
-// isFullyUsed tells whether messages were settled and the credit in force was once exhausted in the interval.
+// isFullyUsed reports whether messages were settled and the credit in force was once exhausted in the interval.
 func (c *creditControl) isFullyUsed() bool {
 	return c.settled > 0 && c.inForce > 0 && c.peak >= c.inForce
 }
@@ -145,9 +149,14 @@
 // beginInterval resets the counts of the interval, and the baseline after baselinePeriod.
 func (c *creditControl) beginInterval(now time.Duration) {
 	if now-c.baselineSince >= baselinePeriod {
-		c.baselineSince, c.previousMinMean, c.minMean = now, c.minMean, 0
+		c.baselineSince = now
+		c.previousMinMean = c.minMean
+		c.minMean = 0
 	}
-	c.adjustedAt, c.peak = now, c.unsettled
-	c.settled, c.requeued = 0, 0
-	c.completed, c.completedSeconds = 0, 0
+	c.adjustedAt = now
+	c.peak = c.unsettled
+	c.settled = 0
+	c.requeued = 0
+	c.completed = 0
+	c.completedSeconds = 0
 }
--- a/internal/decide/random/random_test.go
+++ b/internal/decide/random/random_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// The sequences are those of the releases before: whoever replays a seed gets the same run again.
+// The sequence of a seed is the same in all releases, so that a recorded seed replays the same run.
 func TestSequenceOfASeed(t *testing.T) {
 	for seed, want := range map[uint64][4]uint32{
 		0:                  {1, 4294957665, 92756161, 18591715},
--- a/internal/invariant/checker.go
+++ b/internal/invariant/checker.go
@@ -40,7 +40,7 @@
 	openAttempts  map[string]struct{}
 }
 
-// New makes an empty checker. An idempotent item may not run twice at one instance within the key window.
+// New returns an empty checker. keyWindow is the time within which an idempotent item may not run twice at one instance.
 func New(keyWindow time.Duration) *Checker {
 	return &Checker{
 		keyWindow: keyWindow,
@@ -51,8 +51,9 @@
 	}
 }
 
-func (c *Checker) report(rule Rule, item, detail string, args ...any) {
-	c.violations = append(c.violations, Violation{rule, item, fmt.Sprintf(detail, args...)})
+// report adds a violation; format and args make its detail.
+func (c *Checker) report(rule Rule, item, format string, args ...any) {
+	c.violations = append(c.violations, Violation{rule, item, fmt.Sprintf(format, args...)})
 }
 
 func (c *Checker) instance(name string) *instance {
@@ -184,16 +185,16 @@
 	}
 }
 
-// Violations are all that were found, in the order of detection.
+// Violations returns all violations in the order of detection.
 func (c *Checker) Violations() []Violation { return c.violations }
 
-// OutcomeCount is the number of attempts that ended with an outcome.
+// OutcomeCount returns the number of attempts that ended with an outcome.
 func (c *Checker) OutcomeCount(outcome Outcome) int { return c.outcomes[outcome] }
 
-// AttemptCount is the number of attempts received.
+// AttemptCount returns the number of attempts received.
 func (c *Checker) AttemptCount() int { return len(c.attempts) }
 
-// ExecutedItems is the number of items that ran at least once.
+// ExecutedItems returns the number of items that ran at least once.
 func (c *Checker) ExecutedItems() (count int) {
 	for _, item := range c.items {
 		if len(item.startsByInstance) > 0 {
--- a/internal/invariant/checker_test.go
+++ b/internal/invariant/checker_test.go
@@ -8,12 +8,12 @@
 
 const second = time.Second
 
-// Each violation is reported, and nothing that is allowed.
+// Each violation is reported, and no event that is allowed is reported as one.
 func TestEachRule(t *testing.T) {
 	for _, c := range []struct {
-		name string
-		do   func(checker *Checker)
-		want string // empty: no violation
+		name   string
+		events func(checker *Checker)
+		want   string // empty: no violation
 	}{
 		{"served", func(checker *Checker) {
 			checker.Received(Attempt{ID: "t1", Item: "a", Instance: "n1", Idempotency: NonIdempotent, Deadline: second})
@@ -83,7 +83,7 @@
 		{"memory", func(checker *Checker) { checker.CheckMemory("n1", 33, 32) }, "rule 4"},
 	} {
 		checker := New(60 * second)
-		c.do(checker)
+		c.events(checker)
 		checker.Finish()
 		switch all := checker.Violations(); {
 		case c.want == "" && len(all) > 0, c.want != "" && (len(all) != 1 || !strings.Contains(all[0].String(), c.want)):
--- a/internal/invariant/invariant.go
+++ b/internal/invariant/invariant.go
@@ -1,6 +1,6 @@
 // Package invariant checks the four rules of an instance (see Rule) against recorded events of a run, of any front end, reported
 // in the order in which they happened. A work item is identified by its caller (a message ID, an idempotency key); an attempt is one
-// reception of it by one instance. What was not recorded did not happen.
+// reception of it by one instance. Events that are not reported are not checked.
 package invariant
 
 import (
--- a/internal/operator/operator_test.go
+++ b/internal/operator/operator_test.go
@@ -12,7 +12,11 @@
 	"thymechute/internal/xsd"
 )
 
-const head, tail = `<thymechute xmlns="urn:thymechute:operator:1">` + "\n", "\n</thymechute>"
+// The text before and after the elements of a settings file.
+const (
+	documentStart = `<thymechute xmlns="urn:thymechute:operator:1">` + "\n"
+	documentEnd   = "\n</thymechute>"
+)
 
 // The schema and the structs declare the same elements and attributes, of the same kinds.
 func TestSchemaMatchesStructs(t *testing.T) {
@@ -68,7 +72,7 @@
 }
 
 func TestAbsentElementIsDisabled(t *testing.T) {
-	if f, err := Parse([]byte(head + tail)); err != nil || f.AMQP != nil {
+	if f, err := Parse([]byte(documentStart + documentEnd)); err != nil || f.AMQP != nil {
 		t.Errorf("%+v, %v", f, err)
 	}
 }
@@ -104,7 +108,7 @@
 		`<amqp>` + broker + `<queue name="&e;" dead-letter="d"/></amqp>`:                   "expected well-formed XML",
 		`<amqp>` + broker + `<queue name="q" dead-letter="d"><argument name="x" type="integer" value="many"/></queue></amqp>`: "found value many",
 	} {
-		_, err := Parse([]byte(head + text + tail))
+		_, err := Parse([]byte(documentStart + text + documentEnd))
 		var validation *xsd.ValidationError
 		if !errors.As(err, &validation) || !strings.Contains(err.Error(), want) || strings.Contains(err.Error(), "\n") {
 			t.Errorf("%s:\n%v, want %q", text, err, want)
@@ -116,7 +120,7 @@
 }
 
 func TestParseFleetDefaults(t *testing.T) {
-	f, err := Parse([]byte(head + `<fleet bind="127.0.0.1:7946"><seed address="127.0.0.1:7947"/></fleet>` + tail))
+	f, err := Parse([]byte(documentStart + `<fleet bind="127.0.0.1:7946"><seed address="127.0.0.1:7947"/></fleet>` + documentEnd))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -124,22 +128,22 @@
 		g.SyncIntervalMS != 5000 || g.Zone != "zone" || g.Region != "" || f.AMQP != nil {
 		t.Fatalf("%+v", f.Fleet)
 	}
-	_, err = Parse([]byte(head + `<fleet bind="127.0.0.1:7946" most="0"/>` + tail))
+	_, err = Parse([]byte(documentStart + `<fleet bind="127.0.0.1:7946" most="0"/>` + documentEnd))
 	if err == nil || !strings.Contains(err.Error(), "most") || !strings.Contains(err.Error(), "line") {
-		t.Fatalf("a fleet of no members: %v", err)
+		t.Fatalf("most=0: %v, expected an error with the line", err)
 	}
 }
 
 // Zone and region are limited to the bytes that a member's record carries.
 func TestParseZoneAndRegionLimits(t *testing.T) {
-	with := func(attributes string) string {
-		return head + `<fleet bind="127.0.0.1:7946"` + attributes + `/>` + tail
+	withAttributes := func(attributes string) string {
+		return documentStart + `<fleet bind="127.0.0.1:7946"` + attributes + `/>` + documentEnd
 	}
 	long, wide := strings.Repeat("r", 64), strings.Repeat("é", 32)
-	for _, place := range []string{"eu", long, wide} {
-		f, err := Parse([]byte(with(` zone="` + place + `" region="` + place + `"`)))
-		if err != nil || f.Fleet.Zone != place || f.Fleet.Region != place {
-			t.Errorf("%q: %v, %+v", place, err, f)
+	for _, location := range []string{"eu", long, wide} {
+		f, err := Parse([]byte(withAttributes(` zone="` + location + `" region="` + location + `"`)))
+		if err != nil || f.Fleet.Zone != location || f.Fleet.Region != location {
+			t.Errorf("%q: %v, %+v", location, err, f)
 		}
 	}
 	for _, name := range []string{"zone", "region"} {
@@ -148,7 +152,7 @@
 			long + "r": `line 2, fleet: found ` + name + `="rrr`,
 			wide + "é": `line 2, fleet: found ` + name + `="` + wide + `é", expected at most 64 bytes`,
 		} {
-			_, err := Parse([]byte(with(` ` + name + `="` + value + `"`)))
+			_, err := Parse([]byte(withAttributes(` ` + name + `="` + value + `"`)))
 			var validation *xsd.ValidationError
 			if !errors.As(err, &validation) || !strings.Contains(err.Error(), want) || strings.Contains(err.Error(), "\n") {
 				t.Errorf("%s of %d bytes: %v, want %q", name, len(value), err, want)
@@ -158,17 +162,17 @@
 }
 
 func TestParseFleetLog(t *testing.T) {
-	with := func(attributes string) string {
-		return head + `<fleet bind="127.0.0.1:7946"><log bind="127.0.0.1:7947"` + attributes + `/></fleet>` + tail
+	withAttributes := func(attributes string) string {
+		return documentStart + `<fleet bind="127.0.0.1:7946"><log bind="127.0.0.1:7947"` + attributes + `/></fleet>` + documentEnd
 	}
-	f, err := Parse([]byte(with("")))
+	f, err := Parse([]byte(withAttributes("")))
 	if err != nil {
 		t.Fatal(err)
 	}
 	if l := f.Fleet.Log; l == nil || l.Bind != "127.0.0.1:7947" || l.MaxVoters != 5 || l.LeaseDurationMS != 2000 || !l.BootstrapAt.IsZero() {
 		t.Errorf("%+v", f.Fleet.Log)
 	}
-	if f, err = Parse([]byte(with(` found="2026-12-02T03:04:05+01:00"`))); err != nil || f.Fleet.Log.BootstrapAt.Unix() != 1796177045 {
+	if f, err = Parse([]byte(withAttributes(` found="2026-12-02T03:04:05+01:00"`))); err != nil || f.Fleet.Log.BootstrapAt.Unix() != 1796177045 {
 		t.Errorf("%+v, %v", f.Fleet.Log, err)
 	}
 	for attributes, want := range map[string]string{
@@ -177,7 +181,7 @@
 		` lease-ms="10"`:  `line 2, log: found lease-ms="10"`,
 		` found="always"`: `line 2, log: found found="always", expected a time as`,
 	} {
-		if _, err := Parse([]byte(with(attributes))); err == nil || !strings.Contains(err.Error(), want) {
+		if _, err := Parse([]byte(withAttributes(attributes))); err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("%s: %v, want %q", attributes, err, want)
 		}
 	}
--- a/internal/state/disk/disk.go
+++ b/internal/state/disk/disk.go
@@ -31,7 +31,7 @@
 	Remove(name string) error
 	// Sync makes all names as they are now survive a crash.
 	Sync() error
-	// Lock locks the directory, with ErrLocked where another process has locked it. A crash releases the lock.
+	// Lock locks the directory; it fails with ErrLocked if another process has locked it. A crash releases the lock.
 	Lock() (unlock func() error, err error)
 }
 
--- a/internal/xsd/compile.go
+++ b/internal/xsd/compile.go
@@ -1,6 +1,7 @@
 package xsd
 
 import (
+	"fmt"
 	"slices"
 	"strconv"
 	"strings"
@@ -78,7 +79,7 @@
 }
 
 func unsupported(n *Node) error {
-	return &ValidationError{n.Line, n.Name, "a construct that is not read", "the part of XML Schema that package xsd names"}
+	return &ValidationError{n.Line, n.Name, "an unsupported construct", "the subset of XML Schema in the documentation of package xsd"}
 }
 
 // allowAttributes rejects other attributes of a schema's element, which would be ignored otherwise.
@@ -173,7 +174,7 @@
 	}
 	count, err := strconv.Atoi(text)
 	if err != nil || count < 0 || count > maxElements {
-		return 0, &ValidationError{n.Line, n.Name, attribute + " " + text, "a number: whatever comes more than once has a bound"}
+		return 0, &ValidationError{n.Line, n.Name, attribute + " " + text, fmt.Sprintf("a number from 0 to %d", maxElements)}
 	}
 	return count, nil
 }
--- a/internal/xsd/xsd_test.go
+++ b/internal/xsd/xsd_test.go
@@ -7,7 +7,7 @@
 
 const schemaPrefix = `<xs:schema xmlns:xs="http://www.w3.org/2001/XMLSchema" targetNamespace="u"><xs:element name="r" type="r"/>`
 
-// What is not understood is refused: a facet passed over would look as if it held.
+// Unsupported constructs are rejected: a facet that is ignored would look as if it were enforced.
 func TestCompileRejectsUnsupportedSchemas(t *testing.T) {
 	for _, text := range []string{
 		`<xs:complexType name="r"><xs:choice/></xs:complexType>`,
@@ -22,7 +22,7 @@
 		``,
 	} {
 		if _, err := Compile([]byte(schemaPrefix + text + `</xs:schema>`)); err == nil {
-			t.Errorf("taken: %s", text)
+			t.Errorf("unsupported schema was accepted: %s", text)
 		}
 	}
 }
