--- a/internal/catalog/catalog.go
+++ b/internal/catalog/catalog.go
@@ -1,9 +1,9 @@
 // Package catalog reports this instance to the service catalog: datagrams of three words ("alive", the instance's name and
 // its health) that get no answer.
 //
-// The catalog drops an entry that was not reported for 3 s. As datagrams may be lost, ten are sent in that time. A socket
-// with an error is closed, and the next report opens another. A Reporter belongs to the event loop; its methods must be
-// called on the loop's goroutine and do not block.
+// The catalog removes an entry that was not reported for 3 s. As datagrams may be lost, ten are sent in that time. After an
+// error the socket is closed, and the next report opens another one. A Reporter belongs to the event loop; its methods must
+// be called on the loop's goroutine and do not block.
 package catalog
 
 import (
@@ -27,7 +27,7 @@
 // New returns a reporter for the instance of that name; dial opens a socket for a handler.
 func New(name string, dial func(loop.Handler)) *Reporter { return &Reporter{name: name, dial: dial} }
 
-// Sweep reports the instance's health if that is due.
+// Sweep reports the instance's health if reportInterval has passed since the last report.
 func (r *Reporter) Sweep(now time.Time, status node.HealthStatus) {
 	if now.Before(r.nextReport) {
 		return
@@ -52,7 +52,7 @@
 	return []byte("alive " + r.name + " " + state)
 }
 
-// Move closes the socket, as the catalog's address has changed; the next report is due at once.
+// Move closes the socket after a change of the catalog's address; the next report is due at once.
 func (r *Reporter) Move() {
 	if r.socket != nil && r.socket.conn != nil {
 		r.socket.conn.Close()
@@ -78,7 +78,7 @@
 // Received ignores data: reports get no answer.
 func (s *socket) Received([]byte) error { return nil }
 
-// Closed lets a later report open another socket.
+// Closed makes the next report open another socket, reportInterval later at the earliest.
 func (s *socket) Closed(error) {
 	r := s.reporter
 	if r.socket != s {
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -2,10 +2,10 @@
 // precedence over the file's name and listen. It checks every value and sets the defaults.
 //
 // Errors name the faulty key, what was found and what was expected. Unknown keys are ignored. The settings of the overload
-// controller are read by package settingsjson. Whether their values are sensible is the controller's to judge.
+// controller are decoded by package settingsjson, which checks only their types and bounds.
 //
-// Load may run beside an event loop on the same core: it reads the file in small chunks and yields the processor before
-// each, and holds no more of the file than one chunk and what is decoded from it.
+// Load may run on the same core as an event loop: it reads the file in chunks and yields the processor before each, and its
+// memory is one chunk and the decoded values.
 package config
 
 import (
@@ -47,7 +47,7 @@
 	defaultSocketLimit = 1024.0
 )
 
-// Bounds of numbers; smaller or larger values are taken for mistakes of the unit.
+// Bounds of numbers. Values outside of them are rejected, as they are probably in a wrong unit.
 const (
 	minStopMillis  = 1
 	maxStopMillis  = 3.6e6 // an hour
@@ -101,7 +101,7 @@
 	return c, limits.err
 }
 
-// RestartKeys returns the keys whose values differ in a later configuration but take effect with a restart only.
+// RestartKeys returns the sorted keys whose values differ in a later configuration but take effect only after a restart.
 func (c Config) RestartKeys(later Config) (keys []string) {
 	for key, isSame := range map[string]bool{
 		"name":    c.Name == later.Name,
--- a/internal/config/document.go
+++ b/internal/config/document.go
@@ -11,8 +11,8 @@
 	"thymechute/policy/settings"
 )
 
-// readChunkBytes is how much of the file is read between two yields: some 1,000 tenants, a millisecond's work. A yield may
-// take as long again where the loop then waits for the network, as Go notices with a delay that the core is free.
+// readChunkBytes is how much of the file is read between two yields: about 1,000 tenants, which take a millisecond. A yield
+// may take as long again while the loop waits for the network, as the Go scheduler detects an idle core with a delay.
 const readChunkBytes = 48 << 10
 
 // yieldingReader yields the processor before each read.
@@ -28,7 +28,7 @@
 	values        map[string]any // all but the settings
 	hasSettings   bool
 	settings      settings.Settings
-	settingsError *ValueError // of the first faulty value in them
+	settingsError *ValueError // of the first invalid value in them
 }
 
 var (
@@ -90,7 +90,7 @@
 	return &ValueError{Key: "GW_CONFIG", Found: err.Error(), Expected: "a JSON object in " + path}
 }
 
-// checkSettings keeps the error of missing or faulty settings.
+// checkSettings records the error of missing or invalid settings.
 func (d *document) checkSettings(keys *keyReader) {
 	hasName := func(class settings.Class) bool { return class.Name != "" }
 	switch {
--- a/internal/config/keys.go
+++ b/internal/config/keys.go
@@ -11,7 +11,7 @@
 // maxTextBytes bounds names and addresses.
 const maxTextBytes = 200
 
-// keyReader reads the values of one object and keeps the first error.
+// keyReader reads the values of one object and records the first error.
 type keyReader struct {
 	prefix string // of the keys in errors
 	values map[string]any
@@ -33,7 +33,7 @@
 	return fmt.Sprintf("%.60s", text)
 }
 
-// object reads an object; nil where it is missing.
+// object reads an object; nil if it is missing.
 func (r *keyReader) object(key string) map[string]any {
 	value, isPresent := r.values[key]
 	object, isObject := value.(map[string]any)
@@ -63,7 +63,7 @@
 // address reads an IP address with a port.
 func (r *keyReader) address(key, override string) string {
 	text := r.text(key, override, "")
-	if text == "" { // text has kept the error
+	if text == "" { // text has recorded the error
 		return text
 	}
 	if address, err := netip.ParseAddrPort(text); err != nil || address.Port() == 0 {
--- a/internal/index/connection.go
+++ b/internal/index/connection.go
@@ -12,13 +12,13 @@
 	"thymechute/policy"
 )
 
-// connection is one connection. Once the pool does not own it, it takes no further call.
+// connection is the handler of one connection. It takes no further calls once the pool does not own it.
 type connection struct {
 	pool     *Pool
-	conn     loop.Conn // nil before it is open, and once it is closed
-	call     *call     // nil: none
-	carried  map[node.TaskID]struct{}
-	unread   []byte // the start of a reply; at most one reply long
+	conn     loop.Conn                // nil before it is open, and once it is closed
+	call     *call                    // nil: none
+	carried  map[node.TaskID]struct{} // requests whose calls were sent on it; at most maxCallsPerConn
+	unread   []byte                   // the start of a reply; at most one reply long
 	lastUsed time.Time
 }
 
@@ -57,7 +57,7 @@
 	}
 }
 
-// Closed ends the call on the connection. Whether it was sent tells if the index may have executed it.
+// Closed ends the call on the connection. If it was sent, the index may have executed it.
 func (c *connection) Closed(err error) {
 	if c.call != nil {
 		c.loseCall(err)
@@ -68,7 +68,10 @@
 
 func (c *connection) loseCall(err error) {
 	lost := c.call
-	c.pool.reportAnomaly("index connection lost during a call", zap.Error(err), zap.String("task", string(lost.id)), zap.Bool("sent", lost.sent))
+	c.pool.reportAnomaly("index connection lost during a call",
+		zap.Error(err),
+		zap.String("task", string(lost.id)),
+		zap.Bool("sent", lost.sent))
 	outcome := policy.ConnectFailed
 	if lost.sent {
 		outcome = policy.Reset
@@ -78,7 +81,7 @@
 	lost.end(c.pool.sink, time.Now(), outcome, nil)
 }
 
-// Received reads replies. The error is that of bytes that are no reply; the connection is closed for it.
+// Received reads replies. An error, for bytes that are not a reply, closes the connection.
 func (c *connection) Received(data []byte) error {
 	text := data
 	if len(c.unread) > 0 {
@@ -114,6 +117,6 @@
 		p.release(c)
 		return
 	}
-	c.call = nil // the address has changed meanwhile
+	c.call = nil // Move has replaced this connection
 	c.conn.Close()
 }
--- a/internal/index/pool.go
+++ b/internal/index/pool.go
@@ -1,13 +1,13 @@
 // Package index is the client of the index, the dependency that requests call.
 //
-// A Pool keeps connections that carry one call at a time, so that a connection that breaks or brings an invalid reply costs
-// no other call. A connection on which a call was abandoned is closed, and no connection carries two calls of the same
-// request, so that a late or repeated reply finds no call that it could be taken for. The pool never retries a call, and
-// reports one as not executed only if nothing of it was written or the index said so.
+// Each connection of a Pool carries one call at a time, so that a lost connection or an invalid reply affects one call only. A
+// connection on which a call was abandoned is closed, and no connection carries two calls of the same request, so that a late
+// or repeated reply can't be taken for that to another call. The pool never retries a call, and reports one as not executed
+// only if nothing of it was written or the index said so.
 //
-// Tables: calls (one per request; an entry ends with the reply, the timeout, Abandon or the connection's end) and
-// connections (a given number; idle ones are closed after idleTimeout). A Pool belongs to the event loop; its methods must
-// be called on the loop's goroutine and do not block.
+// Tables: calls (one per request; removed at the reply, the timeout, Abandon or the end of the connection) and connections (at
+// most as many as NewPool is given; idle ones are closed after idleTimeout). A Pool belongs to the event loop; its methods
+// must be called on the loop's goroutine and do not block.
 package index
 
 import (
@@ -22,13 +22,14 @@
 )
 
 const (
-	idleTimeout     = time.Second // the index forgets idle connections: the longer idle, the likelier its use fails
-	maxCallsPerConn = 64          // each connection keeps the ids of its calls
+	idleTimeout     = time.Second // the index drops idle connections, so calls on one that was idle for long are likely to fail
+	maxCallsPerConn = 64          // after which it is closed, as it records the ids of its calls
 	maxAnomalyLines = 20          // log lines about lost calls and unexpected replies
 )
 
-// Sink receives the ends of calls.
+// Sink receives the results of calls, on the loop.
 type Sink interface {
+	// CallReturned is called once for each call that was not abandoned.
 	CallReturned(id node.TaskID, result node.CallResult)
 }
 
@@ -38,23 +39,23 @@
 	startedAt time.Time
 	deadline  time.Time
 	body      []byte      // nil once it is written
-	on        *connection // nil: queued
-	sent      bool
+	on        *connection // that carries it, or is dialled for it; nil: queued
+	sent      bool        // written to the connection
 }
 
-// end tells the sink how the call has ended.
+// end reports the end of the call to the sink.
 func (c *call) end(sink Sink, now time.Time, outcome policy.Outcome, reply []byte) {
 	sink.CallReturned(c.id, node.CallResult{Outcome: outcome, Duration: now.Sub(c.startedAt), Reply: reply})
 }
 
-// Pool is the connections to the index and the calls on them.
+// Pool manages the connections to the index and the calls on them.
 type Pool struct {
 	sink      Sink
 	dial      func(loop.Handler)
 	log       *zap.Logger
 	maxConns  int
 	conns     map[*connection]struct{}
-	idle      []*connection // connections without a call, the latest used last
+	idle      []*connection // connections without a call, in the order of their last use
 	calls     map[node.TaskID]*call
 	queue     []*call // calls without a connection, the oldest first
 	anomalies int
@@ -72,7 +73,8 @@
 	}
 }
 
-// Call issues a call for a request, which has no other call in flight.
+// Call issues a call for a request, which must not have another call in flight. It takes an idle connection, or dials one, or
+// waits in the queue while all maxConns connections are in use.
 func (p *Pool) Call(id node.TaskID, timeout time.Duration, body []byte) {
 	now := time.Now()
 	issued := &call{id: id, startedAt: now, deadline: now.Add(timeout), body: body}
@@ -99,7 +101,7 @@
 	return nil
 }
 
-// dialQueued dials a connection for each queued call, up to the bound.
+// dialQueued dials a connection for each queued call, up to maxConns.
 func (p *Pool) dialQueued() {
 	for len(p.queue) > 0 && len(p.conns) < p.maxConns {
 		next := p.queue[0]
@@ -111,7 +113,7 @@
 	}
 }
 
-// release gives a connection without a call the oldest queued call that it may carry, or makes it idle.
+// release sends the oldest queued call that the connection may carry, or makes the connection idle.
 func (p *Pool) release(c *connection) {
 	c.call = nil
 	if len(c.carried) >= maxCallsPerConn {
@@ -128,7 +130,7 @@
 	p.idle = append(p.idle, c)
 }
 
-// drop closes a connection and gives its place to a queued call.
+// drop closes a connection, and dials another one if a call is queued.
 func (p *Pool) drop(c *connection) {
 	if !p.owns(c) {
 		return
@@ -141,7 +143,7 @@
 	p.dialQueued()
 }
 
-// owns reports whether the connection still takes calls.
+// owns reports whether the connection belongs to the pool, which neither drop nor Move has removed it from.
 func (p *Pool) owns(c *connection) bool {
 	_, ok := p.conns[c]
 	return ok
@@ -187,7 +189,7 @@
 	return next
 }
 
-// Move replaces all connections, as the index's address has changed. Calls in flight may still return on theirs.
+// Move replaces all connections after a change of the index's address. Calls in flight may still return on the former ones.
 func (p *Pool) Move() {
 	moved := p.conns
 	p.conns = map[*connection]struct{}{}
@@ -204,7 +206,7 @@
 	p.dialQueued()
 }
 
-// reportAnomaly logs what is unexpected, up to a bound.
+// reportAnomaly logs an unexpected event, at most maxAnomalyLines times.
 func (p *Pool) reportAnomaly(message string, fields ...zap.Field) {
 	p.anomalies++
 	if p.anomalies <= maxAnomalyLines {
--- a/internal/index/protocol.go
+++ b/internal/index/protocol.go
@@ -33,12 +33,13 @@
 type reply struct {
 	id     node.TaskID
 	status string
-	body   []byte // a part of the decoded text
+	body   []byte // points into the decoded text
 }
 
 var errIncomplete = errors.New("incomplete reply")
 
-// decodeReply reads the first reply of the text and returns its length; errIncomplete where the text ends within it.
+// decodeReply decodes the reply at the start of the text and returns its length in bytes. The error is errIncomplete if the
+// text ends within the reply.
 func decodeReply(text []byte) (r reply, length int, err error) {
 	r, head, err := decodeHead(text)
 	if err != nil || r.status != statusHit {
@@ -62,7 +63,7 @@
 // head is the first line of a reply.
 type head struct {
 	words  [][]byte
-	length int // with its end
+	length int // bytes, with CR LF
 }
 
 // decodeHead reads the first line: id and status, and the body's length of a hit.
@@ -95,7 +96,7 @@
 	return int(size), nil
 }
 
-// appendCall writes a call: its id, the time that is left in milliseconds, at least one, and the body.
+// appendCall appends a call: its id, the time until its deadline in milliseconds, at least 1, and the body.
 func appendCall(out []byte, issued *call) []byte {
 	millisLeft := max(time.Until(issued.deadline).Milliseconds(), 1)
 	out = fmt.Appendf(out, "GET %s %d %d\r\n", issued.id, millisLeft, len(issued.body))
--- a/internal/jsonline/reader.go
+++ b/internal/jsonline/reader.go
@@ -2,7 +2,7 @@
 // JSON values that our messages need. It also splits a byte stream into lines.
 //
 // A Reader accepts any bytes without panicking and never reads past the line. Raw values and strings without escapes
-// point into the line and must be copied by whoever retains them. Readers and splitters are not safe for concurrent use.
+// point into the line, so a caller that retains them must copy them. Readers and splitters are not safe for concurrent use.
 package jsonline
 
 import (
--- a/internal/loop/accept.go
+++ b/internal/loop/accept.go
@@ -12,16 +12,16 @@
 	"golang.org/x/sys/unix"
 )
 
-// acceptRetryDelay is the pause after a failed accept, mostly for want of descriptors.
+// acceptRetryDelay is the pause after a failed accept, which is mostly caused by a lack of file descriptors.
 const acceptRetryDelay = 5 * time.Millisecond
 
-// pastDeadline wakes up a blocked accept.
+// pastDeadline is a deadline that unblocks a pending accept.
 var pastDeadline = time.Unix(1, 0)
 
-// acceptedMarker is the context with which accepted connections join the loop.
+// acceptedMarker is the gnet context that marks a connection as accepted, not dialled.
 type acceptedMarker struct{}
 
-// listen opens the address with SO_REUSEPORT, as a supervisor may keep it bound between two incarnations.
+// listen listens on the address with SO_REUSEPORT, as a supervisor may have it bound between two incarnations.
 func listen(address string) (*net.TCPListener, error) {
 	config := net.ListenConfig{Control: func(_, _ string, raw syscall.RawConn) error {
 		return setReusePort(raw)
@@ -41,8 +41,9 @@
 	return errors.Join(optionErr, controlErr)
 }
 
-// acceptConns passes accepted connections to the loop until closeListener sets a deadline in the past. What the kernel
-// has accepted by then joins too: closing the listener over it would reset connections that may hold requests.
+// acceptConns passes accepted connections to the loop until closeListener sets a deadline in the past. It runs on a goroutine
+// of its own and closes the listener at its end. Connections in the kernel's accept queue are still passed on, as closing the
+// listener would reset them although they may have sent requests.
 func (l *Loop) acceptConns() {
 	for {
 		c, err := l.listener.Accept()
--- a/internal/loop/conn.go
+++ b/internal/loop/conn.go
@@ -10,7 +10,7 @@
 )
 
 const (
-	lingerTimeout     = time.Second // the peer has so long to read the rest and to close its side
+	lingerTimeout     = time.Second // for the peer to read the remaining output and to close its side
 	maxDiscarded      = 256 << 10   // bytes received after Close, over which a half-closed connection is closed
 	maxRetainedBuffer = 16 << 10    // bytes; larger output buffers are released once they are empty
 )
@@ -30,9 +30,9 @@
 	stateClosed
 )
 
-// conn is a connection on the loop. A dialled one closes at once, as no reply is pending on it. An accepted one closes
-// through the states above. Draining is bounded by the handler, which must answer everything in the end, and by the
-// limits on unsent output; the rest by lingerTimeout, maxDiscarded and Config.MaxLingering.
+// conn is a connection on the loop. A dialled connection closes at once, as no reply is pending on it. An accepted one closes
+// through the states above. The time in stateDraining is bounded by the handler, which answers every request eventually, and
+// by the limits on unsent output; that in stateHalfClosed by lingerTimeout, maxDiscarded and Config.MaxLingering.
 type conn struct {
 	loop          *Loop
 	socket        gnet.Conn
@@ -41,7 +41,7 @@
 	output        []byte        // emptied by each tick
 	dirty         bool          // in Loop.dirty
 	state         connState
-	lingerUntil   time.Time // once nothing is pending: when it is closed at the latest
+	lingerUntil   time.Time // when it is closed at the latest; zero while replies are pending
 	discarded     int       // bytes received after Close
 }
 
@@ -98,7 +98,7 @@
 	return gnet.None
 }
 
-// discard counts input that is not delivered any more. While replies are pending no amount of it closes the connection.
+// discard counts input that is no longer delivered. Too much of it closes the connection, but not while replies are pending.
 func (c *conn) discard(data []byte) gnet.Action {
 	c.discarded += len(data)
 	if c.discarded > maxDiscarded && c.state == stateHalfClosed {
@@ -143,7 +143,7 @@
 	c.markDirty()
 }
 
-// markDirty has the connection flushed by the next tick.
+// markDirty schedules the connection to be flushed by the next tick.
 func (c *conn) markDirty() {
 	if c.dirty {
 		return
@@ -153,7 +153,7 @@
 	c.loop.scheduleTick()
 }
 
-// advanceClose moves a draining connection as far towards its end as pending replies and unsent output allow.
+// advanceClose moves a draining connection to its next state if no reply is pending and all output is sent.
 func (c *conn) advanceClose() {
 	if c.serverHandler == nil {
 		c.closeNow()
--- a/internal/loop/handler.go
+++ b/internal/loop/handler.go
@@ -17,7 +17,7 @@
 	Opened(conn Conn)
 	// Received handles input; p is valid only during the call. An error closes the connection.
 	Received(p []byte) error
-	// Closed is the last call. err is a *ConnError; without a call of Opened before it the connection was never
+	// Closed is the last call. err is a *ConnError. If Opened was not called before, the connection was never
 	// established.
 	Closed(err error)
 }
@@ -48,7 +48,7 @@
 // errHandlerPanicked closes a connection whose handler did not return from Received.
 var errHandlerPanicked = errors.New("handler panicked")
 
-// discardHandler is the handler of a connection for which there is no capacity.
+// discardHandler handles a connection for which the host has no capacity: it ignores all input.
 type discardHandler struct{}
 
 func (discardHandler) Opened(Conn)           {}
--- a/internal/loop/loop.go
+++ b/internal/loop/loop.go
@@ -1,7 +1,6 @@
-// Package loop runs one gnet event loop, on whose goroutine all state of a service instance lives. It delivers
-// received bytes to the Handler of each connection, calls Host.Tick once for everything that was ready, and then
-// writes what the handlers have buffered. Connections are accepted and dialled on goroutines of their own and join
-// the loop once they are established.
+// Package loop runs one gnet event loop, whose goroutine owns all state of a service instance. After each poll it delivers
+// received bytes to the Handler of each connection, calls Host.Tick once, and then writes the output that the handlers have
+// buffered. Connections are accepted and dialled on goroutines of their own and join the loop once they are established.
 //
 // Nothing on the loop may block. An error or a panic in a handler closes that handler's connection and nothing else.
 //
@@ -64,14 +63,14 @@
 	gnet.BuiltinEventEngine
 	host      Host
 	log       *zap.Logger
-	client    *gnet.Client // an engine without a listener, so that the listener can be closed before the engine
+	client    *gnet.Client // a gnet engine without a listener, as that must close before the engine
 	eventLoop gnet.EventLoop
 	stopped   chan struct{} // closed at PhaseStopped
 
 	listener        *net.TCPListener
 	listenerClosing bool
-	listening       bool // the accept goroutine has not ended yet
-	hasUnreadConns  bool // a connection was accepted since allAcceptedRead was last asked
+	listening       bool // the goroutine of acceptConns has not ended
+	hasUnreadConns  bool // a connection was accepted since the last call of allAcceptedRead
 
 	tickQueued  bool
 	hasReceived bool // input was received since the last tick
@@ -81,7 +80,7 @@
 	phase       Phase
 
 	dirty          []*conn            // with buffered output or to be closed; emptied by each tick
-	blocked        map[*conn]struct{} // whose peer has not read all output yet
+	blocked        map[*conn]struct{} // with unsent output, as the peer does not read
 	maxTotalUnsent int                // bytes, of all connections together
 
 	acceptedConns map[*conn]struct{}
--- a/internal/loop/output.go
+++ b/internal/loop/output.go
@@ -9,7 +9,7 @@
 // maxUnsentPerConn bounds, in bytes, the output that one peer may leave unread before its connection closes.
 const maxUnsentPerConn = 256 << 10
 
-// Why a connection with unsent output is closed.
+// Reasons for which a connection with unsent output is closed, as they are logged.
 var (
 	errSlowReader  = errors.New("peer does not read")
 	errSlowReaders = errors.New("peers do not read")
@@ -17,7 +17,7 @@
 
 // flush sends the buffered output of all connections and closes those that are to be closed.
 func (l *Loop) flush() {
-	for n := 0; n < len(l.dirty); n++ { // it may grow: flushing may close, and closing may write elsewhere
+	for n := 0; n < len(l.dirty); n++ { // dirty may grow: a flush may close a connection, whose handler may write to others
 		l.dirty[n].flush()
 	}
 	l.dirty = l.dirty[:0]
@@ -46,45 +46,52 @@
 	}
 }
 
-// enforceUnsentLimits closes connections that leave too much output unread. One over its own limit drains: pending
-// replies are still sent. While the total is over the limit the connection with most unsent output closes at once, as
-// memory takes precedence over replies.
+// enforceUnsentLimits closes connections whose peers leave too much output unread. A connection over maxUnsentPerConn
+// drains, and its pending replies are still sent. While the total is over its limit, the connection with most unsent output
+// closes at once, as bounding the memory takes precedence over its replies.
 func (l *Loop) enforceUnsentLimits() {
 	for {
-		worst, most, total := l.measureUnsent()
-		if total <= l.maxTotalUnsent {
+		unsent := l.measureUnsent()
+		if unsent.totalBytes <= l.maxTotalUnsent {
 			return
 		}
 		l.log.Warn("connection closed",
 			zap.Error(errSlowReaders),
-			zap.Int("unsent_bytes", most),
-			zap.Int("total_unsent_bytes", total))
-		delete(l.blocked, worst)
-		worst.closeNow()
+			zap.Int("unsent_bytes", unsent.largestBytes),
+			zap.Int("total_unsent_bytes", unsent.totalBytes))
+		delete(l.blocked, unsent.largest)
+		unsent.largest.closeNow()
 	}
 }
 
-// measureUnsent returns the connection with most unsent output and the bytes of that one and of all. On its way it takes
-// connections that have sent everything off the list, and closes those over maxUnsentPerConn.
-func (l *Loop) measureUnsent() (worst *conn, most, total int) {
+// unsentOutput is the output of all connections that is not sent yet.
+type unsentOutput struct {
+	totalBytes   int
+	largest      *conn // connection with most of it; nil: none
+	largestBytes int
+}
+
+// measureUnsent adds up the unsent output. It also removes connections that have sent everything from blocked, and drains
+// those over maxUnsentPerConn.
+func (l *Loop) measureUnsent() (unsent unsentOutput) {
 	for c := range l.blocked {
-		unsent := c.socket.OutboundBuffered()
-		if unsent == 0 {
+		bytes := c.socket.OutboundBuffered()
+		if bytes == 0 {
 			delete(l.blocked, c)
 			if c.state == stateDraining {
 				c.advanceClose()
 			}
 			continue
 		}
-		if unsent > maxUnsentPerConn && c.state == stateOpen {
-			l.log.Warn("connection closing", zap.Error(errSlowReader), zap.Int("unsent_bytes", unsent))
+		if bytes > maxUnsentPerConn && c.state == stateOpen {
+			l.log.Warn("connection closing", zap.Error(errSlowReader), zap.Int("unsent_bytes", bytes))
 			c.Close()
 		}
-		total += unsent
-		if unsent > most {
-			worst = c
-			most = unsent
+		unsent.totalBytes += bytes
+		if bytes > unsent.largestBytes {
+			unsent.largest = c
+			unsent.largestBytes = bytes
 		}
 	}
-	return worst, most, total
+	return unsent
 }
--- a/internal/loop/tick.go
+++ b/internal/loop/tick.go
@@ -7,7 +7,7 @@
 )
 
 const (
-	stallThreshold = 50 * time.Millisecond // a tick later than this follows a stall of the process or machine
+	stallThreshold = 50 * time.Millisecond // a tick that is later than this means that the process or the machine was stalled
 	maxDeferrals   = 64                    // ticks deferred in a row after a stall, while input still arrives
 )
 
@@ -51,7 +51,7 @@
 	l.tickTimer.Reset(max(time.Until(l.nextTick), 0))
 }
 
-// shutDown closes the listener and the connections as far as the phase asks for it.
+// shutDown closes the listener, and later the accepted connections, as the phase requires.
 func (l *Loop) shutDown(phase Phase) {
 	if phase >= PhaseClosingListener {
 		l.closeListener()
@@ -65,8 +65,8 @@
 	l.flush()
 }
 
-// allAcceptedRead reports whether the listener is closed and each accepted connection has been read from once: the poll
-// after a connection joined delivers what it had received by then.
+// allAcceptedRead reports whether the listener is closed and each accepted connection has been read from once: the first poll
+// after a connection has joined delivers the input that it had received before.
 func (l *Loop) allAcceptedRead() bool {
 	if l.hasUnreadConns {
 		l.hasUnreadConns = false
@@ -79,8 +79,8 @@
 // hasAcceptedConns reports whether an accepted connection is open or may still join.
 func (l *Loop) hasAcceptedConns() bool { return l.listening || len(l.acceptedConns) > 0 }
 
-// deferTick reports whether more input is to be received before this tick. After a stall everything that has arrived
-// meanwhile is received first, so that the stall is not mistaken for load.
+// deferTick reports whether the tick has to wait for more input. After a stall, all input that arrived meanwhile is received
+// before the tick, so that the stall is not mistaken for load.
 func (l *Loop) deferTick(now time.Time) bool {
 	stalled := !l.nextTick.IsZero() && now.Sub(l.nextTick) > stallThreshold
 	deferred := stalled && l.hasReceived && l.deferrals < maxDeferrals
--- a/internal/rpc/conn.go
+++ b/internal/rpc/conn.go
@@ -13,19 +13,19 @@
 	maxPendingRequests = 32                      // per connection
 	maxProtocolErrors  = 8                       // per connection; one more closes it
 	requestTimeout     = 1500 * time.Millisecond // for the first request, and for the rest of a partial message
-	closingGracePeriod = 250 * time.Millisecond  // between a closing notification and the close, for crossing requests
+	closingGracePeriod = 250 * time.Millisecond  // between a closing notification and the close, for requests in transit
 )
 
-// conn handles one connection of a client stub. It closes in two steps: it is notified (requests that cross the
-// notification are still served), then closing (nothing more is received, and the loop closes the connection after the
-// last pending response). A protocol error that can't be answered skips the first step.
+// conn handles one connection of a client stub. It closes in two steps. First the client is notified; requests that were in
+// transit are still served. Then the connection is closing: no input is received any more, and the loop closes it after the
+// last pending response. A protocol error that can't be answered skips the first step.
 type conn struct {
 	server         *Server
 	transport      loop.Conn
 	lines          jsonline.LineSplitter
 	pending        map[string]struct{} // IDs of requests without a response; at most maxPendingRequests
-	lastActive     time.Time           // when it was opened, or a request was received or answered
-	partialSince   time.Time           // when a message that is incomplete began; zero: none
+	lastActive     time.Time           // when it was opened, or a request was last received or answered
+	partialSince   time.Time           // when the first part of an incomplete message was received; zero: none
 	notifiedAt     time.Time           // of the closing notification; zero: not sent
 	hasRequested   bool                // a complete request was received
 	closing        bool
@@ -85,7 +85,7 @@
 	c.releaseIfDone()
 }
 
-// releaseIfDone frees the place of a closing connection once nothing is pending.
+// releaseIfDone removes a closing connection from the server once nothing is pending.
 func (c *conn) releaseIfDone() {
 	if c.closing && !c.HasPending() {
 		c.unregister()
@@ -178,7 +178,7 @@
 	return nil
 }
 
-// rejectedRequest returns the protocol error for an error of Admission.Admit.
+// rejectedRequest returns the protocol error for an error of Admission.Admit, whose text is sent to the client.
 func rejectedRequest(err error) *ProtocolError {
 	switch {
 	case errors.Is(err, node.ErrUnknownClass):
@@ -198,7 +198,7 @@
 // HealthChecked implements node.Responder.
 func (c *conn) HealthChecked(id node.MessageID, result node.HealthCheckResult) {
 	c.complete(id)
-	c.transport.Write(AppendHealthStatus(nil, string(id), result.Status == node.Healthy, result.Advertised))
+	c.transport.Write(AppendHealthStatus(nil, string(id), result))
 }
 
 func (c *conn) complete(id node.MessageID) {
--- a/internal/rpc/decode.go
+++ b/internal/rpc/decode.go
@@ -18,7 +18,7 @@
 
 // Message is a request, health check or notification from a client stub.
 type Message struct {
-	ID             string // digits, as they are in the line; empty for a notification
+	ID             string // digits as in the line; empty for a notification
 	Method         string
 	IsNotification bool // it has no ID and gets no response
 	IsHealthCheck  bool
@@ -43,7 +43,7 @@
 	params  []byte // points into the line; nil if missing
 }
 
-// Decode decodes one line. On error, which is a *ProtocolError, the message's ID is set if it could be read.
+// Decode decodes one line. The error is a *ProtocolError; the message's ID is set even then if it could be decoded.
 func Decode(line []byte) (Message, error) {
 	members, err := decodeEnvelope(line)
 	message := Message{ID: members.id}
@@ -96,11 +96,11 @@
 	return members, reader.ExpectEnd()
 }
 
-// readID reads the ID, if it is a number of digits alone.
+// readID reads the ID. Only a number of at most maxIDLength digits is acceptable.
 func (e *envelope) readID(reader *jsonline.Reader) error {
 	e.hasID = true
 	if e.id != "" {
-		e.id = "" // the response could be taken for that to either
+		e.id = "" // a response with either ID could be taken for that of another request
 		return errDuplicateID
 	}
 	raw, err := reader.ReadRaw()
--- a/internal/rpc/encode.go
+++ b/internal/rpc/encode.go
@@ -9,7 +9,7 @@
 	"thymechute/internal/node"
 )
 
-// Messages of errors that say how a request ended.
+// Messages of the errors for requests that did not complete.
 const (
 	messageFailed     = "failed"
 	messageOverloaded = "overloaded"
@@ -61,8 +61,7 @@
 	return append(out, "}}\n"...)
 }
 
-// AppendError appends the response to a message that is not acceptable, with its line feed. The ID is empty if it could
-// not be read.
+// AppendError appends the response to an invalid message, with its line feed. The ID is empty if it could not be decoded.
 func AppendError(out []byte, id string, err *ProtocolError) []byte {
 	if id == "" {
 		id = nullID
@@ -71,12 +70,12 @@
 	return append(out, "}}\n"...)
 }
 
-// AppendHealthStatus appends the response to a health check, with its line feed; a negative advertised value is left out.
-func AppendHealthStatus(out []byte, id string, isServing bool, advertised float64) []byte {
+// AppendHealthStatus appends the response to a health check, with its line feed.
+func AppendHealthStatus(out []byte, id string, result node.HealthCheckResult) []byte {
 	out = appendResultHead(out, id)
 	out = append(out, `"serving":`...)
-	out = strconv.AppendBool(out, isServing)
-	out = appendHint(out, advertised)
+	out = strconv.AppendBool(out, result.Status == node.Healthy)
+	out = appendHint(out, result.Advertised)
 	return append(out, "}}\n"...)
 }
 
@@ -98,7 +97,7 @@
 	return append(out, id...)
 }
 
-// appendHint appends the advertised free value; a negative one is left out.
+// appendHint appends the advertised load value; a negative one means none and is left out.
 func appendHint(out []byte, advertised float64) []byte {
 	if advertised < 0 {
 		return out
--- a/internal/rpc/errors.go
+++ b/internal/rpc/errors.go
@@ -5,7 +5,7 @@
 	"fmt"
 )
 
-// Error codes of JSON-RPC 2.0, and from its range for servers those for requests that did not run to their end.
+// Error codes of JSON-RPC 2.0, and from its range for servers those for requests that did not complete.
 const (
 	codeParseError     = -32700
 	codeInvalidRequest = -32600
@@ -32,7 +32,7 @@
 	errTooManyPending = fmt.Errorf("over %d open requests", maxPendingRequests)
 )
 
-// errIDInUse closes the connection, as an error under the ID could be taken for the answer to either request.
+// errIDInUse closes the connection, as an error response with the ID could be taken for the answer to either request.
 var errIDInUse = errors.New("two requests under one id")
 
 // ProtocolError is what is wrong with a message. It is sent to the client with its code.
--- a/internal/rpc/params.go
+++ b/internal/rpc/params.go
@@ -10,11 +10,11 @@
 const (
 	maxBodySize      = 2 << 10          // bytes of a request's body, decoded
 	maxMemoryKB      = 2000             // exclusive bound of a request's memory, in kB
-	maxCallerNumber  = 1e9              // of a stub
+	maxCallerNumber  = 1e9              // largest number of a stub
 	maxTimestamp     = 1e14             // Unix milliseconds; rejects other units before they are converted
-	maxRequestAge    = 30 * time.Second // an older time of receipt would be taken for a wait of that length
-	maxClockSkew     = 5 * time.Second  // by which a time of receipt may be in the future
-	maxTrackedFields = 64               // per message; of more, duplicates are not detected
+	maxRequestAge    = 30 * time.Second // an older time of receipt is rejected, as it would count as a wait of that length
+	maxClockSkew     = 5 * time.Second  // by which a time of receipt may be in the future at most
+	maxTrackedFields = 64               // per message; duplicates of further ones are not detected
 	maxPlainIDLength = 64               // bytes of a request ID
 )
 
@@ -146,7 +146,7 @@
 	return priority, nil
 }
 
-// isPlainID reports whether an ID can be passed on in line protocols, where a blank would end it.
+// isPlainID reports whether an ID consists of letters, digits and hyphens, so that line protocols can carry it.
 func isPlainID(id string) bool {
 	for _, c := range []byte(id) {
 		isDigit := c >= '0' && c <= '9'
--- a/internal/rpc/server.go
+++ b/internal/rpc/server.go
@@ -2,8 +2,8 @@
 // health checks for an Admission, and encodes its answers.
 //
 // A Server owns the stubs' connections, at most Config.MaxConns + Config.SpareConns, and the IDs of their pending requests,
-// at most maxPendingRequests each. Whatever a client sends affects no connection but its own. Everything runs on the
-// event loop; nothing is safe for use from other goroutines.
+// at most maxPendingRequests each. Input of a client affects only its own connection. Everything runs on the event loop;
+// nothing is safe for use from other goroutines.
 package rpc
 
 import (
@@ -18,7 +18,7 @@
 
 const (
 	maxLineLength  = 8 << 10                // bytes of a message
-	sweepInterval  = 100 * time.Millisecond // between two looks at idle connections
+	sweepInterval  = 100 * time.Millisecond // between two sweeps of idle connections
 	minIdleTimeout = 10 * time.Millisecond  // lower settings are raised to it
 	maxIdleTimeout = time.Minute            // higher settings are lowered to it
 )
@@ -63,10 +63,10 @@
 	}
 }
 
-// Accept returns the handler of a new connection, or nil if there is no capacity. At MaxConns the least needed connection
-// is sent a closing notification; a request that crosses it is still served. If all are in use, the new connection is
-// notified once it is open, and its requests are served as well. With all spare connections in use the least needed one
-// closes at once, or, if all have pending requests, the new one.
+// Accept returns the handler of a new connection, or nil if there is no capacity. At MaxConns connections the least needed one
+// is sent a closing notification; its requests in transit are still served. If all have pending requests, the new connection
+// is notified once it is open, and its requests are served too. When all spare connections are used as well, the least needed
+// connection closes at once; if all have pending requests, the new one does.
 func (s *Server) Accept() loop.ServerHandler {
 	if s.atCapacity() {
 		s.overLimit++
@@ -88,8 +88,8 @@
 	}
 }
 
-// evictionCandidate returns the least needed of the eligible connections without pending requests, or nil: one that never
-// sent a request before others, then the one idle longest.
+// evictionCandidate returns the least needed of the eligible connections without pending requests, or nil. Connections that
+// never sent a request are needed least, then those that were idle for longest.
 func (s *Server) evictionCandidate(isEligible func(*conn) bool) (least *conn) {
 	for c := range s.conns {
 		if c.HasPending() || c.closing || !isEligible(c) {
@@ -128,8 +128,8 @@
 // HasPending reports false: responses are sent by the tick in which they are written.
 func (s *Server) HasPending() bool { return false }
 
-// Sweep notifies idle and stalled connections, and closes them once nothing can cross the notification any more. While
-// draining it closes only stalled ones, as clients close the others themselves.
+// Sweep notifies idle and stalled connections, and closes them closingGracePeriod later, when no request can be in transit any
+// more. While draining it closes only stalled ones, as clients close the others themselves.
 func (s *Server) Sweep(now time.Time) {
 	if now.Before(s.nextSweep) {
 		return
@@ -160,7 +160,8 @@
 	if now.Sub(c.notifiedAt) <= closingGracePeriod {
 		return
 	}
-	if isStalled || !s.draining && c.isIdle(now, closingGracePeriod) {
+	mayCloseIdle := !s.draining
+	if isStalled || mayCloseIdle && c.isIdle(now, closingGracePeriod) {
 		c.close()
 	}
 }
--- a/internal/runtimelink/link.go
+++ b/internal/runtimelink/link.go
@@ -1,10 +1,10 @@
 // Package runtimelink is the client of the runtime that executes requests: it writes commands and reads notices, as JSON
 // messages of one line each.
 //
-// A Link keeps one connection to the runtime and opens another after a backoff with jitter when that is lost. The runtime
-// numbers its notices; a new connection asks for those after the last one that was read, and each is passed on once and
-// in order. A Link does not keep commands: the instance repeats what a lost connection may not have delivered, once
-// RuntimeResynced tells it that all missed notices were read.
+// A Link has one connection to the runtime, and opens another after a backoff with jitter when that is lost. The runtime
+// numbers its notices; a new connection requests those after the last one that was read, and each is passed on once and in
+// order. A Link does not buffer commands: after RuntimeResynced, which follows the missed notices, the instance repeats the
+// commands that a lost connection may not have delivered.
 //
 // A Link belongs to the event loop; its methods must be called on the loop's goroutine and do not block.
 package runtimelink
@@ -27,16 +27,22 @@
 	maxBackoff      = time.Second           // the runtime may be back at any time
 	gaugesTimeout   = 2 * time.Second       // another connection is opened after this long without an answer
 	maxAnomalyLines = 20                    // log lines about unexpected notices, per connection
-	gaugesNonce     = "g"                   // of the readings that ticks ask for
+	gaugesNonce     = "g"                   // of the gauge requests of ticks
 )
 
-// Sink receives the runtime's notices.
+// Sink receives the runtime's notices, on the loop.
 type Sink interface {
+	// RuntimeReady is called with the runtime's state when a connection is established.
 	RuntimeReady(state node.RuntimeState)
+	// RuntimeResynced is called when the notices missed before the connection were passed on.
 	RuntimeResynced()
+	// RunEnded is called when a run has ended.
 	RunEnded(id node.TaskID, result node.RunResult)
+	// CallRequested is called when a run waits for the reply to a call with this body.
 	CallRequested(id node.TaskID, body []byte)
+	// GaugesRead is called with a reading of the gauges, in the order of the settings.
 	GaugesRead(values []float64)
+	// SelfTestEnded is called when the self-test with this id has ended.
 	SelfTestEnded(id string, status node.HealthStatus)
 }
 
@@ -54,16 +60,16 @@
 	lastIndex uint64 // of the last numbered notice read
 
 	resynced     bool   // the notices missed before this connection were read
-	syncNonce    string // of the reading that follows them
+	syncNonce    string // of the gauge request whose answer follows them
 	sessionCount int
 	anomalies    int // of this connection
 	backoff      time.Duration
 	openedAt     time.Time
-	awaitedSince time.Time // of the first request for gauges since anything was read; zero: none
+	awaitedSince time.Time // of the first gauge request since the last input; zero: none
 }
 
-// NewLink returns a link without a connection. Dial opens a connection for a handler; schedule runs a function on the loop
-// after a delay.
+// NewLink returns a link without a connection. dial opens a connection for a handler, schedule runs a function on the loop
+// after a delay, and seed determines the jitter of the backoff.
 func NewLink(sink Sink, dial func(loop.Handler), schedule func(time.Duration, func()), seed uint64, log *zap.Logger) *Link {
 	return &Link{
 		sink:     sink,
@@ -75,7 +81,7 @@
 	}
 }
 
-// Open dials a new connection. An open one serves until the new one is open and replaces it.
+// Open dials a new connection, which replaces the present one once it is open.
 func (l *Link) Open() {
 	l.latest = &session{link: l}
 	l.dial(l.latest)
@@ -97,21 +103,28 @@
 	l.send(command{verb: verbGive, task: id, body: notNil(reply)})
 }
 
-// RequestGauges asks for a reading. Where nothing was read since a request that is older than gaugesTimeout, the runtime may no
-// longer be at the other end, though the connection is open: another one is opened, and replaces it.
+// RequestGauges requests a reading of the gauges. If nothing was received for gaugesTimeout after an earlier request, the
+// connection may be open without a runtime at its other end, so another one is opened to replace it.
 func (l *Link) RequestGauges() {
-	now := time.Now()
+	l.reopenIfSilent(time.Now())
+	l.send(command{verb: verbGauges, nonce: gaugesNonce})
+}
+
+func (l *Link) reopenIfSilent(now time.Time) {
 	if l.awaitedSince.IsZero() {
 		l.awaitedSince = now
-	} else if silence := now.Sub(l.awaitedSince); silence > gaugesTimeout {
-		l.log.Warn("runtime link silent", zap.Duration("silent_for", silence))
-		l.awaitedSince = now
-		l.Open()
+		return
 	}
-	l.send(command{verb: verbGauges, nonce: gaugesNonce})
+	silence := now.Sub(l.awaitedSince)
+	if silence <= gaugesTimeout {
+		return
+	}
+	l.log.Warn("runtime link silent", zap.Duration("silent_for", silence))
+	l.awaitedSince = now
+	l.Open()
 }
 
-// SelfTest asks for the self-test of a deep health check.
+// SelfTest requests a self-test, for a deep health check.
 func (l *Link) SelfTest(id string) { l.send(command{verb: verbSelfTest, nonce: id}) }
 
 func (l *Link) send(c command) {
@@ -120,7 +133,7 @@
 	}
 }
 
-// notNil returns an empty body for none, as the command carries it.
+// notNil returns an empty body for nil, as a command omits a nil body.
 func notNil(body []byte) []byte {
 	if body == nil {
 		return []byte{}
@@ -158,11 +171,12 @@
 
 // handle passes a notice on, unless it was read before.
 func (l *Link) handle(n notice) {
-	if n.Index != 0 {
-		if n.Index <= l.lastIndex {
-			l.reportAnomaly("duplicate", n)
-			return
-		}
+	isNumbered := n.Index != 0
+	if isNumbered && n.Index <= l.lastIndex {
+		l.reportAnomaly("duplicate", n)
+		return
+	}
+	if isNumbered {
 		l.lastIndex = n.Index
 	}
 	switch n.Verb {
@@ -188,7 +202,7 @@
 	l.backoff = minBackoff
 	l.log.Info("runtime link established", zap.String("state", n.Outcome), zap.Duration("age", n.Spent))
 	l.sink.RuntimeReady(node.RuntimeState{Reused: n.Outcome == stateOld, Age: n.Spent, RequestedAt: l.openedAt})
-	l.send(command{verb: verbGauges, nonce: l.syncNonce}) // answered behind the notices that were missed
+	l.send(command{verb: verbGauges, nonce: l.syncNonce}) // the answer follows the missed notices
 }
 
 func (l *Link) handleEnd(n notice) {
@@ -209,7 +223,7 @@
 	l.sink.GaugesRead(n.Readings)
 }
 
-// handleNack ends a run that the runtime refused to start.
+// handleNack handles a command that the runtime rejected; a run that was not started has ended.
 func (l *Link) handleNack(n notice) {
 	l.reportAnomaly("command rejected", n)
 	if n.Outcome == verbStart {
--- a/internal/runtimelink/protocol.go
+++ b/internal/runtimelink/protocol.go
@@ -39,7 +39,7 @@
 	verbInfo    = "info"
 )
 
-// Outcomes with a meaning of their own.
+// Outcomes that are compared with.
 const (
 	stateOld    = "old"  // of ready: the runtime has executed requests before this connection
 	outcomeGood = "good" // of end and verdict
@@ -69,13 +69,16 @@
 func decodeNotice(line []byte) (n notice, err error) {
 	r := jsonline.NewReader(line)
 	err = r.ReadObject(func(name []byte) error { return n.decodeField(r, string(name)) })
-	if err == nil {
-		err = r.ExpectEnd()
+	if err != nil {
+		return n, err
+	}
+	if err := r.ExpectEnd(); err != nil {
+		return n, err
 	}
-	if err == nil && n.Verb == "" {
-		err = errors.New("expected a verb")
+	if n.Verb == "" {
+		return n, errors.New("expected a verb")
 	}
-	return n, err
+	return n, nil
 }
 
 func (n *notice) decodeField(r *jsonline.Reader, name string) (err error) {
--- a/internal/runtimelink/session.go
+++ b/internal/runtimelink/session.go
@@ -9,8 +9,8 @@
 	"thymechute/internal/loop"
 )
 
-// session is one connection of a link. A replaced session is ignored: its successor has told the runtime which notices
-// were read.
+// session is the handler of one connection of a link. Input of a replaced session is ignored, as its successor requests the
+// notices after the last one that was read.
 type session struct {
 	link *Link
 	conn loop.Conn // nil before it is open
@@ -26,7 +26,7 @@
 	s.link.replace(conn)
 }
 
-// Received reads notices. The error is that of a line that is no notice; the connection is closed for it.
+// Received reads notices. An error, for a line that is not a notice, closes the connection.
 func (s *session) Received(data []byte) error {
 	l := s.link
 	if s.conn != l.conn {
--- a/internal/settingsjson/classes.go
+++ b/internal/settingsjson/classes.go
@@ -15,7 +15,7 @@
 	names := newNameChecker(d, "classes", func(name string) bool {
 		return slices.ContainsFunc(d.classes, func(class settings.Class) bool { return class.Name == name })
 	})
-	var entry section // used again for each entry
+	var entry section // reused for each entry
 	return d.decodeList("classes", settings.MaxClasses, func(place int) error {
 		clear(entry)
 		err := d.in.Decode(&entry)
@@ -49,7 +49,7 @@
 	return class
 }
 
-// applyClassLists sets what lists of the domain section say of the classes, by their places.
+// applyClassLists sets the fields of the classes that lists of the domain section hold, by the index of the class.
 func (d *decoder) applyClassLists(classes []settings.Class) {
 	domain := d.section("domain")
 	makesCalls := decodeEntries(d, domain, "calls_by_class", d.flag)
--- a/internal/settingsjson/decode.go
+++ b/internal/settingsjson/decode.go
@@ -2,7 +2,7 @@
 // each value. Both programs use it: thymechute for its configuration file, benchlink for the simulator's line.
 //
 // Unknown keys are ignored, and null counts as missing. The number of classes and tenants is bounded as package settings
-// says. Tenants are decoded one by one, so that a long list is never held in a second form.
+// says. Tenants are decoded one by one, so that a long list is in memory in one form only.
 package settingsjson
 
 import (
@@ -27,11 +27,11 @@
 	return fmt.Sprintf("%s: found %s, expected %s", e.Key, e.Found, e.Expected)
 }
 
-// Decode decodes one object. A faulty value is left missing, and the first of them is returned as a ValueError beside the
-// settings: a caller that accepts no faulty settings rejects them by it.
+// Decode decodes one object. An invalid value counts as missing, and the first one is also returned as a ValueError, by which
+// a caller can reject the settings.
 //
-// The error is that of invalid JSON, or a *ValueError where the settings or a list can't be decoded at all: no object, no
-// list, or more entries than its bound. The settings are empty then.
+// The error is that of invalid JSON, or a *ValueError if the settings are not an object, or a list is not a list or has more
+// entries than its bound. The settings are empty then.
 func Decode(in *json.Decoder) (settings.Settings, *ValueError, error) {
 	d := decoder{in: in}
 	if err := d.decodeObject(); err != nil {
@@ -53,8 +53,8 @@
 	return s, invalid, nil
 }
 
-// decoder keeps what was decoded up to the end of the object: lists of the domain section add to the classes, whichever
-// comes first.
+// decoder collects the decoded values up to the end of the object, as lists of the domain section complete the classes and
+// either may come first.
 type decoder struct {
 	in         *json.Decoder
 	top        section // all but classes and tenants
@@ -63,7 +63,7 @@
 	firstError *ValueError
 }
 
-// fail keeps the first faulty value.
+// fail records the first invalid value.
 func (d *decoder) fail(key, found, expected string) {
 	if d.firstError == nil {
 		d.firstError = &ValueError{Key: "settings." + key, Found: found, Expected: expected}
@@ -106,7 +106,7 @@
 	return err
 }
 
-// decodeList decodes a list entry by entry; null is an empty one. The entry's function gets its place, from 0.
+// decodeList decodes a list entry by entry; null counts as empty. entry is called with the index of each.
 func (d *decoder) decodeList(key string, maxEntries int, entry func(place int) error) error {
 	start, err := d.in.Token()
 	switch {
--- a/internal/settingsjson/names.go
+++ b/internal/settingsjson/names.go
@@ -19,7 +19,7 @@
 	return nameChecker{decoder: d, list: list, contains: contains, digests: newNameDigests()}
 }
 
-// check keeps the error of a name that must not stand at this place of the list; entries without a name are allowed.
+// check records the error of a name that is too long or not unique in the list. Entries without a name are allowed.
 func (c nameChecker) check(place int, name string) {
 	if name == "" {
 		return
@@ -34,7 +34,7 @@
 
 func (c nameChecker) key(place int) string { return fmt.Sprintf("%s.%d.name", c.list, place) }
 
-// nameDigests is a set of hashes: filling it takes a third of the time of a set of names.
+// nameDigests is a set of the hashes of names. Adding to it takes a third of the time of a set of strings.
 type nameDigests struct {
 	seed maphash.Seed
 	seen map[uint64]struct{}
@@ -44,7 +44,7 @@
 	return nameDigests{seed: maphash.MakeSeed(), seen: map[uint64]struct{}{}}
 }
 
-// add adds a name and reports whether it was there; very rarely it says so of a new one.
+// add adds a name and reports whether it was present. With hashes of 64 bits a false positive is possible, but rare.
 func (d nameDigests) add(name string) (wasPresent bool) {
 	digest := maphash.String(d.seed, name)
 	_, wasPresent = d.seen[digest]
--- a/internal/settingsjson/server.go
+++ b/internal/settingsjson/server.go
@@ -6,7 +6,7 @@
 	"thymechute/policy/settings"
 )
 
-// server returns the settings that are not of a class or tenant.
+// server returns the settings that belong to neither a class nor a tenant.
 func (d *decoder) server() settings.Server {
 	domain := d.section("domain")
 	rules := d.section("rules")
@@ -42,7 +42,7 @@
 	return server
 }
 
-// applyGauges sets the places, from 1, at which the runtime sends the gauges.
+// applyGauges sets the positions, from 1, of the gauges in the runtime's readings.
 func (d *decoder) applyGauges(server *settings.Server, domain section) {
 	for place, raw := range d.list(domain, "gauges") {
 		switch strings.Trim(string(raw), `"`) {
--- a/internal/settingsjson/tenants.go
+++ b/internal/settingsjson/tenants.go
@@ -16,7 +16,7 @@
 func (d *decoder) decodeTenants() error {
 	d.tenants = nil
 	names := newNameChecker(d, "tenants", d.hasTenant)
-	var raw json.RawMessage // used again for each entry
+	var raw json.RawMessage // reused for each entry
 	return d.decodeList("tenants", settings.MaxTenants, func(place int) error {
 		if err := d.in.Decode(&raw); err != nil {
 			return err
@@ -42,7 +42,7 @@
 	d.tenants[last] = append(d.tenants[last], tenant)
 }
 
-// tenant returns the tenant of an entry. As there may be many, it is read in place: reflection takes twice the time.
+// tenant returns the tenant of an entry. It does not use encoding/json, which takes twice the time, as the list may be long.
 func (d *decoder) tenant(place int, raw json.RawMessage) (tenant settings.Tenant) {
 	if isMissing(raw) {
 		return tenant
--- a/internal/simhost/actions.go
+++ b/internal/simhost/actions.go
@@ -35,8 +35,8 @@
 func (h *host) Fail(id policy.RequestID) { h.out = h.requestLine("ERROR", id).End() }
 
 // Call writes CALL_DEP.
-func (h *host) Call(id policy.RequestID, patience time.Duration) {
-	h.out = h.requestLine("CALL_DEP", id).Seconds("patience_s", patience).End()
+func (h *host) Call(id policy.RequestID, timeout time.Duration) {
+	h.out = h.requestLine("CALL_DEP", id).Seconds("patience_s", timeout).End()
 }
 
 // SkipCall writes OMIT.
--- a/internal/simhost/events.go
+++ b/internal/simhost/events.go
@@ -9,7 +9,7 @@
 	"thymechute/policy/settings"
 )
 
-// host is one instance: its ids, and the lines that it writes in this batch.
+// host is the policy.Host of one instance. It holds the instance's ids and the lines that it writes in this batch.
 type host struct {
 	id        uint64
 	instance  *policy.Instance // nil: not configured, or killed
@@ -21,7 +21,7 @@
 	requests  requestIDs
 }
 
-// handle hands an event on to the instance. Events of an instance that does not run are ignored.
+// handle passes an event to the instance. Events of an instance that was not configured, or was killed, are ignored.
 func (h *host) handle(m wire.Message) error {
 	switch m.Name {
 	case "KILL":
@@ -52,7 +52,7 @@
 	h.requests = requestIDs{}
 }
 
-// configure starts an instance. What it wrote before in this batch is dropped.
+// configure starts an instance. Lines that it wrote earlier in this batch are dropped.
 func (h *host) configure(m wire.Message) error {
 	seed, err := m.Uint("init_seed")
 	if err != nil {
@@ -104,7 +104,7 @@
 	"moot":           policy.NotStarted,
 }
 
-// handleRequestEvent hands on an event of a request that was admitted; those of others are ignored.
+// handleRequestEvent passes on an event of an admitted request. Events of unknown requests are ignored.
 func (h *host) handleRequestEvent(m wire.Message) error {
 	ticket, err := m.RequiredUint("ticket")
 	if err != nil {
@@ -134,7 +134,7 @@
 	return nil
 }
 
-// admit hands on a request. One whose ticket is in use is ignored.
+// admit passes on a request. One whose ticket is in use is ignored.
 func (h *host) admit(m wire.Message) error {
 	ticket, err := m.RequiredUint("ticket")
 	if err != nil {
@@ -169,7 +169,7 @@
 	return request, fields.err
 }
 
-// original returns the index of the request that a retry repeats; a ticket of 0 is that of no request.
+// original returns the id of the request with the ticket, which a retry repeats. A ticket of 0 means none.
 func (h *host) original(ticket uint64) policy.RequestID {
 	if ticket == 0 {
 		return policy.NoOriginal
@@ -180,7 +180,7 @@
 	return policy.OriginalGone
 }
 
-// fieldDecoder decodes the fields of a message, and keeps the first error.
+// fieldDecoder decodes the fields of a message, and records the first error.
 type fieldDecoder struct {
 	message wire.Message
 	err     error
--- a/internal/simhost/ids.go
+++ b/internal/simhost/ids.go
@@ -2,19 +2,18 @@
 
 import "thymechute/policy"
 
-// requestIDs maps the simulator's request ids, its tickets, to the module's small indices, which are used
-// again.
+// requestIDs maps the simulator's request ids, its tickets, to the instance's request ids, which are reused.
 type requestIDs struct {
 	byTicket map[uint64]policy.RequestID
-	tickets  []uint64           // by index
-	free     []policy.RequestID // indices for use again
+	tickets  []uint64           // by request id
+	free     []policy.RequestID // request ids for reuse
 }
 
 func newRequestIDs() requestIDs {
 	return requestIDs{byTicket: map[uint64]policy.RequestID{}}
 }
 
-// assign gives a ticket an index.
+// assign returns a free request id for a ticket.
 func (r *requestIDs) assign(ticket uint64) policy.RequestID {
 	var id policy.RequestID
 	if last := len(r.free) - 1; last >= 0 {
@@ -29,7 +28,7 @@
 	return id
 }
 
-// release frees an index; its ticket is unknown from now on.
+// release frees a request id; its ticket is unknown from then on.
 func (r *requestIDs) release(id policy.RequestID) {
 	delete(r.byTicket, r.tickets[id])
 	r.free = append(r.free, id)
--- a/internal/simhost/server.go
+++ b/internal/simhost/server.go
@@ -1,9 +1,8 @@
-// Package simhost hosts many instances of the decision module on the simulator's line protocol: it decodes
-// events into calls of the module, maps the simulator's ids to the module's indices, and encodes what the
-// module does.
+// Package simhost runs many instances of package policy on the simulator's line protocol: it decodes events
+// into calls of the instances, maps the simulator's ids to request ids, and encodes the instances' decisions.
 //
-// The instances share nothing but the input and the output. All work is done by the goroutine that calls
-// Serve; the clock is the batches' own. Its tables are bounded by the instances and the requests that the
+// The instances share only the input and the output. All work is done by the goroutine that calls Serve. The
+// time is that of the batches. The tables are bounded by the number of instances and of requests that the
 // simulator has open.
 package simhost
 
@@ -20,8 +19,8 @@
 // replyBufferBytes is the size of the output buffer.
 const replyBufferBytes = 1 << 20
 
-// Serve answers batches until the input ends. It returns an error where the input is
-// malformed, can't be read or answered, or where the module panics; the simulator is told of a panic.
+// Serve answers batches until the input ends. The error is a *wire.Error for malformed input, that of a failed
+// read or write, or that of a panic of an instance, which is also reported to the simulator.
 func Serve(in io.Reader, out io.Writer) error {
 	s := &server{
 		messages: wire.NewReader(in),
@@ -57,7 +56,7 @@
 	active   []*host          // hosts with an event in this batch, in the order of their first one
 }
 
-// serveBatch hands the events of a batch on and replies. A panic of the module ends the work.
+// serveBatch passes on the events of a batch and writes the reply. It returns an error for a panic.
 func (s *server) serveBatch(now time.Duration) (err error) {
 	defer func() {
 		if cause := recover(); cause != nil {
@@ -95,7 +94,7 @@
 	}
 }
 
-// activate returns the host of the instance that the events to come belong to.
+// activate returns the host of the instance to which the following events belong.
 func (s *server) activate(m wire.Message) (*host, error) {
 	id, err := m.RequiredUint("instance")
 	if err != nil {
@@ -113,7 +112,7 @@
 	return h, nil
 }
 
-// reply lets the active instances start work, and writes what all of them did in this batch.
+// reply calls Dispatch of the active instances, and writes the lines of all of them.
 func (s *server) reply(now time.Duration) error {
 	for _, h := range s.active {
 		h.isActive = false
@@ -141,7 +140,7 @@
 	return s.out.Flush()
 }
 
-// reportPanic tells the simulator that the module has panicked.
+// reportPanic reports a panic to the simulator, on behalf of the first active instance.
 func (s *server) reportPanic(cause string) error {
 	if len(s.active) > 0 {
 		s.writeOnBehalf(s.active[0].id)
--- a/internal/wire/line.go
+++ b/internal/wire/line.go
@@ -11,10 +11,10 @@
 //	out = wire.NewLine(out, "RUN").Uint("ticket", 7).End()
 type Line struct{ out []byte }
 
-// NewLine begins a line after what out holds.
+// NewLine starts a line of that name at the end of out.
 func NewLine(out []byte, name string) Line { return Line{append(out, name...)} }
 
-// End completes the line, and returns the buffer.
+// End completes the line and returns the buffer.
 func (l Line) End() []byte { return append(l.out, '\n') }
 
 // Uint appends a whole number.
@@ -22,12 +22,12 @@
 	return Line{strconv.AppendUint(l.key(name), value, 10)}
 }
 
-// Number appends a number, as many digits as it takes.
+// Number appends a number, with the fewest digits that represent it exactly.
 func (l Line) Number(name string, value float64) Line {
 	return Line{strconv.AppendFloat(l.key(name), value, 'f', -1, 64)}
 }
 
-// Seconds appends a time or duration in seconds; what is under a microsecond is cut off.
+// Seconds appends a time or duration in seconds, truncated to microseconds.
 func (l Line) Seconds(name string, value time.Duration) Line {
 	return l.Number(name, float64(value/time.Microsecond)/1e6)
 }
--- a/internal/wire/message.go
+++ b/internal/wire/message.go
@@ -13,11 +13,11 @@
 // Message is one line: its name, and its fields still as text.
 type Message struct {
 	Name   string
-	Line   int
+	Line   int // number in the input, from 1
 	fields string
 }
 
-// FieldError returns an Error for one of the message's fields.
+// FieldError returns an *Error for one of the message's fields.
 func (m Message) FieldError(field, expected string) error {
 	return &Error{m.Line, m.Name + " " + field, expected}
 }
@@ -48,7 +48,7 @@
 	return "", false
 }
 
-// Uint returns a whole number from 0 to under 2^63; 0 if the field is missing.
+// Uint returns a whole number from 0 to 2^63-1; 0 if the field is missing.
 func (m Message) Uint(name string) (uint64, error) {
 	if _, found := m.Field(name); !found {
 		return 0, nil
@@ -108,7 +108,7 @@
 	}
 }
 
-// Row returns numbers set apart by commas; none if the field is missing.
+// Row returns the numbers of a comma-separated list; nil if the field is missing.
 func (m Message) Row(name string) ([]float64, error) {
 	text, _ := m.Field(name)
 	if text == "" {
--- a/internal/wire/reader.go
+++ b/internal/wire/reader.go
@@ -1,6 +1,7 @@
 // Package wire reads and writes the simulator's line protocol: a line is the name of a message and its
-// fields as name=value, set apart by single spaces. The package knows the framing and the formats of
-// values, and nothing of what the messages mean. None of its types is safe for concurrent use.
+// fields as name=value, separated by single spaces. The package implements the framing and the formats of
+// values; the meaning of the messages is that of package simhost. None of its types is safe for concurrent
+// use.
 package wire
 
 import (
@@ -14,7 +15,7 @@
 // readBufferBytes is the size of the input buffer; batches extend to several megabytes.
 const readBufferBytes = 1 << 20
 
-// Error is a malformed line: where it is, and what was expected there.
+// Error is the error of a malformed line, with its position and the expected content.
 type Error struct {
 	Line     int // from 1; 0: none, the input as a whole
 	Field    string
@@ -34,8 +35,8 @@
 // NewReader returns a Reader of the input.
 func NewReader(in io.Reader) *Reader { return &Reader{in: bufio.NewReaderSize(in, readBufferBytes)} }
 
-// Next returns the message of the next line that is not blank, and io.EOF when there is none. An input that
-// ends within a line is an Error.
+// Next returns the message of the next line that is not blank, or io.EOF at the end of the input. The error is
+// an *Error for an input that ends within a line.
 func (r *Reader) Next() (Message, error) {
 	for {
 		text, err := r.in.ReadString('\n')
