--- a/cmd/thymechute/amqp_faults_test.go
+++ b/cmd/thymechute/amqp_faults_test.go
@@ -106,7 +106,8 @@
 	e.publish("trace", "", "b")
 	for n := 1; ; n++ {
 		task, got := e.Runtime.ExpectCommand("start")
-		if e.Runtime.SendEnd(n, task, "good", ""); got == "b" {
+		e.Runtime.SendEnd(n, task, "good", "")
+		if got == "b" {
 			break
 		}
 	}
--- a/cmd/thymechute/command.go
+++ b/cmd/thymechute/command.go
@@ -15,7 +15,7 @@
 
 var errNothingToCheck = errors.New("check: found nothing, expected --settings or GW_CONFIG")
 
-// newCommand returns the command line's root, which serves without a sub-command.
+// newCommand returns the root command, which serves if no sub-command is given.
 func newCommand(signals <-chan os.Signal) *cobra.Command {
 	var operatorFile string
 	serve := func(*cobra.Command, []string) error { return loadAndServe(operatorFile, signals) }
--- a/cmd/thymechute/connections_test.go
+++ b/cmd/thymechute/connections_test.go
@@ -48,7 +48,8 @@
 		stub.SendLine("%s", line)
 		for closed := false; !closed; { // an error without ID comes first
 			var r testutil.Response
-			if r, closed = stub.Receive(); !closed && (r.Code() >= 0 || r.Result.Doc != "") {
+			r, closed = stub.Receive()
+			if !closed && (r.Code() >= 0 || r.Result.Doc != "") {
 				t.Errorf("%s: got %+v", line, r)
 			}
 		}
--- a/cmd/thymechute/consensus.go
+++ b/cmd/thymechute/consensus.go
@@ -17,14 +17,14 @@
 
 const (
 	maxClockDrift   = 0.01
-	bootstrapWindow = time.Minute            // around the configured time, in which a start bootstraps the log
-	bootstrapDelay  = 2 * time.Second        // after joining the fleet: by then a member with a log is in the view
+	bootstrapWindow = time.Minute            // before and after the configured time, in which a start bootstraps the log
+	bootstrapDelay  = 2 * time.Second        // after joining the fleet, for a member with a log to appear in the view
 	publishInterval = 250 * time.Millisecond // of the applied index, in the membership record
-	maxPublishLag   = 16                     // entries not published; a follower counts as caught up from 64 behind on
+	maxPublishLag   = 16                     // entries applied since the last publication; a follower up to 64 behind counts as caught up
 )
 
-// duties are those whose leases the log grants. They must be the same in all members. A member's position as a claimant of
-// the n-th is n after its position for the first, so that the duties spread over the fleet.
+// duties are the names of the leases that the log grants. They must be the same in all members. A member's position among the
+// claimants of each lease is one after its position for the lease before, so that different members acquire them.
 var duties = []string{"ring", "roll"}
 
 // consensusNode is this process's replica of the fleet's log, which runs if the operator's file has the element log in
@@ -35,7 +35,7 @@
 	process     string
 	driver      atomic.Pointer[consensus.Driver]
 	bootstrapAt time.Time // zero: never
-	leader      string    // last logged; used on the fleet's goroutine alone
+	leader      string    // last logged; owned by fleet.maintainRecord
 }
 
 // newConsensusNode prepares a replica: the membership record names this process and its log's address.
@@ -46,7 +46,8 @@
 	if settings.Advertise == "" {
 		record.LogAddress = settings.Bind
 	}
-	if now := time.Now(); !settings.BootstrapAt.IsZero() && now.Sub(settings.BootstrapAt).Abs() < bootstrapWindow {
+	now := time.Now()
+	if !settings.BootstrapAt.IsZero() && now.Sub(settings.BootstrapAt).Abs() < bootstrapWindow {
 		c.bootstrapAt = now.Add(bootstrapDelay)
 	}
 	return c
@@ -57,8 +58,13 @@
 	c.member = m
 	duration := time.Duration(settings.LeaseDurationMS) * time.Millisecond
 	leases := lease.Config{Duration: duration, MaxDrift: maxClockDrift, SafetyMargin: duration / 50}
-	config := consensus.Config{Process: c.process, Bind: settings.Bind, Advertise: settings.Advertise, Duties: duties,
-		HeartbeatTimeout: duration * 3 / 10}
+	config := consensus.Config{
+		Process:          c.process,
+		Bind:             settings.Bind,
+		Advertise:        settings.Advertise,
+		Duties:           duties,
+		HeartbeatTimeout: duration * 3 / 10,
+	}
 	driver, err := consensus.StartDriver(consensus.DriverConfig{
 		Log: config, Leases: leases, Incarnation: incarnation, Watcher: c, Send: c.send,
 	})
@@ -66,7 +72,8 @@
 		return err
 	}
 	c.driver.Store(driver)
-	driver.ManageVoters(c.peers, quorum.Config{MaxVoters: settings.MaxVoters, MinAge: duration, HoldDown: 2 * duration}, c.logVoterChange)
+	voters := quorum.Config{MaxVoters: settings.MaxVoters, MinAge: duration, HoldDown: 2 * duration}
+	driver.ManageVoters(c.peers, voters, c.logVoterChange)
 	return nil
 }
 
@@ -77,27 +84,34 @@
 }
 
 // receive handles another member's message, on memberlist's goroutine. It is safe on nil and before start.
-func (c *consensusNode) receive(b []byte) {
+func (c *consensusNode) receive(message []byte) {
 	if c == nil {
 		return
 	}
 	if driver := c.driver.Load(); driver != nil {
-		driver.ReceiveProposal(b)
+		driver.ReceiveProposal(message)
 	}
 }
 
 // peers returns the membership view.
 func (c *consensusNode) peers() (peers []consensus.Peer) {
 	for _, r := range c.member.View() {
-		peers = append(peers, consensus.Peer{Process: r.Process, Address: r.LogAddress, Zone: r.Zone, Region: r.Region, Applied: r.AppliedIndex,
-			Draining: r.Flag == membership.FlagLeaving})
+		peers = append(peers, consensus.Peer{
+			Process:  r.Process,
+			Address:  r.LogAddress,
+			Zone:     r.Zone,
+			Region:   r.Region,
+			Applied:  r.AppliedIndex,
+			Draining: r.Flag == membership.FlagLeaving,
+		})
 	}
 	return peers
 }
 
 // logVoterChange logs a change of the voters, or that none can be made because the quorum is lost. The leader alone calls it.
 func (c *consensusNode) logVoterChange(change quorum.Change) {
-	process, reason := zap.String("process", change.Process), zap.String("reason", change.Reason)
+	process := zap.String("process", change.Process)
+	reason := zap.String("reason", change.Reason)
 	switch change.Kind {
 	case quorum.AddLearner:
 		c.log.Info("fleet log: learner chosen", process, reason)
--- a/cmd/thymechute/descriptors_test.go
+++ b/cmd/thymechute/descriptors_test.go
@@ -115,7 +115,8 @@
 	t.Helper()
 	stubConns := stubDescriptorParts * ((socketLimit - reservedDescriptors) / 8)
 	open := env.Program.OpenDescriptors()
-	if t.Logf("%d of %d descriptors open", open, socketLimit); open < stubConns {
+	t.Logf("%d of %d descriptors open", open, socketLimit)
+	if open < stubConns {
 		t.Errorf("only %d of %d descriptors are open, but stubs may have %d: the limit was not reached", open, socketLimit, stubConns)
 	}
 }
--- a/cmd/thymechute/fleet.go
+++ b/cmd/thymechute/fleet.go
@@ -13,17 +13,17 @@
 )
 
 const (
-	// minClaimInterval is between two evaluations of the view. A burst of changes makes one claim, and the "fleet view"
-	// lines stay below the log sampler's limit of alike lines per second, which would drop the last of a burst.
+	// minClaimInterval is the time between two evaluations of the view. A burst of changes leads to one claim, and the
+	// "fleet view" lines remain below maxAlikeLines per second, above which the log would drop the last ones of a burst.
 	minClaimInterval = 100 * time.Millisecond
 
 	noRank               = -1          // of a member that has not claimed its rank
 	maxLeaveStep         = time.Second // for each step of leaving
-	leaveStepsBeforeStop = 3           // steps of leaving that must fit between the notice and the kill
+	leaveStepsBeforeStop = 3           // steps of leaving that must fit between the drain notice and the kill
 )
 
-// fleet is this process's membership in a fleet: the member, its record, and its end of the replicated log. A nil fleet
-// belongs to an instance without one.
+// fleet is this process's membership in a fleet: the member, its record, and its replica of the fleet's log. It is nil in an
+// instance without a fleet.
 type fleet struct {
 	name      string
 	member    *membership.Member
@@ -32,7 +32,7 @@
 	log       *zap.Logger
 
 	record     membership.Record // owned by maintainRecord until maintained is closed
-	loggedView viewSummary       // the last one; owned by maintainRecord
+	loggedView viewSummary       // logged last; owned by maintainRecord
 	stop       chan struct{}     // ends maintainRecord
 	maintained chan struct{}     // closed when maintainRecord has ended
 
@@ -40,9 +40,9 @@
 	leaveOnce    sync.Once
 }
 
-// startFleet joins the fleet of the operator's file; it returns nil if the file has none. stop is the time from the notice
-// to the kill. Errors: an address can't be bound, or the settings are invalid.
-func startFleet(name string, settings *operator.Fleet, stop time.Duration, log *zap.Logger) (*fleet, error) {
+// startFleet joins the fleet of the operator's file; it returns nil if the file has none. stopTimeout is the time from the drain
+// notice to the kill. Errors: an address can't be bound, or the settings are invalid.
+func startFleet(name string, settings *operator.Fleet, stopTimeout time.Duration, log *zap.Logger) (*fleet, error) {
 	if settings == nil {
 		return nil, nil
 	}
@@ -50,9 +50,13 @@
 		name: name,
 		view: newFleetView(log),
 		log:  log,
-		record: membership.Record{Zone: settings.Zone, Region: settings.Region, Rank: noRank,
-			Epoch: uint64(time.Now().UnixMilli())},
-		leaveTimeout: min(stop/leaveStepsBeforeStop, maxLeaveStep),
+		record: membership.Record{
+			Zone:   settings.Zone,
+			Region: settings.Region,
+			Rank:   noRank,
+			Epoch:  uint64(time.Now().UnixMilli()),
+		},
+		leaveTimeout: min(stopTimeout/leaveStepsBeforeStop, maxLeaveStep),
 		stop:         make(chan struct{}),
 		maintained:   make(chan struct{}),
 	}
@@ -61,7 +65,8 @@
 	}
 	config := f.memberConfig(settings)
 	var err error
-	if f.member, err = membership.Start(config, f.view); err != nil {
+	f.member, err = membership.Start(config, f.view)
+	if err != nil {
 		return nil, err
 	}
 	if f.consensus != nil {
@@ -70,7 +75,10 @@
 		}
 	}
 	go f.maintainRecord()
-	log.Info("fleet joined", zap.String("bind", settings.Bind), zap.Strings("seeds", config.Seeds), zap.String("zone", settings.Zone))
+	log.Info("fleet joined",
+		zap.String("bind", settings.Bind),
+		zap.Strings("seeds", config.Seeds),
+		zap.String("zone", settings.Zone))
 	return f, nil
 }
 
@@ -93,9 +101,9 @@
 	}
 }
 
-// maintainRecord runs until the fleet is left. It claims the member's rank after changes of the view, and publishes how
-// far the replicated log has been applied. Claims are made here and not in the watcher, as memberlist holds its lock
-// while it calls that.
+// maintainRecord runs on a goroutine of its own until the fleet is left. It claims the member's rank after changes of the view,
+// and publishes how far the replicated log has been applied. The watcher can't do this, as memberlist calls it with its lock
+// locked.
 func (f *fleet) maintainRecord() {
 	defer close(f.maintained)
 	var publish <-chan time.Time // nil, so never ready, without a replicated log
@@ -135,7 +143,10 @@
 		return
 	}
 	f.loggedView = summary
-	f.log.Info("fleet view", zap.Int("rank", summary.rank), zap.Int("members", summary.members), zap.String("names", summary.names))
+	f.log.Info("fleet view",
+		zap.Int("rank", summary.rank),
+		zap.Int("members", summary.members),
+		zap.String("names", summary.names))
 }
 
 // assignedRank returns the rank of a member in a view.
@@ -148,7 +159,7 @@
 	return rank, ok
 }
 
-// claimRank publishes a new rank, on which the member's turn to acquire a duty of the replicated log depends.
+// claimRank publishes a new rank, which also determines the member's position among the claimants of the leases.
 func (f *fleet) claimRank(rank int) {
 	f.record.Rank = rank
 	if err := f.member.SetRecord(f.record); err != nil {
@@ -159,9 +170,9 @@
 	}
 }
 
-// leave announces the departure to the others and returns when that is done; the instance goes on answering what it has
-// read. With a replicated log it first hands over the member's duties and its vote. Each step takes at most
-// leaveTimeout. Calls after the first wait for that one. Safe on nil.
+// leave leaves the fleet; the instance still answers the requests that it has read. With a replicated log it first transfers the
+// member's leases and its vote. Each step takes at most leaveTimeout. Later calls wait for the first one. It may be called on
+// nil, and from any goroutine.
 func (f *fleet) leave(log *zap.Logger) {
 	if f == nil {
 		return
--- a/cmd/thymechute/fleetview.go
+++ b/cmd/thymechute/fleetview.go
@@ -16,8 +16,8 @@
 	maxNamedMembers    = 64 // members that a "fleet view" line names; a larger view is only counted
 )
 
-// fleetView logs the changes of the view and signals that there were some. It is the member's Watcher, called on
-// memberlist's goroutines, and never calls the member.
+// fleetView is the member's Watcher: it logs changes of the view and signals them on changed. Its methods are called on
+// memberlist's goroutines, with memberlist's lock locked, so they must not call the member.
 type fleetView struct {
 	log     *zap.Logger
 	changed chan struct{} // holds one signal: changes coalesce
@@ -46,8 +46,7 @@
 	v.signalChange()
 }
 
-// Rejected implements membership.Watcher. It logs each peer once, so that a peer that tries again and again costs one
-// line.
+// Rejected implements membership.Watcher. It logs each peer once, so that a peer that retries does not fill the log.
 func (v *fleetView) Rejected(name string, reason error) {
 	rejections, first := v.countRejection(name)
 	if first {
@@ -74,10 +73,11 @@
 	}
 }
 
-// viewSummary is what the log says of a view.
+// viewSummary is the content of a "fleet view" log line.
 type viewSummary struct {
-	rank, members int
-	names         string // sorted, separated by commas; empty for more than maxNamedMembers
+	rank    int
+	members int
+	names   string // sorted, separated by commas; empty for more than maxNamedMembers
 }
 
 // summarize returns the summary of a view in which this member has the rank.
--- a/cmd/thymechute/log.go
+++ b/cmd/thymechute/log.go
@@ -11,8 +11,8 @@
 
 const (
 	maxQueuedLines   = 1024                   // log lines waiting to be written; more are dropped
-	samplingInterval = time.Second            // over which lines with the same level and message are counted
-	maxAlikeLines    = 20                     // of those lines per interval; more are dropped
+	samplingInterval = time.Second            // over which maxAlikeLines counts
+	maxAlikeLines    = 20                     // lines with the same level and message per interval; more are dropped
 	logFlushTimeout  = 200 * time.Millisecond // for writing the queued lines at the end
 )
 
--- a/cmd/thymechute/main.go
+++ b/cmd/thymechute/main.go
@@ -20,7 +20,7 @@
 	exitFailure       = 1
 	exitConfiguration = 2
 
-	maxQueuedSignals = 8 // more that arrive before they are handled are dropped
+	maxQueuedSignals = 8 // signals that arrive while so many are pending are dropped
 )
 
 // configurationError is an error in a configuration file, the environment or the command line.
@@ -32,7 +32,7 @@
 
 func main() {
 	signals := make(chan os.Signal, maxQueuedSignals)
-	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT, syscall.SIGHUP) // before they could end the process
+	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT, syscall.SIGHUP) // before anything else, as their default is to end the process
 	if err := run(signals); err != nil {
 		fmt.Fprintln(os.Stderr, "thymechute:", err)
 		os.Exit(exitCode(err))
@@ -40,7 +40,7 @@
 }
 
 func run(signals <-chan os.Signal) error {
-	if len(os.Args) == 1 { // as the platform starts it: this saves the memory of the command line's parser
+	if len(os.Args) == 1 { // as the platform starts it; this saves the memory of the command line's parser
 		return loadAndServe("", signals)
 	}
 	return newCommand(signals).Execute()
--- a/cmd/thymechute/reload.go
+++ b/cmd/thymechute/reload.go
@@ -11,7 +11,7 @@
 	"thymechute/policy/settings"
 )
 
-// errApplyPanicked is the result of a reload during which the loop panicked; the loop logs the panic itself.
+// errApplyPanicked is the result of a reload whose apply panicked; the loop logs the panic itself.
 var errApplyPanicked = errors.New("settings: found a panic, expected none")
 
 // reloader reads the configuration again and passes its difference from the settings in effect to the loop. It runs on a
@@ -25,7 +25,8 @@
 	log      *zap.Logger
 }
 
-// run reloads at each request. A file that is invalid, or rejected by apply, has no effect but a log line.
+// run reloads at each request, until the channel is closed. A configuration that is invalid, or that apply rejects, is logged and
+// has no other effect.
 func (r *reloader) run(requests <-chan struct{}) {
 	for range requests {
 		if err := r.reload(); err != nil {
@@ -50,12 +51,13 @@
 		return err
 	}
 	if !delta.IsEmpty() {
-		r.settings, r.version = reloaded.Settings, delta.To
+		r.settings = reloaded.Settings
+		r.version = delta.To
 	}
 	return nil
 }
 
-// applyOnLoop calls apply on the loop and waits for its result, also if apply panics.
+// applyOnLoop calls apply on the loop and waits for its result, which is errApplyPanicked if apply panics.
 func (r *reloader) applyOnLoop(reloaded config.Config, delta settings.Delta) error {
 	result := make(chan error, 1)
 	r.post(func() {
--- a/cmd/thymechute/requests_test.go
+++ b/cmd/thymechute/requests_test.go
@@ -143,10 +143,12 @@
 	for id, doc := 3, "one"; doc == "one"; id++ { // up to the expiry and past it
 		stub.SendRequest(id, "excursion", fmt.Sprintf("aa%d", id), body, token+`,"again":1`)
 		r, closed := stub.Receive()
-		if doc = r.Doc(); closed || r.ID != float64(id) || doc != "one" && doc != "two" {
+		doc = r.Doc()
+		if closed || r.ID != float64(id) || doc != "one" && doc != "two" {
 			t.Fatalf("got %+v, closed %v", r, closed)
 		}
-		if served++; doc == "one" {
+		served++
+		if doc == "one" {
 			lastSent = time.Now()
 		}
 	}
--- a/cmd/thymechute/resources.go
+++ b/cmd/thymechute/resources.go
@@ -11,10 +11,11 @@
 
 const (
 	heapFraction      = 0.7 // of the memory limit, for Go; the rest is for the kernel and the program's code
-	heapGrowthPercent = 100 // between two garbage collections, below that limit
+	heapGrowthPercent = 100 // growth of the heap between two garbage collections, below that limit
 
-	// File descriptors are reserved for the links, Go's own and connections being opened. The others are divided into parts:
-	// most for the stubs' connections, one part each for spare stub connections, for those that are closing, and for calls.
+	// Some file descriptors are reserved for the links, the Go runtime and connections that are being opened. The others are
+	// divided into parts: stubDescriptorParts for the stubs' connections, and one each for spare stub connections, for
+	// connections that are closing, and for calls.
 	reservedDescriptors = 32
 	descriptorParts     = 8
 	stubDescriptorParts = 5
--- a/cmd/thymechute/restart_test.go
+++ b/cmd/thymechute/restart_test.go
@@ -117,7 +117,8 @@
 	}
 	defer c.Close()
 	_ = c.SetDeadline(time.Now().Add(time.Second))
-	if _, err = fmt.Fprintln(c, testutil.RequestLine(1, "trace", rid, body, "")); err == nil {
+	_, err = fmt.Fprintln(c, testutil.RequestLine(1, "trace", rid, body, ""))
+	if err == nil {
 		_, _ = bufio.NewReader(c).ReadString('\n')
 	}
 }
--- a/cmd/thymechute/serve.go
+++ b/cmd/thymechute/serve.go
@@ -22,7 +22,7 @@
 
 const dialTimeout = time.Second
 
-// host combines the server and the instance to the application of the event loop.
+// host is the loop.Host: the server accepts connections and the instance ticks.
 type host struct {
 	*rpc.Server
 	*node.Instance
@@ -37,7 +37,7 @@
 	server   *rpc.Server
 	fleet    *fleet // nil if the operator's file has none
 
-	descriptorPart int // see resources.go
+	descriptorPart int // number of file descriptors in one part; see descriptorPart
 
 	// The links to other programs, created on the loop.
 	runtime *runtimelink.Link
@@ -112,8 +112,9 @@
 
 // handleSignals starts reloading at SIGHUP, and the graceful shutdown at all other signals.
 func (s *service) handleSignals(l *loop.Loop, r *reloader, signals <-chan os.Signal) {
-	r.post, r.apply = l.Post, s.applyReload
-	requests := make(chan struct{}, 1) // one more while a file is read is served by reading it once more
+	r.post = l.Post
+	r.apply = s.applyReload
+	requests := make(chan struct{}, 1) // signals that arrive during a reload lead to one more reload
 	go r.run(requests)
 	go func() {
 		for received := range signals {
--- a/internal/catalog/catalog_test.go
+++ b/internal/catalog/catalog_test.go
@@ -28,12 +28,13 @@
 	r.Sweep(now.Add(4*time.Second), node.Unhealthy)
 	again := &testutil.FakeConn{}
 	dialled[1].Opened(again)
-	if r.Sweep(now.Add(4*time.Second), node.Unhealthy); !w.Closed || again.Out != "alive n3 critical" {
+	r.Sweep(now.Add(4*time.Second), node.Unhealthy)
+	if !w.Closed || again.Out != "alive n3 critical" {
 		t.Errorf("closed %v, wrote %q", w.Closed, again.Out)
 	}
 }
 
-// A catalog that is down costs the report that found it so, and no later one: the next opens another socket.
+// While the catalog is down each report fails on its own socket: an error does not prevent later reports.
 func TestSocketWithAnErrorIsReplaced(t *testing.T) {
 	var dialled []*socket
 	r := New("n3", func(p loop.Handler) { dialled = append(dialled, p.(*socket)) })
@@ -45,7 +46,8 @@
 		}
 		w := &testutil.FakeConn{}
 		dialled[n].Opened(w)
-		if r.Sweep(now, node.Healthy); w.Out != "alive n3 passing" {
+		r.Sweep(now, node.Healthy)
+		if w.Out != "alive n3 passing" {
 			t.Errorf("wrote %q after %d errors", w.Out, n)
 		}
 		dialled[n].Closed(&loop.ConnError{Connected: true, Err: errors.New("connection refused")})
--- a/internal/front/amqp/connect.go
+++ b/internal/front/amqp/connect.go
@@ -74,7 +74,8 @@
 
 // openChannels opens the channels for consuming and publishing.
 func (s *session) openChannels() (err error) {
-	if s.consumer.channel, err = s.connection.Channel(); err != nil {
+	s.consumer.channel, err = s.connection.Channel()
+	if err != nil {
 		return err
 	}
 	if err := s.checkNames(); err != nil {
--- a/internal/front/amqp/guard_test.go
+++ b/internal/front/amqp/guard_test.go
@@ -56,7 +56,7 @@
 	}
 }
 
-// An oversized body is never held in memory: the library sees an empty one, and the front knows the tag.
+// An oversized body is never in memory: the library gets an empty one, and the front finds the tag.
 func TestGuardDropsOversizedBodies(t *testing.T) {
 	g := newTestGuard(append(delivery(1, 1<<20), delivery(2, 10)...), 2)
 	got, err := io.ReadAll(g)
@@ -65,7 +65,7 @@
 		t.Errorf("%d bytes, want %d: %v", len(got), len(want), err)
 	}
 	if !g.takeOversized(1) || g.takeOversized(1) || g.takeOversized(2) || len(g.contents) != 0 {
-		t.Error("not remembered once, by its tag")
+		t.Error("the oversized message is not recorded once, by its tag")
 	}
 	if cap(g.frame) > 4*maxFrameSize {
 		t.Errorf("holds %d bytes", cap(g.frame))
@@ -117,7 +117,7 @@
 	}
 }
 
-// For any input: no panic, at most one bounded frame in memory, and only whole frames passed on.
+// For any input: no panic, at most one bounded frame in memory, and only complete frames passed on.
 func FuzzGuard(f *testing.F) {
 	f.Add(delivery(1, 5000))
 	f.Add(append(delivery(1, 0), delivery(2, 10)...))
--- a/internal/index/pool_test.go
+++ b/internal/index/pool_test.go
@@ -46,7 +46,7 @@
 	s.got = nil
 }
 
-func TestOutcomeFollowsHowFarTheCallCame(t *testing.T) {
+func TestOutcomeOfLostCallDependsOnItsProgress(t *testing.T) {
 	p, s, dialled := newPool(1)
 	p.Call("a", time.Second, []byte("x"))
 	(*dialled)[0].Closed(&loop.ConnError{Err: errors.New("refused")})
@@ -70,12 +70,13 @@
 	if !strings.HasSuffix(w.Out, " 1\r\nx\r\n") || strings.Contains(w.Out, "GET c") || !w.Closed {
 		t.Errorf("wrote %q, closed %v", w.Out, w.Closed)
 	}
-	if c.Closed(&loop.ConnError{Connected: true, Err: errors.New("closed")}); len(s.got) != 0 || len(p.conns) != 0 {
+	c.Closed(&loop.ConnError{Connected: true, Err: errors.New("closed")})
+	if len(s.got) != 0 || len(p.conns) != 0 {
 		t.Errorf("got %q, %d connections left", s.got, len(p.conns))
 	}
 }
 
-func TestRepliesAreReadWhereverTheyAreSplit(t *testing.T) {
+func TestReplySplitAtAnyByteIsDecoded(t *testing.T) {
 	const text = "b SHED\r\na HIT 4\r\n\r\n\r\n\r\na HIT 1\r\nx\r\nc SLOW\r\n"
 	for cut := range len(text) {
 		p, s, dialled := newPool(1)
@@ -92,7 +93,7 @@
 	}
 }
 
-// A late or repeated reply must find no call that it could be taken for.
+// A late or repeated reply must not be taken for the reply to another call.
 func TestRepeatedReplyIsNotTakenForTheNextCall(t *testing.T) {
 	p, s, dialled := newPool(8)
 	p.Call("a", time.Second, nil)
@@ -108,11 +109,11 @@
 	p.Abandon("a")
 	p.Call("b", time.Second, nil)
 	if first.call == nil || first.call.id != "b" {
-		t.Error("a good connection is not used again")
+		t.Error("a valid connection is not reused")
 	}
 }
 
-func TestBrokenConnectionCostsItsOwnCallOnly(t *testing.T) {
+func TestBrokenConnectionAffectsOnlyItsOwnCall(t *testing.T) {
 	p, s, dialled := newPool(8)
 	p.Call("a", time.Second, nil)
 	bad, _ := open(dialled)
@@ -139,7 +140,8 @@
 	if w.Closed {
 		t.Error("closed too soon")
 	}
-	if p.Sweep(time.Now().Add(2 * idleTimeout)); !w.Closed {
+	p.Sweep(time.Now().Add(2 * idleTimeout))
+	if !w.Closed {
 		t.Error("an idle connection stays")
 	}
 	p.Call("b", time.Second, nil)
@@ -173,7 +175,7 @@
 	for _, c := range (*dialled)[4:] {
 		c.Opened(&testutil.FakeConn{})
 	}
-	p.Move() // all in flight at the former address: e need not wait for them
+	p.Move() // all calls on the former connections are in flight, and e does not wait for them
 	if len(*dialled) != 9 || len(p.queue) != 0 {
 		t.Errorf("%d dialled, %d queued", len(*dialled), len(p.queue))
 	}
--- a/internal/loop/conn_test.go
+++ b/internal/loop/conn_test.go
@@ -83,7 +83,8 @@
 				p := make([]byte, rapid.IntRange(1, 8<<10).Draw(t, "bytes"))
 				_ = m.client.SetReadDeadline(time.Now().Add(time.Millisecond))
 				n, err := m.client.Read(p)
-				if m.received = append(m.received, p[:n]...); err != nil && !errors.Is(err, os.ErrDeadlineExceeded) && err != io.EOF {
+				m.received = append(m.received, p[:n]...)
+				if err != nil && !errors.Is(err, os.ErrDeadlineExceeded) && err != io.EOF {
 					t.Fatal(err)
 				}
 			},
@@ -98,7 +99,8 @@
 					if server.state < m.state || server.state == stateOpen && m.closing {
 						t.Fatalf("state %d after %d, closing %v", server.state, m.state, m.closing)
 					}
-					if m.state = server.state; server.state == stateHalfClosed && (m.handler.HasPending() || server.socket.OutboundBuffered() > 0) {
+					m.state = server.state
+					if server.state == stateHalfClosed && (m.handler.HasPending() || server.socket.OutboundBuffered() > 0) {
 						t.Fatal("half-closed over pending replies")
 					}
 				})
@@ -110,7 +112,8 @@
 		m.runOnLoop(m.handler.reply)
 		_ = m.client.SetReadDeadline(time.Now().Add(testTimeout))
 		rest, err := io.ReadAll(m.client)
-		if m.received = append(m.received, rest...); err != nil || !bytes.Equal(m.received, m.pending) {
+		m.received = append(m.received, rest...)
+		if err != nil || !bytes.Equal(m.received, m.pending) {
 			t.Fatalf("received %d bytes of %d, %v", len(m.received), len(m.pending), err)
 		}
 		m.client.Close()
--- a/internal/loop/host_test.go
+++ b/internal/loop/host_test.go
@@ -204,7 +204,8 @@
 func (h *testHost) await(holds func() bool) {
 	h.t.Helper()
 	for end, ok := time.Now().Add(testTimeout), false; ; time.Sleep(time.Millisecond) {
-		if h.runOnLoop(func() { ok = holds() }); ok {
+		h.runOnLoop(func() { ok = holds() })
+		if ok {
 			return
 		}
 		if time.Now().After(end) {
--- a/internal/loop/tick_test.go
+++ b/internal/loop/tick_test.go
@@ -12,11 +12,13 @@
 		t.Error("a tick in time was deferred")
 	}
 	for n := range maxDeferrals {
-		if l.hasReceived = true; !l.deferTick(at.Add(time.Second)) {
+		l.hasReceived = true
+		if !l.deferTick(at.Add(time.Second)) {
 			t.Fatalf("deferred only %d times while input arrived", n)
 		}
 	}
-	if l.hasReceived = true; l.deferTick(at.Add(time.Second)) {
+	l.hasReceived = true
+	if l.deferTick(at.Add(time.Second)) {
 		t.Error("deferred without bound")
 	}
 	if l.deferTick(at.Add(time.Second)) {
--- a/internal/rpc/server_test.go
+++ b/internal/rpc/server_test.go
@@ -29,7 +29,7 @@
 	return NewServer(Config{Admission: admission, MaxConns: maxConns, SpareConns: 1, Log: zap.NewNop()})
 }
 
-func TestIdleTimeoutSparesConnectionsWithPendingRequests(t *testing.T) {
+func TestIdleTimeoutDoesNotCloseConnectionsWithPendingRequests(t *testing.T) {
 	admission := &fakeAdmission{}
 	server := newTestServer(admission, 2)
 	busy := &testutil.FakeConn{}
@@ -55,12 +55,12 @@
 	if busy.Closed || !strings.HasSuffix(busy.Out, string(closingNotification)) {
 		t.Errorf("closed %v without a notification before: %q", busy.Closed, busy.Out)
 	}
-	if err := busyConn.Received([]byte(requestLine + "\n")); err != nil || admission.admitted != 2 { // it crosses the notification
+	if err := busyConn.Received([]byte(requestLine + "\n")); err != nil || admission.admitted != 2 { // in transit at the notification
 		t.Fatalf("%v, %d admitted", err, admission.admitted)
 	}
 	server.Sweep(time.Now().Add(6 * time.Second))
 	if busy.Closed {
-		t.Error("closed over a request that crossed the notification")
+		t.Error("closed over a request that was in transit at the notification")
 	}
 	busyConn.(*conn).Answer("7", node.Answer{})
 	server.Sweep(time.Now().Add(8 * time.Second))
@@ -91,7 +91,7 @@
 	if second.Out != string(closingNotification) || second.Closed || first.Out+third.Out != "" {
 		t.Errorf("sent %q, closed %v; others were sent %q", second.Out, second.Closed, first.Out+third.Out)
 	}
-	if err := silent.Received([]byte(requestLine + "\n")); err != nil || admission.admitted != 2 { // it crosses the notification
+	if err := silent.Received([]byte(requestLine + "\n")); err != nil || admission.admitted != 2 { // in transit at the notification
 		t.Fatalf("%v, %d admitted", err, admission.admitted)
 	}
 	fourth, transport := open() // the spare connection is in use: of those with nothing pending the one without a request closes
@@ -116,14 +116,20 @@
 func TestStalledConnectionsAreClosed(t *testing.T) {
 	server := newTestServer(&fakeAdmission{}, 9)
 	now := time.Now()
-	for name, input := range map[string]string{"silent": "", "partial request": requestLine[:50], "complete and partial": requestLine + "\n" + requestLine[:50], "complete": requestLine + "\n"} {
+	for name, input := range map[string]string{
+		"silent":               "",
+		"partial request":      requestLine[:50],
+		"complete and partial": requestLine + "\n" + requestLine[:50],
+		"complete":             requestLine + "\n",
+	} {
 		handler := server.Accept()
 		transport := &testutil.FakeConn{}
 		handler.Opened(transport)
 		if err := handler.Received([]byte(input)); err != nil {
 			t.Fatal(err)
 		}
-		if server.nextSweep = (time.Time{}); transport.Closed {
+		server.nextSweep = time.Time{}
+		if transport.Closed {
 			t.Errorf("%s: closed at once", name)
 		}
 		for sweep := range 4 { // single bytes complete no message
@@ -132,8 +138,10 @@
 			}
 			server.Sweep(now.Add(requestTimeout*time.Duration(sweep+1)/2 + 10*time.Millisecond))
 			server.nextSweep = time.Time{}
-			if notified := strings.HasSuffix(transport.Out, string(closingNotification)); notified != (name != "complete" && sweep > 0) || transport.Closed && sweep < 2 {
-				t.Errorf("%s, sweep %d: notified %v, closed %v", name, sweep, notified, transport.Closed)
+			isNotified := strings.HasSuffix(transport.Out, string(closingNotification))
+			wantNotified := name != "complete" && sweep > 0
+			if isNotified != wantNotified || transport.Closed && sweep < 2 {
+				t.Errorf("%s, sweep %d: notified %v, closed %v", name, sweep, isNotified, transport.Closed)
 			}
 		}
 		if transport.Closed != (name != "complete") {
@@ -157,6 +165,6 @@
 	}
 	handler.Closed(&loop.ConnError{Connected: true, Err: errors.New("reset")})
 	if admission.callersGone != 1 {
-		t.Error("the admission was not told that the caller is gone")
+		t.Error("CallerGone was not called")
 	}
 }
--- a/internal/runtimelink/link_test.go
+++ b/internal/runtimelink/link_test.go
@@ -17,18 +17,20 @@
 // sink records what the link passes on.
 type sink struct{ got []string }
 
-func (s *sink) put(format string, args ...any) { s.got = append(s.got, fmt.Sprintf(format, args...)) }
+func (s *sink) record(format string, args ...any) {
+	s.got = append(s.got, fmt.Sprintf(format, args...))
+}
 func (s *sink) RuntimeReady(state node.RuntimeState) {
-	s.put("ready %v %v", state.Reused, state.Age)
+	s.record("ready %v %v", state.Reused, state.Age)
 }
-func (s *sink) RuntimeResynced() { s.put("caught up") }
+func (s *sink) RuntimeResynced() { s.record("resynced") }
 func (s *sink) RunEnded(id node.TaskID, result node.RunResult) {
-	s.put("end %s %d %s", id, result.Outcome, result.Body)
+	s.record("end %s %d %s", id, result.Outcome, result.Body)
 }
-func (s *sink) CallRequested(id node.TaskID, body []byte) { s.put("wants %s %s", id, body) }
-func (s *sink) GaugesRead(row []float64)                  { s.put("readings %v", row) }
+func (s *sink) CallRequested(id node.TaskID, body []byte) { s.record("wants %s %s", id, body) }
+func (s *sink) GaugesRead(values []float64)               { s.record("readings %v", values) }
 func (s *sink) SelfTestEnded(id string, status node.HealthStatus) {
-	s.put("verdict %s %v", id, status == node.Healthy)
+	s.record("verdict %s %v", id, status == node.Healthy)
 }
 
 func newLink() (*Link, *sink, *[]time.Duration) {
@@ -64,7 +66,7 @@
 	if err := l.latest.Received([]byte(`{"verb":"load","nonce":"sync1","readings":[1,2]}` + "\n")); err != nil || !l.Up() {
 		t.Errorf("%v, up %v", err, l.Up())
 	}
-	if got := strings.Join(s.got, "; "); got != "ready false 1.5ms; wants a x; end a 1 z; caught up; readings [1 2]" {
+	if got := strings.Join(s.got, "; "); got != "ready false 1.5ms; wants a x; end a 1 z; resynced; readings [1 2]" {
 		t.Error(got)
 	}
 	again := &testutil.FakeConn{}
@@ -103,7 +105,8 @@
 		t.Errorf("%v, %q read on the old connection", err, s.got)
 	}
 	first.Closed(&loop.ConnError{Connected: true})
-	if l.Stop("b"); !old.Closed || !strings.Contains(w.Out, `"b"`) {
+	l.Stop("b")
+	if !old.Closed || !strings.Contains(w.Out, `"b"`) {
 		t.Errorf("closed %v, wrote %q", old.Closed, w.Out)
 	}
 }
--- a/internal/runtimelink/protocol_test.go
+++ b/internal/runtimelink/protocol_test.go
@@ -6,8 +6,8 @@
 	"thymechute/internal/testutil"
 )
 
-// The runtime's protocol is given: the lines must stay as they are, byte for byte.
-func TestCommandsAreWrittenAsTheProtocolSays(t *testing.T) {
+// The runtime's protocol is fixed: the lines must not change in any byte.
+func TestCommandsAreEncodedAsInTheProtocol(t *testing.T) {
 	for want, write := range map[string]func(*Link){
 		`{"verb":"start","task":"a","handler":"safe","bytes":"eA=="}`: func(l *Link) { l.Start("a", "safe", []byte("x")) },
 		`{"verb":"start","task":"a","handler":"safe","bytes":""}`:     func(l *Link) { l.Start("a", "safe", nil) },
--- a/internal/settingsjson/decode_test.go
+++ b/internal/settingsjson/decode_test.go
@@ -101,7 +101,7 @@
 }
 
 // A faulty value does not keep the others from being decoded: the simulator's settings are used without it.
-func TestFaultyValuesAreLeftMissing(t *testing.T) {
+func TestInvalidValuesCountAsMissing(t *testing.T) {
 	s, invalid, err := Parse(`{"domain":{"cores":"many","ram_kb":5},"tenants":[{"quota_per_s":-1},{"name":7,"quota_per_s":2}]}`)
 	if err != nil || invalid == nil || s.Server != (settings.Server{MemoryKB: settings.NumberOf(5)}) || len(s.Tenants) != 2 ||
 		s.Tenants[0] != (settings.Tenant{}) || s.Tenants[1] != (settings.Tenant{Quota: settings.NumberOf(2)}) {
--- a/internal/simhost/actions_test.go
+++ b/internal/simhost/actions_test.go
@@ -11,7 +11,7 @@
 )
 
 // The lines are those of the simulator's protocol: names, fields and their order stay.
-func TestActionsAreWrittenInTheProtocolsWords(t *testing.T) {
+func TestActionsAreEncodedAsInTheProtocol(t *testing.T) {
 	const ticket = 4000000000
 	h := &host{startedAt: 1500 * time.Millisecond, requests: newRequestIDs()}
 	id := h.requests.assign(ticket)
@@ -44,7 +44,7 @@
 	}
 }
 
-func TestReleasedIndexIsUsedAgain(t *testing.T) {
+func TestReleasedRequestIDIsReused(t *testing.T) {
 	h := &host{requests: newRequestIDs()}
 	first := h.requests.assign(7)
 	second := h.requests.assign(8)
@@ -57,7 +57,7 @@
 	}
 }
 
-func TestRetryNamesItsOriginal(t *testing.T) {
+func TestOriginalOfRetryIsFoundByTicket(t *testing.T) {
 	h := &host{requests: newRequestIDs()}
 	id := h.requests.assign(7)
 	for ticket, want := range map[uint64]policy.RequestID{0: policy.NoOriginal, 7: id, 8: policy.OriginalGone} {
--- a/internal/simhost/server.go
+++ b/internal/simhost/server.go
@@ -79,7 +79,8 @@
 		case "BEGIN_BATCH":
 			return m.FieldError("name", "EOF_BATCH before the next batch")
 		case "FOR":
-			if current, err = s.activate(m); err != nil {
+			current, err = s.activate(m)
+			if err != nil {
 				return err
 			}
 		default:
--- a/internal/testutil/cluster.go
+++ b/internal/testutil/cluster.go
@@ -26,16 +26,17 @@
 
 const (
 	waitLimit       = 25 * time.Second
-	reportedOnLimit = 20 // last events in the message of a wait that failed
+	reportedOnLimit = 20 // number of last events in the message of a failed wait
 )
 
-// Cluster is several processes of the test's own binary behind a fault network. Each writes events, one JSON object a
-// line, to its standard output; E is their type. All its processes end with the test.
+// Cluster runs several processes of the test's own binary behind a fault network. Each process writes events of type E to its
+// standard output, one JSON object a line. All processes are killed at the end of the test. Its methods may be called from any
+// goroutine.
 type Cluster[E any] struct {
 	Net       *faultnet.Network
 	t         testing.TB
 	subnet    int // members bind 127.0.subnet.n, their proxies 127.0.subnet+1.n
-	ports     int // of each member
+	ports     int // number of ports of each member
 	setMember func(event *E, name string)
 	newEvent  chan struct{}
 
@@ -47,16 +48,25 @@
 
 // clusterMember is one member. Its addresses stay the same when it is started again.
 type clusterMember struct {
-	binds, proxies []string
-	process        *exec.Cmd
-	stdin          io.Closer // closed with the test's process
-	exited         chan struct{}
+	binds   []string // addresses that it binds, one for each port
+	proxies []string // addresses at which others reach it
+	process *exec.Cmd
+	stdin   io.Closer     // closed with the test's process
+	exited  chan struct{} // closed when the process has exited
 }
 
-// NewCluster returns a cluster of members with so many ports each; setMember notes on an event whose it is.
+// NewCluster returns a cluster without members. Each member gets that many ports on addresses of the subnet; setMember sets the
+// name of the member that wrote an event.
 func NewCluster[E any](t testing.TB, subnet, ports int, setMember func(event *E, name string)) *Cluster[E] {
-	c := &Cluster[E]{Net: faultnet.New(1), t: t, subnet: subnet, ports: ports, setMember: setMember,
-		newEvent: make(chan struct{}, 1), members: map[string]*clusterMember{}}
+	c := &Cluster[E]{
+		Net:       faultnet.New(1),
+		t:         t,
+		subnet:    subnet,
+		ports:     ports,
+		setMember: setMember,
+		newEvent:  make(chan struct{}, 1),
+		members:   map[string]*clusterMember{},
+	}
 	t.Cleanup(func() {
 		for _, name := range c.Names() {
 			c.Kill(name)
@@ -86,8 +96,8 @@
 	return bind, proxy
 }
 
-// Start starts a member, without any state; under a name that was started before, at the same addresses. environment
-// is added to the member's variables above.
+// Start starts a member without any state. A name that was started before gets the same addresses again. environment is added
+// to the variables above.
 func (c *Cluster[E]) Start(name string, environment ...string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -107,23 +117,26 @@
 	if err := m.process.Start(); err != nil {
 		c.t.Fatal(err)
 	}
-	m.stdin, m.exited = stdin, make(chan struct{})
+	m.stdin = stdin
+	m.exited = make(chan struct{})
 	go c.readEvents(name, stdout, m.process, m.exited)
 }
 
-// addMember chooses a new member's addresses; c.mu is locked.
+// addMember chooses the addresses of a new member; c.mu must be locked.
 func (c *Cluster[E]) addMember(name string) *clusterMember {
 	m := &clusterMember{}
 	n := len(c.names) + 1
 	for range c.ports {
 		bind, proxy := StartProxy(c.t, c.Net, name, c.subnet, n)
-		m.binds, m.proxies = append(m.binds, bind), append(m.proxies, proxy)
+		m.binds = append(m.binds, bind)
+		m.proxies = append(m.proxies, proxy)
 	}
-	c.members[name], c.names = m, append(c.names, name)
+	c.members[name] = m
+	c.names = append(c.names, name)
 	return m
 }
 
-// environment is a member's variables; c.mu is locked.
+// environment returns the variables of a member; c.mu must be locked.
 func (c *Cluster[E]) environment(name string) []string {
 	m := c.members[name]
 	variables := []string{MemberNameVariable + "=" + name}
@@ -164,13 +177,13 @@
 	_ = c.members[name].process.Process.Signal(s)
 }
 
-// Kill kills a member, and waits until it has exited.
+// Kill kills a member and waits until it has exited.
 func (c *Cluster[E]) Kill(name string) {
 	c.Signal(name, syscall.SIGKILL)
 	<-c.Exited(name)
 }
 
-// Exited is closed once the process that runs under this name now has exited.
+// Exited returns a channel that is closed when the present process of that name has exited.
 func (c *Cluster[E]) Exited(name string) <-chan struct{} {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -208,7 +221,8 @@
 	return last
 }
 
-// WaitFor waits for an event that matches, from the first-th on. The test fails if there is none in time.
+// WaitFor returns the first matching event with an index of at least first, and waits for it if necessary. After waitLimit the
+// test fails.
 func (c *Cluster[E]) WaitFor(what string, first int, matches func(E) bool) E {
 	c.t.Helper()
 	limit := time.After(waitLimit)
--- a/internal/testutil/environment.go
+++ b/internal/testutil/environment.go
@@ -1,6 +1,6 @@
-// Package testutil is what tests of several packages share: the program as a process with fakes of the parties it talks to
-// (client stubs, runtime, index, catalog), clusters of processes, and helpers that wait for conditions. Waits end with the
-// event they wait for; their timeout only ends a test that is stuck. Only tests import the package.
+// Package testutil contains helpers for the tests of several packages: the program as a process with fakes of its peers (client
+// stubs, runtime, index, catalog), clusters of processes, and helpers that wait for conditions. A wait ends with the event that
+// it waits for, and after a timeout the test fails. Only tests import the package.
 package testutil
 
 import (
@@ -10,10 +10,10 @@
 
 const (
 	maxDatagramSize   = 2000 // bytes of a report to the catalog
-	maxPendingReports = 1000 // reports that no test has taken; more are dropped
+	maxPendingReports = 1000 // reports that no test has received; more are dropped
 )
 
-// Environment is the program with fakes of all parties that it talks to.
+// Environment is the program with fakes of all its peers.
 type Environment struct {
 	T              *testing.T
 	Config         map[string]any // of the program, by the keys of its configuration file
--- a/internal/testutil/fakepeer.go
+++ b/internal/testutil/fakepeer.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-const maxWaitingConns = 100 // connections accepted and not yet taken by a test
+const maxWaitingConns = 100 // accepted connections for which no test has called Accept
 
 // FakePeer is a server that the program connects to. It serves one connection at a time.
 type FakePeer struct {
--- a/internal/testutil/fakeruntime.go
+++ b/internal/testutil/fakeruntime.go
@@ -44,14 +44,14 @@
 	r.ignoreGauges = &atomic.Bool{}
 }
 
-// IgnoreGauges leaves the gauges commands of this link unanswered from now on.
+// IgnoreGauges leaves all later gauges commands of this link unanswered.
 func (r *FakeRuntime) IgnoreGauges() { r.ignoreGauges.Store(true) }
 
-// ReportBusy makes all readings from now on those of a runtime with all its cores at work.
+// ReportBusy makes all later readings those of a runtime with all its cores busy.
 func (r *FakeRuntime) ReportBusy() { r.reportBusy.Store(true) }
 
-// AcceptSync accepts a link, whose sync command must name the last notice received, answers that the runtime is in the
-// state since so many milliseconds, repeats the missed notices, and waits until the program has handled them.
+// AcceptSync accepts a link, whose sync command must have the index of the last notice received. It answers with the state and
+// the runtime's age in milliseconds, repeats the missed notices, and waits until the program has handled them.
 func (r *FakeRuntime) AcceptSync(lastNotice int, state string, sinceMillis int, missed ...string) {
 	r.t.Helper()
 	r.Accept()
@@ -129,7 +129,7 @@
 	return task, string(raw)
 }
 
-// AwaitCommand waits for that command for that task, whatever comes before.
+// AwaitCommand waits for the command of that verb for that task, and skips all others.
 func (r *FakeRuntime) AwaitCommand(verb, task string) {
 	r.t.Helper()
 	for {
@@ -204,7 +204,8 @@
 		if command.Verb != "start" || isExcepted(command.Task) {
 			continue
 		}
-		if _, err = fmt.Fprintln(r.conn, EndLine(notice, command.Task, "good", result)); err != nil {
+		_, err = fmt.Fprintln(r.conn, EndLine(notice, command.Task, "good", result))
+		if err != nil {
 			return
 		}
 		notice++
--- a/internal/testutil/healthchecks.go
+++ b/internal/testutil/healthchecks.go
@@ -11,8 +11,8 @@
 	"time"
 )
 
-// healthCheckConns is the number of connections that take the checks in turn. A program that stalls for a second must have
-// capacity for those sent meanwhile, and may have 32 pending per connection.
+// healthCheckConns is the number of connections on which the checks are sent in turn. With 32 pending requests per connection, a
+// program that stalls for a second can still receive all checks sent meanwhile.
 const healthCheckConns = 16
 
 // HealthChecks sends health checks at fixed times, whether or not earlier ones were answered, and measures the latency of
@@ -29,7 +29,7 @@
 	latencies []time.Duration
 }
 
-// StartHealthChecks begins to send a check each interval.
+// StartHealthChecks starts to send a check each interval.
 func (e *Environment) StartHealthChecks(interval time.Duration) *HealthChecks {
 	e.T.Helper()
 	h := &HealthChecks{
--- a/internal/testutil/program.go
+++ b/internal/testutil/program.go
@@ -27,7 +27,7 @@
 	log        bytes.Buffer
 }
 
-// ProgramOptions are what StartProgramWith adds to the configuration.
+// ProgramOptions are the options of StartProgramWith.
 type ProgramOptions struct {
 	Log  *os.File // standard error; nil collects it for Program.Log
 	Args []string // of the command line
@@ -40,7 +40,7 @@
 	err  error
 }
 
-// BuildProgram builds the program, unless it has been, and returns the path of the executable.
+// BuildProgram builds the program at its first call, and returns the path of the executable.
 func BuildProgram(t *testing.T) string {
 	t.Helper()
 	builtProgram.once.Do(func() { builtProgram.path, builtProgram.err = buildProgram() })
@@ -154,7 +154,7 @@
 	p.SignalReload()
 	for deadline := time.Now().Add(waitTimeout); strings.Count(p.Log(), words) == before; time.Sleep(pollInterval) {
 		if time.Now().After(deadline) {
-			p.t.Fatalf("the log does not say %q", words)
+			p.t.Fatalf("the log does not contain %q", words)
 		}
 	}
 }
--- a/internal/testutil/stub.go
+++ b/internal/testutil/stub.go
@@ -134,7 +134,7 @@
 	return r, false
 }
 
-// ExpectEnd fails unless the program closes the connection now, without a reset and with nothing more sent.
+// ExpectEnd fails the test unless the program closes the connection without a reset and without further output.
 func (s *Stub) ExpectEnd() {
 	s.t.Helper()
 	_ = s.Conn.SetReadDeadline(time.Now().Add(waitTimeout))
@@ -143,7 +143,7 @@
 	}
 }
 
-// ExpectClosing fails unless the next message is the closing notification.
+// ExpectClosing fails the test unless the next message is the closing notification.
 func (s *Stub) ExpectClosing() {
 	s.t.Helper()
 	if r, closed := s.Receive(); closed || r.Method != "closing" {
@@ -151,7 +151,7 @@
 	}
 }
 
-// ExpectResponse fails unless the next message answers that ID with that code and, for a result, that body.
+// ExpectResponse fails the test unless the next message has that ID, that error code (0 for a result) and that body.
 func (s *Stub) ExpectResponse(id, code int, body string) Response {
 	s.t.Helper()
 	r, closed := s.Receive()
@@ -161,7 +161,7 @@
 	return r
 }
 
-// ExpectServing fails unless the next message is the answer to a health check that the program is serving.
+// ExpectServing fails the test unless the next message is a positive response to a health check.
 func (s *Stub) ExpectServing() {
 	s.t.Helper()
 	r, closed := s.Receive()
--- a/internal/testutil/wait.go
+++ b/internal/testutil/wait.go
@@ -10,10 +10,10 @@
 
 const (
 	waitTimeout  = 20 * time.Second // after which a wait fails its test
-	pollInterval = time.Millisecond // between two looks at a condition that has no event
+	pollInterval = time.Millisecond // between two evaluations of a condition
 )
 
-// TestingT is what *testing.T and *rapid.T have in common, as far as the waits need it.
+// TestingT is the part of *testing.T and *rapid.T that the waits use.
 type TestingT interface {
 	Helper()
 	Fatalf(format string, args ...any)
@@ -50,8 +50,8 @@
 	}
 }
 
-// FreeAddress returns an address that nothing listens on. It is apart from 127.0.0.1, from which everything dials: an
-// outgoing connection could otherwise get its port before the program does.
+// FreeAddress returns an address with a port that is free. Its IP address differs from 127.0.0.1, from which outgoing connections
+// are made, so that none of them can be assigned the port before the program listens on it.
 func FreeAddress(t *testing.T) string {
 	t.Helper()
 	listener, err := net.Listen("tcp", fmt.Sprintf("127.1.%d.%d:0", os.Getpid()>>8&255, os.Getpid()&255))
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -30,7 +30,7 @@
 	}
 }
 
-func TestInputThatEndsWithinALineIsAnError(t *testing.T) {
+func TestTruncatedLastLineIsAnError(t *testing.T) {
 	r := NewReader(strings.NewReader("A\nB"))
 	if _, err := r.Next(); err != nil {
 		t.Fatal(err)
--- a/policy/dispatch_test.go
+++ b/policy/dispatch_test.go
@@ -71,7 +71,8 @@
 		inst.classes[1].runTime = 5
 		fillCores(inst, 0, -1)
 		req := requestOf(0)
-		if req.CostHint = hint; hint == 0 {
+		req.CostHint = hint
+		if hint == 0 {
 			req.Class = 1
 		}
 		inst.Admit(0, 1, req)
--- a/policy/idempotency_keys_test.go
+++ b/policy/idempotency_keys_test.go
@@ -34,7 +34,8 @@
 		inst.Admit(0, 0, requestOf(1))
 		inst.Dispatch(0)
 		inst.RunEnded(0, 0, outcome, 0)
-		if host.expectCalls(t, forgotten, "forget key 0"); len(inst.keyExpiries) != 1-forgotten {
+		host.expectCalls(t, forgotten, "forget key 0")
+		if len(inst.keyExpiries) != 1-forgotten {
 			t.Errorf("outcome %d leaves %d key entries", outcome, len(inst.keyExpiries))
 		}
 		if counted := inst.lag.ratioCounts[0] > 0; counted != (outcome != NotStarted) { // nor may it count in lag
