--- a/cmd/thymechute/connections_test.go
+++ b/cmd/thymechute/connections_test.go
@@ -42,18 +42,48 @@
 		stub.SendRequest(9, "excursion", "aa09", "another body", `,"token":"5c0f"`) // never gets another's result
 		stub.ExpectResponse(9, -32000, "")
 	}
-	for _, line := range []string{ask[len(ask)/2:], strings.Replace(ask, `"id":1`, `"id":"1"`, 1), strings.Replace(ask, `"id":1,`, "", 1),
-		`[` + ask + `]`, strings.Replace(ask, `"id":1`, `"id":1,"id":2`, 1)} {
-		stub := env.Connect()
-		stub.SendLine("%s", line)
-		for closed := false; !closed; { // an error without ID comes first
-			var r testutil.Response
-			r, closed = stub.Receive()
-			if !closed && (r.Code() >= 0 || r.Result.Doc != "") {
-				t.Errorf("%s: got %+v", line, r)
-			}
+	for _, line := range []string{
+		ask[len(ask)/2:],
+		strings.Replace(ask, `"id":1`, `"id":"1"`, 1),
+		strings.Replace(ask, `"id":1,`, "", 1),
+		`[` + ask + `]`,
+		strings.Replace(ask, `"id":1`, `"id":1,"id":2`, 1),
+	} {
+		expectErrorsAndClose(t, env, line)
+	}
+	expectDuplicateIDsRejected(t, env)
+	stub := env.Connect()
+	stub.SendLine("%s", strings.Repeat("x", 10000)) // longer than a line may be
+	if _, closed := stub.Receive(); !closed {
+		t.Error("the connection stays open after an endless line")
+	}
+	env.Runtime.SendEnd(3, "cc01", "good", "\x00")
+	other.ExpectResponse(1, 0, "\x00")
+	other.SendRequest(2, "trace", "aa06", body, `,"unheard":{"of":[1,"\u00e9"]}`)
+	env.Runtime.AwaitCommand("start", "aa06")
+}
+
+// expectErrorsAndClose fails the test unless the program answers the line on a new connection with errors alone, if at all, and
+// closes the connection.
+func expectErrorsAndClose(t *testing.T, env *testutil.Environment, line string) {
+	t.Helper()
+	stub := env.Connect()
+	stub.SendLine("%s", line)
+	for {
+		r, closed := stub.Receive()
+		if closed {
+			return
+		}
+		if r.Code() >= 0 || r.Result.Doc != "" {
+			t.Errorf("%s: got %+v", line, r)
 		}
 	}
+}
+
+// expectDuplicateIDsRejected sends two requests with one request ID, and two messages with one message ID. The ends of the runs
+// are the notices 1 and 2.
+func expectDuplicateIDsRejected(t *testing.T, env *testutil.Environment) {
+	t.Helper()
 	stub := env.Connect()
 	stub.SendRequest(2, "trace", "aa02", body, "")
 	env.Runtime.ExpectCommand("start")
@@ -70,15 +100,6 @@
 	if _, closed := stub.Receive(); !closed {
 		t.Error("the connection stays open after two requests under one id")
 	}
-	stub = env.Connect()
-	stub.SendLine("%s", strings.Repeat("x", 10000)) // longer than a line may be
-	if _, closed := stub.Receive(); !closed {
-		t.Error("the connection stays open after an endless line")
-	}
-	env.Runtime.SendEnd(3, "cc01", "good", "\x00")
-	other.ExpectResponse(1, 0, "\x00")
-	other.SendRequest(2, "trace", "aa06", body, `,"unheard":{"of":[1,"\u00e9"]}`)
-	env.Runtime.AwaitCommand("start", "aa06")
 }
 
 func TestConnectionLimitEvictsConnectionsWithoutRequest(t *testing.T) {
--- a/cmd/thymechute/consensus.go
+++ b/cmd/thymechute/consensus.go
@@ -28,7 +28,8 @@
 var duties = []string{"ring", "roll"}
 
 // consensusNode is this process's replica of the fleet's log, which runs if the operator's file has the element log in
-// fleet. It logs changes of the leader, the voters and the leases, and keeps the membership record's part about the log.
+// fleet. It logs changes of the leader, the voters and the leases, and updates the fields of the membership record that describe
+// this replica.
 type consensusNode struct {
 	log         *zap.Logger
 	member      *membership.Member
--- a/cmd/thymechute/consensus_test.go
+++ b/cmd/thymechute/consensus_test.go
@@ -161,14 +161,9 @@
 	isolated := ring.name
 	f.net.Isolate(isolated, f.names)
 	next := f.nextHolder("ring", ring)
-	lost := time.Time{}
-	for _, l := range f.lines("lease lost") {
-		if l.name == isolated && l.Duty == "ring" {
-			lost = l.at
-		}
-	}
+	lost := f.lostAt(isolated, "ring")
 	if lost.IsZero() || lost.After(next.at) {
-		t.Errorf("%s, cut off, lost the duty at %v, and %s held it from %v", isolated, lost, next.name, next.at)
+		t.Errorf("%s was isolated and lost the lease at %v, and %s had it from %v", isolated, lost, next.name, next.at)
 	}
 	f.net.Heal()
 	f.eventually("the one cut off has a leader again", func() bool {
@@ -177,15 +172,7 @@
 	})
 
 	for _, name := range []string{f.holder("ring").name, "m0"} { // a holder that drains, and the bootstrapping member, which restarts
-		p := f.environments[name].Program
-		p.Terminate()
-		if code := p.AwaitExit(); code != 0 {
-			t.Errorf("%s: exit code %d", name, code)
-		}
-		if !strings.Contains(p.Log(), "fleet left") {
-			t.Errorf("%s did not leave", name)
-		}
-		f.start(name)
+		f.restart(name)
 		f.eventually(name+" follows again", func() bool { return strings.Contains(f.log(name), "fleet log: leader") })
 	}
 	f.eventually("both duties are held by running members", func() bool {
@@ -199,16 +186,47 @@
 	if bootstraps := f.lines("bootstrapped"); len(bootstraps) != 1 {
 		t.Errorf("the log was bootstrapped %d times", len(bootstraps))
 	}
-	for duty, tokens := range map[string]map[uint64]string{"ring": {}, "roll": {}} {
-		for _, l := range f.lines("lease acquired") {
-			if l.Duty != duty {
-				continue
-			}
-			if other, ok := tokens[l.Token]; ok && other != l.name {
-				t.Errorf("%s: %s and %s both held it under token %d", duty, other, l.name, l.Token)
-			}
-			tokens[l.Token] = l.name
+	f.expectOneHolderPerToken()
+}
+
+// lostAt returns the time at which the member last logged the loss of the lease; zero: never.
+func (f *logFleet) lostAt(name, duty string) (lost time.Time) {
+	for _, l := range f.lines("lease lost") {
+		if l.name == name && l.Duty == duty {
+			lost = l.at
+		}
+	}
+	return lost
+}
+
+// restart shuts a member down gracefully and starts it again.
+func (f *logFleet) restart(name string) {
+	f.t.Helper()
+	p := f.environments[name].Program
+	p.Terminate()
+	if code := p.AwaitExit(); code != 0 {
+		f.t.Errorf("%s: exit code %d", name, code)
+	}
+	if !strings.Contains(p.Log(), "fleet left") {
+		f.t.Errorf("%s did not leave", name)
+	}
+	f.start(name)
+}
+
+// expectOneHolderPerToken fails the test if two members acquired a lease under the same token.
+func (f *logFleet) expectOneHolderPerToken() {
+	f.t.Helper()
+	type grant struct {
+		duty  string
+		token uint64
+	}
+	holders := map[grant]string{}
+	for _, l := range f.lines("lease acquired") {
+		acquired := grant{l.Duty, l.Token}
+		if other, ok := holders[acquired]; ok && other != l.name {
+			f.t.Errorf("%s and %s both acquired %+v", other, l.name, acquired)
 		}
+		holders[acquired] = l.name
 	}
 }
 
--- a/cmd/thymechute/restart_test.go
+++ b/cmd/thymechute/restart_test.go
@@ -91,7 +91,7 @@
 	}()
 }
 
-// startBackgroundLoad has clients send requests until the end of the test, whatever the state of the program.
+// startBackgroundLoad starts clients that send requests until the end of the test, even while the program is not running.
 func startBackgroundLoad(env *testutil.Environment, clients int) {
 	done := make(chan struct{})
 	env.T.Cleanup(func() { close(done) })
--- a/internal/loop/loop.go
+++ b/internal/loop/loop.go
@@ -35,7 +35,7 @@
 	PhaseClosingListener
 	// PhaseClosingConns closes the accepted connections once their handlers have nothing pending; Run then returns.
 	PhaseClosingConns
-	// PhaseStopped makes Run return at once, whatever is pending.
+	// PhaseStopped makes Run return at once, even if replies are pending.
 	PhaseStopped
 )
 
@@ -180,7 +180,8 @@
 	}))
 }
 
-// WithRecover calls f and logs a panic in it, so that the panic ends no more than the operation it came from.
+// WithRecover calls f and recovers from a panic in it, which is logged with the name of the operation. It is used so that a
+// panic affects only the operation in which it occurs.
 func WithRecover(log *zap.Logger, operation string, f func()) {
 	defer func() {
 		cause := recover()
--- a/policy/concurrency.go
+++ b/policy/concurrency.go
@@ -9,7 +9,7 @@
 	defaultConcurrencyPerCore = 2
 	// defaultSlowStartFraction is the part of the concurrency beyond one per core that is used at the start.
 	defaultSlowStartFraction = 0.2
-	// congestionCut is the part of the limit given up under full read congestion.
+	// congestionCut is the part of the limit that is not used under full read congestion.
 	congestionCut = 0.5
 	// minIdlePartToRaise is the idle part of the cores above which a saturated limit rises by one.
 	minIdlePartToRaise = 0.1
--- a/policy/dependency_calls.go
+++ b/policy/dependency_calls.go
@@ -29,7 +29,7 @@
 type dependencyCalls struct {
 	waiting             []RequestID     // requests that wait for their call to be issued
 	inFlight            int             // issued and not returned
-	abandoned           []time.Duration // until when calls given up count as in flight
+	abandoned           []time.Duration // until when abandoned calls count as in flight
 	averageTime         float64         // moving average, in seconds
 	consecutiveFailures int
 	nextProbe           time.Duration
