--- a/cmd/thymechute/consensus_test.go
+++ b/cmd/thymechute/consensus_test.go
@@ -36,7 +36,13 @@
 
 // startLogFleet starts one at each location; the first bootstraps the log.
 func startLogFleet(t *testing.T, subnet int, locations []location) *logFleet {
-	f := &logFleet{t: t, net: faultnet.New(1), environments: map[string]*testutil.Environment{}, settings: map[string]string{}, earlierLogs: map[string]string{}}
+	f := &logFleet{
+		t:            t,
+		net:          faultnet.New(1),
+		environments: map[string]*testutil.Environment{},
+		settings:     map[string]string{},
+		earlierLogs:  map[string]string{},
+	}
 	t.Cleanup(f.net.Close)
 	type addresses struct{ bind, proxy, logBind, logProxy string }
 	var all []addresses
--- a/internal/front/amqp/decode_test.go
+++ b/internal/front/amqp/decode_test.go
@@ -109,7 +109,11 @@
 		{now.Add(-time.Hour), 1},
 		{time.Unix(-1<<60, 0), 1},
 	} {
-		request, err := Decode(&amqp.Delivery{Type: "trace", Expiration: "1000", Timestamp: c.origin}, usualFields, &operator.Queue{}, now, idempotencyOf)
+		request, err := Decode(&amqp.Delivery{
+			Type:       "trace",
+			Expiration: "1000",
+			Timestamp:  c.origin,
+		}, usualFields, &operator.Queue{}, now, idempotencyOf)
 		if err != nil || request.CallerTimeout != c.want {
 			t.Errorf("from %v: %v, want %v (%v)", c.origin, request.CallerTimeout, c.want, err)
 		}
@@ -143,7 +147,14 @@
 }
 
 func TestRequeuedCopyRetainsMessageAndCountsReturns(t *testing.T) {
-	d := &amqp.Delivery{Type: "trace", MessageId: "k", UserId: "acme", Expiration: "5000", Headers: amqp.Table{"customer": "acme"}, Body: []byte("x")}
+	d := &amqp.Delivery{
+		Type:       "trace",
+		MessageId:  "k",
+		UserId:     "acme",
+		Expiration: "5000",
+		Headers:    amqp.Table{"customer": "acme"},
+		Body:       []byte("x"),
+	}
 	p := requeuedCopy(d, returnCount(d)+1)
 	if p.UserId != "" || p.Headers[userIDHeader] != "acme" || p.Expiration != "5000" || p.MessageId != "k" || d.Headers[returnsHeader] != nil {
 		t.Errorf("%+v of %+v", p, d)
--- a/internal/front/amqp/events.go
+++ b/internal/front/amqp/events.go
@@ -54,7 +54,7 @@
 	case eventDelivered:
 		f.receive(s, e)
 	case eventConfirmed:
-		f.handleConfirm(e.publishNumber, e.isAcked)
+		f.handleConfirm(e)
 	case eventReturned:
 		if m := f.unconfirmed[e.publishNumber]; m != nil {
 			m.isUnroutable = true
--- a/internal/front/amqp/outcome.go
+++ b/internal/front/amqp/outcome.go
@@ -127,17 +127,17 @@
 // handleConfirm settles the message for which the confirmed message was published. A reply that was not routed to any queue
 // is lost, as its caller is gone. After any other publish that the broker did not accept, the message is returned to its
 // queue, which redelivers it.
-func (f *Front) handleConfirm(number uint64, isAcked bool) {
-	m := f.unconfirmed[number]
+func (f *Front) handleConfirm(e *event) {
+	m := f.unconfirmed[e.publishNumber]
 	if m == nil {
 		return
 	}
-	delete(f.unconfirmed, number)
+	delete(f.unconfirmed, e.publishNumber)
 	f.controller.ResponseReceived(f.now())
 	switch {
-	case isAcked && !m.isUnroutable:
+	case e.isAcked && !m.isUnroutable:
 		f.settle(m, ack(m.tag))
-	case isAcked && m.isReply:
+	case e.isAcked && m.isReply:
 		f.counts.repliesLost++
 		f.settle(m, ack(m.tag))
 	default:
--- a/internal/node/drain.go
+++ b/internal/node/drain.go
@@ -45,7 +45,6 @@
 // requests that arrived up to listenerCloseLinger after that are answered. Just before the deadline everything pending is
 // answered and the loop stops.
 func (n *Instance) phase() loop.Phase {
-	pending := n.hasPendingWork()
 	switch {
 	case !n.drain.started:
 		return loop.PhaseServing
@@ -56,22 +55,23 @@
 		n.answerRemaining()
 		return loop.PhaseClosingConns
 	case n.drain.listenerClosedAt == 0:
-		if n.keepsListening(pending) {
+		if n.keepsListening() {
 			return loop.PhaseServing
 		}
 		n.drain.listenerClosedAt = n.now
-	case n.now-n.drain.listenerClosedAt > listenerCloseLinger && !pending:
+	case n.now-n.drain.listenerClosedAt > listenerCloseLinger && !n.hasPendingWork():
 		return loop.PhaseClosingConns
 	}
 	return loop.PhaseClosingListener
 }
 
 // keepsListening reports whether a draining instance still accepts connections.
-func (n *Instance) keepsListening(pending bool) bool {
+func (n *Instance) keepsListening() bool {
 	if n.now >= n.drain.deadline-listenerCloseMargin {
 		return false
 	}
-	return n.now < n.drain.graceEnd || n.now-n.lastArrival <= quietInterval || pending
+	isQuiet := n.now >= n.drain.graceEnd && n.now-n.lastArrival > quietInterval
+	return !isQuiet || n.hasPendingWork()
 }
 
 // awaitsAnswer reports whether a caller waits for the request's answer.
--- a/internal/node/idempotency.go
+++ b/internal/node/idempotency.go
@@ -42,7 +42,9 @@
 
 // findOriginal returns the earlier attempt that the request retries, as a value of policy.Request.Original. isConflict reports
 // that its key belongs to a request with another body, whose result it must not get.
-func (n *Instance) findOriginal(request *requestState, incoming Request, arrivedAt time.Duration) (original policy.RequestID, isConflict bool) {
+func (n *Instance) findOriginal(request *requestState, incoming Request, arrivedAt time.Duration) (
+	original policy.RequestID, isConflict bool,
+) {
 	idempotency := n.idempotencyOf(request.class)
 	entry := n.keys.entries[request.key] // nil for the empty key, which is never recorded
 	hasSameBody := entry != nil && entry.bodyDigest == n.digest(incoming.Body)
--- a/internal/node/idempotency_test.go
+++ b/internal/node/idempotency_test.go
@@ -65,7 +65,14 @@
 	n.nextSweep = 0
 	n.Tick()
 	n.admitRequest(peers, "c", "keyed", "key", 0)
-	if err := n.Admit(peers, "d", Request{ID: "d", Class: "keyed", Key: "key", MemoryKB: 1, ReceivedAt: time.Now(), Body: []byte("another")}); err != nil {
+	if err := n.Admit(peers, "d", Request{
+		ID:         "d",
+		Class:      "keyed",
+		Key:        "key",
+		MemoryKB:   1,
+		ReceivedAt: time.Now(),
+		Body:       []byte("another"),
+	}); err != nil {
 		t.Fatal(err)
 	}
 	n.Tick()
--- a/internal/node/runs_test.go
+++ b/internal/node/runs_test.go
@@ -80,7 +80,13 @@
 func TestExpiredCallerTimeoutIsNotTakenForNone(t *testing.T) {
 	n, peers := newReady(nil)
 	for id, timeout := range map[TaskID]time.Duration{"a": time.Millisecond, "b": time.Minute} {
-		if err := n.Admit(peers, MessageID(id), Request{ID: id, Class: "safe", MemoryKB: 1, ReceivedAt: time.Now().Add(-10 * time.Millisecond), CallerTimeout: timeout}); err != nil {
+		if err := n.Admit(peers, MessageID(id), Request{
+			ID:            id,
+			Class:         "safe",
+			MemoryKB:      1,
+			ReceivedAt:    time.Now().Add(-10 * time.Millisecond),
+			CallerTimeout: timeout,
+		}); err != nil {
 			t.Fatal(err)
 		}
 	}
--- a/internal/node/settings_model_test.go
+++ b/internal/node/settings_model_test.go
@@ -32,8 +32,13 @@
 		s.Server.MemoryKB = settings.NumberOf(1e6)
 		s.Classes = []settings.Class{{Name: "trace", Idempotency: settings.Safe, LatencyObjective: settings.NumberOf(1e4), CallerTimeout: settings.NumberOf(1e4)}}
 		for _, name := range rapid.SliceOfDistinct(rapid.SampledFrom([]string{"p", "q", "r"}), rapid.ID[string]).Draw(t, "classes") {
-			s.Classes = append(s.Classes, settings.Class{Name: name, Idempotency: settings.Idempotent, LatencyObjective: settings.NumberOf(1e4),
-				CallerTimeout: settings.NumberOf(1e4), KeyWindow: settings.NumberOf(float64(rapid.IntRange(1, 3).Draw(t, "window")))})
+			s.Classes = append(s.Classes, settings.Class{
+				Name:             name,
+				Idempotency:      settings.Idempotent,
+				LatencyObjective: settings.NumberOf(1e4),
+				CallerTimeout:    settings.NumberOf(1e4),
+				KeyWindow:        settings.NumberOf(float64(rapid.IntRange(1, 3).Draw(t, "window"))),
+			})
 		}
 		for _, name := range rapid.SliceOfDistinct(rapid.SampledFrom([]string{"a", "b", "c", "d", "e"}), rapid.ID[string]).Draw(t, "tenants") {
 			s.Tenants = append(s.Tenants, settings.Tenant{Name: name, Quota: settings.NumberOf(float64(rapid.IntRange(0, 2).Draw(t, "quota")))})
@@ -69,7 +74,15 @@
 	}
 	m.lastID++
 	id := TaskID(fmt.Sprint("i", m.lastID))
-	err := m.instance.Admit(m.peers, MessageID(id), Request{ID: id, Class: r.class, Tenant: r.tenant, Key: r.key, MemoryKB: 1, ReceivedAt: time.Now(), Body: []byte("x")})
+	err := m.instance.Admit(m.peers, MessageID(id), Request{
+		ID:         id,
+		Class:      r.class,
+		Tenant:     r.tenant,
+		Key:        r.key,
+		MemoryKB:   1,
+		ReceivedAt: time.Now(),
+		Body:       []byte("x"),
+	})
 	isClassKnown := slices.ContainsFunc(m.active.Classes, func(c settings.Class) bool { return c.Name == r.class })
 	isTenantKnown := r.tenant == "" || slices.ContainsFunc(m.active.Tenants, func(c settings.Tenant) bool { return c.Name == r.tenant })
 	var want error
@@ -90,7 +103,11 @@
 
 func (m *model) endRun(t *rapid.T) {
 	if ids := slices.Sorted(maps.Keys(m.instance.byTaskID)); len(ids) > 0 {
-		m.instance.RunEnded(rapid.SampledFrom(ids).Draw(t, "id"), RunResult{Outcome: policy.OK, Duration: time.Millisecond, Body: []byte("r")})
+		m.instance.RunEnded(rapid.SampledFrom(ids).Draw(t, "id"), RunResult{
+			Outcome:  policy.OK,
+			Duration: time.Millisecond,
+			Body:     []byte("r"),
+		})
 		m.instance.Tick()
 	}
 }
--- a/internal/node/settings_test.go
+++ b/internal/node/settings_test.go
@@ -167,7 +167,14 @@
 	n, peers := newReadyWith(before)
 	admit := func(id TaskID, class, tenant string) {
 		t.Helper()
-		if err := n.Admit(peers, MessageID(id), Request{ID: id, Class: class, Tenant: tenant, MemoryKB: 1, ReceivedAt: time.Now(), Body: []byte("x")}); err != nil {
+		if err := n.Admit(peers, MessageID(id), Request{
+			ID:         id,
+			Class:      class,
+			Tenant:     tenant,
+			MemoryKB:   1,
+			ReceivedAt: time.Now(),
+			Body:       []byte("x"),
+		}); err != nil {
 			t.Fatal(err)
 		}
 		n.Tick()
@@ -227,8 +234,12 @@
 		b.Run(fmt.Sprint(size), func(b *testing.B) {
 			n, _ := newReadyWith(testutil.TypedSettings(func(s *settings.Settings) { s.Tenants = tenantsOf(size) }))
 			for at := 0; b.Loop(); at++ {
-				d := settings.Delta{From: n.Version(), To: n.Version() + 1, Tenants: settings.Changes[settings.Tenant]{
-					Set: []settings.Tenant{{Name: "tenant-7", Quota: settings.NumberOf(float64(at))}, {Name: []string{"x", "y"}[at%2]}}, Removed: []string{[]string{"y", "x"}[at%2]}}}
+				d := settings.Delta{
+					From: n.Version(),
+					To:   n.Version() + 1,
+					Tenants: settings.Changes[settings.Tenant]{
+						Set: []settings.Tenant{{Name: "tenant-7", Quota: settings.NumberOf(float64(at))}, {Name: []string{"x", "y"}[at%2]}}, Removed: []string{[]string{"y", "x"}[at%2]}},
+				}
 				if err := n.Apply(d); err != nil {
 					b.Fatal(err)
 				}
--- a/internal/rpc/params.go
+++ b/internal/rpc/params.go
@@ -79,9 +79,9 @@
 	case "again":
 		request.IsRetry, err = d.reader.ReadBool()
 	case "mem":
-		request.MemoryKB, err = readMemory(d.reader)
+		request.MemoryKB, err = readNumber(d.reader, isMemory, errMemoryRange)
 	case "prio":
-		request.Priority, err = readPriority(d.reader)
+		request.Priority, err = readNumber(d.reader, isPriority, errNotPriority)
 	case "token":
 		return readString(d.reader, &request.Key)
 	case "obj":
@@ -114,36 +114,28 @@
 }
 
 func readCaller(reader *jsonline.Reader) (int, error) {
-	number, err := reader.ReadNumber()
-	if err != nil {
-		return 0, err
-	}
-	if number != math.Trunc(number) || number < 0 || number > maxCallerNumber {
-		return 0, errNotCaller
-	}
-	return int(number), nil
+	number, err := readNumber(reader, isCallerNumber, errNotCaller)
+	return int(number), err
 }
 
-func readMemory(reader *jsonline.Reader) (float64, error) {
-	kilobytes, err := reader.ReadNumber()
-	if err != nil {
-		return 0, err
-	}
-	if kilobytes <= 0 || kilobytes >= maxMemoryKB {
-		return 0, errMemoryRange
-	}
-	return kilobytes, nil
+func isCallerNumber(number float64) bool {
+	return number == math.Trunc(number) && number >= 0 && number <= maxCallerNumber
 }
 
-func readPriority(reader *jsonline.Reader) (float64, error) {
-	priority, err := reader.ReadNumber()
+func isMemory(kilobytes float64) bool { return kilobytes > 0 && kilobytes < maxMemoryKB }
+
+func isPriority(priority float64) bool { return priority >= 0 && priority < 1 }
+
+// readNumber reads a number. The error for one that is not valid is errInvalid.
+func readNumber(reader *jsonline.Reader, isValid func(float64) bool, errInvalid error) (float64, error) {
+	number, err := reader.ReadNumber()
 	if err != nil {
 		return 0, err
 	}
-	if priority < 0 || priority >= 1 {
-		return 0, errNotPriority
+	if !isValid(number) {
+		return 0, errInvalid
 	}
-	return priority, nil
+	return number, nil
 }
 
 // isPlainID reports whether an ID consists of letters, digits and hyphens, so that line protocols can carry it.
--- a/internal/settingsjson/classes.go
+++ b/internal/settingsjson/classes.go
@@ -16,18 +16,19 @@
 		return slices.ContainsFunc(d.classes, func(class settings.Class) bool { return class.Name == name })
 	})
 	var entry section // reused for each entry
-	return d.decodeList("classes", settings.MaxClasses, func(place int) error {
+	return d.decodeList("classes", settings.MaxClasses, func(index int) error {
 		clear(entry)
 		err := d.in.Decode(&entry)
 		var mismatch *json.UnmarshalTypeError
 		if errors.As(err, &mismatch) {
-			d.fail(fmt.Sprint("classes.", place), "a "+mismatch.Value, "an object")
-			err = nil
+			d.fail(fmt.Sprint("classes.", index), "a "+mismatch.Value, "an object")
+		} else if err != nil {
+			return err
 		}
-		class := d.class(fmt.Sprint("classes.", place), entry)
-		names.check(place, class.Name)
+		class := d.class(fmt.Sprint("classes.", index), entry)
+		names.check(index, class.Name)
 		d.classes = append(d.classes, class)
-		return err
+		return nil
 	})
 }
 
@@ -54,10 +55,10 @@
 	domain := d.section("domain")
 	makesCalls := decodeEntries(d, domain, "calls_by_class", d.flag)
 	degradedWeights := decodeEntries(d, domain, "degraded_worth", d.number)
-	for place := range min(len(makesCalls), len(classes)) {
-		classes[place].MakesCalls = makesCalls[place]
+	for index := range min(len(makesCalls), len(classes)) {
+		classes[index].MakesCalls = makesCalls[index]
 	}
-	for place := range min(len(degradedWeights), len(classes)) {
-		classes[place].DegradedWeight = degradedWeights[place]
+	for index := range min(len(degradedWeights), len(classes)) {
+		classes[index].DegradedWeight = degradedWeights[index]
 	}
 }
--- a/internal/settingsjson/decode.go
+++ b/internal/settingsjson/decode.go
@@ -107,7 +107,7 @@
 }
 
 // decodeList decodes a list entry by entry; null counts as empty. entry is called with the index of each.
-func (d *decoder) decodeList(key string, maxEntries int, entry func(place int) error) error {
+func (d *decoder) decodeList(key string, maxEntries int, entry func(index int) error) error {
 	start, err := d.in.Token()
 	switch {
 	case err != nil:
@@ -117,15 +117,15 @@
 	case start != json.Delim('['):
 		return &ValueError{Key: "settings." + key, Found: describeToken(start), Expected: "a list"}
 	}
-	for place := 0; d.in.More(); place++ {
-		if place >= maxEntries {
+	for index := 0; d.in.More(); index++ {
+		if index >= maxEntries {
 			return &ValueError{
 				Key:      "settings." + key,
 				Found:    fmt.Sprintf("more than %d", maxEntries),
 				Expected: fmt.Sprintf("at most %d", maxEntries),
 			}
 		}
-		if err := entry(place); err != nil {
+		if err := entry(index); err != nil {
 			return err
 		}
 	}
--- a/internal/settingsjson/decode_test.go
+++ b/internal/settingsjson/decode_test.go
@@ -44,16 +44,40 @@
 	if invalid != nil || err != nil {
 		t.Fatal(invalid, err)
 	}
-	want := settings.Server{Cores: settings.NumberOf(4), MemoryKB: settings.NumberOf(100000), RunMemoryFactor: settings.NumberOf(2), KeyEntryKB: settings.NumberOf(1),
-		StopMode: settings.StopAbort, Dependency: settings.DependencyShared, CallQuota: settings.NumberOf(50), CallLinger: settings.NumberOf(0.2),
-		CallQuotaWindow: settings.NumberOf(5), AdvertiseMode: settings.AdvertiseThreshold, CallerCount: settings.NumberOf(3), CallerIdleTimeout: settings.NumberOf(30),
-		FleetSize: settings.NumberOf(1), RetryAfter: settings.True, MaxRetryAfter: settings.NumberOf(1), DrainGrace: settings.NumberOf(0.3),
-		MaxConcurrencyPerCore: settings.NumberOf(8), BusyGauge: 1, RunnableGauge: 2}
+	want := settings.Server{
+		Cores:                 settings.NumberOf(4),
+		MemoryKB:              settings.NumberOf(100000),
+		RunMemoryFactor:       settings.NumberOf(2),
+		KeyEntryKB:            settings.NumberOf(1),
+		StopMode:              settings.StopAbort,
+		Dependency:            settings.DependencyShared,
+		CallQuota:             settings.NumberOf(50),
+		CallLinger:            settings.NumberOf(0.2),
+		CallQuotaWindow:       settings.NumberOf(5),
+		AdvertiseMode:         settings.AdvertiseThreshold,
+		CallerCount:           settings.NumberOf(3),
+		CallerIdleTimeout:     settings.NumberOf(30),
+		FleetSize:             settings.NumberOf(1),
+		RetryAfter:            settings.True,
+		MaxRetryAfter:         settings.NumberOf(1),
+		DrainGrace:            settings.NumberOf(0.3),
+		MaxConcurrencyPerCore: settings.NumberOf(8),
+		BusyGauge:             1,
+		RunnableGauge:         2,
+	}
 	if s.Server != want {
 		t.Errorf("%+v, want %+v", s.Server, want)
 	}
-	seal := settings.Class{Name: "seal", Idempotency: settings.NonIdempotent, Weight: settings.NumberOf(3), DegradedWeight: settings.NumberOf(0), MakesCalls: settings.True,
-		LatencyObjective: settings.NumberOf(20), CallerTimeout: settings.NumberOf(30), KeyWindow: settings.NumberOf(60)}
+	seal := settings.Class{
+		Name:             "seal",
+		Idempotency:      settings.NonIdempotent,
+		Weight:           settings.NumberOf(3),
+		DegradedWeight:   settings.NumberOf(0),
+		MakesCalls:       settings.True,
+		LatencyObjective: settings.NumberOf(20),
+		CallerTimeout:    settings.NumberOf(30),
+		KeyWindow:        settings.NumberOf(60),
+	}
 	if len(s.Classes) != 3 || s.Classes[2] != seal {
 		t.Errorf("%+v", s.Classes)
 	}
--- a/internal/settingsjson/names.go
+++ b/internal/settingsjson/names.go
@@ -20,19 +20,19 @@
 }
 
 // check records the error of a name that is too long or not unique in the list. Entries without a name are allowed.
-func (c nameChecker) check(place int, name string) {
+func (c nameChecker) check(index int, name string) {
 	if name == "" {
 		return
 	}
 	if len(name) > settings.MaxNameBytes {
-		c.decoder.fail(c.key(place), fmt.Sprint(len(name), " bytes"), fmt.Sprintf("at most %d", settings.MaxNameBytes))
+		c.decoder.fail(c.key(index), fmt.Sprint(len(name), " bytes"), fmt.Sprintf("at most %d", settings.MaxNameBytes))
 	}
 	if c.digests.add(name) && c.contains(name) {
-		c.decoder.fail(c.key(place), fmt.Sprintf("%.60q a second time", name), "a name that stands once")
+		c.decoder.fail(c.key(index), fmt.Sprintf("%.60q a second time", name), "a name that stands once")
 	}
 }
 
-func (c nameChecker) key(place int) string { return fmt.Sprintf("%s.%d.name", c.list, place) }
+func (c nameChecker) key(index int) string { return fmt.Sprintf("%s.%d.name", c.list, index) }
 
 // nameDigests is a set of the hashes of names. Adding to it takes a third of the time of a set of strings.
 type nameDigests struct {
--- a/internal/settingsjson/server.go
+++ b/internal/settingsjson/server.go
@@ -44,12 +44,12 @@
 
 // applyGauges sets the positions, from 1, of the gauges in the runtime's readings.
 func (d *decoder) applyGauges(server *settings.Server, domain section) {
-	for place, raw := range d.list(domain, "gauges") {
+	for index, raw := range d.list(domain, "gauges") {
 		switch strings.Trim(string(raw), `"`) {
 		case "cpu_busy":
-			server.BusyGauge = place + 1
+			server.BusyGauge = index + 1
 		case "runnable":
-			server.RunnableGauge = place + 1
+			server.RunnableGauge = index + 1
 		}
 	}
 }
--- a/internal/settingsjson/tenants.go
+++ b/internal/settingsjson/tenants.go
@@ -17,12 +17,12 @@
 	d.tenants = nil
 	names := newNameChecker(d, "tenants", d.hasTenant)
 	var raw json.RawMessage // reused for each entry
-	return d.decodeList("tenants", settings.MaxTenants, func(place int) error {
+	return d.decodeList("tenants", settings.MaxTenants, func(index int) error {
 		if err := d.in.Decode(&raw); err != nil {
 			return err
 		}
-		tenant := d.tenant(place, raw)
-		names.check(place, tenant.Name)
+		tenant := d.tenant(index, raw)
+		names.check(index, tenant.Name)
 		d.appendTenant(tenant)
 		return nil
 	})
@@ -43,25 +43,25 @@
 }
 
 // tenant returns the tenant of an entry. It does not use encoding/json, which takes twice the time, as the list may be long.
-func (d *decoder) tenant(place int, raw json.RawMessage) (tenant settings.Tenant) {
+func (d *decoder) tenant(index int, raw json.RawMessage) (tenant settings.Tenant) {
 	if isMissing(raw) {
 		return tenant
 	}
 	name, quota, err := tenantFields(raw)
 	if err != nil {
-		d.fail(fmt.Sprint("tenants.", place), compact(raw), "an object")
+		d.fail(fmt.Sprint("tenants.", index), compact(raw), "an object")
 	}
 	if !isMissing(name) {
 		text, err := jsonline.NewReader(name).ReadString()
 		if err != nil {
-			d.fail(fmt.Sprintf("tenants.%d.name", place), compact(name), "a text")
+			d.fail(fmt.Sprintf("tenants.%d.name", index), compact(name), "a text")
 		}
 		tenant.Name = string(text)
 	}
 	if quota != nil {
 		value, invalid := parseNumber(quota)
 		if invalid != "" {
-			d.fail(fmt.Sprintf("tenants.%d.quota_per_s", place), invalid, expectedNumber)
+			d.fail(fmt.Sprintf("tenants.%d.quota_per_s", index), invalid, expectedNumber)
 		}
 		tenant.Quota = value
 	}
--- a/internal/settingsjson/values.go
+++ b/internal/settingsjson/values.go
@@ -86,8 +86,8 @@
 // decodeEntries decodes all entries of a list of the domain section.
 func decodeEntries[T any](d *decoder, domain section, key string, decode func(prefix, key string, from section) T) []T {
 	var values []T
-	for place, raw := range d.list(domain, key) {
-		entryKey := strconv.Itoa(place)
+	for index, raw := range d.list(domain, key) {
+		entryKey := strconv.Itoa(index)
 		values = append(values, decode("domain."+key, entryKey, section{entryKey: raw}))
 	}
 	return values
--- a/policy/host_test.go
+++ b/policy/host_test.go
@@ -63,9 +63,9 @@
 
 func requestOf(class int) Request { return Request{Class: class, MemoryKB: 10, Original: NoOriginal} }
 
-// fillCores fills both cores with requests of the class, and queues n more.
-func fillCores(inst *Instance, class, n int) {
-	for id := range RequestID(2 + n) {
+// fillCores starts a request of the class on each of the two cores, and queues that many more.
+func fillCores(inst *Instance, class, queued int) {
+	for id := range RequestID(2 + queued) {
 		inst.Admit(0, id, requestOf(class))
 	}
 	inst.Dispatch(0)
