--- a/internal/decide/ring/budget_simulation_test.go
+++ b/internal/decide/ring/budget_simulation_test.go
@@ -7,8 +7,13 @@
 	"time"
 )
 
-// disabledGuards are the guards that a mutation takes out.
-type disabledGuards struct{ quotas, quotaExpiry, grantInterval, grantSplit bool }
+// disabledGuards are the guards that a simulation runs without, to prove that the check detects it.
+type disabledGuards struct {
+	quotas        bool // calls need no quota
+	quotaExpiry   bool // quotas outlive the lease
+	grantInterval bool // grants are proposed too early
+	grantSplit    bool // each member takes the whole grant
+}
 
 // logEntry is an entry of the simulated log: a grant, or an acknowledgement.
 type logEntry struct {
@@ -86,12 +91,12 @@
 			m.isInboundCut = f.isPartitioned
 		}
 	}
-	switch m, what := f.members[f.random.IntN(len(f.members))], f.random.IntN(1000); {
-	case what < 20:
+	switch m, draw := f.members[f.random.IntN(len(f.members))], f.random.IntN(1000); {
+	case draw < 20:
 		m.isInboundCut = f.random.IntN(4) == 0
-	case what < 40:
+	case draw < 40:
 		m.isPaused = f.random.IntN(4) == 0
-	case what < 43 && !m.isPaused && !m.isInboundCut && f.now >= m.joinsAt && m.applied == len(f.log):
+	case draw < 43 && !m.isPaused && !m.isInboundCut && f.now >= m.joinsAt && m.applied == len(f.log):
 		f.leader, f.controller = m, NewWarmUpController(f.clock(m), slowStart, callBudget, leaseTerms)
 	}
 }
@@ -146,20 +151,21 @@
 		m.nextAck = f.clock(m) + leaseTerms.Duration/5
 	}
 	for n := 0; n < 3 && !f.isIdle; n++ {
-		if _, _, v := m.gate.Admit(f.clock(m), f.slot, NotIdempotent); v == Allow {
-			f.arrived, f.sent = append(f.arrived, f.now), f.sent+1
+		if _, _, decision := m.gate.Admit(f.clock(m), f.slot, NotIdempotent); decision == Allow {
+			f.arrived = append(f.arrived, f.now)
+			f.sent++
 		}
 	}
 }
 
 func (f *budgetSimulation) runLeader() {
 	f.controller.WeightedBackends(f.clock(f.leader), f.backends, f.leader.state.Active)
-	if p := f.controller.progress["new"]; p != nil {
-		f.allowed = max(f.allowed, callBudget.CallsAt(p.fraction))
+	if progress := f.controller.progress["new"]; progress != nil {
+		f.allowed = max(f.allowed, callBudget.CallsAt(progress.fraction))
 	}
 	isAlive := func(process string) bool { return f.now-f.lastAcknowledged[process] < 2*leaseTerms.Duration }
-	if l, due := f.controller.NextGrant(f.clock(f.leader), &f.leader.state, isAlive); due {
-		f.inFlight = append(f.inFlight, logEntry{grant: &l})
+	if grant, isDue := f.controller.NextGrant(f.clock(f.leader), &f.leader.state, isAlive); isDue {
+		f.inFlight = append(f.inFlight, logEntry{grant: &grant})
 	}
 }
 
--- a/internal/decide/ring/budget_test.go
+++ b/internal/decide/ring/budget_test.go
@@ -61,7 +61,7 @@
 			}
 		}
 		if l.QuotasFor(participants, "who") != nil {
-			t.Error("a process that is no participant has a quota")
+			t.Error("a process that is not a participant has a quota")
 		}
 	})
 }
@@ -98,7 +98,7 @@
 	}
 }
 
-// The mutations that the check must notice.
+// Without each one of the guards the simulation must exceed the budget.
 func TestBudgetIsExceededWithoutEachGuard(t *testing.T) {
 	for name, disabled := range map[string]disabledGuards{"no quotas": {quotas: true}, "quotas that outlive the lease": {quotaExpiry: true},
 		"grants proposed too soon": {grantInterval: true}, "a whole grant for each member": {grantSplit: true}} {
@@ -108,7 +108,7 @@
 			worst = max(worst, over)
 		}
 		if worst <= maxRoundingExcess {
-			t.Errorf("%s: never over the budget by more than %d, so the check sees nothing", name, worst)
+			t.Errorf("%s: never over the budget by more than %d, so the check detects nothing", name, worst)
 		}
 		t.Logf("%s: over by %d", name, worst)
 	}
--- a/internal/decide/ring/migrator.go
+++ b/internal/decide/ring/migrator.go
@@ -53,7 +53,14 @@
 // now on, so it waits a whole lease for each known one. pending is what the previous leader froze and did not activate,
 // or nil.
 func NewMigrator(now time.Duration, proposer MigrationProposer, terms LeaseTerms, known []string, pending *Table, slots []int) *Migrator {
-	m := &Migrator{proposer: proposer, terms: terms, members: map[string]acknowledgement{}, next: pending, slots: slots, isFrozen: pending != nil}
+	m := &Migrator{
+		proposer: proposer,
+		terms:    terms,
+		members:  map[string]acknowledgement{},
+		next:     pending,
+		slots:    slots,
+		isFrozen: pending != nil,
+	}
 	for _, process := range known {
 		m.members[process] = acknowledgement{at: now}
 	}
@@ -66,7 +73,9 @@
 	if m.next != nil {
 		return false
 	}
-	m.next, m.slots, m.isFrozen = next, nil, false
+	m.next = next
+	m.slots = nil
+	m.isFrozen = false
 	for _, migration := range migrations {
 		m.slots = append(m.slots, migration.Slot)
 	}
@@ -95,14 +104,18 @@
 // Activated notes that the table of this version is active.
 func (m *Migrator) Activated(version uint64) {
 	if m.next != nil && m.next.Version <= version {
-		m.next, m.slots, m.isFrozen = nil, nil, false
+		m.next = nil
+		m.slots = nil
+		m.isFrozen = false
 	}
 }
 
-// Frozen notes that the freeze of this version is in the log. Whoever joins from now on learns of it before its first call.
+// Frozen notes that the freeze of this version is in the log. A member that joins later
+// applies the freeze before its first call.
 func (m *Migrator) Frozen(version uint64) {
 	if m.next != nil && m.next.Version == version && !m.isFrozen {
-		m.isFrozen, m.nextProposal = true, 0
+		m.isFrozen = true
+		m.nextProposal = 0
 	}
 }
 
--- a/internal/decide/ring/migrator_test.go
+++ b/internal/decide/ring/migrator_test.go
@@ -24,17 +24,19 @@
 	}
 }
 
-// The mutations that the check must notice: a leader that doesn't wait for leases, members that overstay theirs.
+// Without the safeguards, a leader that waits for leases and members that stop at their expiry, the simulation must find
+// violations.
 func TestSlotIsCalledAtTwoBackendsWithoutLeaseWait(t *testing.T) {
 	impatient, overstaying := leaseTerms, leaseTerms
-	impatient.Duration, overstaying.Duration = 50*time.Millisecond, 3*time.Second
+	impatient.Duration = 50 * time.Millisecond
+	overstaying.Duration = 3 * time.Second
 	for name, m := range map[string][2]LeaseTerms{"impatient leader": {impatient, leaseTerms}, "overstaying members": {leaseTerms, overstaying}} {
 		violations := 0
 		for seed := range uint64(30) {
 			violations += simulateMigrations(seed, m[0], m[1]).violations
 		}
 		if violations == 0 {
-			t.Errorf("%s: never at two backends, so the check sees nothing", name)
+			t.Errorf("%s: never at two backends: the check detects nothing", name)
 		}
 	}
 }
--- a/internal/decide/rollout/plan.go
+++ b/internal/decide/rollout/plan.go
@@ -25,13 +25,13 @@
 	}
 	queue := newDrainQueue(remaining, zones)
 	for len(queue.remaining) > 0 {
-		chosen := queue.nextWave(limits.MaxUnavailable, false)
+		chosen := queue.nextWave(waveLimits{maxSize: limits.MaxUnavailable})
 		waves = append(waves, newWave(chosen, zones))
 	}
 	return waves, minWaves, nil
 }
 
-// plannedState is the fleet once everyone is warmed up and every migration has ended, and the instances to be drained.
+// plannedState returns the fleet once all instances are warmed up and all migrations have ended, and those to be drained.
 func (l Limits) plannedState(fleet []Instance, release string) (state, remaining []Instance) {
 	state = slices.Clone(fleet)
 	for n := range state {
@@ -39,7 +39,8 @@
 		if i.IsUnreachable || i.IsDraining {
 			continue
 		}
-		i.Age, i.BlocksMigration = l.WarmUpTime, false
+		i.Age = l.WarmUpTime
+		i.BlocksMigration = false
 		if i.Release != release {
 			remaining = append(remaining, *i)
 		}
--- a/internal/decide/rollout/queue.go
+++ b/internal/decide/rollout/queue.go
@@ -73,25 +73,30 @@
 	return wave
 }
 
-// nextWave removes and returns instances that may be drained together, at most maxSize (1 and more). Voters come first:
-// they drain one at a time, so one left out costs a wave. Then come the zones that need the most waves, and in a zone the
-// largest instances, as smaller ones fill the remaining capacity. The leader drains alone at the end, once it has
-// resigned.
-func (q *drainQueue) nextWave(maxSize int, isVoterUnavailable bool) (wave []*candidate) {
+// waveLimits bound one wave.
+type waveLimits struct {
+	maxSize            int  // instances; 1 or more
+	isVoterUnavailable bool // no voter may drain: another one is unavailable
+}
+
+// nextWave removes and returns instances that may be drained together. Voters come first: they drain one at a time, so one
+// left out costs a wave. Then come the zones that need the most waves, and in a zone the largest instances, as smaller
+// ones fill the remaining capacity. The leader drains alone at the end, once it has resigned.
+func (q *drainQueue) nextWave(limits waveLimits) (wave []*candidate) {
 	q.startWave()
 	byNeed := q.zonesOfEqualNeed()
 	for _, candidatesOf := range []func(*zoneQueue) []*candidate{votersOf, othersOf} {
 		for _, zones := range byNeed {
-			if len(wave) >= maxSize {
+			if len(wave) >= limits.maxSize {
 				break
 			}
 			mergeByCapacity(zones, candidatesOf, func(c *candidate) bool {
-				if q.mayDrain(c, isVoterUnavailable) {
+				if q.mayDrain(c, limits) {
 					c.choose()
-					isVoterUnavailable = isVoterUnavailable || c.IsVoter
+					limits.isVoterUnavailable = limits.isVoterUnavailable || c.IsVoter
 					wave = append(wave, c)
 				}
-				return len(wave) < maxSize
+				return len(wave) < limits.maxSize
 			})
 		}
 	}
@@ -102,7 +107,9 @@
 // startWave resets the zones, and sorts them by the waves they still need.
 func (q *drainQueue) startWave() {
 	for _, zone := range q.zones {
-		zone.wavesNeeded, zone.chosenCapacity, zone.chosenCount = 0, 0, 0
+		zone.wavesNeeded = 0
+		zone.chosenCapacity = 0
+		zone.chosenCount = 0
 	}
 	for _, c := range q.remaining {
 		c.queue.wavesNeeded += c.Capacity / max(c.queue.spare, minSpare)
@@ -150,9 +157,10 @@
 	}
 }
 
-func (q *drainQueue) mayDrain(c *candidate, isVoterUnavailable bool) bool {
+// mayDrain reports whether a candidate may be added to the wave.
+func (q *drainQueue) mayDrain(c *candidate, limits waveLimits) bool {
 	isLeaderBeforeEnd := c.IsLeader && len(q.remaining) > 1
-	if isLeaderBeforeEnd || c.IsVoter && isVoterUnavailable || c.BlocksMigration {
+	if isLeaderBeforeEnd || c.IsVoter && limits.isVoterUnavailable || c.BlocksMigration {
 		return false
 	}
 	return c.queue.zone.canSpare(c.Capacity, c.queue.chosenCapacity, c.queue.chosenCount)
--- a/internal/decide/rollout/queue_test.go
+++ b/internal/decide/rollout/queue_test.go
@@ -11,9 +11,11 @@
 	"pgregory.net/rapid"
 )
 
-// waveBySorting is the rule as it was first written: all that remain are sorted anew for each wave.
-func waveBySorting(remaining []Instance, zones map[string]*zone, maxSize int, isVoterUnavailable bool) (names []string) {
-	wavesNeeded, chosenCapacity, chosenCount := map[string]float64{}, map[string]float64{}, map[string]int{}
+// waveBySorting is the reference implementation of nextWave: it sorts all remaining instances for each wave.
+func waveBySorting(remaining []Instance, zones map[string]*zone, limits waveLimits) (names []string) {
+	wavesNeeded := map[string]float64{}
+	chosenCapacity := map[string]float64{}
+	chosenCount := map[string]int{}
 	for _, i := range remaining {
 		wavesNeeded[i.Zone] += i.Capacity / max(zones[i.Zone].spare(), 1e-9)
 	}
@@ -30,13 +32,14 @@
 		return 1
 	})
 	for _, i := range sorted {
-		if len(names) == maxSize || i.IsLeader && len(remaining) > 1 || i.IsVoter && isVoterUnavailable || i.BlocksMigration {
+		isLeaderBeforeEnd := i.IsLeader && len(remaining) > 1
+		if len(names) == limits.maxSize || isLeaderBeforeEnd || i.IsVoter && limits.isVoterUnavailable || i.BlocksMigration {
 			continue
 		}
 		if z := zones[i.Zone]; z.canSpare(i.Capacity, chosenCapacity[i.Zone], chosenCount[i.Zone]) {
 			chosenCapacity[i.Zone] += i.Capacity
 			chosenCount[i.Zone]++
-			isVoterUnavailable = isVoterUnavailable || i.IsVoter
+			limits.isVoterUnavailable = limits.isVoterUnavailable || i.IsVoter
 			names = append(names, i.Name)
 		}
 	}
@@ -57,21 +60,24 @@
 
 var testLimits = Limits{MinCapacityFraction: 0.4, LoadHeadroom: 1.1, MaxUnavailable: 5, ReplaceTimeout: time.Minute, InitialCapacityFraction: 0.2, WarmUpTime: time.Second}
 
-// Wave by wave the queue chooses what sorting all that remain anew chooses.
+// The queue chooses the same waves as the reference implementation.
 func TestDrainQueueMatchesFullSort(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		remaining := drawFleet(t)
 		zones := testLimits.zones(remaining, nil)
 		queue := newDrainQueue(remaining, zones)
-		maxSize, isVoterUnavailable := rapid.IntRange(1, 20).Draw(t, "most"), rapid.Bool().Draw(t, "voting")
+		limits := waveLimits{
+			maxSize:            rapid.IntRange(1, 20).Draw(t, "max size"),
+			isVoterUnavailable: rapid.Bool().Draw(t, "voter unavailable"),
+		}
 		for {
-			want := waveBySorting(remaining, zones, maxSize, isVoterUnavailable)
+			want := waveBySorting(remaining, zones, limits)
 			var got []string
-			for _, w := range queue.nextWave(maxSize, isVoterUnavailable) {
+			for _, w := range queue.nextWave(limits) {
 				got = append(got, w.Name)
 			}
 			if !slices.Equal(got, want) {
-				t.Fatalf("chosen %q, by sorting anew %q", got, want)
+				t.Fatalf("chosen %q, want %q as by sorting", got, want)
 			}
 			if len(want) == 0 {
 				return
@@ -81,25 +87,25 @@
 	})
 }
 
-// More are being replaced than allowed (the limit was lowered meanwhile, or another leader had a higher one): nobody is drained.
+// If more instances are being replaced than the limit allows, as after it was lowered, none is drained.
 func TestLoweredMaxUnavailableDrainsNobody(t *testing.T) {
 	fleet := largeFleet(60, 3)
 	r := New("new")
 	for _, i := range fleet[:4] {
 		r.RecordDrain(0, i.Name, i.Incarnation)
 	}
-	b := testLimits
-	for b.MaxUnavailable = 1; b.MaxUnavailable <= 4; b.MaxUnavailable++ {
-		if s := r.Next(0, fleet, nil, b); len(s.Drain) > 0 || s.BlockedReason == "" {
-			t.Errorf("at most %d with 4 being replaced: %d drained, blocked for %q", b.MaxUnavailable, len(s.Drain), s.BlockedReason)
+	limits := testLimits
+	for limits.MaxUnavailable = 1; limits.MaxUnavailable <= 4; limits.MaxUnavailable++ {
+		if step := r.Next(0, fleet, nil, limits); len(step.Drain) > 0 || step.BlockedReason == "" {
+			t.Errorf("at most %d with 4 being replaced: %d drained, blocked for %q", limits.MaxUnavailable, len(step.Drain), step.BlockedReason)
 		}
 	}
-	if b.MaxUnavailable = 6; len(r.Next(0, fleet, nil, b).Drain) != 2 {
+	if limits.MaxUnavailable = 6; len(r.Next(0, fleet, nil, limits).Drain) != 2 {
 		t.Errorf("at most 6 with 4 being replaced: expected 2 drained")
 	}
 }
 
-// An instance that a slot migration waits for drains in its turn, once the migration is over: the plan counts it and ends.
+// An instance that a slot migration waits for is drained once the migration has ended, so the plan includes it.
 func TestPlanCompletesDespitePendingMigrations(t *testing.T) {
 	fleet := largeFleet(60, 3)
 	for n := range fleet {
@@ -115,22 +121,23 @@
 	}
 }
 
-func largeFleet(size, zones int) (out []Instance) {
+func largeFleet(size, zones int) (fleet []Instance) {
 	for n := range size {
-		out = append(out, Instance{Name: fmt.Sprintf("instance-%04d", n), Zone: fmt.Sprintf("z%02d", n*zones/size), Release: "old", Incarnation: 1,
+		fleet = append(fleet, Instance{Name: fmt.Sprintf("instance-%04d", n), Zone: fmt.Sprintf("z%02d", n*zones/size), Release: "old", Incarnation: 1,
 			Capacity: 100, Age: time.Hour, IsVoter: n%(size/5) == 0})
 	}
-	return out
+	return fleet
 }
 
-// A plan of 1,200 one by one is 1,200 waves: what it allocates follows what it returns, not waves times instances.
+// A plan of 1,200 instances, one at a time, has 1,200 waves. Its allocations must be linear in the result, not in the number
+// of waves times that of instances.
 func TestPlanAllocationIsIndependentOfWaveCount(t *testing.T) {
 	fleet := largeFleet(1200, 40)
-	b := testLimits
-	b.MaxUnavailable = 1
+	limits := testLimits
+	limits.MaxUnavailable = 1
 	var before, after runtime.MemStats
 	runtime.ReadMemStats(&before)
-	waves, _, err := Plan(fleet, nil, "new", b)
+	waves, _, err := Plan(fleet, nil, "new", limits)
 	runtime.ReadMemStats(&after)
 	if err != nil || len(waves) != 1200 {
 		t.Fatalf("%d waves, %v", len(waves), err)
@@ -142,12 +149,13 @@
 
 func BenchmarkPlan(b *testing.B) {
 	for _, size := range []int{150, 300, 600, 1200} {
-		for _, atOnce := range []int{1, 6, size / 8} {
-			b.Run(fmt.Sprintf("%d members, %d at once", size, atOnce), func(b *testing.B) {
-				fleet, bounds := largeFleet(size, size/30), testLimits
-				bounds.MaxUnavailable = atOnce
+		for _, maxUnavailable := range []int{1, 6, size / 8} {
+			b.Run(fmt.Sprintf("%d members, %d at once", size, maxUnavailable), func(b *testing.B) {
+				fleet := largeFleet(size, size/30)
+				limits := testLimits
+				limits.MaxUnavailable = maxUnavailable
 				for b.Loop() {
-					if _, _, err := Plan(fleet, nil, "new", bounds); err != nil {
+					if _, _, err := Plan(fleet, nil, "new", limits); err != nil {
 						b.Fatal(err)
 					}
 				}
--- a/internal/decide/rollout/rollout.go
+++ b/internal/decide/rollout/rollout.go
@@ -36,8 +36,8 @@
 	return &Rollout{Release: release, drained: map[process]time.Duration{}, attempts: map[string]int{}}
 }
 
-// SetRelease changes the wanted release, for example back to the old one. Drained processes stay drained; whoever runs
-// another release than this one is to be drained.
+// SetRelease changes the wanted release, for example back to the old one. Processes that were drained still end; every
+// instance of another release than this one is drained.
 func (r *Rollout) SetRelease(release string) {
 	if release != r.Release {
 		*r = *New(release)
@@ -67,7 +67,7 @@
 	BlockedByInstance               // of another voter, a slot migration, or the leadership
 )
 
-// Step is what the leader does now.
+// Step is the leader's next step.
 type Step struct {
 	Drain         []Instance // to be proposed to the log, one entry each
 	BlockedBy     BlockCause // NotBlocked if some are drained, or if IsDone
@@ -100,7 +100,10 @@
 		return step
 	}
 	zones := limits.zones(state.fleet, load)
-	wave := newDrainQueue(state.remaining, zones).nextWave(limits.MaxUnavailable-state.draining, state.isVoterUnavailable)
+	wave := newDrainQueue(state.remaining, zones).nextWave(waveLimits{
+		maxSize:            limits.MaxUnavailable - state.draining,
+		isVoterUnavailable: state.isVoterUnavailable,
+	})
 	for _, c := range inGivenOrder(wave) {
 		step.Drain = append(step.Drain, c.Instance)
 	}
@@ -118,7 +121,7 @@
 	isVoterUnavailable bool
 }
 
-// judge finds who is left to drain, and adds the stuck ones to the step.
+// judge finds the instances that remain to be drained, and adds the stuck ones to the step.
 func (r *Rollout) judge(now time.Duration, fleet []Instance, limits Limits, step *Step) fleetState {
 	state := fleetState{fleet: make([]Instance, len(fleet))}
 	copy(state.fleet, fleet)
@@ -146,7 +149,8 @@
 }
 
 func (s *Step) block(cause BlockCause, reason string, args ...any) {
-	s.BlockedBy, s.BlockedReason = cause, fmt.Sprintf(reason, args...)
+	s.BlockedBy = cause
+	s.BlockedReason = fmt.Sprintf(reason, args...)
 }
 
 // blockFirst says why the first of those that remain can't be drained now.
--- a/internal/decide/rollout/rollout_test.go
+++ b/internal/decide/rollout/rollout_test.go
@@ -16,43 +16,48 @@
 
 var limits = rollout.Limits{MinCapacityFraction: 0.5, LoadHeadroom: 1.1, MaxUnavailable: 3, ReplaceTimeout: time.Minute, InitialCapacityFraction: 0.2, WarmUpTime: 10 * time.Second}
 
-func newFleet(n, zones int, capacity func(int) float64) (out []rollout.Instance) {
-	for k := range n {
-		out = append(out, rollout.Instance{Name: fmt.Sprint("m", k), Zone: fmt.Sprint("z", k%zones), Release: "old", Incarnation: 1,
-			Capacity: capacity(k), Age: time.Hour})
+// newFleet returns size instances of the old release, spread over the zones in turn.
+func newFleet(size, zones int, capacity func(n int) float64) (fleet []rollout.Instance) {
+	for n := range size {
+		fleet = append(fleet, rollout.Instance{Name: fmt.Sprint("m", n), Zone: fmt.Sprint("z", n%zones), Release: "old",
+			Incarnation: 1, Capacity: capacity(n), Age: time.Hour})
 	}
-	return out
+	return fleet
 }
 
 func equalCapacity(int) float64 { return 1 }
 
-// fewestWaves tries every set at every wave.
-func fewestWaves(todo uint, fits func(uint) bool, known map[uint]int) int {
-	if todo == 0 {
+// fewestWaves returns the fewest waves that drain a bit set of instances, by trying every subset as the next wave. known
+// caches the results.
+func fewestWaves(remaining uint, fits func(uint) bool, known map[uint]int) int {
+	if remaining == 0 {
 		return 0
 	}
-	if n, ok := known[todo]; ok {
+	if n, ok := known[remaining]; ok {
 		return n
 	}
 	best := 99
-	for set := todo; set > 0; set = (set - 1) & todo {
+	for set := remaining; set > 0; set = (set - 1) & remaining {
 		if fits(set) {
-			best = min(best, 1+fewestWaves(todo&^set, fits, known))
+			best = min(best, 1+fewestWaves(remaining&^set, fits, known))
 		}
 	}
-	known[todo] = best
+	known[remaining] = best
 	return best
 }
 
-// zoneWave is what a wave takes from one zone.
+// zoneWave is the effect of one wave on one zone.
 type zoneWave struct {
 	total, drained, largest     float64 // capacity
 	instances, drainedInstances int
 }
 
-// fitsInWave states the limits independently of the plan: may the instances of a bit set drain together?
+// fitsInWave reports whether the limits allow the instances of a bit set to drain together. It is independent of the plan's
+// own check.
 func fitsInWave(fleet []rollout.Instance, set uint, limits rollout.Limits) bool {
-	voters, count, zones := 0, 0, map[string]*zoneWave{}
+	voters := 0
+	count := 0
+	zones := map[string]*zoneWave{}
 	for n, i := range fleet {
 		z := zones[i.Zone]
 		if z == nil {
@@ -81,7 +86,8 @@
 }
 
 func TestPlanIsNearFewestWaves(t *testing.T) {
-	plans, more := 0, 0
+	plans := 0
+	longer := 0 // plans with more waves than the fewest
 	rapid.Check(t, func(t *rapid.T) {
 		zones := rapid.IntRange(1, 3).Draw(t, "zones")
 		f := newFleet(rapid.IntRange(3*zones, 9).Draw(t, "size"), zones, func(k int) float64 {
@@ -90,17 +96,18 @@
 		for n := range f {
 			f[n].IsVoter = n < 3
 		}
-		b := limits
-		b.MinCapacityFraction, b.MaxUnavailable = rapid.SampledFrom([]float64{0.1, 0.3, 0.5}).Draw(t, "capacity fraction"), rapid.IntRange(1, 4).Draw(t, "unavailable")
-		waves, bound, err := rollout.Plan(f, nil, "new", b)
+		drawn := limits
+		drawn.MinCapacityFraction = rapid.SampledFrom([]float64{0.1, 0.3, 0.5}).Draw(t, "capacity fraction")
+		drawn.MaxUnavailable = rapid.IntRange(1, 4).Draw(t, "unavailable")
+		waves, bound, err := rollout.Plan(f, nil, "new", drawn)
 		if err != nil {
-			var r *rollout.InsufficientCapacityError
-			if !errors.As(err, &r) || r.Available >= r.Required+r.DrainCapacity {
+			var insufficient *rollout.InsufficientCapacityError
+			if !errors.As(err, &insufficient) || insufficient.Available >= insufficient.Required+insufficient.DrainCapacity {
 				t.Fatalf("rejected without a reason: %v", err)
 			}
 			return
 		}
-		fits := func(set uint) bool { return fitsInWave(f, set, b) }
+		fits := func(set uint) bool { return fitsInWave(f, set, drawn) }
 		best := fewestWaves(1<<len(f)-1, fits, map[uint]int{})
 		drained := map[string]int{}
 		for _, w := range waves {
@@ -117,29 +124,29 @@
 			t.Fatalf("%d of %d drained in %d waves, fewest %d, bound %d", len(drained), len(f), len(waves), best, bound)
 		}
 		if plans++; len(waves) > best {
-			more++
+			longer++
 		}
 	})
-	t.Logf("%d plans, %d with one wave more than the fewest", plans, more)
-	if more*10 > plans {
-		t.Errorf("%d of %d plans have a wave too many", more, plans)
+	t.Logf("%d plans, %d with one wave more than the fewest", plans, longer)
+	if longer*10 > plans {
+		t.Errorf("%d of %d plans have a wave too many", longer, plans)
 	}
 }
 
 func TestPlanRejectsZoneWithoutSpareCapacity(t *testing.T) {
-	b := limits
-	b.MinCapacityFraction = 0.9
-	_, _, err := rollout.Plan(newFleet(9, 3, equalCapacity), map[string]float64{"z1": 1}, "new", b)
+	strict := limits
+	strict.MinCapacityFraction = 0.9
+	_, _, err := rollout.Plan(newFleet(9, 3, equalCapacity), map[string]float64{"z1": 1}, "new", strict)
 	if err == nil || !strings.Contains(err.Error(), "zone z") || !strings.Contains(err.Error(), "missing") {
 		t.Errorf("%v", err)
 	}
 	if _, _, err := rollout.Plan(newFleet(9, 3, equalCapacity), map[string]float64{"z1": 1}, "new", limits); err == nil {
-		t.Error("a zone of three at a load of one, with 1.1 required and one to lose, was drained of one")
+		t.Error("a plan was made for a zone of 3 that requires 1.1 and 1 more for a failure, and so can not spare 1")
 	}
 }
 
 func TestNextJudgesPresentState(t *testing.T) {
-	f := newFleet(12, 3, equalCapacity) // four a zone: 2 required, one to lose, one to drain
+	f := newFleet(12, 3, equalCapacity) // in each zone 4: 2 are required, 1 may fail, 1 may drain
 	r := rollout.New("new")
 	first := r.Next(0, f, nil, limits)
 	if len(first.Drain) != 3 {
@@ -153,29 +160,31 @@
 	if s := r.Next(time.Second, f, nil, limits); len(s.Drain) != 0 || s.BlockedReason == "" {
 		t.Errorf("three are being replaced: %+v", s)
 	}
-	back := func(age time.Duration) []rollout.Instance {
-		g := slices.Clone(f)
-		for n := range g {
-			if slices.ContainsFunc(first.Drain, func(d rollout.Instance) bool { return d.Name == g[n].Name }) {
-				g[n].Incarnation, g[n].Release, g[n].Age = 2, "new", age
+	restarted := func(age time.Duration) []rollout.Instance { // the fleet with the drained ones restarted that long ago
+		fleet := slices.Clone(f)
+		for n := range fleet {
+			if slices.ContainsFunc(first.Drain, func(d rollout.Instance) bool { return d.Name == fleet[n].Name }) {
+				fleet[n].Incarnation = 2
+				fleet[n].Release = "new"
+				fleet[n].Age = age
 			}
 		}
-		return g
+		return fleet
 	}
-	if s := r.Next(5*time.Second, back(time.Second), nil, limits); len(s.Drain) != 0 || !strings.Contains(s.BlockedReason, "zone") {
+	if s := r.Next(5*time.Second, restarted(time.Second), nil, limits); len(s.Drain) != 0 || !strings.Contains(s.BlockedReason, "zone") {
 		t.Errorf("three are back and not warmed up: %+v", s)
 	}
-	if s := r.Next(20*time.Second, back(time.Hour), nil, limits); len(s.Drain) != 3 {
+	if s := r.Next(20*time.Second, restarted(time.Hour), nil, limits); len(s.Drain) != 3 {
 		t.Errorf("all warmed up again: %+v", s)
 	}
 	load := map[string]float64{"z0": 2.5, "z1": 2.5, "z2": 2.5}
-	if s := r.Next(20*time.Second, back(time.Hour), load, limits); len(s.Drain) != 0 || !strings.Contains(s.BlockedReason, "zone") {
+	if s := r.Next(20*time.Second, restarted(time.Hour), load, limits); len(s.Drain) != 0 || !strings.Contains(s.BlockedReason, "zone") {
 		t.Errorf("load has risen: %+v", s)
 	}
-	withUnreachable := back(time.Hour)
+	withUnreachable := restarted(time.Hour)
 	withUnreachable[5].IsUnreachable = true // of z2
 	if s := r.Next(20*time.Second, withUnreachable, nil, limits); len(s.Drain) != 2 || slices.ContainsFunc(s.Drain, func(i rollout.Instance) bool { return i.Zone == "z2" }) {
-		t.Errorf("a zone that has lost one drains another: %+v", s)
+		t.Errorf("an instance of a zone with an unreachable one was drained: %+v", s)
 	}
 }
 
@@ -201,8 +210,8 @@
 	}
 }
 
-// Seen on processes under load: a restarted voter no longer voted, its ended incarnation still did, and the next
-// voter was drained: two of three gone from the log.
+// Observed under load: a restarted process did not vote yet while its ended incarnation still counted as a voter, and the next
+// voter was drained, so that two of three voters were unavailable.
 func TestVoterOfEndedIncarnationCountsAsUnavailable(t *testing.T) {
 	f := newFleet(12, 3, equalCapacity)
 	f[0].IsVoter, f[1].IsVoter = true, true
--- a/internal/fleet/rolling/rolling.go
+++ b/internal/fleet/rolling/rolling.go
@@ -1,6 +1,6 @@
 // Package rolling replicates a rolling restart (internal/decide/rollout) over the agreed log (internal/fleet/consensus).
-// The leader of the rollout judges the fleet and proposes who drains, one entry each; every member keeps the same
-// rollout, and the one that an entry names drains as on its own shutdown signal.
+// The leader of the rollout evaluates the fleet and proposes the drains, one entry for each. Every member applies the same
+// entries, and the process that an entry names drains as on a shutdown signal.
 //
 // A Controller's methods are called on the log driver's goroutine, except SetRelease, which is safe for concurrent use. Its
 // only table is the rollout's.
@@ -18,7 +18,7 @@
 // Duty is the name of the rollout's lease in the log.
 const Duty = "roll"
 
-// stepInterval is how often the leader judges the fleet. A proposal that is lost is made again after it.
+// stepInterval is the time between two evaluations of the fleet by the leader. A lost proposal is repeated after it.
 const stepInterval = 250 * time.Millisecond
 
 // Config of a Controller.
@@ -39,15 +39,17 @@
 
 // Controller is one member's part of the rollout.
 type Controller struct {
-	config         Config
-	mu             sync.Mutex // guards wanted
-	wanted         string     // release
+	config Config
+
+	mu     sync.Mutex // guards wanted
+	wanted string     // release
+
 	rollout        *rollout.Rollout
 	isLeader       bool
 	nextStep       time.Duration
-	plannedRelease string // whose plan was found to be possible
-	lastMessage    string
-	isDrained      bool
+	plannedRelease string // last release for which a plan was possible
+	lastMessage    string // last reported by notify
+	isDrained      bool   // Config.Drain was called
 }
 
 // New returns the controller of a process that has just started.
@@ -70,7 +72,10 @@
 func (c *Controller) LeaseAcquired() { c.isLeader = true }
 
 // LeaseLost ends this member's leadership.
-func (c *Controller) LeaseLost() { c.isLeader, c.plannedRelease = false, "" }
+func (c *Controller) LeaseLost() {
+	c.isLeader = false
+	c.plannedRelease = ""
+}
 
 // Apply applies one entry of the log, with its outcome. Entries of other duties are ignored.
 func (c *Controller) Apply(now time.Duration, entry lease.Command, outcome lease.Outcome) {
@@ -93,7 +98,7 @@
 	}
 }
 
-// Tick carries the rollout out, at the leader.
+// Tick carries out the rollout's next step, at the leader.
 func (c *Controller) Tick(now time.Duration) {
 	if !c.isLeader || now < c.nextStep {
 		return
@@ -108,7 +113,7 @@
 	if wanted != "" && c.plannedRelease != wanted && !c.plan(fleet, load, wanted) {
 		return
 	}
-	c.take(c.rollout.Next(now, fleet, load, c.config.Limits))
+	c.execute(c.rollout.Next(now, fleet, load, c.config.Limits))
 }
 
 // fleet is the known fleet with the unreachable voters.
@@ -132,8 +137,8 @@
 	return true
 }
 
-// take carries out a step.
-func (c *Controller) take(step rollout.Step) {
+// execute carries out a step.
+func (c *Controller) execute(step rollout.Step) {
 	switch {
 	case step.TransferLeadership:
 		c.notify("rollout: only the leader is left; it resigns")
--- a/internal/fleet/rolling/rolling_test.go
+++ b/internal/fleet/rolling/rolling_test.go
@@ -27,7 +27,8 @@
 func isDrain(e memberEvent) bool         { return e.Kind == eventDrains }
 func isLeaseAcquired(e memberEvent) bool { return e.Kind == eventLeaseAcquired }
 
-// rolloutCluster is members under a supervisor, which starts what ends with what is installed, as an init system does.
+// rolloutCluster is members under a supervisor, which restarts each that ends with the installed release, as an init system
+// does.
 type rolloutCluster struct {
 	*testutil.Cluster[memberEvent]
 	t           *testing.T
@@ -74,7 +75,7 @@
 	}
 }
 
-// stopSupervisors lets what ends stay so.
+// stopSupervisors ends the restarts.
 func (c *rolloutCluster) stopSupervisors() {
 	close(c.isOver)
 	c.supervisors.Wait()
@@ -98,21 +99,21 @@
 	c.Kill(victim)
 }
 
-// suspendLeader suspends the leader past its lease, and resumes it under the next.
+// suspendLeader suspends the leader for longer than its lease, and resumes it once another member leads.
 func (c *rolloutCluster) suspendLeader() {
 	suspended := c.Last(isLeaseAcquired).member
 	c.Signal(suspended, syscall.SIGSTOP)
 	c.WaitFor("a new leader", c.EventCount(), isLeaseAcquired)
-	time.Sleep(500 * time.Millisecond) // the script's pause goes on past the lease
+	time.Sleep(500 * time.Millisecond) // suspended well beyond its lease
 	c.Signal(suspended, syscall.SIGCONT)
 }
 
-// Eight processes in two zones are updated to a new release while one is killed and the leader is suspended in mid-wave and
-// resumed.
+// Eight processes in two zones are updated to a new release. Meanwhile one is killed, and the leader is suspended during a wave
+// and resumed.
 func TestRolloutThroughKillAndSuspendedLeader(t *testing.T) {
 	c := startRolloutCluster(t, 12)
 	defer c.stopSupervisors()
-	time.Sleep(2 * time.Second) // all warmed up, and votes spread; the claim is not on this
+	time.Sleep(2 * time.Second) // for warm-up and the spread of the votes; no check depends on it
 	c.installed.Store(newRelease)
 	c.setWanted(newRelease)
 	first := c.WaitFor("the first drain", 0, isDrain)
@@ -128,11 +129,13 @@
 	checkDrains(t, c.Events())
 }
 
-// checkDrains checks that nobody drained twice, and how many were ready in each zone at least.
+// checkDrains checks that no member drained twice, and that at least three were ready in each zone at any time.
 func checkDrains(t *testing.T, events []memberEvent) {
 	slices.SortStableFunc(events, func(x, y memberEvent) int { return int(x.At - y.At) })
-	drains, ready := map[string]int{}, map[int]map[string]bool{0: {}, 1: {}}
-	minReady, hasStarted := zoneSize, false
+	drains := map[string]int{}                     // by member
+	ready := map[int]map[string]bool{0: {}, 1: {}} // members by zone
+	minReady := zoneSize
+	hasStarted := false
 	for _, e := range events {
 		n, _ := strconv.Atoi(e.member[1:])
 		zone := ready[n%zoneCount]
@@ -150,11 +153,11 @@
 			minReady = min(minReady, len(ready[0]), len(ready[1]))
 		}
 	}
-	t.Logf("%d drained, at least %d of %d ready in each zone but for the one killed", len(drains), minReady, zoneSize)
+	t.Logf("%d drained, at least %d of %d ready in each zone, the killed one counted as ready", len(drains), minReady, zoneSize)
 	if minReady < 3 {
-		t.Errorf("a zone came down to %d ready by drains alone, 3 expected", minReady)
+		t.Errorf("a zone had %d ready because of drains, want at least 3", minReady)
 	}
-	if len(drains) < 7 { // all but the one killed, which came back with what was installed
+	if len(drains) < 7 { // all but the killed one, which was restarted with the new release
 		t.Errorf("%d drained, expected 7 or 8", len(drains))
 	}
 }
--- a/internal/fleet/slots/backend_test.go
+++ b/internal/fleet/slots/backend_test.go
@@ -50,7 +50,7 @@
 	return listener.Addr().String()
 }
 
-// recordingBackends are the backends of makeKeyedCalls, in the parent. They count the calls that found their key in work at
+// recordingBackends are the backends of makeKeyedCalls, in the parent process. They count the calls whose key was in work at
 // another backend.
 type recordingBackends struct {
 	mu         sync.Mutex
--- a/internal/fleet/slots/leader.go
+++ b/internal/fleet/slots/leader.go
@@ -23,11 +23,12 @@
 // LeaseLost ends this member's leadership.
 func (c *Controller) LeaseLost() {
 	c.mu.Lock()
-	c.migrator, c.warmUp = nil, nil
-	c.mu.Unlock()
+	defer c.mu.Unlock()
+	c.migrator = nil
+	c.warmUp = nil
 }
 
-// lead continues what is in progress, and starts what is next.
+// lead continues the migration in progress, or starts the next one, and proposes grants.
 func (c *Controller) lead(now time.Duration) {
 	c.migrator.Tick(now)
 	c.startMigration(now)
--- a/internal/fleet/slots/member_test.go
+++ b/internal/fleet/slots/member_test.go
@@ -23,9 +23,9 @@
 // Settings of a member, in its environment.
 const (
 	wantedFileVariable  = "SLOTS_WANTED"   // file with the wanted backends
-	overstayVariable    = "SLOTS_OVERSTAY" // set: calls go on past the lease
-	warmUpVariable      = "SLOTS_WARM_UP"  // set: calls press on the backend in slow start
-	cutInboundVariable  = "SLOTS_CUT"      // file from whose creation on the member applies no entry
+	overstayVariable    = "SLOTS_OVERSTAY" // set: the member calls for longer than its lease
+	warmUpVariable      = "SLOTS_WARM_UP"  // set: the member calls the backend in slow start as often as admitted
+	cutInboundVariable  = "SLOTS_CUT"      // file; once it exists the member applies no entry
 	withoutQuotas       = "without quotas" // value of warmUpVariable
 	keyCount            = 48
 	callerCount         = 8
@@ -81,7 +81,7 @@
 func runMember(process *member.Member) {
 	m := &testMember{Member: process}
 	if os.Getenv(overstayVariable) != "" {
-		terms.CancelDelay = -5 * time.Second // the mutation: members call for five seconds past what leaders wait for
+		terms.CancelDelay = -5 * time.Second // members call for five seconds longer than leaders wait
 	}
 	config := Config{Process: m.Process, Incarnation: m.Incarnation, Slots: 64, Terms: terms, Bound: ring.BalanceBound{Slack: 0.05},
 		Notify: func(message string) { m.Emit(memberEvent{Kind: eventNotified, Text: message}) }}
@@ -167,8 +167,8 @@
 	}
 }
 
-// makeKeyedCalls makes one call after the other: a key and a duration, for which the backend works on it whatever becomes of
-// this process.
+// makeKeyedCalls makes one call after the other, each with a key and a duration. The backend works for that duration even if
+// this process ends.
 func (m *testMember) makeKeyedCalls(random *rand.Rand) {
 	for {
 		key := fmt.Sprint("k", random.IntN(keyCount))
--- a/internal/fleet/slots/migration_test.go
+++ b/internal/fleet/slots/migration_test.go
@@ -12,18 +12,18 @@
 	"thymechute/internal/testutil/member"
 )
 
-// Five processes call by a ring that grows from four backends to six and shrinks to three, while a member is suspended, one
-// is cut off, the leader is killed in mid-migration and started without its state.
+// Five processes call the backends of a ring that grows from four to six and shrinks to three. Meanwhile a member is
+// suspended and then isolated, and the leader is killed during a migration and restarted without its state.
 func TestNoKeyIsCalledAtTwoBackendsThroughFaults(t *testing.T) {
 	if calls, violations := runMigrationScript(t, 8); violations != 0 || calls < 1000 {
 		t.Errorf("%d of %d calls found their key at another backend", violations, calls)
 	}
 }
 
-// The mutation that the check must notice: members that call past their lease.
+// Members that call for longer than their lease must be detected, which proves the check.
 func TestCallsPastTheLeaseAreDetected(t *testing.T) {
 	if calls, violations := runMigrationScript(t, 10, overstayVariable+"=1"); violations == 0 {
-		t.Errorf("none of %d calls found its key at another backend: the check sees nothing", calls)
+		t.Errorf("none of %d calls found its key at another backend: the check detects nothing", calls)
 	}
 }
 
@@ -36,15 +36,15 @@
 	wantedFile string
 }
 
-// runMigrationScript returns the calls made, and those that found their key at another backend. A mutation's script ends
-// with the cut, which is its case.
-func runMigrationScript(t *testing.T, subnet int, mutation ...string) (calls, violations int) {
-	s := startMigrationScript(t, subnet, mutation)
+// runMigrationScript returns the number of calls, and of those that found their key in work at another backend. environment
+// is added to that of each member; with one, the script ends after the isolation, whose effect is what it tests.
+func runMigrationScript(t *testing.T, subnet int, environment ...string) (calls, violations int) {
+	s := startMigrationScript(t, subnet, environment)
 	s.setWanted(s.all[:5]...)
 	s.awaitTable("all connected", 2, "")
 	faulty := s.suspendMember()
-	s.cutOffMember(faulty)
-	if len(mutation) > 0 {
+	s.isolateMember(faulty)
+	if len(environment) > 0 {
 		time.Sleep(time.Second)
 		return s.backends.counts()
 	}
@@ -63,8 +63,9 @@
 	return calls, violations
 }
 
-// startMigrationScript starts five members, and waits until all vote and go by a table of four backends.
-func startMigrationScript(t *testing.T, subnet int, mutation []string) *migrationScript {
+// startMigrationScript starts five members, with variables added to their environment, and waits until all vote and use a
+// table of four backends.
+func startMigrationScript(t *testing.T, subnet int, variables []string) *migrationScript {
 	s := &migrationScript{t: t, backends: &recordingBackends{active: map[string]map[string]int{}},
 		wantedFile: filepath.Join(t.TempDir(), "want.json")}
 	for n := range 6 {
@@ -74,7 +75,7 @@
 	s.setWanted(s.all[:4]...)
 	s.Cluster = testutil.NewCluster(t, subnet, member.Ports, func(e *memberEvent, name string) { e.member = name })
 	for n := range 5 {
-		environment := append([]string{wantedFileVariable + "=" + s.wantedFile}, mutation...)
+		environment := append([]string{wantedFileVariable + "=" + s.wantedFile}, variables...)
 		if n == 0 {
 			environment = append(environment, member.FounderVariable+"=1")
 		}
@@ -97,7 +98,7 @@
 	setWantedBackends(s.t, s.wantedFile, backends)
 }
 
-// awaitTable waits until all members but one go by a version.
+// awaitTable waits until all members but one use a version.
 func (s *migrationScript) awaitTable(when string, version uint64, except string) {
 	s.t.Helper()
 	for _, name := range s.Names() {
@@ -107,7 +108,7 @@
 	}
 }
 
-// suspendMember suspends a member in a migration: it acknowledges nothing, and its lease expires.
+// suspendMember suspends a member during a migration until its lease has expired, and resumes it.
 func (s *migrationScript) suspendMember() (name string) {
 	name = "m4"
 	if s.Last(isLeaseAcquired).member == name {
@@ -123,14 +124,14 @@
 	return name
 }
 
-// cutOffMember cuts a member off in a migration: it calls on until its lease has expired.
-func (s *migrationScript) cutOffMember(name string) {
+// isolateMember isolates a member during a migration: it continues to call until its lease has expired.
+func (s *migrationScript) isolateMember(name string) {
 	s.Net.Isolate(name, s.Names())
 	s.setWanted(s.all[1:]...)
 	s.awaitTable("one cut off", 4, name)
 }
 
-// killLeader kills the leader in mid-migration, or just before it: both must work.
+// killLeader kills the leader during a migration or just before it, and restarts it.
 func (s *migrationScript) killLeader() {
 	first := s.EventCount()
 	killed := s.Last(isLeaseAcquired).member
--- a/internal/fleet/slots/slots.go
+++ b/internal/fleet/slots/slots.go
@@ -42,7 +42,7 @@
 type Config struct {
 	Process     string
 	Incarnation uint64
-	Slots       int
+	Slots       int // a power of two, as for ring.New
 	Terms       ring.LeaseTerms
 	Bound       ring.BalanceBound
 	SlowStart   ring.SlowStart       // of backends that warm up on joining
--- a/internal/fleet/slots/warm_up_test.go
+++ b/internal/fleet/slots/warm_up_test.go
@@ -29,7 +29,7 @@
 	warmUpCallerCount = 3
 )
 
-// warmUpConfig is a member's. The mutation disables the quotas: a grant is then all that anybody could want.
+// warmUpConfig adds the slow start to a member's config. With withoutQuotas the grants are larger than any demand.
 func warmUpConfig(c Config) Config {
 	c.Slots, c.SlowStart, c.Budget = 256, warmUpSlowStart, warmUpBudget
 	if os.Getenv(warmUpVariable) == withoutQuotas {
@@ -65,7 +65,7 @@
 		if key == "" {
 			key = fmt.Sprint("k", random.IntN(4096))
 		}
-		call := m.controller.BeginCall(key, random.IntN(2) == 0)
+		call := m.controller.BeginCall(key, ring.Idempotency(random.IntN(2) == 0))
 		if call.Decision != ring.RejectQuotaExhausted && (call.Decision != ring.Allow || !call.Backend.WarmingUp) {
 			key = ""
 		}
@@ -103,9 +103,9 @@
 	return time.Duration(math.Ceil((1-warmUpSlowStart.InitialFraction)/warmUpSlowStart.Increment-1e-9)) * warmUpSlowStart.StepInterval
 }
 
-// worstWindow judges every window that ends with an arrival before the slow start is over: not before it may be, nor while
-// all senders' tables have the backend in slow start. It returns the calls judged, and those by which the worst window is
-// over N + 2√N + 2 (below 0: under it).
+// worstWindow checks every window that ends with an arrival during the slow start, that is, before slowStartDuration or from
+// a sender whose table has the backend in slow start. It returns the number of windows checked, and by how many calls the
+// worst one exceeds N + 2√N + 2, N being the calls allowed; negative if it is below.
 func worstWindow(got []arrival, wantedAt time.Time) (judged, over int) {
 	over = math.MinInt
 	for last, first := 0, 0; last < len(got) && (got[last].isWarmingUp || got[last].at.Sub(wantedAt) < slowStartDuration()); last++ {
@@ -119,7 +119,7 @@
 	return judged, over
 }
 
-// warmUpFleet is members that press on a backend in slow start.
+// warmUpFleet is members that call a backend in slow start as often as they are admitted.
 type warmUpFleet struct {
 	*testutil.Cluster[memberEvent]
 	t           *testing.T
@@ -128,7 +128,7 @@
 	backends    []ring.Backend // four at full weight
 }
 
-// startWarmUpFleet starts so many members, and waits until all go by a table of four backends. mode is warmUpVariable's value.
+// startWarmUpFleet starts the members, and waits until all use a table of four backends. mode is warmUpVariable's value.
 func startWarmUpFleet(t *testing.T, subnet, members int, mode string) *warmUpFleet {
 	f := &warmUpFleet{t: t, wantedFile: filepath.Join(t.TempDir(), "want.json")}
 	f.environment = []string{wantedFileVariable + "=" + f.wantedFile, warmUpVariable + "=" + mode}
@@ -157,8 +157,9 @@
 	return backend, wantedAt
 }
 
-// 24 processes press on a backend in slow start. One is cut off inbound: it acknowledges and calls on and applies nothing of
-// the log; one joins during the slow start. All calls that arrive are counted, in each window, against what is allowed.
+// 24 processes call a backend in slow start as often as they are admitted. One of them no longer receives the log, but
+// continues to acknowledge and to call; another joins during the slow start. In each window all calls that arrive are
+// checked against the budget.
 func TestProcessesStayWithinBudgetOfWarmingUpBackend(t *testing.T) {
 	const cutName, lateName = "m22", "m23"
 	cutFile := filepath.Join(t.TempDir(), "cut")
@@ -166,14 +167,14 @@
 	f.Start(cutName, append(f.environment, cutInboundVariable+"="+cutFile)...)
 	f.WaitFor("table at "+cutName, 0, isTableAt(cutName, 0))
 	backend, wantedAt := f.addWarmingBackend()
-	testutil.Eventually(t, "calls from the one that will be cut off", func() bool { return hasCallFrom(backend.all(), cutName, time.Time{}) })
+	testutil.Eventually(t, "calls from the member that will receive no log", func() bool { return hasCallFrom(backend.all(), cutName, time.Time{}) })
 	if err := os.WriteFile(cutFile, nil, 0o600); err != nil {
 		t.Fatal(err)
 	}
 	cutAt := time.Now()
 	f.Start(lateName, f.environment...)
-	f.WaitFor("table at the late one", 0, isTableAt(lateName, 0))
-	testutil.Eventually(t, "calls from the late one, and the end of the slow start", func() bool {
+	f.WaitFor("table at the late member", 0, isTableAt(lateName, 0))
+	testutil.Eventually(t, "calls from the late member, and the end of the slow start", func() bool {
 		got := backend.all()
 		return hasCallFrom(got, lateName, time.Time{}) && !got[len(got)-1].isWarmingUp
 	})
@@ -182,10 +183,10 @@
 	judged, over := worstWindow(got, wantedAt)
 	t.Logf("%d calls judged of %d, the worst window %d under what is allowed", judged, len(got), -over)
 	if over > 0 || judged < 20 {
-		t.Errorf("%d calls in the worst window over the budget and its chance, %d judged", over, judged)
+		t.Errorf("the worst window exceeds the budget and its tolerance by %d calls, %d windows checked", over, judged)
 	}
 	if hasCallFrom(got, cutName, cutAt.Add(2*terms.Duration)) { // its lease, and as much again for a machine that is busy
-		t.Error("the one that is cut off still calls")
+		t.Error("the member that receives no log still calls")
 	}
 	for _, e := range f.Events() {
 		if isDigestMismatch(e) {
@@ -194,13 +195,13 @@
 	}
 }
 
-// The mutation that the check must notice: grants without a bound, so that only the fraction of the slots is paced.
+// Without quotas only the number of the backend's slots limits its calls, which must exceed the budget: it proves the check.
 func TestBudgetIsExceededWithoutQuotas(t *testing.T) {
 	f := startWarmUpFleet(t, 18, 8, withoutQuotas)
 	backend, wantedAt := f.addWarmingBackend()
 	testutil.Eventually(t, "the end of the slow start", func() bool { return time.Since(wantedAt) > slowStartDuration() })
 	if judged, over := worstWindow(backend.all(), wantedAt); over <= 0 {
-		t.Errorf("%d calls judged, no window over the budget (%d under): the check sees nothing", judged, -over)
+		t.Errorf("%d calls judged, no window over the budget (%d under): the check detects nothing", judged, -over)
 	} else {
 		t.Logf("%d calls judged, the worst window %d over", judged, over)
 	}
