--- a/cmd/testbed/emulator_experiments.go
+++ b/cmd/testbed/emulator_experiments.go
@@ -66,7 +66,7 @@
 
 func runLeases(t trialOptions) (*lab.Report, error) {
 	const leases, maxTakeover = 120, 3 * time.Second
-	f, err := emulator.RunLeases(t.size, leases, t.seed)
+	f, err := emulator.RunLeases(emulator.LeaseScenario{Members: t.size, Leases: leases, Seed: t.seed})
 	if err != nil {
 		return nil, err
 	}
--- a/internal/decide/configuration/emulator_test.go
+++ b/internal/decide/configuration/emulator_test.go
@@ -25,27 +25,27 @@
 
 func TestEmulatedScenarioDetectsEachRemovedSafeguard(t *testing.T) {
 	for name, c := range map[string]struct {
-		mutate   func(func())
+		onStart  emulator.ConfigurationStartHooks
 		detected func(result emulator.ConfigurationResult) int
 	}{
-		"fencing":      {configuration.WithoutFencing, func(result emulator.ConfigurationResult) int { return result.StaleAccepted }},
-		"atomic apply": {configuration.WithPartialApply, func(result emulator.ConfigurationResult) int { return result.PartiallyApplied }},
-		"digest check": {configuration.WithoutDigestCheck, func(result emulator.ConfigurationResult) int { return result.PartiallyApplied }},
+		"fencing":      {emulator.ConfigurationStartHooks{Store: configuration.DisableFencing}, func(result emulator.ConfigurationResult) int { return result.StaleAccepted }},
+		"atomic apply": {emulator.ConfigurationStartHooks{Member: configuration.DisableAtomicity}, func(result emulator.ConfigurationResult) int { return result.PartiallyApplied }},
+		"digest check": {emulator.ConfigurationStartHooks{Member: configuration.DisableDigestCheck}, func(result emulator.ConfigurationResult) int { return result.PartiallyApplied }},
 	} {
 		t.Run(name, func(t *testing.T) {
-			c.mutate(func() {
-				detected := 0
-				for seed := uint64(1); seed <= 3; seed++ {
-					result := emulator.Configuration(emulator.NewConfigurationScenario(48), seed)
-					detected += c.detected(result)
-					if c.detected(result) > 0 && len(result.Violations()) == 0 {
-						t.Error("detected, but the run reports no violation")
-					}
+			scenario := emulator.NewConfigurationScenario(48)
+			scenario.OnStart = c.onStart
+			detected := 0
+			for seed := uint64(1); seed <= 3; seed++ {
+				result := emulator.Configuration(scenario, seed)
+				detected += c.detected(result)
+				if c.detected(result) > 0 && len(result.Violations()) == 0 {
+					t.Error("detected, but the run reports no violation")
 				}
-				if detected == 0 {
-					t.Errorf("without %s the emulated scenario detects nothing", name)
-				}
-			})
+			}
+			if detected == 0 {
+				t.Errorf("without %s the emulated scenario detects nothing", name)
+			}
 		})
 	}
 }
--- a/internal/decide/configuration/export_test.go
+++ b/internal/decide/configuration/export_test.go
@@ -6,20 +6,14 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// WithoutFencing runs f while the Store accepts older tokens and versions: a mutation that a check must detect.
-func WithoutFencing(f func()) { withMutation(&skipFencing, f) }
+// DisableFencing makes a store accept older tokens and versions, which a check must detect.
+func DisableFencing(s *Store) { s.isFencingDisabled = true }
 
-// WithPartialApply runs f while members activate parts of a version: a mutation that a check must detect.
-func WithPartialApply(f func()) { withMutation(&applyPartially, f) }
+// DisableAtomicity makes a member activate parts of a version, which a check must detect.
+func DisableAtomicity(m *Member) { m.disabled.atomicity = true }
 
-// WithoutDigestCheck runs f while members compare no root digests: a mutation that a check must detect.
-func WithoutDigestCheck(f func()) { withMutation(&skipDigestCheck, f) }
-
-func withMutation(mutation *bool, f func()) {
-	*mutation = true
-	defer func() { *mutation = false }()
-	f()
-}
+// DisableDigestCheck makes a member compare no root digests, which a check must detect.
+func DisableDigestCheck(m *Member) { m.disabled.digestCheck = true }
 
 // BucketIndex is the index of a resource's bucket.
 func BucketIndex(r *Resource) uint16 { return uint16(bucketIndex(r)) }
--- a/internal/decide/configuration/member.go
+++ b/internal/decide/configuration/member.go
@@ -34,6 +34,14 @@
 	nextStaleSwitch time.Duration // before then it does not leave a source for its age
 	avoidedSources  []avoidedSource
 	repair          *repair
+
+	disabled disabledSafeguards
+}
+
+// disabledSafeguards are set by tests alone, to prove that a check detects a member without each of them.
+type disabledSafeguards struct {
+	atomicity   bool // it activates a version's changes before all of them are known
+	digestCheck bool // it accepts a state without comparing its digest
 }
 
 // NewMember makes the member of a process that has just started. The state is Empty or one from before the restart, which the
@@ -161,11 +169,11 @@
 		return nil
 	}
 	changes := d.Changes
-	if applyPartially {
+	if m.disabled.atomicity {
 		changes = changes[:len(changes)/2]
 	}
 	next, err := m.state.With(d.Version, changes)
-	if err == nil && next.root != d.Root && !skipDigestCheck && !applyPartially {
+	if err == nil && next.root != d.Root && m.disabled == (disabledSafeguards{}) {
 		err = reject(ReasonDigestMismatch, "delta to %v from %s: found root %x, expected %x", d.Version, from, next.root, d.Root)
 	}
 	if err != nil {
--- a/internal/decide/configuration/repair.go
+++ b/internal/decide/configuration/repair.go
@@ -79,7 +79,7 @@
 	r.staged = next
 	r.nextRequest = now
 	r.pending = slices.DeleteFunc(r.pending, func(index uint16) bool { return slices.Contains(repaired, index) })
-	if applyPartially {
+	if m.disabled.atomicity {
 		m.activate(now, next, reply.Position)
 		return nil
 	}
@@ -114,7 +114,7 @@
 		m.repair = nil // a delta has overtaken it
 		return nil
 	}
-	if next.root == source.Root || skipDigestCheck {
+	if next.root == source.Root || m.disabled.digestCheck {
 		m.history = &history{}
 		m.Counters.Repairs++
 		m.activate(now, next, source)
--- a/internal/decide/configuration/simulation_properties_test.go
+++ b/internal/decide/configuration/simulation_properties_test.go
@@ -14,7 +14,7 @@
 // partitions and restarts.
 func TestMembersOnlyActivateAgreedStates(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		sim := newSimulation(rapid.Uint64().Draw(t, "seed"))
+		sim := newSimulation(rapid.Uint64().Draw(t, "seed"), startHooks{})
 		draw := func(t *rapid.T, of []*testNode) *testNode { return of[rapid.IntRange(0, len(of)-1).Draw(t, "which")] }
 		inFlight := func(t *rapid.T) int {
 			if len(sim.inFlight) == 0 {
@@ -60,9 +60,9 @@
 	})
 }
 
-// runRandomSteps runs the same simulation on a seed, for the mutations, which must be detected.
-func runRandomSteps(seed uint64, steps int) *simulation {
-	sim := newSimulation(seed)
+// runRandomSteps runs the same simulation with steps drawn by a seed, also without safeguards, which must be detected.
+func runRandomSteps(seed uint64, steps int, onStart startHooks) *simulation {
+	sim := newSimulation(seed, onStart)
 	r := sim.random
 	for range steps {
 		switch r.IntN(16) {
@@ -104,7 +104,7 @@
 func TestRandomStepsCoverTheFaults(t *testing.T) {
 	versions, stale, corrupted := 0, 0, 0
 	for seed := range uint64(10) {
-		sim := runRandomSteps(seed, 2000)
+		sim := runRandomSteps(seed, 2000, startHooks{})
 		if err := sim.settle(); err != nil {
 			t.Errorf("seed %d: %v", seed, err)
 		}
@@ -118,24 +118,22 @@
 
 func TestChecksDetectEachRemovedSafeguard(t *testing.T) {
 	for name, c := range map[string]struct {
-		mutate   func(func())
+		onStart  startHooks
 		detected func(sim *simulation) int
 	}{
-		"fencing":            {configuration.WithoutFencing, func(sim *simulation) int { return sim.staleAccepted }},
-		"atomic apply":       {configuration.WithPartialApply, func(sim *simulation) int { return sim.inconsistent }},
-		"digest check":       {configuration.WithoutDigestCheck, func(sim *simulation) int { return sim.inconsistent }},
-		"monotonic versions": {configuration.WithoutFencing, func(sim *simulation) int { return sim.rolledBack }},
+		"fencing":            {startHooks{store: configuration.DisableFencing}, func(sim *simulation) int { return sim.staleAccepted }},
+		"atomic apply":       {startHooks{member: configuration.DisableAtomicity}, func(sim *simulation) int { return sim.inconsistent }},
+		"digest check":       {startHooks{member: configuration.DisableDigestCheck}, func(sim *simulation) int { return sim.inconsistent }},
+		"monotonic versions": {startHooks{store: configuration.DisableFencing}, func(sim *simulation) int { return sim.rolledBack }},
 	} {
 		t.Run(name, func(t *testing.T) {
-			c.mutate(func() {
-				detected := 0
-				for seed := range uint64(10) {
-					detected += c.detected(runRandomSteps(seed, 2000))
-				}
-				if detected == 0 {
-					t.Errorf("without %s the checks detect nothing", name)
-				}
-			})
+			detected := 0
+			for seed := range uint64(10) {
+				detected += c.detected(runRandomSteps(seed, 2000, c.onStart))
+			}
+			if detected == 0 {
+				t.Errorf("without %s the checks detect nothing", name)
+			}
 		})
 	}
 }
--- a/internal/decide/configuration/simulation_test.go
+++ b/internal/decide/configuration/simulation_test.go
@@ -26,11 +26,18 @@
 	lastAgreed  configuration.Version
 	random      *rand.Rand
 	editCount   int
+	onStart     startHooks
 
 	staleProposed, corruptedCount                        int
 	staleAccepted, inconsistent, rolledBack, undecodable int // must stay 0
 }
 
+// startHooks are called with each store and each member that starts; nil for none.
+type startHooks struct {
+	store  func(*configuration.Store)
+	member func(*configuration.Member)
+}
+
 // expectedResource is the model of a resource.
 type expectedResource struct {
 	body    string
@@ -97,28 +104,52 @@
 	}
 }
 
-func newSimulation(seed uint64) *simulation {
-	sim := &simulation{expected: map[string]expectedResource{}, agreedRoots: map[configuration.Version]uint64{}, random: rand.New(rand.NewPCG(seed, 7)), token: 1}
+func newSimulation(seed uint64, onStart startHooks) *simulation {
+	sim := &simulation{
+		expected:    map[string]expectedResource{},
+		agreedRoots: map[configuration.Version]uint64{},
+		random:      rand.New(rand.NewPCG(seed, 7)),
+		token:       1,
+		onStart:     onStart,
+	}
 	var zone []subset.Claim
 	for n := range 8 {
 		zone = append(zone, subset.Claim{Name: fmt.Sprint("m", n), Rank: n})
 	}
 	tree := configuration.Tree("z", zone, []string{"c0", "c1"})
 	for n := range 2 {
-		node := &testNode{name: fmt.Sprint("c", n), simulation: sim, store: configuration.NewStore(configuration.Empty(), 1)}
+		node := &testNode{name: fmt.Sprint("c", n), simulation: sim, store: sim.newStore(configuration.Empty(), 1)}
 		node.control = configuration.NewControlNode(0, node, node.store)
 		sim.controls = append(sim.controls, node)
 	}
 	sim.controls[0].token = 1
 	for n := range 8 {
 		node := &testNode{name: fmt.Sprint("m", n), simulation: sim}
-		node.member = configuration.NewMember(0, node, configuration.Empty(), 0, uint64(n))
+		node.member = sim.newMember(node, configuration.Empty(), 0, uint64(n))
 		node.member.SetSources(0, tree[node.name])
 		sim.members = append(sim.members, node)
 	}
 	return sim
 }
 
+// newStore returns the store of a control node that starts.
+func (sim *simulation) newStore(s *configuration.State, fencingToken uint64) *configuration.Store {
+	store := configuration.NewStore(s, fencingToken)
+	if sim.onStart.store != nil {
+		sim.onStart.store(store)
+	}
+	return store
+}
+
+// newMember returns the member of a process that starts now with a state of an age.
+func (sim *simulation) newMember(node *testNode, s *configuration.State, age time.Duration, seed uint64) *configuration.Member {
+	member := configuration.NewMember(sim.now, node, s, age, seed)
+	if sim.onStart.member != nil {
+		sim.onStart.member(member)
+	}
+	return member
+}
+
 func (sim *simulation) nodes() []*testNode { return append(slices.Clone(sim.controls), sim.members...) }
 
 func (sim *simulation) findNode(name string) *testNode {
@@ -291,11 +322,11 @@
 		for n := range sim.members {
 			zone = append(zone, subset.Claim{Name: fmt.Sprint("m", n), Rank: n})
 		}
-		node.member = configuration.NewMember(sim.now, node, state, time.Minute, sim.random.Uint64())
+		node.member = sim.newMember(node, state, time.Minute, sim.random.Uint64())
 		node.member.SetSources(sim.now, configuration.Tree("z", zone, []string{"c0", "c1"})[node.name])
 		return
 	}
-	node.store = configuration.NewStore(node.store.State(), 0) // its snapshot contains the log's entries so far
+	node.store = sim.newStore(node.store.State(), 0) // its snapshot contains the log's entries so far
 	for _, e := range sim.log[:node.appliedEntries] {
 		node.store.RaiseFence(e.grantedToken)
 	}
--- a/internal/decide/configuration/store.go
+++ b/internal/decide/configuration/store.go
@@ -13,6 +13,8 @@
 	state        *State
 	history      history
 	fencingToken uint64 // of the last lease that the log has granted
+
+	isFencingDisabled bool // set by tests alone, to prove that their checks detect it
 }
 
 // NewStore makes a store from a state (Empty, or that of a snapshot) and the fencing token granted last by then.
@@ -30,10 +32,10 @@
 // Apply applies a committed command. Errors: a *RejectionError, and nothing has changed.
 func (s *Store) Apply(c Command) error {
 	active := s.state.version
-	if !skipFencing && (c.Version.Token < s.fencingToken || c.Version.Compare(active) <= 0) {
+	if !s.isFencingDisabled && (c.Version.Token < s.fencingToken || c.Version.Compare(active) <= 0) {
 		return reject(ReasonStale, "version %v, expected one after %v with token %d or later", c.Version, active, s.fencingToken)
 	}
-	if !skipFencing && (c.Base != active || c.Version.Counter != active.Counter+1) {
+	if !s.isFencingDisabled && (c.Base != active || c.Version.Counter != active.Counter+1) {
 		return reject(ReasonBaseMismatch, "version %v on %v, expected the one after %v", c.Version, c.Base, active)
 	}
 	if err := s.validate(c); err != nil {
@@ -68,10 +70,3 @@
 	}
 	return nil
 }
-
-// Safeguards that only the tests' mutation runs switch off, to prove that a check fails without each of them.
-var (
-	skipFencing     bool // accept older tokens and versions
-	applyPartially  bool // activate a version's changes before all of them are known
-	skipDigestCheck bool // accept a state without comparing its digest
-)
--- a/internal/decide/lease/exhaustive_test.go
+++ b/internal/decide/lease/exhaustive_test.go
@@ -87,10 +87,9 @@
 }
 
 // explore applies every order of three members' claims, renewals, decisions and releases of two duties, with any delay and
-// loss, to a depth. Lease times are left out, so that only fencing protects the table. It returns the number of states and
+// loss, to a depth, from an empty table. Lease times are left out, so that only fencing protects the table. It returns the number of states and
 // of faults found.
-func explore(depth int) (states, faults int) {
-	table, _ := lease.NewTable(searchDuties...)
+func explore(table *lease.Table, depth int) (states, faults int) {
 	known := map[string]bool{}
 	level := []searchState{{table: table}}
 	for range depth {
@@ -120,7 +119,8 @@
 }
 
 func TestFencingInEveryOrderOfCommands(t *testing.T) {
-	states, faults := explore(7)
+	table, _ := lease.NewTable(searchDuties...)
+	states, faults := explore(table, 7)
 	t.Logf("%d states to a depth of 7", states)
 	if faults != 0 || states < 50000 {
 		t.Errorf("%d faults in %d states", faults, states)
--- a/internal/decide/lease/export_test.go
+++ b/internal/decide/lease/export_test.go
@@ -1,8 +1,7 @@
 package lease
 
-// WithoutFencing disables fencing while f runs: the mutation that every check must notice.
-func WithoutFencing(f func()) {
-	fencingDisabled = true
-	defer func() { fencingDisabled = false }()
-	f()
+// DisableFencing makes a table and a fence accept stale commands, which a check of the caller must detect.
+func DisableFencing(table *Table, fence *Fence) {
+	table.isFencingDisabled = true
+	fence.isDisabled = true
 }
--- a/internal/decide/lease/lease_test.go
+++ b/internal/decide/lease/lease_test.go
@@ -60,7 +60,7 @@
 
 func TestEmulatedFleetWithFaults(t *testing.T) {
 	for seed := uint64(1); seed <= 3; seed++ {
-		f, err := emulator.RunLeases(12, 120, seed)
+		f, err := emulator.RunLeases(emulator.LeaseScenario{Members: 12, Leases: 120, Seed: seed})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -74,20 +74,20 @@
 }
 
 func TestChecksFailWithoutFencing(t *testing.T) {
-	lease.WithoutFencing(func() {
-		accepted, admitted := 0, 0
-		for seed := uint64(1); seed <= 3; seed++ {
-			f, _ := emulator.RunLeases(12, 120, seed)
-			accepted += f.StaleAccepted
-			admitted += f.StaleAdmitted
-		}
-		if accepted == 0 || admitted == 0 {
-			t.Errorf("without fencing %d stale commands were accepted and %d admitted: the checks detect nothing", accepted, admitted)
-		}
-		if _, faults := explore(6); faults == 0 {
-			t.Error("the exhaustive search detects no fault without fencing")
-		}
-	})
+	accepted, admitted := 0, 0
+	for seed := uint64(1); seed <= 3; seed++ {
+		f, _ := emulator.RunLeases(emulator.LeaseScenario{Members: 12, Leases: 120, Seed: seed, OnStart: lease.DisableFencing})
+		accepted += f.StaleAccepted
+		admitted += f.StaleAdmitted
+	}
+	if accepted == 0 || admitted == 0 {
+		t.Errorf("without fencing %d stale commands were accepted and %d admitted: the checks detect nothing", accepted, admitted)
+	}
+	table, _ := lease.NewTable(searchDuties...)
+	lease.DisableFencing(table, &lease.Fence{})
+	if _, faults := explore(table, 6); faults == 0 {
+		t.Error("the exhaustive search detects no fault without fencing")
+	}
 }
 
 func TestClockDriftBeyondBoundGivesTwoHolders(t *testing.T) {
--- a/internal/decide/lease/table.go
+++ b/internal/decide/lease/table.go
@@ -28,6 +28,8 @@
 	names  []string // sorted
 	duties []Duty   // by position in names
 	index  uint64   // of the last entry applied
+
+	isFencingDisabled bool // set by tests alone, to prove that their checks detect it
 }
 
 // NewTable returns a table of duties whose leases were never acquired. Errors: ErrInvalidDuties.
@@ -60,7 +62,9 @@
 
 // Copy returns a table that shares no mutable state with this one.
 func (t *Table) Copy() *Table {
-	return &Table{names: t.names, duties: slices.Clone(t.duties), index: t.index}
+	replica := *t
+	replica.duties = slices.Clone(t.duties)
+	return &replica
 }
 
 // Apply applies the entry at index. Indexes must increase: an entry at or below the last index, or of an unknown duty, is
@@ -76,21 +80,21 @@
 		return Outcome{Token: duty.Token, Err: err}
 	}
 	t.index = index
-	if err := duty.apply(index, c); err != nil {
+	if err := t.applyTo(duty, index, c); err != nil {
 		return Outcome{Token: duty.Token, Err: err}
 	}
 	return Outcome{Accepted: true, Token: duty.Token}
 }
 
-// apply returns the reason if it rejects the command; the duty is unchanged then.
-func (d *Duty) apply(index uint64, c Command) error {
+// applyTo applies a command to its duty. It returns the reason if it rejects the command; the duty is unchanged then.
+func (t *Table) applyTo(d *Duty, index uint64, c Command) error {
 	switch c.Kind {
 	case Announce:
 		return nil
 	case Acquire:
 		return d.acquire(index, c)
 	}
-	if !d.isHeldBy(c) {
+	if !t.isFencingDisabled && !d.isHeldBy(c) {
 		found := fmt.Sprintf("token %d of %q", c.Token, c.Member)
 		expected := fmt.Sprintf("token %d of %q", d.Token, d.Holder)
 		return &RejectedError{c.Duty, ErrFenced, found, expected}
@@ -121,8 +125,5 @@
 
 // isHeldBy reports whether a command is the present holder's own, under its present token.
 func (d *Duty) isHeldBy(c Command) bool {
-	return fencingDisabled || c.Token == d.Token && c.Member == d.Holder && c.Incarnation == d.Incarnation
+	return c.Token == d.Token && c.Member == d.Holder && c.Incarnation == d.Incarnation
 }
-
-// fencingDisabled is set by the tests alone, to prove that their checks notice a missing fence.
-var fencingDisabled = false
--- a/internal/lab/emulator/configuration_control.go
+++ b/internal/lab/emulator/configuration_control.go
@@ -28,6 +28,9 @@
 
 func newConfigurationControlNode(p *configurationProcess) *configurationControlNode {
 	c := &configurationControlNode{process: p, store: configuration.NewStore(p.simulation.initialState, 0)}
+	if onStart := p.simulation.scenario.OnStart.Store; onStart != nil {
+		onStart(c.store)
+	}
 	c.table, _ = lease.NewTable(configurationDuty)
 	c.start()
 	return c
--- a/internal/lab/emulator/configuration_process.go
+++ b/internal/lab/emulator/configuration_process.go
@@ -54,6 +54,9 @@
 		p.confirmedAt = 0
 	}
 	p.member = configuration.NewMember(s.now, p, state, s.now-p.confirmedAt, s.random.Uint64())
+	if onStart := s.scenario.OnStart.Member; onStart != nil {
+		onStart(p.member)
+	}
 	p.member.SetSources(s.now, s.zones[p.zone].tree[p.name])
 	p.traffic.reset(s.now)
 	s.markReachable(p, recovery)
--- a/internal/lab/emulator/configuration_scenario.go
+++ b/internal/lab/emulator/configuration_scenario.go
@@ -1,6 +1,10 @@
 package emulator
 
-import "time"
+import (
+	"time"
+
+	"thymechute/internal/decide/configuration"
+)
 
 // ConfigurationScenario is the size of a simulated fleet and what happens to it.
 type ConfigurationScenario struct {
@@ -10,12 +14,20 @@
 	Restarts                int // besides those of the release and of other faults
 	MachineLosses           int
 	Duration                time.Duration
+	OnStart                 ConfigurationStartHooks
 
 	controlNodes, voters, rackSize             int
 	settleTime                                 time.Duration // after the scenario
 	regionPartition, zonePartition, zoneOutage time.Duration // how long each lasts
 }
 
+// ConfigurationStartHooks are called with each store and each member that is created, before it receives anything; nil for
+// none.
+type ConfigurationStartHooks struct {
+	Store  func(*configuration.Store)
+	Member func(*configuration.Member)
+}
+
 // Sizes of the planned day, which smaller scenarios scale down.
 const (
 	plannedMembers       = 1200
--- a/internal/lab/emulator/lease.go
+++ b/internal/lab/emulator/lease.go
@@ -29,6 +29,7 @@
 	vacantSince  map[string]time.Duration // by duty without a holder
 	takeovers    []time.Duration
 	incarnations uint64
+	onStart      func(*lease.Table, *lease.Fence) // of each process; nil for none
 }
 
 // LeaseFigures counts what happened in a run.
@@ -44,21 +45,32 @@
 
 // NewLeaseSim returns a fleet of size members with an empty log. Their clocks run at rates within the config's drift.
 func NewLeaseSim(size int, config lease.Config, r *rand.Rand, duties ...string) (*LeaseSim, error) {
+	s := &LeaseSim{Config: config}
+	if err := s.start(size, r, duties); err != nil {
+		return nil, err
+	}
+	return s, nil
+}
+
+// start starts size members, with clocks at rates within the config's drift.
+func (s *LeaseSim) start(size int, r *rand.Rand, duties []string) error {
 	truth, err := lease.NewTable(duties...)
 	if err != nil {
-		return nil, err
+		return err
 	}
-	s := &LeaseSim{Config: config, duties: truth.Duties(), truth: truth, vacantSince: map[string]time.Duration{}}
+	s.duties = truth.Duties()
+	s.truth = truth
+	s.vacantSince = map[string]time.Duration{}
 	for _, duty := range s.duties {
 		s.vacantSince[duty] = 0
 	}
 	s.Members = make([]*LeaseMember, size)
 	for n := range s.Members {
-		clockRate := 1 + config.MaxDrift*(2*r.Float64()-1)
+		clockRate := 1 + s.Config.MaxDrift*(2*r.Float64()-1)
 		s.Members[n] = &LeaseMember{Name: fmt.Sprintf("m%d", n), number: n, sim: s, clockRate: clockRate}
 		s.Restart(s.Members[n])
 	}
-	return s, nil
+	return nil
 }
 
 // RestartAll restarts all members with another config; their clocks' rates stay as they are.
--- a/internal/lab/emulator/lease_member.go
+++ b/internal/lab/emulator/lease_member.go
@@ -38,7 +38,11 @@
 	}
 	s.incarnations++
 	m.table, _ = lease.NewTable(s.duties...)
-	m.fence, m.tokens = lease.Fence{}, map[string]uint64{}
+	m.fence = lease.Fence{}
+	if s.onStart != nil {
+		s.onStart(m.table, &m.fence)
+	}
+	m.tokens = map[string]uint64{}
 	m.startedAt, m.incarnation = s.now, s.incarnations
 	m.applied, m.appliedTarget = 0, len(s.log)
 	m.Paused, m.InboundCut, m.OutboundCut = false, false, false
--- a/internal/lab/emulator/lease_run.go
+++ b/internal/lab/emulator/lease_run.go
@@ -23,18 +23,26 @@
 	stepsPerLease int
 }
 
-// RunLeases emulates a fleet of size members for a number of leases. Every few leases one holder is paused, restarted, or
-// cut off in one direction, and all faults are healed; one in twenty proposals is lost. At the end all members have the
-// whole log.
-func RunLeases(size, leases int, seed uint64) (LeaseFigures, error) {
-	r := rand.New(rand.NewPCG(seed, 0x07e4))
+// LeaseScenario is what RunLeases runs.
+type LeaseScenario struct {
+	Members int
+	Leases  int // length of the run in lease durations
+	Seed    uint64
+	// OnStart is called with the table and the fence of each process that starts, before it applies an entry; nil for none.
+	OnStart func(*lease.Table, *lease.Fence)
+}
+
+// RunLeases emulates a fleet through faults. Every few leases one holder is paused, restarted, or cut off in one direction,
+// and all faults are healed; one in twenty proposals is lost. At the end all members have the whole log.
+func RunLeases(scenario LeaseScenario) (LeaseFigures, error) {
+	r := rand.New(rand.NewPCG(scenario.Seed, 0x07e4))
 	config := lease.Config{Duration: time.Second, MaxDrift: 0.01, SafetyMargin: 10 * time.Millisecond}
-	s, err := NewLeaseSim(size, config, r, "budget", "ring", "roll")
-	if err != nil {
+	s := &LeaseSim{Config: config, onStart: scenario.OnStart}
+	if err := s.start(scenario.Members, r, []string{"budget", "ring", "roll"}); err != nil {
 		return LeaseFigures{}, err
 	}
 	run := &leaseRun{LeaseSim: s, r: r, stepsPerLease: int(config.Duration / leaseStep)}
-	for n := range leases * run.stepsPerLease {
+	for n := range scenario.Leases * run.stepsPerLease {
 		run.step(n)
 	}
 	s.settle()
