--- a/internal/decide/configuration/control.go
+++ b/internal/decide/configuration/control.go
@@ -105,6 +105,6 @@
 	return reject(ReasonUnknownSender, "reply from %s", from)
 }
 
-// Tick drops silent children and sends what the byte budget held back. It must be called at least once per
+// Tick drops silent children and sends what the byte budget has not allowed before. It must be called at least once per
 // TickInterval.
 func (c *ControlNode) Tick(now time.Duration) { c.tick(now) }
--- a/internal/decide/configuration/limiter.go
+++ b/internal/decide/configuration/limiter.go
@@ -29,7 +29,9 @@
 // advance expires the slots that have left the window.
 func (l *byteLimiter) advance(slot int64) {
 	if slot-l.current >= limiterSlots {
-		l.slots, l.total, l.current = [limiterSlots]int{}, 0, slot
+		l.slots = [limiterSlots]int{}
+		l.total = 0
+		l.current = slot
 	}
 	for l.current < slot {
 		l.current++
--- a/internal/decide/configuration/repair.go
+++ b/internal/decide/configuration/repair.go
@@ -13,9 +13,9 @@
 	repairRetryJitter   = time.Second
 )
 
-// repair is a repair in progress. It builds the source's state beside the active one, by comparing digests, and the result is
-// activated only if its root is the one that the source gives for its version. Its size is bounded as that of a State, and
-// what it shares with the active one costs nothing.
+// repair is a repair in progress. It builds the source's state by comparing digests, and activates the result only if its root is
+// the one that the source reports for its version. The staged state is bounded like any State, and shares its equal parts
+// with the active one.
 type repair struct {
 	staged      *State
 	pending     []uint16 // buckets that differ, in order
--- a/internal/decide/configuration/server.go
+++ b/internal/decide/configuration/server.go
@@ -23,7 +23,7 @@
 type Counters struct {
 	Rejected      int // messages and commands rejected
 	Referred      int // referrals to a control node
-	Throttled     int // replies and pushes that the byte budget held back
+	Throttled     int // replies and pushes that the byte budget did not allow
 	Repairs       int // states activated by comparing digests
 	SourceChanges int // switches to another source
 }
@@ -132,7 +132,8 @@
 	return isAllowed
 }
 
-// pushDeltas sends the newest state to all children that lack it, and refers those that lack too much to a control node.
+// pushDeltas sends the newest state to all children that lack it. Those too far behind for one delta are referred to a control
+// node.
 func (s *server) pushDeltas(now time.Duration) {
 	for _, c := range s.children {
 		if c.version.Compare(s.state.version) >= 0 {
@@ -149,7 +150,7 @@
 	}
 }
 
-// tick drops silent children and sends what the byte budget held back.
+// tick drops silent children and sends what the byte budget has not allowed before.
 func (s *server) tick(now time.Duration) {
 	s.children = slices.DeleteFunc(s.children, func(c *child) bool { return now-c.lastHeard > s.limits.childTimeout })
 	s.pushDeltas(now)
--- a/internal/decide/configuration/simulation_test.go
+++ b/internal/decide/configuration/simulation_test.go
@@ -186,7 +186,8 @@
 func (sim *simulation) propose(node *testNode, mode proposeMode) {
 	node.control.LogConfirmed(sim.now)
 	isValid := node.token > 0 && (mode == withoutLeaseCheck || node.token == sim.token)
-	if c, err := node.control.Propose(sim.now, configuration.Lease{Token: node.token, Valid: isValid}, sim.randomEdits(node.control.State())); err == nil {
+	lease := configuration.Lease{Token: node.token, Valid: isValid}
+	if c, err := node.control.Propose(sim.now, lease, sim.randomEdits(node.control.State())); err == nil {
 		sim.proposed = append(sim.proposed, c)
 		if node.token < sim.token {
 			sim.staleProposed++
@@ -217,11 +218,11 @@
 		}
 		changes = append(changes, configuration.Change{Resource: r})
 	}
-	anew, err := configuration.Empty().With(c.Version, changes)
+	rebuilt, err := configuration.Empty().With(c.Version, changes)
 	if err != nil {
 		panic(err)
 	}
-	sim.agreedRoots[c.Version] = anew.Root()
+	sim.agreedRoots[c.Version] = rebuilt.Root()
 }
 
 // grantLease appends to the log that a control node gets the lease.
@@ -364,7 +365,8 @@
 
 func (sim *simulation) check() error {
 	if sim.staleAccepted+sim.inconsistent+sim.rolledBack+sim.undecodable > 0 {
-		return fmt.Errorf("%d stale accepted, %d inconsistent, %d rolled back, %d undecodable", sim.staleAccepted, sim.inconsistent, sim.rolledBack, sim.undecodable)
+		return fmt.Errorf("%d stale accepted, %d inconsistent, %d rolled back, %d undecodable",
+			sim.staleAccepted, sim.inconsistent, sim.rolledBack, sim.undecodable)
 	}
 	return nil
 }
--- a/internal/decide/intake/controller.go
+++ b/internal/decide/intake/controller.go
@@ -98,7 +98,7 @@
 	c.advance(now)
 }
 
-// Drain stops consuming and dialling for good.
+// Drain stops consuming and dialling permanently.
 func (c *Controller) Drain(now time.Duration) {
 	c.draining = true
 	c.advance(now)
--- a/internal/decide/intake/controller_test.go
+++ b/internal/decide/intake/controller_test.go
@@ -296,88 +296,135 @@
 	}
 }
 
+// eventSequence is a controller, its host and what the events so far have set.
+type eventSequence struct {
+	host       *host
+	controller *Controller
+	config     Config
+	now        time.Duration
+	isReady    bool
+}
+
+func newEventSequence(t *rapid.T) *eventSequence {
+	s := &eventSequence{host: &host{fail: t.Fatalf}}
+	s.config.Brokers = rapid.IntRange(1, 4).Draw(t, "brokers")
+	s.config.MinCredit = rapid.IntRange(1, 8).Draw(t, "min credit")
+	s.config.MaxCredit = s.config.MinCredit + rapid.IntRange(0, 100).Draw(t, "more")
+	s.config.ResponseTimeout = time.Second
+	s.controller = New(s.host, rapid.Uint64().Draw(t, "seed"), s.config)
+	return s
+}
+
+// connect completes the dialling.
+func (s *eventSequence) connect() {
+	s.host.dialling = false
+	s.host.connected = true
+	s.controller.Connected(s.now)
+}
+
+func (s *eventSequence) failConnection(failure Failure) {
+	s.host.dialling = false
+	s.host.connected = false
+	s.host.consuming = false
+	s.controller.ConnectionFailed(s.now, failure, "broken")
+}
+
+func (s *eventSequence) advanceTime(t *rapid.T) {
+	s.now += time.Duration(rapid.Int64Range(0, int64(3*time.Second)).Draw(t, "span"))
+	s.controller.Tick(s.now)
+}
+
+func (s *eventSequence) updateInstance(t *rapid.T) {
+	s.isReady = rapid.Bool().Draw(t, "ready")
+	items := rapid.IntRange(0, 100).Draw(t, "items")
+	s.controller.UpdateInstance(s.now, InstanceState{Ready: s.isReady, Items: items, Capacity: 100})
+}
+
+func (s *eventSequence) changeConnection(t *rapid.T) {
+	switch {
+	case s.host.dialling && rapid.Bool().Draw(t, "up"):
+		s.connect()
+	case s.host.dialling:
+		s.failConnection(Failure(rapid.IntRange(0, 1).Draw(t, "failure")))
+	case s.host.connected:
+		s.failConnection(ConnectionLost)
+	}
+}
+
+// exchangeMessages receives as many messages as the credit allows, and settles some of the unsettled ones.
+func (s *eventSequence) exchangeMessages(t *rapid.T) {
+	for n := s.controller.Credit() - s.controller.Unsettled(); n > 0 && s.host.consuming; n-- {
+		s.controller.MessagesReceived(1)
+	}
+	for n := rapid.IntRange(0, s.controller.Unsettled()).Draw(t, "settled"); n > 0; n-- {
+		outcome := Outcome(rapid.IntRange(0, 2).Draw(t, "outcome"))
+		processing := time.Duration(rapid.Int64Range(0, int64(time.Second)).Draw(t, "processing"))
+		s.controller.MessageSettled(s.now, outcome, processing, 2*time.Second)
+	}
+}
+
+func (s *eventSequence) maybeViolateProtocol(t *rapid.T) {
+	if rapid.IntRange(0, 9).Draw(t, "violation") == 0 {
+		s.controller.ProtocolViolated(s.now, "violation")
+	}
+}
+
+func (s *eventSequence) maybeDrain(t *rapid.T) {
+	if rapid.IntRange(0, 9).Draw(t, "drain") == 0 {
+		s.controller.Drain(s.now)
+		s.host.drained = true
+	}
+}
+
+// check fails the test if the controller's state is not allowed.
+func (s *eventSequence) check(t *rapid.T) {
+	credit := s.host.credit
+	isWithinBounds := credit >= s.config.MinCredit && credit <= s.config.MaxCredit
+	if s.host.consuming && (!isWithinBounds || credit != s.controller.Credit()) {
+		t.Fatalf("credit %d of %d to %d, and %d reported", credit, s.config.MinCredit, s.config.MaxCredit, s.controller.Credit())
+	}
+	if s.host.consuming && !s.isReady {
+		t.Fatal("consumes though the instance is not ready")
+	}
+	if s.controller.Unsettled() < 0 || s.host.tickAt > s.now+adjustInterval {
+		t.Fatalf("unsettled %d, tick at %v, now %v", s.controller.Unsettled(), s.host.tickAt, s.now)
+	}
+}
+
+// checkResumes fails the test if the controller does not consume within two minutes once nothing prevents it.
+func (s *eventSequence) checkResumes(t *rapid.T) {
+	s.controller.SetBlocked(s.now, false)
+	s.controller.UpdateInstance(s.now, InstanceState{Ready: true, Capacity: 100})
+	for end := s.now + 2*time.Minute; s.now < end && !s.host.consuming; {
+		s.now = max(s.host.tickAt, s.now+ms)
+		if s.controller.Tick(s.now); s.host.dialling {
+			s.connect()
+		}
+	}
+	if !s.host.consuming {
+		t.Fatalf("does not consume though nothing prevents it: %+v", s.controller)
+	}
+}
+
 // After any sequence of events the host's checks hold, and the controller consumes within its bounds once nothing prevents it.
 func TestAnySequenceOfEvents(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		h := &host{fail: t.Fatalf}
-		config := Config{Brokers: rapid.IntRange(1, 4).Draw(t, "brokers"), MinCredit: rapid.IntRange(1, 8).Draw(t, "least"), ResponseTimeout: time.Second}
-		config.MaxCredit = config.MinCredit + rapid.IntRange(0, 100).Draw(t, "more")
-		controller := New(h, rapid.Uint64().Draw(t, "seed"), config)
-		now := time.Duration(0)
-		fail := func(failure Failure) {
-			h.dialling, h.connected, h.consuming = false, false, false
-			controller.ConnectionFailed(now, failure, "broken")
-		}
-		ready := false
+		s := newEventSequence(t)
 		t.Repeat(map[string]func(*rapid.T){
-			"time": func(t *rapid.T) {
-				now += time.Duration(rapid.Int64Range(0, int64(3*time.Second)).Draw(t, "span"))
-				controller.Tick(now)
-			},
-			"ready": func(t *rapid.T) {
-				ready = rapid.Bool().Draw(t, "ready")
-				controller.UpdateInstance(now, InstanceState{Ready: ready, Items: rapid.IntRange(0, 100).Draw(t, "items"), Capacity: 100})
-			},
-			"connection": func(t *rapid.T) {
-				switch {
-				case h.dialling && rapid.Bool().Draw(t, "up"):
-					h.dialling, h.connected = false, true
-					controller.Connected(now)
-				case h.dialling:
-					fail(Failure(rapid.IntRange(0, 1).Draw(t, "failure")))
-				case h.connected:
-					fail(ConnectionLost)
-				}
-			},
-			"messages": func(t *rapid.T) {
-				for n := controller.Credit() - controller.Unsettled(); n > 0 && h.consuming; n-- {
-					controller.MessagesReceived(1)
-				}
-				for n := rapid.IntRange(0, controller.Unsettled()).Draw(t, "settled"); n > 0; n-- {
-					controller.MessageSettled(now, Outcome(rapid.IntRange(0, 2).Draw(t, "outcome")), time.Duration(rapid.Int64Range(0, int64(time.Second)).Draw(t, "processing")), 2*time.Second)
-				}
-			},
-			"request":  func(*rapid.T) { controller.RequestSent(now) },
-			"response": func(*rapid.T) { controller.ResponseReceived(now) },
-			"blocked":  func(t *rapid.T) { controller.SetBlocked(now, rapid.Bool().Draw(t, "blocked")) },
-			"cancel":   func(*rapid.T) { controller.ConsumerCancelled(now) },
-			"violation": func(t *rapid.T) {
-				if rapid.IntRange(0, 9).Draw(t, "violation") == 0 {
-					controller.ProtocolViolated(now, "violation")
-				}
-			},
-			"drain": func(t *rapid.T) {
-				if rapid.IntRange(0, 9).Draw(t, "drain") == 0 {
-					controller.Drain(now)
-					h.drained = true
-				}
-			},
-			"": func(t *rapid.T) {
-				if h.consuming && (h.credit < config.MinCredit || h.credit > config.MaxCredit || h.credit != controller.Credit()) {
-					t.Fatalf("credit %d of %d to %d, and %d reported", h.credit, config.MinCredit, config.MaxCredit, controller.Credit())
-				}
-				if h.consuming && !ready {
-					t.Fatal("consumes though the instance is not ready")
-				}
-				if controller.Unsettled() < 0 || h.tickAt > now+adjustInterval {
-					t.Fatalf("unsettled %d, tick at %v, now %v", controller.Unsettled(), h.tickAt, now)
-				}
-			},
+			"time":       s.advanceTime,
+			"ready":      s.updateInstance,
+			"connection": s.changeConnection,
+			"messages":   s.exchangeMessages,
+			"request":    func(*rapid.T) { s.controller.RequestSent(s.now) },
+			"response":   func(*rapid.T) { s.controller.ResponseReceived(s.now) },
+			"blocked":    func(t *rapid.T) { s.controller.SetBlocked(s.now, rapid.Bool().Draw(t, "blocked")) },
+			"cancel":     func(*rapid.T) { s.controller.ConsumerCancelled(s.now) },
+			"violation":  s.maybeViolateProtocol,
+			"drain":      s.maybeDrain,
+			"":           s.check,
 		})
-		if h.drained {
-			return
-		}
-		controller.SetBlocked(now, false)
-		controller.UpdateInstance(now, InstanceState{Ready: true, Capacity: 100})
-		for end := now + 2*time.Minute; now < end && !h.consuming; {
-			now = max(h.tickAt, now+ms)
-			if controller.Tick(now); h.dialling {
-				h.dialling, h.connected = false, true
-				controller.Connected(now)
-			}
-		}
-		if !h.consuming {
-			t.Fatalf("does not consume though nothing prevents it: %+v", controller)
+		if !s.host.drained {
+			s.checkResumes(t)
 		}
 	})
 }
--- a/internal/decide/intake/credit.go
+++ b/internal/decide/intake/credit.go
@@ -5,7 +5,7 @@
 const (
 	adjustInterval    = 500 * time.Millisecond // between two adjustments of the target
 	minChangeInterval = time.Second            // between two changes of the credit in force: each restarts the consumers
-	baselinePeriod    = 10 * time.Second       // the smallest processing time is measured anew
+	baselinePeriod    = 10 * time.Second       // period over which the smallest processing time is measured
 
 	// Messages that wait in the instance: the credit grows below the first bound and shrinks above the second. Each
 	// bound is at least the fixed number and otherwise a part of the credit in force.
@@ -70,7 +70,7 @@
 }
 
 // MessageSettled notes how one message was settled and how long it was in the instance. The retryAfter of a requeued
-// message holds off consuming as a whole.
+// message pauses the consumers of all queues.
 func (c *Controller) MessageSettled(now time.Duration, outcome Outcome, processing, retryAfter time.Duration) {
 	c.connection.settled++
 	c.credit.count(outcome, processing)
--- a/internal/decide/lease/elector.go
+++ b/internal/decide/lease/elector.go
@@ -27,7 +27,7 @@
 	isBehind    bool // it has not caught up with the log: a renewal may be among the entries to come
 }
 
-// dutyState is what this member knows of a duty beside the table.
+// dutyState is this member's own state of a duty, which is not replicated.
 type dutyState struct {
 	lastRenewal   time.Duration // when it applied the last entry that renewed the lease
 	isHolder      bool
--- a/internal/decide/lease/proposals.go
+++ b/internal/decide/lease/proposals.go
@@ -63,8 +63,8 @@
 	e.propose(now, n, Command{Kind: Acquire, ObservedIndex: e.table.duties[n].RenewedIndex})
 }
 
-// claimDelay is how long a position waits for those before it. The first claim one by one, the rest only if all of these
-// are gone, so that a large fleet does not put a claim of each member into the log whenever a duty becomes vacant.
+// claimDelay returns how long a position waits for those before it. The first orderedClaimants claim one by one. The others
+// claim only if none of these has done so, so that a vacant duty of a large fleet does not cause a claim by each member.
 func (e *Elector) claimDelay(position int) time.Duration {
 	if position < orderedClaimants {
 		return time.Duration(position) * e.config.Duration / orderedClaimants
@@ -85,7 +85,10 @@
 // command completes a command with its duty, this process and the next sequence number.
 func (e *Elector) command(duty string, c Command) Command {
 	e.seq++
-	c.Duty, c.Member, c.Incarnation, c.Seq = duty, e.member, e.incarnation, e.seq
+	c.Duty = duty
+	c.Member = e.member
+	c.Incarnation = e.incarnation
+	c.Seq = e.seq
 	return c
 }
 
--- a/internal/decide/lease/table.go
+++ b/internal/decide/lease/table.go
@@ -68,7 +68,7 @@
 }
 
 // Apply applies the entry at index. Indexes must increase: an entry at or below the last index, or of an unknown duty, is
-// rejected and leaves the table as it is.
+// rejected and leaves the table unchanged.
 func (t *Table) Apply(index uint64, c Command) Outcome {
 	n, found := t.position(c.Duty)
 	if !found {
@@ -103,7 +103,9 @@
 	case Renew:
 		d.RenewedIndex = index
 	case Release:
-		d.Holder, d.Incarnation, d.RenewedIndex = "", 0, index
+		d.Holder = ""
+		d.Incarnation = 0
+		d.RenewedIndex = index
 	case Decide:
 		d.DecidedIndex = index
 	default:
--- a/internal/decide/quorum/distribution_test.go
+++ b/internal/decide/quorum/distribution_test.go
@@ -29,18 +29,18 @@
 	return s
 }
 
-// changeUntilSettled applies changes until there is none; it fails where they don't end.
+// changeUntilSettled applies changes until there is none; the test fails if they do not end.
 func changeUntilSettled(t *rapid.T, s *simulation) {
 	for range 60 {
 		if !s.apply(t, NextChange(s.Fleet, config)) {
 			return
 		}
 	}
-	t.Fatalf("no rest: voters %v, learners %v", s.Voters, s.Learners)
+	t.Fatalf("the changes do not settle: voters %v, learners %v", s.Voters, s.Learners)
 }
 
-// As even over the regions as they allow, so no region has a quorum where three or more have somebody able; and with that
-// over as many zones; and then it rests. So it is again after a region is lost and after it is back.
+// Voters are spread as evenly over the regions as possible, so that none has a quorum if three or more have candidates, and
+// then the changes end. The same holds after a region has failed and after it is back.
 func TestVotersSpreadOverRegionsAndSettle(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := drawFleet(t)
@@ -54,7 +54,7 @@
 			}
 		}
 		changeUntilSettled(t, s)
-		if left := 5 - before; left >= Majority(5) && regionsOf(s)[lost] > 0 && reachableMembers(s) >= 5 {
+		if remaining := 5 - before; remaining >= Majority(5) && regionsOf(s)[lost] > 0 && reachableMembers(s) >= 5 {
 			t.Fatalf("voters of the lost region are not replaced: %v", regionsOf(s))
 		}
 		for n := range s.Members {
@@ -74,7 +74,7 @@
 	return count
 }
 
-// checkEven fails where a voter could be taken from one region to another that has two fewer.
+// checkEven fails the test if a region has two voters more than another with a candidate.
 func checkEven(t *rapid.T, s *simulation) {
 	regions := regionsOf(s)
 	if len(s.Voters) != 5 {
@@ -86,13 +86,13 @@
 	}
 	for _, m := range s.Members {
 		if !slices.Contains(s.Voters, m.Process) && regions[m.Region]+2 <= most {
-			t.Fatalf("voters %v, and %s of %s is none", regions, m.Process, m.Region)
+			t.Fatalf("voters by region %v, though %s of %s could vote", regions, m.Process, m.Region)
 		}
 	}
 }
 
-// Forty zones in four regions, the members of one region joined first: five voters over five zones, and yet a region lost
-// must leave a quorum.
+// With forty zones in four regions, whose members joined region by region, the five voters are in five zones, and the failure
+// of any region must leave a quorum.
 func TestLostRegionLeavesQuorum(t *testing.T) {
 	s := &simulation{Fleet{Voters: []string{"p0"}}}
 	for n := range 400 {
--- a/internal/decide/quorum/quorum.go
+++ b/internal/decide/quorum/quorum.go
@@ -1,9 +1,9 @@
 // Package quorum decides which members of a fleet vote in the replicated log: three or five, spread evenly over the
 // regions and over as many zones as there are. The log's leader calls NextChange after each change of the membership view
-// and after each change that has come into force; one change is made at a time, and none that could lose the quorum.
+// and after each change that has come into force; one change is made at a time, and none by which the quorum could be lost.
 //
 // A voter is a process, not a name: a process that restarted without its log is another Process here and in the log, and
-// votes only after it was chosen anew. Otherwise two leaders could be elected in one term.
+// votes only after it was chosen again. Otherwise two leaders could be elected in one term.
 //
 // The package does no I/O, reads no clock, starts no goroutine and draws no random numbers. It keeps no state: every
 // decision depends on the arguments alone. The time of a decision is linear in the members, but for the sort by age.
--- a/internal/decide/quorum/quorum_test.go
+++ b/internal/decide/quorum/quorum_test.go
@@ -12,7 +12,7 @@
 
 var config = Config{MaxVoters: 5, MinAge: 10 * time.Second, HoldDown: 5 * time.Second}
 
-// simulation is a fleet to which changes are applied; it fails the test where one breaks a rule.
+// simulation is a fleet to which changes are applied. apply fails the test if one is not allowed.
 type simulation struct{ Fleet }
 
 // withoutLearners returns the fleet as it is before any learner was chosen.
@@ -31,24 +31,27 @@
 	return slices.IndexFunc(s.Members, func(m Member) bool { return m.Process == process })
 }
 
+// apply applies a change, and reports whether there was one. The test fails if the change repeats a learner, promotes one that
+// is not caught up, or could lose the quorum.
 func (s *simulation) apply(t interface{ Fatalf(string, ...any) }, c Change) bool {
-	before, had := s.reachableVoters(), s.reachableVoters() >= Majority(len(s.Voters))
+	before := s.reachableVoters()
+	hadQuorum := before >= Majority(len(s.Voters))
 	switch c.Kind {
 	case NoChange:
 		return false
 	case AddLearner:
 		if slices.Contains(s.Voters, c.Process) || slices.Contains(s.Learners, c.Process) {
-			t.Fatalf("%+v: learns twice", c)
+			t.Fatalf("%+v: it already votes or learns", c)
 		}
 		s.Learners = append(s.Learners, c.Process)
 	case PromoteVoter:
 		at := slices.Index(s.Learners, c.Process)
 		if at < 0 || !s.Members[s.position(c.Process)].CaughtUp {
-			t.Fatalf("%+v: votes without having caught up", c)
+			t.Fatalf("%+v: the learner has not caught up", c)
 		}
 		s.Learners = slices.Delete(s.Learners, at, at+1)
 		if s.Voters = append(s.Voters, c.Process); len(s.Voters) > 2 && before < Majority(len(s.Voters)) {
-			t.Fatalf("%+v: the grown set has no quorum without it", c)
+			t.Fatalf("%+v: the larger set has no quorum without the new voter", c)
 		}
 	case RemoveServer:
 		if at := slices.Index(s.Learners, c.Process); at >= 0 {
@@ -58,8 +61,8 @@
 		at := slices.Index(s.Voters, c.Process)
 		s.Voters = slices.Delete(s.Voters, at, at+1)
 	}
-	if !had || s.reachableVoters() < Majority(len(s.Voters)) || len(s.Voters) > config.MaxVoters+1 {
-		t.Fatalf("%+v: %d of %d voters heard, quorum before %v", c, s.reachableVoters(), len(s.Voters), had)
+	if !hadQuorum || s.reachableVoters() < Majority(len(s.Voters)) || len(s.Voters) > config.MaxVoters+1 {
+		t.Fatalf("%+v: %d of %d voters reachable, quorum before %v", c, s.reachableVoters(), len(s.Voters), hadQuorum)
 	}
 	return true
 }
@@ -67,18 +70,18 @@
 func TestNoChangeLosesQuorum(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := &simulation{Fleet{Members: []Member{{Process: "p0", Zone: "z0", Age: time.Minute, CaughtUp: true}}, Voters: []string{"p0"}}}
-		born := 1
-		some := func(t *rapid.T) *Member { return &s.Members[rapid.IntRange(0, len(s.Members)-1).Draw(t, "who")] }
+		nextProcess := 1
+		anyMember := func(t *rapid.T) *Member { return &s.Members[rapid.IntRange(0, len(s.Members)-1).Draw(t, "who")] }
 		t.Repeat(map[string]func(*rapid.T){
 			"join": func(t *rapid.T) {
 				if len(s.Members) < 12 {
-					s.Members = append(s.Members, Member{Process: fmt.Sprint("p", born), Zone: fmt.Sprint("z", rapid.IntRange(0, 3).Draw(t, "zone"))})
-					born++
+					s.Members = append(s.Members, Member{Process: fmt.Sprint("p", nextProcess), Zone: fmt.Sprint("z", rapid.IntRange(0, 3).Draw(t, "zone"))})
+					nextProcess++
 				}
 			},
-			"fail":    func(t *rapid.T) { some(t).UnreachableFor = time.Second },
-			"recover": func(t *rapid.T) { some(t).UnreachableFor = 0 },
-			"drain":   func(t *rapid.T) { some(t).Draining = true },
+			"fail":    func(t *rapid.T) { anyMember(t).UnreachableFor = time.Second },
+			"recover": func(t *rapid.T) { anyMember(t).UnreachableFor = 0 },
+			"drain":   func(t *rapid.T) { anyMember(t).Draining = true },
 			"forget": func(t *rapid.T) {
 				if n := rapid.IntRange(0, len(s.Members)-1).Draw(t, "who"); len(s.Members) > 1 {
 					s.Members = slices.Delete(s.Members, n, n+1)
@@ -102,10 +105,11 @@
 func settle(t *testing.T, s *simulation) Change {
 	for range 100 {
 		for n := range s.Members {
-			s.Members[n].Age += time.Second
-			s.Members[n].CaughtUp = s.Members[n].UnreachableFor == 0
-			if s.Members[n].UnreachableFor > 0 {
-				s.Members[n].UnreachableFor += time.Second
+			m := &s.Members[n]
+			m.Age += time.Second
+			m.CaughtUp = m.UnreachableFor == 0
+			if m.UnreachableFor > 0 {
+				m.UnreachableFor += time.Second
 			}
 		}
 		c := NextChange(s.Fleet, config)
@@ -126,7 +130,7 @@
 
 func TestVotersSpreadOverZonesAndAreReplaced(t *testing.T) {
 	s := &simulation{Fleet{Voters: []string{"p0"}}}
-	for n := range 12 { // the first eight stand in one zone
+	for n := range 12 { // the first eight are in one zone
 		s.Members = append(s.Members, Member{Process: fmt.Sprint("p", n), Zone: fmt.Sprint("z", max(0, n-7)%3), Age: time.Duration(20-n) * time.Second})
 	}
 	if c := settle(t, s); c.Kind != NoChange || len(s.Voters) != 5 || len(zonesOf(s)) != 3 {
@@ -135,37 +139,38 @@
 	first := slices.Clone(s.Voters)
 	s.Members[s.position(first[0])].UnreachableFor = time.Second
 	if c := NextChange(s.withoutLearners(), config); c.Kind != NoChange {
-		t.Errorf("silent for a second: %+v", c)
+		t.Errorf("a voter unreachable for a second: %+v", c)
 	}
 	s.Members[s.position(first[0])].UnreachableFor = config.HoldDown
 	settle(t, s)
 	if len(s.Voters) != 5 || slices.Contains(s.Voters, first[0]) {
-		t.Errorf("a dead voter is not replaced: %v", s.Voters)
+		t.Errorf("a failed voter is not replaced: %v", s.Voters)
 	}
-	leaving := s.Voters[2]
-	s.Members[s.position(leaving)].Draining = true
+	draining := s.Voters[2]
+	s.Members[s.position(draining)].Draining = true
 	settle(t, s)
-	if len(s.Voters) != 5 || slices.Contains(s.Voters, leaving) || len(zonesOf(s)) != 3 {
-		t.Errorf("one that leaves is not replaced: %v in %v", s.Voters, zonesOf(s))
+	if len(s.Voters) != 5 || slices.Contains(s.Voters, draining) || len(zonesOf(s)) != 3 {
+		t.Errorf("a draining voter is not replaced: %v in %v", s.Voters, zonesOf(s))
 	}
 	if c := NextChange(Fleet{Members: s.Members, Voters: s.Voters, IsChangePending: true}, config); c.Kind != NoChange {
-		t.Errorf("two changes at once: %+v", c)
+		t.Errorf("a change while one is pending: %+v", c)
 	}
 }
 
-// Seen on processes: one of five stopped, its successor as leader then wanted three and dropped a good one, itself.
+// Observed with processes: one of five voters stopped, and the next leader lowered the target to three and removed a healthy
+// voter, itself.
 func TestUnreachableVoterDoesNotLowerTarget(t *testing.T) {
 	s := &simulation{Fleet{Voters: []string{"p0", "p1", "p2", "p3", "p4"}}}
 	for n := range 5 {
 		s.Members = append(s.Members, Member{Process: fmt.Sprint("p", n), Zone: "z", Age: time.Hour, CaughtUp: true})
 	}
-	for _, silent := range []time.Duration{time.Second, time.Hour} {
-		s.Members[0].UnreachableFor = silent
+	for _, unreachableFor := range []time.Duration{time.Second, time.Hour} {
+		s.Members[0].UnreachableFor = unreachableFor
 		if c := NextChange(s.withoutLearners(), config); c.Kind != NoChange {
-			t.Errorf("silent for %v: %+v", silent, c)
+			t.Errorf("unreachable for %v: %+v", unreachableFor, c)
 		}
 	}
-	s.Members[0].UnreachableFor, s.Members[0].Draining = 0, true // a fleet that does shrink, to four
+	s.Members[0].UnreachableFor, s.Members[0].Draining = 0, true // the fleet shrinks to four
 	if settle(t, s); len(s.Voters) != 3 || slices.Contains(s.Voters, "p0") {
 		t.Errorf("four members have the voters %v", s.Voters)
 	}
@@ -173,14 +178,14 @@
 
 func TestNewLeaderRemovesNobody(t *testing.T) {
 	s := &simulation{Fleet{Voters: []string{"p0", "p1", "p2", "p3", "p4"}}}
-	for n := range 8 { // two voters are silent to it yet, and it has known all for a moment only
+	for n := range 8 { // two voters are not reachable yet, and all members are young
 		s.Members = append(s.Members, Member{Process: fmt.Sprint("p", n), Zone: "z", CaughtUp: true})
 	}
 	s.Members[3].UnreachableFor, s.Members[4].UnreachableFor = time.Second, time.Second
 	if c := NextChange(s.withoutLearners(), config); c.Kind != NoChange {
 		t.Errorf("%+v", c)
 	}
-	s.Members = s.Members[:5] // and these are all
+	s.Members = s.Members[:5] // without candidates
 	if c := NextChange(s.withoutLearners(), config); c.Kind != NoChange {
 		t.Errorf("%+v", c)
 	}
@@ -200,10 +205,10 @@
 
 func TestRestartedProcessIsAnotherVoter(t *testing.T) {
 	s := &simulation{Fleet{Voters: []string{"a#1", "b#1", "c#1"}}}
-	for _, name := range []string{"a#1", "b#1", "c#1", "c#2"} { // c was started anew
+	for _, name := range []string{"a#1", "b#1", "c#1", "c#2"} { // c was restarted
 		s.Members = append(s.Members, Member{Process: name, Zone: "z", Age: time.Hour, CaughtUp: true})
 	}
-	s.Members[2].Replaced = true // no hold-down: it has ended for certain, and its successor can't follow before it is out
+	s.Members[2].Replaced = true // removed without the hold-down: it has ended, and its successor can't follow the log before
 	if c := NextChange(s.withoutLearners(), config); c.Kind != RemoveServer || c.Process != "c#1" {
 		t.Errorf("%+v", c)
 	}
--- a/internal/decide/quorum/regression_test.go
+++ b/internal/decide/quorum/regression_test.go
@@ -8,10 +8,10 @@
 	"time"
 )
 
-// digestBeforeRegions is the digest of all changes below, taken from the choice as it was before it knew regions.
+// digestBeforeRegions is the digest of all changes below, computed by the last build without regions.
 const digestBeforeRegions = uint64(0x1e10fb4481449ac0)
 
-// Where no region is known the choice is what it was: the same changes, in the same order, with the same reasons.
+// Without regions the changes, their order and their reasons are those of the last build without regions.
 func TestChoiceWithoutRegionsIsUnchanged(t *testing.T) {
 	digest := fnv.New64a()
 	for seed := range uint64(300) {
--- a/internal/decide/quorum/selection.go
+++ b/internal/decide/quorum/selection.go
@@ -25,7 +25,7 @@
 	fleetSize := 0
 	for _, m := range fleet.Members {
 		s.members[m.Process] = m
-		if !m.Draining && !m.Replaced { // of any age: a leader that has just started has known nobody for long
+		if !m.Draining && !m.Replaced { // of any age: to a leader that has just started all members are young
 			fleetSize++
 		}
 		if m.canVote() && (m.Age >= config.MinAge || slices.Contains(s.voters, m.Process)) {
--- a/internal/decide/ring/budget_simulation_test.go
+++ b/internal/decide/ring/budget_simulation_test.go
@@ -33,8 +33,8 @@
 	joinsAt                time.Duration
 }
 
-// budgetSimulation is a fleet that calls a backend in slow start as often as it may, through members that are cut off, suspended,
-// late to join and late to apply, leaders that change, entries lost and reordered.
+// budgetSimulation is a fleet that calls a backend in slow start as often as it may. Members are partitioned, suspended, join
+// late and apply the log late; leaders change; entries are lost and reordered.
 type budgetSimulation struct {
 	random                *rand.Rand
 	disabled              disabledGuards
@@ -65,7 +65,12 @@
 		table.backends[table.slots[f.slot]].WarmingUp = false
 	}
 	for n := range members {
-		m := &budgetMember{process: fmt.Sprintf("m%02d", n), clockRate: 1 + leaseTerms.MaxDrift*(2*f.random.Float64()-1), state: ReplicatedState{Active: table}, gate: NewCallGate(table)}
+		m := &budgetMember{
+			process:   fmt.Sprintf("m%02d", n),
+			clockRate: 1 + leaseTerms.MaxDrift*(2*f.random.Float64()-1),
+			state:     ReplicatedState{Active: table},
+			gate:      NewCallGate(table),
+		}
 		if n%8 == 7 {
 			m.joinsAt = 4 * time.Second
 		}
@@ -169,8 +174,8 @@
 	}
 }
 
-// simulateBudget runs such a fleet for 15 s. It returns the calls sent, and the most by which those of all members together within
-// a window exceeded the budget that the slow start allowed by its end.
+// simulateBudget runs such a fleet for 15 s. It returns the calls sent, and by how many the calls of all members within a
+// window exceeded the budget at its end, at most.
 func simulateBudget(seed uint64, members int, disabled disabledGuards) (sent, over int) {
 	f := newBudgetSimulation(seed, members, disabled)
 	for f.now < 15*time.Second {
--- a/internal/decide/ring/migration_simulation_test.go
+++ b/internal/decide/ring/migration_simulation_test.go
@@ -242,8 +242,8 @@
 	}
 }
 
-// injectFault starts or ends a member's fault, or changes the leader: maybe in mid-migration, to one that has applied the
-// whole log.
+// injectFault starts or ends a member's fault, or changes the leader, also during a migration, to one that has applied all
+// entries.
 func (s *migrationSimulation) injectFault() {
 	switch m := s.members[s.random.IntN(len(s.members))]; s.random.IntN(300) {
 	case 0:
--- a/internal/decide/ring/rebalance.go
+++ b/internal/decide/ring/rebalance.go
@@ -11,8 +11,8 @@
 
 // RebalancePolicy says when load is worth a migration. Ratios are of the most loaded backend to the mean, by weight.
 type RebalancePolicy struct {
-	StartRatio    float64       // above this rebalancing starts
-	StopRatio     float64       // and goes on down to this
+	StartRatio    float64       // rebalancing starts above this ratio
+	StopRatio     float64       // and continues until the ratio is at most this
 	MaxMigrations int           // in one plan
 	FreezeTime    time.Duration // for which calls on a slot wait while it migrates
 	ReliefHorizon time.Duration // for which a migration is assumed to relieve
--- a/internal/decide/ring/replicated_state.go
+++ b/internal/decide/ring/replicated_state.go
@@ -33,7 +33,9 @@
 	if s.Pending == nil || s.Pending.Version != version {
 		return false
 	}
-	s.Active, s.Pending, s.MigratingSlots = s.Pending, nil, nil
+	s.Active = s.Pending
+	s.Pending = nil
+	s.MigratingSlots = nil
 	if !s.Active.HasWarmingUp() {
 		s.Participants = nil
 	}
--- a/internal/decide/ring/slow_start.go
+++ b/internal/decide/ring/slow_start.go
@@ -34,12 +34,16 @@
 func (p *SlowStartProgress) Advance(now time.Duration, s SlowStart, latency time.Duration, errorRate float64) float64 {
 	switch {
 	case !p.isStarted:
-		p.isStarted, p.fraction, p.nextStep = true, s.InitialFraction, now+s.StepInterval
+		p.isStarted = true
+		p.fraction = s.InitialFraction
+		p.nextStep = now + s.StepInterval
 	case now < p.nextStep || p.fraction >= 1:
 	case latency > s.MaxLatency || errorRate > s.MaxErrorRate:
-		p.fraction, p.nextStep = max(p.fraction*s.BackoffFactor, s.InitialFraction), now+2*s.StepInterval
+		p.fraction = max(p.fraction*s.BackoffFactor, s.InitialFraction)
+		p.nextStep = now + 2*s.StepInterval
 	default:
-		p.fraction, p.nextStep = min(p.fraction+s.Increment, 1), now+s.StepInterval
+		p.fraction = min(p.fraction+s.Increment, 1)
+		p.nextStep = now + s.StepInterval
 	}
 	return p.fraction
 }
--- a/internal/decide/rollout/queue_test.go
+++ b/internal/decide/rollout/queue_test.go
@@ -58,7 +58,8 @@
 	return fleet
 }
 
-var testLimits = Limits{MinCapacityFraction: 0.4, LoadHeadroom: 1.1, MaxUnavailable: 5, ReplaceTimeout: time.Minute, InitialCapacityFraction: 0.2, WarmUpTime: time.Second}
+var testLimits = Limits{MinCapacityFraction: 0.4, LoadHeadroom: 1.1, MaxUnavailable: 5, ReplaceTimeout: time.Minute,
+	InitialCapacityFraction: 0.2, WarmUpTime: time.Second}
 
 // The queue chooses the same waves as the reference implementation.
 func TestDrainQueueMatchesFullSort(t *testing.T) {
--- a/internal/decide/rollout/rollout_test.go
+++ b/internal/decide/rollout/rollout_test.go
@@ -14,7 +14,10 @@
 	"thymechute/internal/lab/emulator"
 )
 
-var limits = rollout.Limits{MinCapacityFraction: 0.5, LoadHeadroom: 1.1, MaxUnavailable: 3, ReplaceTimeout: time.Minute, InitialCapacityFraction: 0.2, WarmUpTime: 10 * time.Second}
+var limits = rollout.Limits{MinCapacityFraction: 0.5, LoadHeadroom: 1.1, MaxUnavailable: 3, ReplaceTimeout: time.Minute,
+	InitialCapacityFraction: 0.2, WarmUpTime: 10 * time.Second}
+
+func isVoter(i rollout.Instance) bool { return i.IsVoter }
 
 // newFleet returns size instances of the old release, spread over the zones in turn.
 func newFleet(size, zones int, capacity func(n int) float64) (fleet []rollout.Instance) {
@@ -196,7 +199,7 @@
 		t.Errorf("%+v", s)
 	}
 	f[3].IsUnreachable, f[3].IsVoter = true, true
-	if s := r.Next(0, f, nil, limits); slices.ContainsFunc(s.Drain, func(i rollout.Instance) bool { return i.IsVoter }) {
+	if s := r.Next(0, f, nil, limits); slices.ContainsFunc(s.Drain, isVoter) {
 		t.Errorf("a voter is unreachable, and another drains: %+v", s)
 	}
 	f[3].IsUnreachable = false
@@ -216,7 +219,7 @@
 	f := newFleet(12, 3, equalCapacity)
 	f[0].IsVoter, f[1].IsVoter = true, true
 	f = append(f, rollout.Instance{Name: "m9#1", IsUnreachable: true, IsVoter: true})
-	if s := rollout.New("new").Next(0, f, nil, limits); len(s.Drain) == 0 || slices.ContainsFunc(s.Drain, func(i rollout.Instance) bool { return i.IsVoter }) {
+	if s := rollout.New("new").Next(0, f, nil, limits); len(s.Drain) == 0 || slices.ContainsFunc(s.Drain, isVoter) {
 		t.Errorf("%+v", s)
 	}
 }
--- a/internal/fleet/consensus/heartbeats.go
+++ b/internal/fleet/consensus/heartbeats.go
@@ -16,7 +16,8 @@
 )
 
 // heartbeatMonitor knows which servers a leader's raft heartbeats do not reach. The membership layer detects failures only
-// seconds later, and a voter added meanwhile beside failed ones could cost the quorum for good. It holds at most one entry
+// seconds later, and with a voter added meanwhile beside failed ones the quorum could be lost
+// permanently. It holds at most one entry
 // per server of raft's configuration, and is cleared when this process becomes or ceases to be the leader.
 type heartbeatMonitor struct {
 	mu           sync.Mutex // raft's goroutines write, the voter manager reads
--- a/internal/fleet/consensus/heartbeats_test.go
+++ b/internal/fleet/consensus/heartbeats_test.go
@@ -19,7 +19,7 @@
 		event any
 	}{
 		{"it answers again", raft.ResumedHeartbeatObservation{PeerID: "b"}},
-		{"it is added anew", raft.PeerObservation{Peer: raft.Server{ID: "b"}}},
+		{"it is added again", raft.PeerObservation{Peer: raft.Server{ID: "b"}}},
 		{"another leads", raft.Follower},
 	} {
 		if fail(now); !m.isFailing("b", now) || m.isFailing("d", now) {
--- a/internal/fleet/consensus/log.go
+++ b/internal/fleet/consensus/log.go
@@ -45,7 +45,7 @@
 	Advertise string   // host:port at which the others reach it; empty: Bind
 	Bootstrap bool     // starts a new log with this process as its only server: once in a fleet's life, never again
 	Duties    []string // whose leases the log grants; the same in all members
-	// StateMachine is built from the entries beside the leases, and is part of snapshots; nil for none.
+	// StateMachine receives each entry after the table of leases, and is part of snapshots; nil for none.
 	StateMachine StateMachine
 	// HeartbeatTimeout is after how long a silent leader is replaced: at least 50 ms; 0 stands for 500 ms.
 	HeartbeatTimeout time.Duration
@@ -136,8 +136,8 @@
 	return nil
 }
 
-// Propose appends a command if this process leads; ErrNotLeader otherwise. It does not wait for the outcome, which the
-// Subscriber receives, or nobody if the proposal is lost.
+// Propose appends a command if this process leads; ErrNotLeader otherwise. It does not wait for the outcome: if the
+// proposal is not lost, the Subscriber receives it as an entry.
 func (l *Log) Propose(c lease.Command) error {
 	if l.raft.State() != raft.Leader {
 		return ErrNotLeader
--- a/internal/fleet/consensus/transport.go
+++ b/internal/fleet/consensus/transport.go
@@ -33,7 +33,7 @@
 	process   string
 	advertise net.Addr
 	dialer    net.Dialer
-	wrapConn  func(net.Conn) net.Conn // nil: connections stay as they are
+	wrapConn  func(net.Conn) net.Conn // nil: connections are not wrapped
 }
 
 func listen(c Config) (*streamLayer, error) {
--- a/internal/fleet/consensus/voters.go
+++ b/internal/fleet/consensus/voters.go
@@ -55,7 +55,7 @@
 	m.lastReason = change.Reason
 }
 
-// reconcile makes all peers follow the log and changes at most one server beside.
+// reconcile makes all peers follow the log, and makes at most one other change of the servers.
 func (m *voterManager) reconcile(now time.Time) quorum.Change {
 	servers, err := m.log.servers()
 	if err != nil {
--- a/internal/fleet/membership/leave_test.go
+++ b/internal/fleet/membership/leave_test.go
@@ -8,7 +8,7 @@
 	"github.com/hashicorp/memberlist"
 )
 
-// mutedTransport drops all datagrams once isMuted is set, so that gossip reaches nobody.
+// mutedTransport drops all datagrams once isMuted is set, so that gossip reaches no member.
 type mutedTransport struct {
 	Transport
 	isMuted atomic.Bool
@@ -41,7 +41,7 @@
 	waitFor(t, "both see each other", 20*time.Second, func() bool { return len(staying.View()) == 2 && len(leaving.View()) == 2 })
 	transport.isMuted.Store(true)
 	if err := leaving.Leave(time.Second); err != nil {
-		t.Log("gossip reached nobody, as intended: ", err)
+		t.Log("gossip reached no member, as intended: ", err)
 	}
 	// Health checks take five seconds at least: one until the first that fails, and four of suspicion.
 	waitFor(t, "the staying member knows of the departure", 2*time.Second, func() bool { return len(staying.View()) == 1 })
--- a/internal/fleet/membership/member.go
+++ b/internal/fleet/membership/member.go
@@ -81,7 +81,9 @@
 	if err != nil {
 		return nil, err
 	}
-	listConfig.Delegate, listConfig.Events, listConfig.Alive = delegate{m}, eventDelegate{m}, aliveDelegate{m}
+	listConfig.Delegate = delegate{m}
+	listConfig.Events = eventDelegate{m}
+	listConfig.Alive = aliveDelegate{m}
 	transport, err := newTransport(bind, listConfig.LogOutput)
 	if err != nil {
 		return nil, fmt.Errorf("fleet: %w", err)
--- a/internal/fleet/membership/record.go
+++ b/internal/fleet/membership/record.go
@@ -118,6 +118,9 @@
 
 // withoutLoad returns the record without the fields that only report load.
 func (r Record) withoutLoad() Record {
-	r.Capacity, r.LagMS, r.ShedQuota, r.AppliedIndex = 0, 0, 0, 0
+	r.Capacity = 0
+	r.LagMS = 0
+	r.ShedQuota = 0
+	r.AppliedIndex = 0
 	return r
 }
--- a/internal/fleet/membership/record_test.go
+++ b/internal/fleet/membership/record_test.go
@@ -126,7 +126,7 @@
 	}
 }
 
-// Errors say which field of whose record is wrong, and can be told apart by type.
+// Errors name the member and the field, and have types by which callers distinguish them.
 func TestDecodeRecordErrors(t *testing.T) {
 	for metadata, want := range map[string]string{
 		`{`:                                `record of "a": found invalid JSON, expected a JSON object (unexpected end of JSON input)`,
--- a/internal/fleet/rolling/member_test.go
+++ b/internal/fleet/rolling/member_test.go
@@ -34,7 +34,8 @@
 	eventNotified      = "notified"
 )
 
-var limits = rollout.Limits{MinCapacityFraction: 0.3, MaxUnavailable: 2, ReplaceTimeout: 20 * time.Second, InitialCapacityFraction: 0.2, WarmUpTime: time.Second}
+var limits = rollout.Limits{MinCapacityFraction: 0.3, MaxUnavailable: 2, ReplaceTimeout: 20 * time.Second,
+	InitialCapacityFraction: 0.2, WarmUpTime: time.Second}
 
 // memberEvent is an event of a member.
 type memberEvent struct {
@@ -52,7 +53,7 @@
 	controller *Controller
 	release    string
 	startedAt  uint64                      // Unix ms; its incarnation in the rollout
-	known      map[string]rollout.Instance // all ever seen: an unreachable one counts as unavailable, not as never there
+	known      map[string]rollout.Instance // all ever seen: an unreachable one counts as unavailable
 	draining   chan struct{}               // closed by the drain
 	announced  chan struct{}               // closed once the membership shows the drain
 }
--- a/internal/fleet/slots/slots.go
+++ b/internal/fleet/slots/slots.go
@@ -78,7 +78,7 @@
 }
 
 // New returns the controller of a process that has just started. It has no table until it has applied one. It fails on
-// a number of slots that ring.New rejects, and on a budget or a slow start beside it that is not valid.
+// a number of slots that ring.New rejects, and on an invalid budget or, if there is a budget, an invalid slow start.
 func New(config Config, log Log) (*Controller, error) {
 	if config.Budget != (ring.CallBudget{}) {
 		if err := errors.Join(config.Budget.Validate(), config.SlowStart.Validate()); err != nil {
