--- a/internal/decide/ring/budget_simulation_test.go
+++ b/internal/decide/ring/budget_simulation_test.go
@@ -88,9 +88,10 @@
 // injectFaults starts and ends faults.
 func (f *budgetSimulation) injectFaults() {
 	if f.random.IntN(300) == 0 {
-		f.isIdle = !f.isIdle && f.random.IntN(3) == 0 // nobody calls; then all do at once
+		f.isIdle = !f.isIdle && f.random.IntN(3) == 0 // no member calls for a while, then all do
 	}
-	if f.isPartitioned != (f.now%f.faultCycle > f.faultCycle/4) { // most of the fleet receives nothing for a while, then all of it at once
+	// Most of the fleet receives no entry for a while, and then all of them in one tick.
+	if f.isPartitioned != (f.now%f.faultCycle > f.faultCycle/4) {
 		f.isPartitioned = !f.isPartitioned
 		for _, m := range f.members[len(f.members)/8:] {
 			m.isInboundCut = f.isPartitioned
@@ -102,11 +103,12 @@
 	case draw < 40:
 		m.isPaused = f.random.IntN(4) == 0
 	case draw < 43 && !m.isPaused && !m.isInboundCut && f.now >= m.joinsAt && m.applied == len(f.log):
-		f.leader, f.controller = m, NewWarmUpController(f.clock(m), slowStart, callBudget, leaseTerms)
+		f.leader = m
+		f.controller = NewWarmUpController(f.clock(m), slowStart, callBudget, leaseTerms)
 	}
 }
 
-// deliver brings entries into the log, some of them late or never.
+// deliver appends proposed entries to the log in any order; some are delayed or lost.
 func (f *budgetSimulation) deliver() {
 	for len(f.inFlight) > 0 && f.random.IntN(12) > 0 {
 		n := f.random.IntN(len(f.inFlight))
--- a/internal/decide/ring/codec_test.go
+++ b/internal/decide/ring/codec_test.go
@@ -2,10 +2,10 @@
 
 import (
 	"bytes"
-	"os"
-	"path/filepath"
 	"slices"
 	"testing"
+
+	"thymechute/internal/testutil"
 )
 
 // Digests of the fixture's tables, as the build that wrote it (commit d489d24) computed them.
@@ -14,8 +14,8 @@
 	fixturePendingDigest = 0x4161b4287fd6ebd7
 )
 
-// migratingState builds the state of testdata/state_migrating.json: three backends, one of them in slow start, that are
-// planned away again.
+// migratingState builds the state of testdata/state_migrating.json: three backends, one of them in slow start, that is
+// removed by the pending plan.
 func migratingState(t *testing.T) *ReplicatedState {
 	t.Helper()
 	bound := BalanceBound{Slack: 0.05}
@@ -46,10 +46,7 @@
 		"state_empty.json":     {Active: empty},
 		"state_migrating.json": migratingState(t),
 	} {
-		stored, err := os.ReadFile(filepath.Join("testdata", file))
-		if err != nil {
-			t.Fatal(err)
-		}
+		stored := testutil.ReadFixture(t, file)
 		var decoded ReplicatedState
 		if err := decoded.Decode(stored); err != nil {
 			t.Fatalf("%s: %v", file, err)
@@ -64,10 +61,7 @@
 }
 
 func TestFieldsOfASnapshotOfAnOlderBuild(t *testing.T) {
-	stored, err := os.ReadFile("testdata/state_migrating.json")
-	if err != nil {
-		t.Fatal(err)
-	}
+	stored := testutil.ReadFixture(t, "state_migrating.json")
 	var s ReplicatedState
 	if err := s.Decode(stored); err != nil {
 		t.Fatal(err)
@@ -97,16 +91,16 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	var back ReplicatedState
-	if err := back.Decode(b); err != nil || back.Active.Digest() != table.Digest() || back.Pending.Digest() != next.Digest() ||
-		back.Pending.Version != next.Version || len(back.MigratingSlots) != 1 {
-		t.Errorf("%v: %+v", err, back)
+	var decoded ReplicatedState
+	if err := decoded.Decode(b); err != nil || decoded.Active.Digest() != table.Digest() || decoded.Pending.Digest() != next.Digest() ||
+		decoded.Pending.Version != next.Version || len(decoded.MigratingSlots) != 1 {
+		t.Errorf("%v: %+v", err, decoded)
 	}
 	if table.Digest() == next.Digest() {
-		t.Error("two tables with one digest")
+		t.Error("different tables have the same digest")
 	}
 	for _, bad := range []string{"", "{}", `{"Table":{"Slots":"AAAA"}}`, `{"Table":{"Backends":[{"Name":"a","Weight":1}],"Slots":"BQAFAA=="}}`} {
-		if err := back.Decode([]byte(bad)); err == nil {
+		if err := decoded.Decode([]byte(bad)); err == nil {
 			t.Errorf("%q was accepted", bad)
 		}
 	}
--- a/internal/decide/ring/flap_damper_test.go
+++ b/internal/decide/ring/flap_damper_test.go
@@ -21,7 +21,7 @@
 	}
 }
 
-// Up for 12 s, down for 8 s, ten times: each outage and each recovery that counts migrates slots.
+// A backend is up for 12 s and down for 8 s, ten times. Each outage or recovery that takes effect migrates slots.
 func TestFlapDamperDoublesDelayOfFlappingBackend(t *testing.T) {
 	damper := NewFlapDamper(flapDamping)
 	damper.Observe(0, "a", Up)
--- a/internal/decide/ring/load_test.go
+++ b/internal/decide/ring/load_test.go
@@ -14,22 +14,22 @@
 }
 
 func TestLoadCounterReportsTopSlotsAndResets(t *testing.T) {
-	c := NewLoadCounter(8)
+	counter := NewLoadCounter(8)
 	for slot, n := range []int{3, 0, 9, 1} {
 		for range n {
-			c.Record(slot)
+			counter.Record(slot)
 		}
 	}
-	top, all := c.Report(2)
+	top, all := counter.Report(2)
 	if all != 13 || len(top) != 2 || top[0] != (SlotLoad{2, 9}) || top[1] != (SlotLoad{0, 3}) {
 		t.Errorf("%v of %v", top, all)
 	}
-	if top, all := c.Report(2); len(top) != 0 || all != 0 {
+	if top, all := counter.Report(2); len(top) != 0 || all != 0 {
 		t.Errorf("%v of %v", top, all)
 	}
-	h := NewLoadEstimate(8)
-	h.AddPeriod([][]SlotLoad{top, {{Slot: 99, Calls: 5}, {Slot: 1, Calls: -5}}}, all+20) // invalid reports are ignored
-	if s := h.PerSlot(); s[2] != 4.5+(33-12)/16.0 || s[1] != (33-12)/16.0 {
-		t.Errorf("%v", s)
+	estimate := NewLoadEstimate(8)
+	estimate.AddPeriod([][]SlotLoad{top, {{Slot: 99, Calls: 5}, {Slot: 1, Calls: -5}}}, all+20) // invalid reports are ignored
+	if load := estimate.PerSlot(); load[2] != 4.5+(33-12)/16.0 || load[1] != (33-12)/16.0 {
+		t.Errorf("load per slot %v", load)
 	}
 }
--- a/internal/decide/ring/migration_simulation_test.go
+++ b/internal/decide/ring/migration_simulation_test.go
@@ -143,7 +143,7 @@
 	s.inFlight = append(s.inFlight, migrationEntry{kind: entryActivate, version: next.Version})
 }
 
-// deliver brings entries into the log, some of them late or never.
+// deliver appends proposed entries to the log in any order; some are delayed or lost.
 func (s *migrationSimulation) deliver() {
 	for len(s.inFlight) > 0 && s.random.IntN(3) > 0 {
 		n := s.random.IntN(len(s.inFlight))
--- a/internal/decide/ring/plan_test.go
+++ b/internal/decide/ring/plan_test.go
@@ -51,7 +51,7 @@
 	})
 }
 
-// The minimum against every assignment there is, at sizes where they can all be tried.
+// Plan makes as few migrations as the best of all assignments, at sizes at which all can be tried.
 func TestMinMigrationsMatchesBruteForce(t *testing.T) {
 	total := 0
 	for _, slots := range []int{2, 4, 8} {
@@ -60,7 +60,7 @@
 				for _, slack := range []float64{0, 0.5} {
 					empty, _ := New(slots)
 					previous, _, _ := mustPlan(t, empty, testBackends(before), BalanceBound{})
-					to := testBackends(4)[4-after:] // those that remain overlap, or not at all
+					to := testBackends(4)[4-after:] // with one backend after, none remains of up to three before
 					if after > 1 {
 						to = testBackends(after)
 					}
@@ -77,7 +77,7 @@
 	t.Logf("%d assignments tried", total)
 }
 
-// fewestMigrations tries all assignments within the bound, and returns how many it tried.
+// fewestMigrations returns the fewest migrations to any assignment within the bound, by trying all, and the number tried.
 func fewestMigrations(previous *Table, to []Backend, bound BalanceBound) (fewest, tried int) {
 	slots := previous.Slots()
 	low, high := bound.slotRange(float64(slots) / float64(len(to)))
@@ -100,7 +100,7 @@
 	}
 }
 
-// nextAssignment counts up in the base of the backends; false past the last.
+// nextAssignment changes the assignment to the next one in counting order, and returns false after the last.
 func nextAssignment(assignment []int, backends int) bool {
 	for slot := range assignment {
 		if assignment[slot] < backends-1 {
@@ -114,20 +114,20 @@
 
 func TestPlanMigratesMostLoadedSlotsFromOverloadedBackend(t *testing.T) {
 	empty, _ := New(64)
-	was, _, _ := mustPlan(t, empty, testBackends(2), BalanceBound{})
+	previous, _, _ := mustPlan(t, empty, testBackends(2), BalanceBound{})
 	load := make([]float64, 64)
 	for s := range load {
-		if h, _ := was.Owner(s); h.Name == "b000" {
+		if h, _ := previous.Owner(s); h.Name == "b000" {
 			load[s] = float64(s + 1)
 		} else {
 			load[s] = 0.1
 		}
 	}
-	_, migrations, minimum, _ := was.Plan(testBackends(3), BalanceBound{}, load)
+	_, migrations, minimum, _ := previous.Plan(testBackends(3), BalanceBound{}, load)
 	if len(migrations) != minimum {
 		t.Fatalf("%d migrations, minimum %d", len(migrations), minimum)
 	}
-	leastMigrated, mostKept := 1e9, 0.0
+	leastMigrated, mostRemaining := 1e9, 0.0
 	for _, m := range migrations {
 		if m.From == "b000" {
 			leastMigrated = min(leastMigrated, load[m.Slot])
@@ -135,11 +135,11 @@
 		}
 	}
 	for s, h := range load {
-		if b, _ := was.Owner(s); b.Name == "b000" {
-			mostKept = max(mostKept, h)
+		if b, _ := previous.Owner(s); b.Name == "b000" {
+			mostRemaining = max(mostRemaining, h)
 		}
 	}
-	if leastMigrated < mostKept {
-		t.Errorf("a slot of load %g migrated while one of %g stayed", leastMigrated, mostKept)
+	if leastMigrated < mostRemaining {
+		t.Errorf("a slot of load %g migrated while one of %g stayed", leastMigrated, mostRemaining)
 	}
 }
--- a/internal/decide/ring/rebalance_test.go
+++ b/internal/decide/ring/rebalance_test.go
@@ -5,32 +5,36 @@
 	"time"
 )
 
-var rebalancePolicy = RebalancePolicy{StartRatio: 1.2, StopRatio: 1.05, MaxMigrations: 20, FreezeTime: 500 * time.Millisecond, ReliefHorizon: time.Minute}
+var rebalancePolicy = RebalancePolicy{StartRatio: 1.2, StopRatio: 1.05, MaxMigrations: 20,
+	FreezeTime: 500 * time.Millisecond, ReliefHorizon: time.Minute}
 
 func TestRebalanceLowersPeakLoadWithFewMigrations(t *testing.T) {
 	for seed := range uint64(10) {
 		empty, _ := New(1024)
 		table, _, _ := mustPlan(t, empty, testBackends(9), BalanceBound{})
-		h, counts := NewLoadEstimate(1024), NewLoadCounter(1024)
+		estimate := NewLoadEstimate(1024)
+		counter := NewLoadCounter(1024)
 		for range 6 {
-			recordZipfCalls(seed, table, 20_000, counts.Record)
-			top, all := counts.Report(256)
-			h.AddPeriod([][]SlotLoad{top}, all)
+			recordZipfCalls(seed, table, 20_000, counter.Record)
+			top, all := counter.Report(256)
+			estimate.AddPeriod([][]SlotLoad{top}, all)
 		}
-		before := table.PeakLoadRatio(h.PerSlot())
-		next, migrations := table.Rebalance(h.PerSlot(), BalanceBound{Slack: 0.2}, rebalancePolicy)
-		after := next.PeakLoadRatio(h.PerSlot())
-		if before > rebalancePolicy.StartRatio && (after >= before || len(migrations) == 0) || len(migrations) > rebalancePolicy.MaxMigrations {
+		before := table.PeakLoadRatio(estimate.PerSlot())
+		next, migrations := table.Rebalance(estimate.PerSlot(), BalanceBound{Slack: 0.2}, rebalancePolicy)
+		after := next.PeakLoadRatio(estimate.PerSlot())
+		hasNoRelief := before > rebalancePolicy.StartRatio && (after >= before || len(migrations) == 0)
+		if hasNoRelief || len(migrations) > rebalancePolicy.MaxMigrations {
 			t.Errorf("seed %d: %.3f to %.3f by %d migrations", seed, before, after, len(migrations))
 		}
 		t.Logf("seed %d: peak load over mean %.3f to %.3f by %d migrations", seed, before, after, len(migrations))
-		if again, more := next.Rebalance(h.PerSlot(), BalanceBound{Slack: 0.2}, rebalancePolicy); len(more) > 0 && again.PeakLoadRatio(h.PerSlot()) >= after {
+		again, more := next.Rebalance(estimate.PerSlot(), BalanceBound{Slack: 0.2}, rebalancePolicy)
+		if len(more) > 0 && again.PeakLoadRatio(estimate.PerSlot()) >= after {
 			t.Errorf("seed %d: %d more migrations without relief", seed, len(more))
 		}
 	}
 }
 
-func TestRebalanceSkipsMigrationsThatDoNotPay(t *testing.T) {
+func TestRebalanceSkipsMigrationsWithoutSufficientRelief(t *testing.T) {
 	empty, _ := New(8)
 	table, _, _ := mustPlan(t, empty, testBackends(2), BalanceBound{})
 	load := make([]float64, 8)
@@ -40,7 +44,7 @@
 			top = s
 		}
 	}
-	load[top] = 100 // alone: migrating it migrations all of the load
+	load[top] = 100 // all of the load: its migration would only move the overload
 	if _, migrations := table.Rebalance(load, BalanceBound{Slack: 0.5}, rebalancePolicy); len(migrations) != 0 {
 		t.Errorf("%v", migrations)
 	}
@@ -56,7 +60,7 @@
 	expensive := rebalancePolicy
 	expensive.FreezeTime = 2 * time.Minute // a migration costs more than it relieves
 	if _, migrations := table.Rebalance(load, BalanceBound{Slack: 0.5}, expensive); len(migrations) != 0 {
-		t.Errorf("migrated at a loss: %v", migrations)
+		t.Errorf("migrated though that costs more than it relieves: %v", migrations)
 	}
 	if _, migrations := table.Rebalance(make([]float64, 8), BalanceBound{}, rebalancePolicy); len(migrations) != 0 {
 		t.Errorf("migrated without any load: %v", migrations)
--- a/internal/decide/ring/replicated_state_test.go
+++ b/internal/decide/ring/replicated_state_test.go
@@ -14,22 +14,25 @@
 	a.Active = tableOf(t, want)
 	a.RecordAcknowledgement("a")
 	a.RecordAcknowledgement("b")
-	a.RemoveParticipant("who")
+	a.RemoveParticipant("unknown")
 	a.ApplyGrant(Grant{Sequence: 1})
 	b, err := a.Encode()
 	if err != nil {
 		t.Fatal(err)
 	}
-	var back ReplicatedState
-	if err := back.Decode(b); err != nil || !slices.Equal(back.Participants, a.Participants) || back.LastGrant != 1 || !back.Active.HasWarmingUp() ||
-		back.Active.Digest() != a.Active.Digest() || back.Active.Digest() == tableOf(t, append(want[:2:2], Backend{Name: "new", Weight: 1})).Digest() {
-		t.Errorf("%v: %+v", err, back)
+	var decoded ReplicatedState
+	if err := decoded.Decode(b); err != nil || !slices.Equal(decoded.Participants, a.Participants) || decoded.LastGrant != 1 {
+		t.Fatalf("%v: %+v", err, decoded)
 	}
-	if back.Decode([]byte(`{"Table":{"Slots":"AAAAAA=="},"Roster":["b","a"]}`)) == nil {
+	withoutWarmUp := tableOf(t, append(want[:2:2], Backend{Name: "new", Weight: 1}))
+	if digest := decoded.Active.Digest(); !decoded.Active.HasWarmingUp() || digest != a.Active.Digest() || digest == withoutWarmUp.Digest() {
+		t.Errorf("decoded table %+v", decoded.Active)
+	}
+	if decoded.Decode([]byte(`{"Table":{"Slots":"AAAAAA=="},"Roster":["b","a"]}`)) == nil {
 		t.Error("participants out of order were accepted")
 	}
-	warm, migrations, _ := mustPlan(t, a.Active, append(want[:2:2], Backend{Name: "new", Weight: 1}), BalanceBound{})
-	if a.Freeze(warm, nil); len(migrations) != 0 || !a.Activate(warm.Version) || a.Participants != nil {
+	warmedUp, migrations, _ := mustPlan(t, a.Active, append(want[:2:2], Backend{Name: "new", Weight: 1}), BalanceBound{})
+	if a.Freeze(warmedUp, nil); len(migrations) != 0 || !a.Activate(warmedUp.Version) || a.Participants != nil {
 		t.Errorf("%d migrations, participants after the warm-up: %v", len(migrations), a.Participants)
 	}
 }
--- a/internal/decide/ring/ring_test.go
+++ b/internal/decide/ring/ring_test.go
@@ -5,13 +5,15 @@
 	"testing"
 )
 
-func testBackends(n int) (out []Backend) {
-	for k := range n {
-		out = append(out, Backend{Name: fmt.Sprintf("b%03d", k), Zone: fmt.Sprintf("z%d", k%3), Weight: 1})
+// testBackends returns count backends of equal weight in three zones.
+func testBackends(count int) (backends []Backend) {
+	for n := range count {
+		backends = append(backends, Backend{Name: fmt.Sprintf("b%03d", n), Zone: fmt.Sprintf("z%d", n%3), Weight: 1})
 	}
-	return out
+	return backends
 }
 
+// mustPlan returns what Table.Plan returns without slot loads; the test fails on an error.
 func mustPlan(t testing.TB, from *Table, to []Backend, bound BalanceBound) (*Table, []Migration, int) {
 	next, migrations, minimum, err := from.Plan(to, bound, nil)
 	if err != nil {
--- a/internal/decide/ring/slow_start_test.go
+++ b/internal/decide/ring/slow_start_test.go
@@ -6,14 +6,21 @@
 	"time"
 )
 
-var slowStart = SlowStart{InitialFraction: 0.1, Increment: 0.2, BackoffFactor: 0.5, StepInterval: time.Second, MaxLatency: 50 * time.Millisecond, MaxErrorRate: 0.02}
+var slowStart = SlowStart{InitialFraction: 0.1, Increment: 0.2, BackoffFactor: 0.5, StepInterval: time.Second,
+	MaxLatency: 50 * time.Millisecond, MaxErrorRate: 0.02}
 
 func TestSlowStartValidate(t *testing.T) {
 	if err := slowStart.Validate(); err != nil {
 		t.Error(err)
 	}
-	for name, change := range map[string]func(r *SlowStart){"initial fraction": func(r *SlowStart) { r.InitialFraction = 0 }, "over one": func(r *SlowStart) { r.InitialFraction = 2 }, "no number": func(r *SlowStart) { r.InitialFraction = math.NaN() },
-		"increment": func(r *SlowStart) { r.Increment = 0 }, "backoff factor": func(r *SlowStart) { r.BackoffFactor = 2 }, "step interval": func(r *SlowStart) { r.StepInterval = 0 }} {
+	for name, change := range map[string]func(s *SlowStart){
+		"initial fraction of 0":         func(s *SlowStart) { s.InitialFraction = 0 },
+		"initial fraction over 1":       func(s *SlowStart) { s.InitialFraction = 2 },
+		"initial fraction not a number": func(s *SlowStart) { s.InitialFraction = math.NaN() },
+		"increment":                     func(s *SlowStart) { s.Increment = 0 },
+		"backoff factor":                func(s *SlowStart) { s.BackoffFactor = 2 },
+		"step interval":                 func(s *SlowStart) { s.StepInterval = 0 },
+	} {
 		bad := slowStart
 		if change(&bad); bad.Validate() == nil {
 			t.Errorf("%s: %+v was accepted", name, bad)
@@ -38,7 +45,8 @@
 			if len(migrations) != minimum {
 				t.Errorf("%d migrations, minimum %d", len(migrations), minimum)
 			}
-			table, migrated = next, migrated+len(migrations)
+			table = next
+			migrated += len(migrations)
 		}
 		last = fraction
 	}
@@ -63,11 +71,11 @@
 			t.Errorf("at %v: fraction %g, want %g", c.at, got, c.want)
 		}
 	}
-	w := CompletedSlowStart()
-	if got := w.Advance(time.Hour, slowStart, time.Minute, 1); got != 1 {
+	completed := CompletedSlowStart()
+	if got := completed.Advance(time.Hour, slowStart, time.Minute, 1); got != 1 {
 		t.Errorf("a backend at full weight is in slow start: %g", got)
 	}
-	if w.Restart(); w.Advance(time.Hour, slowStart, 0, 0) != 0.1 {
+	if completed.Restart(); completed.Advance(time.Hour, slowStart, 0, 0) != 0.1 {
 		t.Error("a restarted backend has its full weight")
 	}
 }
--- a/internal/decide/ring/warm_up_test.go
+++ b/internal/decide/ring/warm_up_test.go
@@ -15,18 +15,18 @@
 func TestNewLeaderResumesSlowStart(t *testing.T) {
 	want := append(testBackends(2), Backend{Name: "new", Weight: 2, WarmingUp: true})
 	table := tableOf(t, testBackends(2))
-	r := NewWarmUpController(0, slowStart, callBudget, leaseTerms)
+	first := NewWarmUpController(0, slowStart, callBudget, leaseTerms)
 	for _, c := range []struct {
 		at          time.Duration
 		weight      float64
 		isWarmingUp bool
 	}{{0, 0.2, true}, {900 * time.Millisecond, 0.2, true}, {time.Second, 0.6, true}, {2 * time.Second, 1, true}} {
-		weighted := r.WeightedBackends(c.at, want, table)
+		weighted := first.WeightedBackends(c.at, want, table)
 		if got := weighted[2]; got.Weight < c.weight-1e-9 || got.Weight > c.weight+1e-9 || got.WarmingUp != c.isWarmingUp {
 			t.Errorf("at %v: %+v, want weight %g", c.at, got, c.weight)
 		}
 		if weighted[0] != want[0] || !want[2].WarmingUp || want[2].Weight != 2 {
-			t.Errorf("at %v: the others, or what was asked for, have changed", c.at)
+			t.Errorf("at %v: other backends, or the arguments, have changed", c.at)
 		}
 		table = tableOf(t, weighted)
 	}
@@ -41,11 +41,15 @@
 	if completed[2].Weight != 2 || completed[2].WarmingUp {
 		t.Errorf("at its full weight it is %+v", completed[2])
 	}
-	if warm := tableOf(t, completed); !warm.WarmUpChangedSince(table) || table.WarmUpChangedSince(table) || next.WeightedBackends(0, want, warm)[2].WarmingUp {
-		t.Error("a backend at full weight warms up again, or the end of its warm-up is no change")
+	warmedUp := tableOf(t, completed)
+	if !warmedUp.WarmUpChangedSince(table) || table.WarmUpChangedSince(table) {
+		t.Error("the end of a warm-up is not reported as a change, or no change as one")
+	}
+	if next.WeightedBackends(0, want, warmedUp)[2].WarmingUp {
+		t.Error("a backend at full weight warms up again")
 	}
 	if next.WeightedBackends(0, want[:2], table); len(next.progress) != 0 {
-		t.Error("the progress of a removed backend stays")
+		t.Error("the progress of a removed backend is not removed")
 	}
 }
 
--- a/internal/decide/rollout/capacity.go
+++ b/internal/decide/rollout/capacity.go
@@ -88,6 +88,8 @@
 
 // Error names the zone and the missing capacity.
 func (e *InsufficientCapacityError) Error() string {
-	return fmt.Sprintf("rollout: zone %s has %.6g of capacity, expected %.6g (required, with its largest instance lost) and %.6g for one drain: %.6g missing",
+	const format = "rollout: zone %s has %.6g of capacity, expected %.6g (required, with its largest instance lost) " +
+		"and %.6g for one drain: %.6g missing"
+	return fmt.Sprintf(format,
 		e.Zone, e.Available, e.Required, e.DrainCapacity, e.Required+e.DrainCapacity-e.Available)
 }
--- a/internal/decide/rollout/codec_test.go
+++ b/internal/decide/rollout/codec_test.go
@@ -2,18 +2,16 @@
 
 import (
 	"bytes"
-	"os"
 	"testing"
 	"time"
+
+	"thymechute/internal/testutil"
 )
 
 // A snapshot written by an older build (commit d489d24) must be read, and the same rollout must be written as the same
 // bytes.
 func TestSnapshotOfOlderBuildIsReadAndWrittenAlike(t *testing.T) {
-	stored, err := os.ReadFile("testdata/rollout.json")
-	if err != nil {
-		t.Fatal(err)
-	}
+	stored := testutil.ReadFixture(t, "rollout.json")
 	const incarnation = 0x18f3a2b4c5000000
 	built := New("2026.12.01-1")
 	built.RecordDrain(3*time.Second, "m1", incarnation+1)
--- a/internal/fleet/membership/record_test.go
+++ b/internal/fleet/membership/record_test.go
@@ -4,12 +4,12 @@
 	"bytes"
 	"encoding/json"
 	"errors"
-	"os"
-	"path/filepath"
 	"strings"
 	"testing"
 
 	"github.com/hashicorp/memberlist"
+
+	"thymechute/internal/testutil"
 )
 
 func encoded(t *testing.T, r Record) []byte {
@@ -112,10 +112,7 @@
 		"record-leaving.json": {Version: RecordVersion, Name: "a<b&\u00e9", Zone: "z \"1\"", Capacity: 1e21, Flag: FlagLeaving, ShedQuota: 1,
 			AppliedIndex: 1<<64 - 1},
 	} {
-		stored, err := os.ReadFile(filepath.Join("testdata", file))
-		if err != nil {
-			t.Fatal(err)
-		}
+		stored := testutil.ReadFixture(t, file)
 		got, err := DecodeRecord(want.Name, stored)
 		if err != nil || got != want {
 			t.Errorf("%s: %+v, %v, want %+v", file, got, err, want)
--- a/internal/fleet/rolling/command_test.go
+++ b/internal/fleet/rolling/command_test.go
@@ -1,19 +1,16 @@
 package rolling
 
 import (
-	"os"
 	"strings"
 	"testing"
 
 	"thymechute/internal/decide/lease"
+	"thymechute/internal/testutil"
 )
 
 // Commands written by an older build (commit d489d24) must be read, and the same commands must be written as the same bytes.
 func TestCommandsOfOlderBuildsAreReadAndWrittenAlike(t *testing.T) {
-	stored, err := os.ReadFile("testdata/commands.jsonl")
-	if err != nil {
-		t.Fatal(err)
-	}
+	stored := testutil.ReadFixture(t, "commands.jsonl")
 	release, none := "2026.12.01-1", ""
 	commands := []command{{Release: &release}, {Release: &none}, {Drain: "m1", Incarnation: 0x18f3a2b4c5000001}}
 	lines := strings.Split(strings.TrimSpace(string(stored)), "\n")
--- a/internal/fleet/slots/command_test.go
+++ b/internal/fleet/slots/command_test.go
@@ -3,12 +3,12 @@
 import (
 	"bytes"
 	"errors"
-	"os"
 	"strings"
 	"testing"
 
 	"thymechute/internal/decide/lease"
 	"thymechute/internal/decide/ring"
+	"thymechute/internal/testutil"
 )
 
 // storedCommands are the commands of testdata/commands.jsonl.
@@ -32,10 +32,7 @@
 
 // Commands written by an older build (commit d489d24) must be read, and the same commands must be written as the same bytes.
 func TestCommandsOfOlderBuildsAreReadAndWrittenAlike(t *testing.T) {
-	stored, err := os.ReadFile("testdata/commands.jsonl")
-	if err != nil {
-		t.Fatal(err)
-	}
+	stored := testutil.ReadFixture(t, "commands.jsonl")
 	lines := strings.Split(strings.TrimSpace(string(stored)), "\n")
 	commands := storedCommands(t)
 	if len(lines) != len(commands) {
@@ -72,10 +69,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	stored, err := os.ReadFile("testdata/applied.json")
-	if err != nil {
-		t.Fatal(err)
-	}
+	stored := testutil.ReadFixture(t, "applied.json")
 	if !bytes.Equal(encoded, stored) {
 		t.Errorf("found    %s\nexpected %s", encoded, stored)
 	}
