--- a/internal/decide/configuration/member_test.go
+++ b/internal/decide/configuration/member_test.go
@@ -119,40 +119,56 @@
 	}
 }
 
-// exchange delivers messages between a member and a control node until neither has more to send, and counts the bytes each way.
-func exchange(t testing.TB, now time.Duration, m *configuration.Member, mo *recordingHost, c *configuration.ControlNode, co *recordingHost) (up, down int) {
+// transfer encodes and decodes the messages that a host has sent, clears them, and hands each to receive. It returns the
+// bytes transferred.
+func transfer(t testing.TB, from *recordingHost, receive func(configuration.Message) error) (bytes int) {
 	t.Helper()
-	for range 1000 {
-		if len(mo.sent)+len(co.sent) == 0 {
-			return up, down
+	sent := from.sent
+	from.sent = nil
+	for _, s := range sent {
+		encoded := configuration.Append(nil, s.message)
+		bytes += len(encoded)
+		decoded, err := configuration.Decode(encoded)
+		if err != nil {
+			t.Fatal(err)
 		}
-		ups, downs := mo.sent, co.sent
-		mo.sent, co.sent = nil, nil
-		for _, s := range ups {
-			b := configuration.Append(nil, s.message)
-			up += len(b)
-			decoded, err := configuration.Decode(b)
-			if err != nil {
-				t.Fatal(err)
-			}
-			if err := c.Receive(now, "m", decoded); err != nil {
-				t.Fatal(err)
-			}
+		if err := receive(decoded); err != nil {
+			t.Fatal(err)
 		}
-		for _, s := range downs {
-			b := configuration.Append(nil, s.message)
-			down += len(b)
-			decoded, err := configuration.Decode(b)
-			if err != nil {
-				t.Fatal(err)
-			}
-			if err := m.Receive(now, "c1", decoded); err != nil {
-				t.Fatal(err)
-			}
+	}
+	return bytes
+}
+
+// connectedPair is a member m and the control node c1, its only source.
+type connectedPair struct {
+	member      *configuration.Member
+	memberHost  *recordingHost
+	control     *configuration.ControlNode
+	controlHost *recordingHost
+}
+
+func newConnectedPair(memberState, controlState *configuration.State) *connectedPair {
+	p := &connectedPair{memberHost: &recordingHost{}, controlHost: &recordingHost{}}
+	p.member = configuration.NewMember(0, p.memberHost, memberState, 0, 1)
+	p.control = configuration.NewControlNode(0, p.controlHost, configuration.NewStore(controlState, 1)) // with an empty history
+	p.member.SetSources(0, configuration.Sources{Primary: []string{"c1"}})
+	return p
+}
+
+// exchange delivers messages until neither has more to send, and returns the bytes in both directions.
+func (p *connectedPair) exchange(t testing.TB, now time.Duration) (bytes int) {
+	t.Helper()
+	for range 1000 {
+		if len(p.memberHost.sent)+len(p.controlHost.sent) == 0 {
+			return bytes
 		}
+		toMember := &recordingHost{sent: p.controlHost.sent} // sent before the control node receives more
+		p.controlHost.sent = nil
+		bytes += transfer(t, p.memberHost, func(m configuration.Message) error { return p.control.Receive(now, "m", m) })
+		bytes += transfer(t, toMember, func(m configuration.Message) error { return p.member.Receive(now, "c1", m) })
 	}
 	t.Fatal("the exchange does not end")
-	return 0, 0
+	return 0
 }
 
 func TestRepairTransfersOnlyDifferences(t *testing.T) {
@@ -169,20 +185,16 @@
 		"from nothing":           {configuration.Empty(), 3_700_000},
 	} {
 		t.Run(name, func(t *testing.T) {
-			mo, co := &recordingHost{}, &recordingHost{}
-			m := configuration.NewMember(0, mo, c.start, 0, 1)
-			control := configuration.NewControlNode(0, co, configuration.NewStore(target, 1)) // with an empty history
-			m.SetSources(0, configuration.Sources{Primary: []string{"c1"}})
+			p := newConnectedPair(c.start, target)
 			bytes := 0
 			now := time.Duration(0)
-			for ; now < 60*time.Second && m.State().Root() != target.Root(); now += configuration.TickInterval {
-				m.Tick(now)
-				control.Tick(now)
-				up, down := exchange(t, now, m, mo, control, co)
-				bytes += up + down
+			for ; now < 60*time.Second && p.member.State().Root() != target.Root(); now += configuration.TickInterval {
+				p.member.Tick(now)
+				p.control.Tick(now)
+				bytes += p.exchange(t, now)
 			}
-			if m.State().Root() != target.Root() || bytes > c.limit || len(mo.activated) != 1 {
-				t.Errorf("%v after %v, %d bytes, activated %v", m.State().Version(), now, bytes, mo.activated)
+			if p.member.State().Root() != target.Root() || bytes > c.limit || len(p.memberHost.activated) != 1 {
+				t.Errorf("%v after %v, %d bytes, activated %v", p.member.State().Version(), now, bytes, p.memberHost.activated)
 			}
 			t.Logf("%d bytes, %v", bytes, now)
 		})
