--- a/internal/decide/intake/connection.go
+++ b/internal/decide/intake/connection.go
@@ -1,6 +1,10 @@
 package intake
 
-import "time"
+import (
+	"time"
+
+	"go.uber.org/zap"
+)
 
 const (
 	minBackoff      = 50 * time.Millisecond // before a broker is dialled again; doubled with each failure
@@ -80,7 +84,7 @@
 	c.credit.unsettled = 0
 	c.credit.peak = 0
 	c.pausedAt = now - minPause // consuming may start at once
-	c.host.Logf("broker %d up", c.connection.current+1)
+	c.host.Log("broker connected", zap.Int("broker", c.connection.current+1))
 	c.advance(now)
 }
 
@@ -99,8 +103,11 @@
 	}
 	next := c.connection.nextBroker()
 	retryAfter := c.connection.brokers[next].retryAfter
-	c.host.Logf("broker %d lost: %s; broker %d is next, in %v", c.connection.current+1, reason, next+1,
-		max(retryAfter-now, 0).Round(time.Millisecond))
+	c.host.Log("broker connection lost",
+		zap.Int("broker", c.connection.current+1),
+		zap.String("reason", reason),
+		zap.Int("next_broker", next+1),
+		zap.Duration("retry_after", max(retryAfter-now, 0).Round(time.Millisecond)))
 	c.connection.current = next
 	c.connection.dialAt = max(retryAfter, now)
 	c.advance(now)
