--- a/cmd/testbed/experiment_test.go
+++ b/cmd/testbed/experiment_test.go
@@ -49,11 +49,11 @@
 		command.SetErr(&errs)
 		command.SilenceErrors, command.SilenceUsage = true, true
 		err := command.Execute()
-		said := ""
+		errorText := ""
 		if err != nil {
-			said = err.Error()
+			errorText = err.Error()
 		}
-		if out.String() != c.out || errs.String() != c.errs || said != c.err || errors.As(err, &usageError{}) != c.usage {
+		if out.String() != c.out || errs.String() != c.errs || errorText != c.err || errors.As(err, &usageError{}) != c.usage {
 			t.Errorf("%s: %q, %q, %v; expected %q, %q, %q", c.name, out.String(), errs.String(), err, c.out, c.errs, c.err)
 		}
 	}
--- a/cmd/thymechute/command_test.go
+++ b/cmd/thymechute/command_test.go
@@ -43,7 +43,7 @@
 	for _, c := range []struct {
 		args string
 		code int
-		says string
+		output string
 	}{
 		{"version", 0, "thymechute "},
 		{"check --settings " + good, 0, "ok\n"},
@@ -59,7 +59,7 @@
 		if e, ok := err.(*exec.ExitError); ok {
 			code = e.ExitCode()
 		}
-		if code != c.code || !strings.Contains(string(out), c.says) || code == 2 && strings.Count(string(out), "\n") != 1 {
+		if code != c.code || !strings.Contains(string(out), c.output) || code == 2 && strings.Count(string(out), "\n") != 1 {
 			t.Errorf("%s: exit code %d, %q", c.args, code, out)
 		}
 	}
--- a/internal/decide/lease/table.go
+++ b/internal/decide/lease/table.go
@@ -94,7 +94,7 @@
 	case Acquire:
 		return d.acquire(index, c)
 	}
-	if !t.isFencingDisabled && !d.isHeldBy(c) {
+	if !t.isFencingDisabled && !d.belongsTo(c) {
 		found := fmt.Sprintf("token %d of %q", c.Token, c.Member)
 		expected := fmt.Sprintf("token %d of %q", d.Token, d.Holder)
 		return &RejectedError{c.Duty, ErrFenced, found, expected}
@@ -125,7 +125,7 @@
 	return nil
 }
 
-// isHeldBy reports whether a command is the present holder's own, under its present token.
-func (d *Duty) isHeldBy(c Command) bool {
+// belongsTo reports whether a command is the present holder's own, under its present token.
+func (d *Duty) belongsTo(c Command) bool {
 	return c.Token == d.Token && c.Member == d.Holder && c.Incarnation == d.Incarnation
 }
--- a/internal/decide/ring/rebalance.go
+++ b/internal/decide/ring/rebalance.go
@@ -97,15 +97,15 @@
 	return len(r.slotsOf[from]) > low && len(r.slotsOf[to]) < high
 }
 
-// mostRelieving returns the position among from's slots of the one whose migration relieves most and is worthwhile.
+// mostRelieving returns the position among from's slots of the one whose migration relieves most, by enough to pay for the migration.
 func (r *rebalancer) mostRelieving(from, to int) (position int, found bool) {
 	position, bestRelief := -1, 0.0
 	backends := r.table.backends
 	for n, slot := range r.slotsOf[from] {
 		load := r.slotLoad[slot]
 		relief := min(load, r.load[from]-r.load[to]*backends[from].Weight/backends[to].Weight-load)
-		isWorthwhile := relief >= minReliefOfLoad*load && relief*r.policy.ReliefHorizon.Seconds() > load*r.policy.FreezeTime.Seconds()
-		if relief > bestRelief && isWorthwhile {
+		isSufficient := relief >= minReliefOfLoad*load && relief*r.policy.ReliefHorizon.Seconds() > load*r.policy.FreezeTime.Seconds()
+		if relief > bestRelief && isSufficient {
 			position, bestRelief = n, relief
 		}
 	}
--- a/internal/fake/crashdisk/inode.go
+++ b/internal/fake/crashdisk/inode.go
@@ -39,10 +39,10 @@
 		return content
 	}
 	appended := n.data[len(n.synced):]
-	kept := random(len(appended) + 1)
-	content = append(content, appended[:kept]...)
-	if sizeOnly := random(3) == 0; sizeOnly && kept < len(appended) {
-		content = append(content, make([]byte, random(len(appended)-kept+1))...)
+	survivingBytes := random(len(appended) + 1)
+	content = append(content, appended[:survivingBytes]...)
+	if sizeOnly := random(3) == 0; sizeOnly && survivingBytes < len(appended) {
+		content = append(content, make([]byte, random(len(appended)-survivingBytes+1))...)
 	}
 	if n.lostTo > n.lostFrom {
 		clear(content[min(n.lostFrom, len(content)):min(n.lostTo, len(content))])
--- a/internal/front/amqp/outcome.go
+++ b/internal/front/amqp/outcome.go
@@ -14,8 +14,8 @@
 
 // Values of the outcome header of a reply.
 const (
-	replyFulfilled = "fulfilled"
-	replyScrapped  = "scrapped"
+	replyServed = "fulfilled"
+	replyFailed  = "scrapped"
 )
 
 // Reasons of a dead letter, as its consumers see them.
@@ -67,7 +67,7 @@
 	f.publishFor(m, "", m.delivery.ReplyTo, amqp.Publishing{
 		CorrelationId: m.delivery.CorrelationId,
 		Body:          result,
-		Headers:       amqp.Table{outcomeHeader: replyFulfilled},
+		Headers:       amqp.Table{outcomeHeader: replyServed},
 	})
 }
 
@@ -110,7 +110,7 @@
 		f.publishNumber++
 		f.session.submit(publish(f.publishNumber, "", m.delivery.ReplyTo, amqp.Publishing{
 			CorrelationId: m.delivery.CorrelationId,
-			Headers:       amqp.Table{outcomeHeader: replyScrapped, reasonHeader: reason},
+			Headers:       amqp.Table{outcomeHeader: replyFailed, reasonHeader: reason},
 		}))
 	}
 	f.publishFor(m, m.queue.DeadLetterExchange, m.queue.DeadLetterRoutingKey, deadLetterCopy(&m.delivery, reason))
--- a/internal/testutil/member/member.go
+++ b/internal/testutil/member/member.go
@@ -142,9 +142,9 @@
 func (m *Member) PublishApplied() {
 	applied, _ := m.Driver().Log.Applied()
 	m.recordMutex.Lock()
-	isNews := applied != m.record.AppliedIndex
+	hasChanged := applied != m.record.AppliedIndex
 	m.recordMutex.Unlock()
-	if isNews {
+	if hasChanged {
 		m.UpdateRecord(func(r *membership.Record) { r.AppliedIndex = applied })
 	}
 }
