--- a/cmd/thymechute/command_test.go
+++ b/cmd/thymechute/command_test.go
@@ -41,8 +41,8 @@
 		t.Fatal(err)
 	}
 	for _, c := range []struct {
-		args string
-		code int
+		args   string
+		code   int
 		output string
 	}{
 		{"version", 0, "thymechute "},
--- a/internal/front/amqp/outcome.go
+++ b/internal/front/amqp/outcome.go
@@ -15,7 +15,7 @@
 // Values of the outcome header of a reply.
 const (
 	replyServed = "fulfilled"
-	replyFailed  = "scrapped"
+	replyFailed = "scrapped"
 )
 
 // Reasons of a dead letter, as its consumers see them.
