--- a/internal/decide/configuration/repair.go
+++ b/internal/decide/configuration/repair.go
@@ -13,9 +13,9 @@
 	repairRetryJitter   = time.Second
 )
 
-// repair is a repair in progress. It builds the source's state beside the active one, by comparing digests, and the result is
-// activated only if its root is the one that the source gives for its version. Its size is bounded as that of a State, and
-// what it shares with the active one costs nothing.
+// repair is a repair in progress. It builds the source's state by comparing digests, and activates the result only if its root is
+// the one that the source reports for its version. The staged state is bounded like any State, and shares its equal parts
+// with the active one.
 type repair struct {
 	staged      *State
 	pending     []uint16 // buckets that differ, in order
@@ -79,7 +79,7 @@
 	r.staged = next
 	r.nextRequest = now
 	r.pending = slices.DeleteFunc(r.pending, func(index uint16) bool { return slices.Contains(repaired, index) })
-	if applyPartially {
+	if m.disabled.atomicity {
 		m.activate(now, next, reply.Position)
 		return nil
 	}
@@ -114,7 +114,7 @@
 		m.repair = nil // a delta has overtaken it
 		return nil
 	}
-	if next.root == source.Root || skipDigestCheck {
+	if next.root == source.Root || m.disabled.digestCheck {
 		m.history = &history{}
 		m.Counters.Repairs++
 		m.activate(now, next, source)
--- a/internal/decide/ring/budget_simulation_test.go
+++ b/internal/decide/ring/budget_simulation_test.go
@@ -7,8 +7,13 @@
 	"time"
 )
 
-// disabledGuards are the guards that a mutation takes out.
-type disabledGuards struct{ quotas, quotaExpiry, grantInterval, grantSplit bool }
+// disabledGuards are the guards that a simulation runs without, to prove that the check detects it.
+type disabledGuards struct {
+	quotas        bool // calls need no quota
+	quotaExpiry   bool // quotas outlive the lease
+	grantInterval bool // grants are proposed too early
+	grantSplit    bool // each member takes the whole grant
+}
 
 // logEntry is an entry of the simulated log: a grant, or an acknowledgement.
 type logEntry struct {
@@ -28,8 +33,8 @@
 	joinsAt                time.Duration
 }
 
-// budgetSimulation is a fleet that calls a backend in slow start as often as it may, through members that are cut off, suspended,
-// late to join and late to apply, leaders that change, entries lost and reordered.
+// budgetSimulation is a fleet that calls a backend in slow start as often as it may. Members are partitioned, suspended, join
+// late and apply the log late; leaders change; entries are lost and reordered.
 type budgetSimulation struct {
 	random                *rand.Rand
 	disabled              disabledGuards
@@ -60,7 +65,12 @@
 		table.backends[table.slots[f.slot]].WarmingUp = false
 	}
 	for n := range members {
-		m := &budgetMember{process: fmt.Sprintf("m%02d", n), clockRate: 1 + leaseTerms.MaxDrift*(2*f.random.Float64()-1), state: ReplicatedState{Active: table}, gate: NewCallGate(table)}
+		m := &budgetMember{
+			process:   fmt.Sprintf("m%02d", n),
+			clockRate: 1 + leaseTerms.MaxDrift*(2*f.random.Float64()-1),
+			state:     ReplicatedState{Active: table},
+			gate:      NewCallGate(table),
+		}
 		if n%8 == 7 {
 			m.joinsAt = 4 * time.Second
 		}
@@ -78,25 +88,27 @@
 // injectFaults starts and ends faults.
 func (f *budgetSimulation) injectFaults() {
 	if f.random.IntN(300) == 0 {
-		f.isIdle = !f.isIdle && f.random.IntN(3) == 0 // nobody calls; then all do at once
+		f.isIdle = !f.isIdle && f.random.IntN(3) == 0 // no member calls for a while, then all do
 	}
-	if f.isPartitioned != (f.now%f.faultCycle > f.faultCycle/4) { // most of the fleet receives nothing for a while, then all of it at once
+	// Most of the fleet receives no entry for a while, and then all of them in one tick.
+	if f.isPartitioned != (f.now%f.faultCycle > f.faultCycle/4) {
 		f.isPartitioned = !f.isPartitioned
 		for _, m := range f.members[len(f.members)/8:] {
 			m.isInboundCut = f.isPartitioned
 		}
 	}
-	switch m, what := f.members[f.random.IntN(len(f.members))], f.random.IntN(1000); {
-	case what < 20:
+	switch m, draw := f.members[f.random.IntN(len(f.members))], f.random.IntN(1000); {
+	case draw < 20:
 		m.isInboundCut = f.random.IntN(4) == 0
-	case what < 40:
+	case draw < 40:
 		m.isPaused = f.random.IntN(4) == 0
-	case what < 43 && !m.isPaused && !m.isInboundCut && f.now >= m.joinsAt && m.applied == len(f.log):
-		f.leader, f.controller = m, NewWarmUpController(f.clock(m), slowStart, callBudget, leaseTerms)
+	case draw < 43 && !m.isPaused && !m.isInboundCut && f.now >= m.joinsAt && m.applied == len(f.log):
+		f.leader = m
+		f.controller = NewWarmUpController(f.clock(m), slowStart, callBudget, leaseTerms)
 	}
 }
 
-// deliver brings entries into the log, some of them late or never.
+// deliver appends proposed entries to the log in any order; some are delayed or lost.
 func (f *budgetSimulation) deliver() {
 	for len(f.inFlight) > 0 && f.random.IntN(12) > 0 {
 		n := f.random.IntN(len(f.inFlight))
@@ -146,25 +158,26 @@
 		m.nextAck = f.clock(m) + leaseTerms.Duration/5
 	}
 	for n := 0; n < 3 && !f.isIdle; n++ {
-		if _, _, v := m.gate.Admit(f.clock(m), f.slot, NotIdempotent); v == Allow {
-			f.arrived, f.sent = append(f.arrived, f.now), f.sent+1
+		if _, _, decision := m.gate.Admit(f.clock(m), f.slot, NotIdempotent); decision == Allow {
+			f.arrived = append(f.arrived, f.now)
+			f.sent++
 		}
 	}
 }
 
 func (f *budgetSimulation) runLeader() {
 	f.controller.WeightedBackends(f.clock(f.leader), f.backends, f.leader.state.Active)
-	if p := f.controller.progress["new"]; p != nil {
-		f.allowed = max(f.allowed, callBudget.CallsAt(p.fraction))
+	if progress := f.controller.progress["new"]; progress != nil {
+		f.allowed = max(f.allowed, callBudget.CallsAt(progress.fraction))
 	}
 	isAlive := func(process string) bool { return f.now-f.lastAcknowledged[process] < 2*leaseTerms.Duration }
-	if l, due := f.controller.NextGrant(f.clock(f.leader), &f.leader.state, isAlive); due {
-		f.inFlight = append(f.inFlight, logEntry{grant: &l})
+	if grant, isDue := f.controller.NextGrant(f.clock(f.leader), &f.leader.state, isAlive); isDue {
+		f.inFlight = append(f.inFlight, logEntry{grant: &grant})
 	}
 }
 
-// simulateBudget runs such a fleet for 15 s. It returns the calls sent, and the most by which those of all members together within
-// a window exceeded the budget that the slow start allowed by its end.
+// simulateBudget runs such a fleet for 15 s. It returns the calls sent, and by how many the calls of all members within a
+// window exceeded the budget at its end, at most.
 func simulateBudget(seed uint64, members int, disabled disabledGuards) (sent, over int) {
 	f := newBudgetSimulation(seed, members, disabled)
 	for f.now < 15*time.Second {
