--- a/internal/fake/broker/broker_test.go
+++ b/internal/fake/broker/broker_test.go
@@ -10,7 +10,7 @@
 	amqp "github.com/rabbitmq/amqp091-go"
 )
 
-// The peer in these tests is the client library: another reading of the specification than this package's.
+// peer is a connection of the client library, which implements the specification independently of this package.
 type peer struct {
 	t    *testing.T
 	b    *Broker
@@ -52,9 +52,9 @@
 	}
 }
 
-func (p *peer) consume(credit int) {
+func (p *peer) consume(prefetch int) {
 	p.t.Helper()
-	err := p.ch.Qos(credit, 0, false)
+	err := p.ch.Qos(prefetch, 0, false)
 	if err == nil {
 		p.in, err = p.ch.Consume("q", "", false, false, false, false, nil)
 	}
@@ -76,10 +76,11 @@
 	return amqp.Delivery{}
 }
 
-func (b *Broker) expectQueue(t *testing.T, name string, ready, out int) {
+// expectQueue waits until the queue has that many ready and unacked messages.
+func (b *Broker) expectQueue(t *testing.T, name string, ready, unacked int) {
 	t.Helper()
-	if !b.WaitForQueue(name, func(s QueueState) bool { return s.Ready == ready && s.Unacked == out }) {
-		t.Errorf("%s: %+v, want %d ready, %d out", name, b.QueueState(name), ready, out)
+	if !b.WaitForQueue(name, func(s QueueState) bool { return s.Ready == ready && s.Unacked == unacked }) {
+		t.Errorf("%s: %+v, want %d ready, %d unacked", name, b.QueueState(name), ready, unacked)
 	}
 }
 
@@ -116,8 +117,8 @@
 	p := dial()
 	p.consume(3)
 	a, second, c := p.next(), p.next(), p.next()
-	b.expectQueue(t, "q", 2, 3) // no more than the credit
-	_ = second.Ack(true)        // a as well
+	b.expectQueue(t, "q", 2, 3) // no more than the prefetch limit
+	_ = second.Ack(true)        // settles a as well
 	d, e := p.next(), p.next()
 	_ = c.Reject(true)
 	if back := p.next(); back.MessageId != "c" || !back.Redelivered || back.Headers["x-delivery-count"] != int64(1) {
@@ -126,7 +127,7 @@
 	_ = d.Reject(false)
 	b.expectQueue(t, "dead", 1, 0)
 	p.conn.Close()
-	b.expectQueue(t, "q", 2, 0) // c and e are given back
+	b.expectQueue(t, "q", 2, 0) // c and e are requeued
 	p = dial()
 	p.consume(0)
 	if c, again := p.next(), p.next(); c.MessageId != "c" || again.MessageId != "e" || !again.Redelivered {
@@ -179,9 +180,9 @@
 
 func TestFaultIsInjectedOnce(t *testing.T) {
 	for _, c := range []struct {
-		do          FaultAction
-		want        string // how the peer gets the message, and whether again
-		otherConn   bool
+		action      FaultAction
+		want        string // ID of the message that the peer gets first
+		otherConn   bool   // it gets it on another connection
 		redelivered bool
 	}{
 		{"cut-before", "m", true, false}, // it was never sent
@@ -194,7 +195,7 @@
 		{"cancel", "m", true, false},
 		{"reorder", "n", false, false},
 	} {
-		b, dial := start(t, Fault{Point: "deliver", Nth: 1, Action: c.do})
+		b, dial := start(t, Fault{Point: "deliver", Nth: 1, Action: c.action})
 		b.Publish("", "q", Props{MessageID: "m"}, []byte("body"))
 		b.Publish("", "q", Props{MessageID: "n"}, []byte("body"))
 		p := dial()
@@ -207,17 +208,17 @@
 			case <-ended:
 			case <-cancelled:
 			case <-time.After(20 * time.Second):
-				t.Fatalf("%s: nothing happened", c.do)
+				t.Fatalf("%s: nothing happened", c.action)
 			}
 			p.conn.Close()
-			if !b.WaitForEvents("lost", 1) { // the peer knows of the end before the broker does
-				t.Fatalf("%s: not lost", c.do)
+			if !b.WaitForEvents("lost", 1) { // the peer learns of the end before the broker does
+				t.Fatalf("%s: not lost", c.action)
 			}
 			p = dial()
 			p.consume(1)
 		}
 		if d := p.next(); d.MessageId != c.want || d.Redelivered != c.redelivered {
-			t.Errorf("%s: %s, again %v", c.do, d.MessageId, d.Redelivered)
+			t.Errorf("%s: %s, redelivered %v", c.action, d.MessageId, d.Redelivered)
 		}
 	}
 }
@@ -233,7 +234,7 @@
 	b.CutNewest()
 	p = dial()
 	p.consume(0)
-	for range 2 { // and this time the broker hands it out twice
+	for range 2 { // the second delivery is injected twice
 		d := p.next()
 		if d.MessageId != "m" || !d.Redelivered {
 			t.Errorf("%+v", d)
@@ -243,7 +244,7 @@
 	b.expectQueue(t, "q", 0, 0)
 }
 
-func TestDelayedConfirmAndRefusedLogin(t *testing.T) {
+func TestDelayedConfirmAndRejectedLogin(t *testing.T) {
 	b, dial := start(t, Fault{Point: "publish", Nth: 1, Action: "late-confirm"}, Fault{Point: "publish", Nth: 2, Action: "refuse"}, Fault{Point: "login", Nth: 2, Action: "refuse"})
 	p := dial()
 	_ = p.ch.Confirm(false)
--- a/internal/fake/broker/codec_test.go
+++ b/internal/fake/broker/codec_test.go
@@ -110,7 +110,9 @@
 		case frameMethod:
 			method, err := DecodeMethod(frame.Payload)
 			want := Method{name, sampleArguments(methodsByID[methodIDs[name]].args)}
-			if err != nil || method.Name != name || len(method.Args)+len(want.Args) > 0 && !reflect.DeepEqual(method, want) {
+			hasArguments := len(method.Args)+len(want.Args) > 0
+			hasOtherArguments := hasArguments && !reflect.DeepEqual(method, want)
+			if err != nil || method.Name != name || hasOtherArguments {
 				t.Errorf("%s: decoded as %v, %v, expected %v", name, method, err, want)
 			}
 		case frameHeader:
--- a/internal/fake/broker/script.go
+++ b/internal/fake/broker/script.go
@@ -88,10 +88,13 @@
 
 // matches reports whether the fault is due at the n-th event of its point.
 func (f Fault) matches(point FaultPoint, n int) bool {
-	if f.Point != point {
+	if f.Point != point || n < f.Nth {
 		return false
 	}
-	return n == f.Nth || f.Every > 0 && n > f.Nth && (n-f.Nth)%f.Every == 0
+	if f.Every == 0 {
+		return n == f.Nth
+	}
+	return (n-f.Nth)%f.Every == 0
 }
 
 // ParseFault parses EVENT:NTH[+EVERY]:FAULT.
--- a/internal/fake/broker/server.go
+++ b/internal/fake/broker/server.go
@@ -3,8 +3,9 @@
 import (
 	"fmt"
 	"net"
-	"net/netip"
 	"sync"
+
+	"thymechute/internal/fake/loopback"
 )
 
 // server is the listener of a broker, and the goroutines of its connections.
@@ -13,10 +14,10 @@
 	goroutines sync.WaitGroup
 }
 
-// Start listens at a loopback address and returns the bound address.
+// Start listens at a loopback address and returns the bound address. Its error is a *loopback.AddressError or that of the listener.
 func (b *Broker) Start(address string) (string, error) {
-	if a, err := netip.ParseAddrPort(address); err != nil || !a.Addr().IsLoopback() {
-		return "", fmt.Errorf("broker: found %q, expected a loopback address and a port", address)
+	if _, err := loopback.Parse(address); err != nil {
+		return "", fmt.Errorf("broker: %w", err)
 	}
 	l, err := net.Listen("tcp", address)
 	if err != nil {
@@ -39,7 +40,7 @@
 	}
 }
 
-// Close closes all connections and ends the broker; it wakes who waits in WaitForQueue or WaitForEvents.
+// Close closes all connections and ends the broker; WaitForQueue and WaitForEvents return.
 func (b *Broker) Close() {
 	b.mu.Lock()
 	b.closed = true
--- a/internal/fake/broker/settle.go
+++ b/internal/fake/broker/settle.go
@@ -16,9 +16,15 @@
 }
 
 func (r tagRange) contains(tag uint64) bool {
-	return tag == r.tag || r.multiple && (tag < r.tag || r.tag == 0)
+	if !r.multiple {
+		return tag == r.tag
+	}
+	return tag <= r.tag || r.isAll()
 }
 
+// isAll reports whether the range stands for all unacked deliveries.
+func (r tagRange) isAll() bool { return r.multiple && r.tag == 0 }
+
 // settle settles unacked deliveries as acked, requeued or rejected. It returns false when the range names none, though it may
 // be empty when it stands for all.
 func (b *Broker) settle(ch *channel, tags tagRange, outcome EventKind) bool {
@@ -28,7 +34,7 @@
 			settled = append(settled, tag)
 		}
 	}
-	if len(settled) == 0 && !(tags.multiple && tags.tag == 0) {
+	if len(settled) == 0 && !tags.isAll() {
 		return false
 	}
 	slices.Sort(settled)
--- a/internal/fake/catalog/catalog.go
+++ b/internal/fake/catalog/catalog.go
@@ -11,11 +11,12 @@
 	"fmt"
 	"maps"
 	"net"
-	"net/netip"
 	"slices"
 	"strings"
 	"sync"
 	"time"
+
+	"thymechute/internal/fake/loopback"
 )
 
 const (
@@ -41,13 +42,13 @@
 	lastReport map[string]time.Time
 }
 
-// Start listens at a loopback address and returns the bound address.
+// Start listens at a loopback address and returns the bound address. Its error is a *loopback.AddressError or that of the socket.
 func Start(address string) (*Catalog, string, error) {
-	at, err := netip.ParseAddrPort(address)
-	if err != nil || !at.Addr().IsLoopback() {
-		return nil, "", fmt.Errorf("catalog: found %q, expected a loopback address and a port", address)
+	parsed, err := loopback.Parse(address)
+	if err != nil {
+		return nil, "", fmt.Errorf("catalog: %w", err)
 	}
-	socket, err := net.ListenUDP("udp", net.UDPAddrFromAddrPort(at))
+	socket, err := net.ListenUDP("udp", net.UDPAddrFromAddrPort(parsed))
 	if err != nil {
 		return nil, "", err
 	}
@@ -58,7 +59,7 @@
 	return c, socket.LocalAddr().String(), nil
 }
 
-// Close ends the catalog.
+// Close closes the socket and waits until the catalog no longer reads.
 func (c *Catalog) Close() {
 	c.socket.Close()
 	c.done.Wait()
@@ -98,10 +99,11 @@
 // parseReport returns the instance name of a report.
 func parseReport(report string) (name string, ok bool) {
 	words := strings.Fields(report)
-	if len(words) != 3 || words[0] != "alive" || words[2] != "passing" && words[2] != "critical" {
+	if len(words) != 3 || words[0] != "alive" {
 		return "", false
 	}
-	return words[1], true
+	isState := words[2] == "passing" || words[2] == "critical"
+	return words[1], isState
 }
 
 // Counts returns the counts so far.
--- a/internal/fake/crashdisk/crashdisk_test.go
+++ b/internal/fake/crashdisk/crashdisk_test.go
@@ -25,6 +25,70 @@
 	return b
 }
 
+// operation is what one step of TestMatchesRealDirectory does.
+type operation int
+
+const (
+	createFile operation = iota
+	appendToFile
+	appendAgain // as appendToFile, which is drawn twice as often as the others
+	renameFile
+	removeFile
+	truncateFile
+	operationCount
+)
+
+// directoryStep is one step of TestMatchesRealDirectory.
+type directoryStep struct {
+	operation operation
+	file      string
+	newName   string // of renameFile
+	text      []byte // of appendToFile
+}
+
+func drawStep(t *rapid.T) directoryStep {
+	return directoryStep{
+		file:      rapid.SampledFrom([]string{"a", "b", ".c", "d/e"}).Draw(t, "file"),
+		newName:   rapid.SampledFrom([]string{"a", "b"}).Draw(t, "to"),
+		operation: operation(rapid.IntRange(0, int(operationCount)-1).Draw(t, "step")),
+		text:      rapid.SliceOfN(rapid.Byte(), 0, 9).Draw(t, "text"),
+	}
+}
+
+// apply carries out the step in a directory. It returns the file that it opened, nil for none.
+func (s directoryStep) apply(directory disk.Directory) (opened disk.File, err error) {
+	switch s.operation {
+	case createFile:
+		return directory.Create(s.file)
+	case appendToFile, appendAgain:
+		if opened, err = directory.Open(s.file); err == nil {
+			_, err = opened.Append(s.text)
+		}
+	case renameFile:
+		err = directory.Rename(s.file, s.newName)
+	case removeFile:
+		err = directory.Remove(s.file)
+	case truncateFile:
+		if opened, err = directory.Open(s.file); err == nil {
+			size, _ := opened.Size()
+			err = errors.Join(opened.Truncate(size/2), opened.Sync(), directory.Sync())
+		}
+	}
+	return opened, err
+}
+
+// describe carries out the step and returns a text of its outcome, the directory's names and the file's content.
+func (s directoryStep) describe(t *rapid.T, directory disk.Directory) string {
+	opened, err := s.apply(directory)
+	names, listed := directory.Names()
+	outcome := fmt.Sprint(err == nil, errors.Is(err, os.ErrExist), errors.Is(err, os.ErrNotExist), names, listed)
+	if opened != nil {
+		outcome += fmt.Sprintf(" %q", read(t, opened))
+		opened.Close()
+	}
+	return outcome
+}
+
 // Without crashes and failures, the fake behaves as a real directory.
 func TestMatchesRealDirectory(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
@@ -37,42 +101,12 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		both := []disk.Directory{real, New().Directory()}
+		fake := New().Directory()
 		for range rapid.IntRange(1, 30).Draw(t, "steps") {
-			file := rapid.SampledFrom([]string{"a", "b", ".c", "d/e"}).Draw(t, "file")
-			to := rapid.SampledFrom([]string{"a", "b"}).Draw(t, "to")
-			step := rapid.IntRange(0, 5).Draw(t, "step")
-			text := rapid.SliceOfN(rapid.Byte(), 0, 9).Draw(t, "text")
-			var did [2]string
-			for n, f := range both {
-				var open disk.File
-				var err error
-				switch step {
-				case 0:
-					open, err = f.Create(file)
-				case 1, 2:
-					if open, err = f.Open(file); err == nil {
-						_, err = open.Append(text)
-					}
-				case 3:
-					err = f.Rename(file, to)
-				case 4:
-					err = f.Remove(file)
-				case 5:
-					if open, err = f.Open(file); err == nil {
-						size, _ := open.Size()
-						err = errors.Join(open.Truncate(size/2), open.Sync(), f.Sync())
-					}
-				}
-				names, listed := f.Names()
-				did[n] = fmt.Sprint(err == nil, errors.Is(err, os.ErrExist), errors.Is(err, os.ErrNotExist), names, listed)
-				if open != nil {
-					did[n] += fmt.Sprintf(" %q", read(t, open))
-					open.Close()
-				}
-			}
-			if did[0] != did[1] {
-				t.Fatalf("step %d of %s: %s, and the fake %s", step, file, did[0], did[1])
+			step := drawStep(t)
+			found, expected := step.describe(t, fake), step.describe(t, real)
+			if found != expected {
+				t.Fatalf("%+v: the fake gives %s, the real directory %s", step, found, expected)
 			}
 		}
 	})
--- a/internal/fake/faultnet/faultnet.go
+++ b/internal/fake/faultnet/faultnet.go
@@ -71,6 +71,7 @@
 	return nil
 }
 
+// loopbackIP returns the IP of an address; it returns ErrNotLoopback for any that is not of loopback.
 func loopbackIP(address string) (string, error) {
 	host, _, err := net.SplitHostPort(address)
 	if err != nil {
@@ -82,6 +83,7 @@
 	return host, nil
 }
 
+// addMember records the IP of a member; it returns ErrAddressTaken when another member has it.
 func (n *Network) addMember(name, ip string) error {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/internal/fake/faultnet/faultnet_test.go
+++ b/internal/fake/faultnet/faultnet_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// listen binds TCP and UDP on one loopback address: a member as faultnet sees it.
+// listen binds TCP and UDP on one loopback address, as a member does.
 func listen(t *testing.T, ip string) (net.Listener, net.PacketConn) {
 	t.Helper()
 	l, err := net.Listen("tcp", ip+":0")
@@ -17,7 +17,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { l.Close(); u.Close() })
+	t.Cleanup(func() {
+		l.Close()
+		u.Close()
+	})
 	return l, u
 }
 
@@ -43,55 +46,81 @@
 	return err == nil
 }
 
-func TestCutIsOneWayForDatagramsAndBothWaysForStreams(t *testing.T) {
-	n := New(1)
-	defer n.Close()
-	la, ua := listen(t, "127.0.3.1")
-	lb, ub := listen(t, "127.0.3.2")
-	fa := startProxy(t, n, "a", "127.0.4.1", la)
-	fb := startProxy(t, n, "b", "127.0.4.2", lb)
-	send := func(from net.PacketConn, to string) {
-		addr, _ := net.ResolveUDPAddr("udp", to)
-		if _, err := from.WriteTo([]byte("ping"), addr); err != nil {
-			t.Fatal(err)
-		}
-	}
-	send(ua, fb)
-	if !received(ub) {
+// pairOfMembers is two members, a and b, behind the proxies of a network.
+type pairOfMembers struct {
+	network            *Network
+	streamsA           net.Listener
+	datagramsA         net.PacketConn
+	datagramsB         net.PacketConn
+	proxyOfA, proxyOfB string
+}
+
+func startPair(t *testing.T) *pairOfMembers {
+	t.Helper()
+	p := &pairOfMembers{network: New(1)}
+	t.Cleanup(p.network.Close)
+	var streamsB net.Listener
+	p.streamsA, p.datagramsA = listen(t, "127.0.3.1")
+	streamsB, p.datagramsB = listen(t, "127.0.3.2")
+	p.proxyOfA = startProxy(t, p.network, "a", "127.0.4.1", p.streamsA)
+	p.proxyOfB = startProxy(t, p.network, "b", "127.0.4.2", streamsB)
+	return p
+}
+
+func sendDatagram(t *testing.T, from net.PacketConn, to string) {
+	t.Helper()
+	address, _ := net.ResolveUDPAddr("udp", to)
+	if _, err := from.WriteTo([]byte("ping"), address); err != nil {
+		t.Fatal(err)
+	}
+}
+
+// dialAFromB opens a stream from b to a's proxy.
+func (p *pairOfMembers) dialAFromB(t *testing.T) net.Conn {
+	t.Helper()
+	dialer := net.Dialer{LocalAddr: &net.TCPAddr{IP: net.ParseIP("127.0.3.2")}, Timeout: time.Second}
+	c, err := dialer.Dial("tcp", p.proxyOfA)
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { c.Close() })
+	return c
+}
+
+// A cut drops datagrams in its direction only, and both are counted.
+func TestCutIsOneWayForDatagrams(t *testing.T) {
+	p := startPair(t)
+	sendDatagram(t, p.datagramsA, p.proxyOfB)
+	if !received(p.datagramsB) {
 		t.Fatal("a to b: nothing came before any cut")
 	}
-	n.Cut("a", "b")
-	send(ua, fb)
-	if received(ub) {
+	p.network.Cut("a", "b")
+	sendDatagram(t, p.datagramsA, p.proxyOfB)
+	if received(p.datagramsB) {
 		t.Fatal("a to b came through the cut")
 	}
-	send(ub, fa)
-	if !received(ua) {
+	sendDatagram(t, p.datagramsB, p.proxyOfA)
+	if !received(p.datagramsA) {
 		t.Fatal("b to a: nothing came, but the cut is one way")
 	}
-	if forwarded, dropped := n.Counts("a", "b"); forwarded != 1 || dropped != 1 {
+	if forwarded, dropped := p.network.Counts("a", "b"); forwarded != 1 || dropped != 1 {
 		t.Fatalf("a to b: %d forwarded, %d dropped; want 1 and 1", forwarded, dropped)
 	}
+}
 
-	// a stream from b to a carries a's replies too, so the cut a to b refuses it
-	d := net.Dialer{LocalAddr: &net.TCPAddr{IP: net.ParseIP("127.0.3.2")}, Timeout: time.Second}
-	c, err := d.Dial("tcp", fa)
-	if err != nil {
-		t.Fatal(err)
-	}
-	_ = c.SetReadDeadline(time.Now().Add(time.Second))
-	if _, err := c.Read(make([]byte, 1)); err == nil {
+// A cut in either direction closes streams and rejects new ones, as a stream carries data both ways.
+func TestCutClosesStreamsOfBothDirections(t *testing.T) {
+	p := startPair(t)
+	p.network.Cut("a", "b")
+	rejected := p.dialAFromB(t)
+	_ = rejected.SetReadDeadline(time.Now().Add(time.Second))
+	if _, err := rejected.Read(make([]byte, 1)); err == nil {
 		t.Fatal("a stream across a cut stayed open")
 	}
-	c.Close()
 
-	n.Heal()
-	c, err = d.Dial("tcp", fa)
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer c.Close()
-	accepted, err := la.Accept()
+	p.network.Heal()
+	c := p.dialAFromB(t)
+	accepted, err := p.streamsA.Accept()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -99,14 +128,14 @@
 	if _, err := c.Write([]byte("x")); err != nil {
 		t.Fatal(err)
 	}
-	buf := make([]byte, 1)
+	buffer := make([]byte, 1)
 	_ = accepted.SetReadDeadline(time.Now().Add(time.Second))
-	if _, err := accepted.Read(buf); err != nil || buf[0] != 'x' {
+	if _, err := accepted.Read(buffer); err != nil || buffer[0] != 'x' {
 		t.Fatalf("after heal the stream carried nothing: %v", err)
 	}
-	n.Cut("b", "a") // a cut ends the streams already open between the two
+	p.network.Cut("b", "a")
 	_ = c.SetReadDeadline(time.Now().Add(time.Second))
-	if _, err := c.Read(buf); err == nil {
+	if _, err := c.Read(buffer); err == nil {
 		t.Fatal("an open stream outlived the cut")
 	}
 }
--- a/internal/fake/faultnet/proxy.go
+++ b/internal/fake/faultnet/proxy.go
@@ -24,12 +24,18 @@
 // forward copies in both directions until one ends, and closes both connections.
 func (p *pipe) forward() {
 	done := make(chan struct{}, 2)
-	go func() { _, _ = io.Copy(p.server, p.client); done <- struct{}{} }()
-	go func() { _, _ = io.Copy(p.client, p.server); done <- struct{}{} }()
+	go copyStream(p.server, p.client, done)
+	go copyStream(p.client, p.server, done)
 	<-done
 	p.close()
 }
 
+// copyStream copies until one of the connections ends, and signals done then.
+func copyStream(to, from net.Conn, done chan<- struct{}) {
+	_, _ = io.Copy(to, from)
+	done <- struct{}{}
+}
+
 // member is the name of the member that an address belongs to; empty for none.
 func (n *Network) member(a net.Addr) string {
 	host, _, _ := net.SplitHostPort(a.String())
--- a/internal/fake/faultnet/rules.go
+++ b/internal/fake/faultnet/rules.go
@@ -43,8 +43,12 @@
 	return admitted
 }
 
+// isCut reports whether a cut drops what is sent. A stream carries data in both directions, so a cut in either ends it.
 func (r *rules) isCut(p pair, kind transport) bool {
-	return r.cuts[p] || kind == stream && r.cuts[p.reversed()]
+	if kind == stream && r.cuts[p.reversed()] {
+		return true
+	}
+	return r.cuts[p]
 }
 
 // isLost draws whether a datagram is lost.
--- a/internal/fake/runtime/protocol.go
+++ b/internal/fake/runtime/protocol.go
@@ -141,11 +141,11 @@
 	r.notifyEnd(task, outcomeCut, 0, nil)
 }
 
-// notifyEnd sends the notification that a task has ended, and keeps it for connections that may miss it.
-func (r *Runtime) notifyEnd(task string, how outcome, runTime time.Duration, result []byte) {
+// notifyEnd sends the notification that a task has ended, and stores it for connections that may miss it.
+func (r *Runtime) notifyEnd(task string, ended outcome, runTime time.Duration, result []byte) {
 	r.lastIndex++
 	line := fmt.Appendf(nil, `{"verb":"end","index":%d,"task":%q,"outcome":%q,"spent":%g,"bytes":%q}`+"\n",
-		r.lastIndex, task, how, float64(runTime)/float64(time.Millisecond), base64.StdEncoding.EncodeToString(result))
+		r.lastIndex, task, ended, float64(runTime)/float64(time.Millisecond), base64.StdEncoding.EncodeToString(result))
 	r.notifications = append(r.notifications, line)
 	if len(r.notifications) > maxNotifications {
 		r.notifications = append([][]byte(nil), r.notifications[maxNotifications/2:]...)
@@ -161,6 +161,7 @@
 	}
 }
 
+// flush sends what was written to the connection that is served. Errors are found by the connection's reader.
 func (r *Runtime) flush() {
 	if r.connection != nil {
 		_ = r.connection.out.Flush()
--- a/internal/fake/runtime/runtime.go
+++ b/internal/fake/runtime/runtime.go
@@ -2,17 +2,18 @@
 // runs the tasks it is given, and ends each after its run time. Like the real runtime it keeps running when the program beside
 // it dies, and sends a new connection the notifications that it has missed. It never runs a task twice at a time.
 //
-// Its tables are the tasks that run (maxRuns; a further start is dropped) and the notifications, kept for connections that may
-// have missed them (maxNotifications; the oldest half goes). One mutex guards them; Work and the observers are called with it
-// held. Each connection has a goroutine, ended by Close.
+// Its tables are the tasks that run (maxRuns; a further start is dropped) and the notifications, stored for connections that may
+// have missed them (maxNotifications; beyond that the older half is dropped). One mutex guards them, and is locked while Work and
+// the observers are called. Each connection has a goroutine, ended by Close.
 package runtime
 
 import (
 	"fmt"
 	"net"
-	"net/netip"
 	"sync"
 	"time"
+
+	"thymechute/internal/fake/loopback"
 )
 
 // Bounds of the tables, and of a line of the protocol.
@@ -39,15 +40,16 @@
 	connection    *connection // the newest that has sent sync
 	synced        bool        // a connection has sent sync before
 	lastIndex     uint64      // of the last notification
-	firstIndex    uint64      // of the first notification that is kept
+	firstIndex    uint64      // of the first stored notification
 	notifications [][]byte
 	runs          map[string]*time.Timer // by task
 }
 
 // Start listens at a loopback address and returns the bound address. onStart is called for every task, in order, before work.
+// The error is a *loopback.AddressError or that of the listener.
 func Start(address string, work Work, onStart func(class string, body []byte)) (*Runtime, string, error) {
-	if a, err := netip.ParseAddrPort(address); err != nil || !a.Addr().IsLoopback() {
-		return nil, "", fmt.Errorf("runtime: found %q, expected a loopback address and a port", address)
+	if _, err := loopback.Parse(address); err != nil {
+		return nil, "", fmt.Errorf("runtime: %w", err)
 	}
 	l, err := net.Listen("tcp", address)
 	if err != nil {
--- a/internal/fake/stub/load_test.go
+++ b/internal/fake/stub/load_test.go
@@ -10,7 +10,8 @@
 	"time"
 )
 
-// server answers each request at once, but for what answer does first; it ends with the test.
+// server starts a server that passes each request, with its number from 1, to answer, and stops with the test. answer is called
+// for one request at a time.
 func server(t *testing.T, answer func(n int, c net.Conn, id int)) string {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -53,8 +54,8 @@
 		Request: func(int) Request { return Request{Class: "read", Tenant: "acme", Body: []byte("x"), MemoryKB: 1} }}
 }
 
-// A server that stands still for 300 ms keeps what was due meanwhile waiting, not one request only: of 400 a second
-// about 120, of which half waited over 150 ms. A closed loop would see one.
+// A server that stalls for 300 ms delays all requests that are due meanwhile, not only one: about 120 at 400 a second, half of
+// them by more than 150 ms. A closed-loop generator would measure one long latency.
 func TestServerStallShowsInTailLatency(t *testing.T) {
 	const stall = 300 * time.Millisecond
 	address := server(t, func(n int, c net.Conn, id int) {
@@ -73,7 +74,7 @@
 	}
 }
 
-// The same where the generator stands still: what was due counts from then, so that it can't excuse itself.
+// A stall of the generator shows in the same way: latency counts from the due time, so that the generator's own delay is part of it.
 func TestGeneratorStallShowsInTailLatency(t *testing.T) {
 	const stall = 300 * time.Millisecond
 	l := load(server(t, func(_ int, c net.Conn, id int) { serve(c, id) }))
@@ -109,7 +110,7 @@
 	}
 }
 
-// Each answer, or its lack, has an outcome of its own, and a request without an answer counts with its age.
+// Each kind of answer, and no answer, has an outcome of its own. The latency of a request without an answer is its age.
 func TestOutcomes(t *testing.T) {
 	address := server(t, func(n int, c net.Conn, id int) {
 		switch n % 5 {
@@ -171,7 +172,7 @@
 			c.Close()
 			return
 		}
-		if n%50 == 0 { // before the answer: it is still owed
+		if n%50 == 0 { // before the answer, which the server still sends
 			closings++
 			fmt.Fprintln(c, `{"jsonrpc":"2.0","method":"closing"}`)
 		}
@@ -190,7 +191,7 @@
 		t.Errorf("%d of %d served, %d lost", served, len(samples), lost)
 	}
 	if len(seen) < l.Connections+closings/2 {
-		t.Errorf("%d connections, %d at first, %d told to close", len(seen), l.Connections, closings)
+		t.Errorf("%d connections, %d at first, %d notified", len(seen), l.Connections, closings)
 	}
 }
 
