--- a/internal/fleet/consensus/heartbeats_test.go
+++ b/internal/fleet/consensus/heartbeats_test.go
@@ -40,8 +40,8 @@
 // Membership detects a failure seconds after the log's heartbeats do. Meanwhile no failed peer may be promoted, and no voter
 // added beside failed ones: with three of six voters failed the quorum would be lost permanently.
 func TestUnreachablePeerIsNotPromoted(t *testing.T) {
-	address := testutil.FreePort(t, "127.0.60.4")
-	a := startLog(t, Config{Process: "a#1", Bind: testutil.FreePort(t, "127.0.60.3"), Bootstrap: true})
+	address := testutil.FreeAddressOn(t, "127.0.60.4")
+	a := startLog(t, Config{Process: "a#1", Bind: testutil.FreeAddressOn(t, "127.0.60.3"), Bootstrap: true})
 	b := startLog(t, Config{Process: "b#1", Bind: address})
 	defer func() { _ = a.Stop() }()
 	testutil.Eventually(t, "a leader", func() bool { return a.raft.State() == raft.Leader })
--- a/internal/fleet/consensus/transport_test.go
+++ b/internal/fleet/consensus/transport_test.go
@@ -30,8 +30,8 @@
 // A process that starts without state at an address where another has voted must not vote, nor acknowledge an entry, in its
 // place: entries that the predecessor has lost would count as committed, and one vote could be given twice in a term.
 func TestRestartedProcessDoesNotAnswerForItsPredecessor(t *testing.T) {
-	address := testutil.FreePort(t, "127.0.60.2")
-	a := startLog(t, Config{Process: "a#1", Bind: testutil.FreePort(t, "127.0.60.1"), Bootstrap: true})
+	address := testutil.FreeAddressOn(t, "127.0.60.2")
+	a := startLog(t, Config{Process: "a#1", Bind: testutil.FreeAddressOn(t, "127.0.60.1"), Bootstrap: true})
 	b := startLog(t, Config{Process: "b#1", Bind: address})
 	defer func() { _ = a.Stop() }()
 	testutil.Eventually(t, "a leader", func() bool { return a.raft.State() == raft.Leader })
--- a/internal/fleet/membership/member_test.go
+++ b/internal/fleet/membership/member_test.go
@@ -202,7 +202,7 @@
 // freeAddress returns an address free for TCP and UDP on the n-th member's own loopback IP, 127.0.5.n: its listeners and its
 // outgoing connections do not take a port of 127.0.0.1 that another test has picked and is about to bind.
 func freeAddress(t *testing.T, n int) string {
-	return testutil.FreePort(t, fmt.Sprintf("127.0.5.%d", n))
+	return testutil.FreeAddressOn(t, fmt.Sprintf("127.0.5.%d", n))
 }
 
 // start starts a member process. environment is added to the test's own.
--- a/internal/testutil/cluster.go
+++ b/internal/testutil/cluster.go
@@ -25,8 +25,8 @@
 )
 
 const (
-	waitLimit       = 25 * time.Second
-	reportedOnLimit = 20 // number of last events in the message of a failed wait
+	clusterWaitTimeout = 25 * time.Second
+	maxReportedEvents  = 20 // last events in the message of a failed wait
 )
 
 // Cluster runs several processes of the test's own binary behind a fault network. Each process writes events of type E to its
@@ -76,8 +76,8 @@
 	return c
 }
 
-// FreePort returns an address on a loopback IP with a port that is free for TCP and UDP.
-func FreePort(t testing.TB, ip string) string {
+// FreeAddressOn returns an address on a loopback IP with a port that is free for TCP and UDP.
+func FreeAddressOn(t testing.TB, ip string) string {
 	address, err := faultnet.FreeAddress(ip)
 	if err != nil {
 		t.Fatal(err)
@@ -88,8 +88,8 @@
 // StartProxy chooses an address to bind for a member, 127.0.subnet.n, and one at which others reach it through the fault
 // network, 127.0.subnet+1.n.
 func StartProxy(t testing.TB, network *faultnet.Network, name string, subnet, n int) (bind, proxy string) {
-	bind = FreePort(t, fmt.Sprintf("127.0.%d.%d", subnet, n))
-	proxy = FreePort(t, fmt.Sprintf("127.0.%d.%d", subnet+1, n))
+	bind = FreeAddressOn(t, fmt.Sprintf("127.0.%d.%d", subnet, n))
+	proxy = FreeAddressOn(t, fmt.Sprintf("127.0.%d.%d", subnet+1, n))
 	if err := network.StartProxy(name, bind, proxy); err != nil {
 		t.Fatal(err)
 	}
@@ -221,11 +221,11 @@
 	return last
 }
 
-// WaitFor returns the first matching event with an index of at least first, and waits for it if necessary. After waitLimit the
+// WaitFor returns the first matching event with an index of at least first, and waits for it if necessary. After clusterWaitTimeout the
 // test fails.
 func (c *Cluster[E]) WaitFor(what string, first int, matches func(E) bool) E {
 	c.t.Helper()
-	limit := time.After(waitLimit)
+	timeout := time.After(clusterWaitTimeout)
 	for {
 		events := c.Events()
 		for _, event := range events[first:] {
@@ -236,8 +236,8 @@
 		first = len(events)
 		select {
 		case <-c.newEvent:
-		case <-limit:
-			c.t.Fatalf("no %s; the last events: %+v", what, events[max(len(events)-reportedOnLimit, 0):])
+		case <-timeout:
+			c.t.Fatalf("no %s; the last events: %+v", what, events[max(len(events)-maxReportedEvents, 0):])
 		}
 	}
 }
