--- a/cmd/testbed/configuration.go
+++ b/cmd/testbed/configuration.go
@@ -23,10 +23,11 @@
 	c := newExperimentCommand("configuration", "A day's changes of configuration with faults, in the emulator",
 		sizeRange{defaultSize: 1200, minSize: 24, maxSize: 3000, unit: "members, in 4 regions"}, func(t trialOptions) (*lab.Report, error) {
 			scenario := emulator.NewConfigurationScenario(t.size)
-			if maxZones := t.size / minMeanZoneSize; zones != 0 && (zones < scenario.Regions || zones > maxZones) {
-				return nil, usageError{fmt.Errorf("--zones: found %d, expected %d to %d", zones, scenario.Regions, maxZones)}
-			}
 			if zones != 0 {
+				maxZones := t.size / minMeanZoneSize
+				if zones < scenario.Regions || zones > maxZones {
+					return nil, usageError{fmt.Errorf("--zones: found %d, expected %d to %d", zones, scenario.Regions, maxZones)}
+				}
 				scenario.Zones = zones
 			}
 			before := processorSeconds()
@@ -47,15 +48,15 @@
 	r := &lab.Report{}
 	metrics := result.Metrics()
 	for _, name := range slices.Sorted(maps.Keys(metrics)) {
-		r.Put(name, metrics[name])
+		r.AddFigure(name, metrics[name])
 	}
-	r.Put("emulated_s", scenario.Duration.Seconds())
-	r.Put("cpu_s_emulation", processorTime)
+	r.AddFigure("emulated_s", scenario.Duration.Seconds())
+	r.AddFigure("cpu_s_emulation", processorTime)
 	stateBytes, historyBytes := emulator.ConfigurationMemory(scenario)
-	r.Put("state_bytes_member", float64(stateBytes))
-	r.Put("history_bytes_member", float64(historyBytes))
+	r.AddFigure("state_bytes_member", float64(stateBytes))
+	r.AddFigure("history_bytes_member", float64(historyBytes))
 	for _, violation := range result.Violations() {
-		r.Fault("%v", violation)
+		r.AddFault("%v", violation)
 	}
 	return r
 }
--- a/cmd/testbed/emulator_experiments.go
+++ b/cmd/testbed/emulator_experiments.go
@@ -23,24 +23,24 @@
 }
 
 func compareSubsets(t trialOptions, subsetSize int) (*lab.Report, error) {
-	const maxSubsetSize, measuredSteps = 64, 20
+	const maxSubsetSize, measuredSteps, minBackends, membersPerBackend = 64, 20, 6, 4
 	if subsetSize < 1 || subsetSize > maxSubsetSize {
 		return nil, usageError{fmt.Errorf("--subset: found %d, expected 1 to %d", subsetSize, maxSubsetSize)}
 	}
-	options := emulator.SubsetOptions{Members: t.size, Backends: max(6, t.size/4), SubsetSize: subsetSize,
+	options := emulator.SubsetOptions{Members: t.size, Backends: max(minBackends, t.size/membersPerBackend), SubsetSize: subsetSize,
 		Seed: t.seed, MaxMeasuredSteps: measuredSteps}
 	figures, err := emulator.CompareSubsets(options)
 	if err != nil {
 		return nil, usageError{err}
 	}
 	r := &lab.Report{}
-	r.Put("members_most", float64(options.Members))
-	r.Put("below", float64(options.Backends))
-	r.Put("subset_size", float64(options.SubsetSize))
+	r.AddFigure("members_most", float64(options.Members))
+	r.AddFigure("below", float64(options.Backends))
+	r.AddFigure("subset_size", float64(options.SubsetSize))
 	for _, f := range figures {
-		r.Put(string(f.Strategy)+"_spread_max_over_mean", f.WorstImbalance)
-		r.Put(string(f.Strategy)+"_churn_members_over_minimum", f.MemberChurn)
-		r.Put(string(f.Strategy)+"_churn_below_over_minimum", f.BackendChurn)
+		r.AddFigure(string(f.Strategy)+"_spread_max_over_mean", f.WorstImbalance)
+		r.AddFigure(string(f.Strategy)+"_churn_members_over_minimum", f.MemberChurn)
+		r.AddFigure(string(f.Strategy)+"_churn_below_over_minimum", f.BackendChurn)
 		if f.Strategy == subset.StrategyDeterministic {
 			checkSubsets(r, f)
 		}
@@ -51,10 +51,10 @@
 // checkSubsets checks the strategy that the program uses: load imbalance at stable views, and churn by members over the minimum.
 func checkSubsets(r *lab.Report, f emulator.StrategyFigures) {
 	const maxImbalance, maxChurn = 1.10, 1.5
-	r.Put("subset_max_over_mean", f.WorstImbalance)
-	r.Put("subset_churn_over_minimum", f.MemberChurn)
+	r.AddFigure("subset_max_over_mean", f.WorstImbalance)
+	r.AddFigure("subset_churn_over_minimum", f.MemberChurn)
 	if f.WorstImbalance > maxImbalance || f.MemberChurn > maxChurn {
-		r.Fault("spread %.3f (at most %.2f), churn %.2f (at most %.1f)", f.WorstImbalance, maxImbalance, f.MemberChurn, maxChurn)
+		r.AddFault("spread %.3f (at most %.2f), churn %.2f (at most %.1f)", f.WorstImbalance, maxImbalance, f.MemberChurn, maxChurn)
 	}
 }
 
@@ -71,15 +71,15 @@
 		return nil, err
 	}
 	r := &lab.Report{}
-	r.Zero("owners_at_once", f.ConcurrentHolders)
-	r.Put("stale_tried", float64(f.StaleProposed))
-	r.Zero("stale_accepted", f.StaleAccepted)
-	r.Zero("stale_acted_on", f.StaleAdmitted)
-	r.Put("decisions", float64(f.Decisions))
-	r.Zero("tables_that_differ", f.DivergedTables)
-	r.Put("takeover_ms_p99", float64(f.TakeoverP99.Milliseconds()))
+	r.ExpectZero("owners_at_once", f.ConcurrentHolders)
+	r.AddFigure("stale_tried", float64(f.StaleProposed))
+	r.ExpectZero("stale_accepted", f.StaleAccepted)
+	r.ExpectZero("stale_acted_on", f.StaleAdmitted)
+	r.AddFigure("decisions", float64(f.Decisions))
+	r.ExpectZero("tables_that_differ", f.DivergedTables)
+	r.AddFigure("takeover_ms_p99", float64(f.TakeoverP99.Milliseconds()))
 	if f.StaleProposed == 0 || f.TakeoverP99 > maxTakeover {
-		r.Fault("%d stale commands proposed, takeover %v; expected some, and %v at most", f.StaleProposed, f.TakeoverP99, maxTakeover)
+		r.AddFault("%d stale commands proposed, takeover %v; expected some, and %v at most", f.StaleProposed, f.TakeoverP99, maxTakeover)
 	}
 	return r, nil
 }
@@ -91,28 +91,36 @@
 }
 
 func compareRing(t trialOptions) (*lab.Report, error) {
-	const maxMoved, maxOverFair = 1, 1.05
-	scenario := emulator.RingScenario{Backends: t.size, Slots: 4096, Keys: 100_000, Seed: t.seed}
-	if t.size > 60 {
-		scenario.Slots, scenario.Keys = 1<<16, 1_000_000
+	const (
+		maxMoved     = 1
+		maxOverFair  = 1.05
+		maxSmallRing = 60 // backends, with the smaller numbers of slots and keys
+		slots, keys  = 4096, 100_000
+		manySlots    = 1 << 16
+		manyKeys     = 1_000_000
+	)
+	scenario := emulator.RingScenario{Backends: t.size, Slots: slots, Keys: keys, Seed: t.seed}
+	if t.size > maxSmallRing {
+		scenario.Slots = manySlots
+		scenario.Keys = manyKeys
 	}
 	f, err := emulator.CompareRing(scenario)
 	if err != nil {
 		return nil, err
 	}
 	r := &lab.Report{}
-	r.Put("moved_over_least", f.MigrationsOverMinimum)
-	r.Put("max_over_fair", f.SlotsOverFair)
-	r.Put("table_bytes", float64(f.TableBytes))
-	r.Put("plan_ms_most", float64(f.SlowestPlan.Microseconds())/1000)
-	r.Put("slots", float64(scenario.Slots))
-	r.Put("keys", float64(scenario.Keys))
+	r.AddFigure("moved_over_least", f.MigrationsOverMinimum)
+	r.AddFigure("max_over_fair", f.SlotsOverFair)
+	r.AddFigure("table_bytes", float64(f.TableBytes))
+	r.AddFigure("plan_ms_most", float64(f.SlowestPlan.Microseconds())/1000)
+	r.AddFigure("slots", float64(scenario.Slots))
+	r.AddFigure("keys", float64(scenario.Keys))
 	for _, a := range f.Algorithms {
-		r.Put(a.Algorithm+"_keys_moved_over_least", a.MovedOverMinimum)
-		r.Put(a.Algorithm+"_keys_max_over_fair", a.MaxOverFair)
+		r.AddFigure(a.Algorithm+"_keys_moved_over_least", a.MovedOverMinimum)
+		r.AddFigure(a.Algorithm+"_keys_max_over_fair", a.MaxOverFair)
 	}
 	if f.MigrationsOverMinimum > maxMoved || f.SlotsOverFair > maxOverFair {
-		r.Fault("%.3f times the fewest migrations, %.3f times the fair share of slots; expected %d and %.2f at most",
+		r.AddFault("%.3f times the fewest migrations, %.3f times the fair share of slots; expected %d and %.2f at most",
 			f.MigrationsOverMinimum, f.SlotsOverFair, maxMoved, maxOverFair)
 	}
 	return r, nil
@@ -125,9 +133,10 @@
 }
 
 func runRollout(t trialOptions) (*lab.Report, error) {
-	scenario := emulator.RolloutScenario{Instances: t.size, Zones: 3, Seed: t.seed}
-	if t.size >= 300 {
-		scenario.Zones = 6
+	const zones, manyZones, minSizeOfManyZones = 3, 6, 300
+	scenario := emulator.RolloutScenario{Instances: t.size, Zones: zones, Seed: t.seed}
+	if t.size >= minSizeOfManyZones {
+		scenario.Zones = manyZones
 	}
 	undisturbed, err := emulator.Rollout(scenario)
 	if err != nil {
@@ -139,16 +148,16 @@
 		return nil, err
 	}
 	r := &lab.Report{}
-	r.Put("zone_capacity_over_floor_min", f.MinCapacityOverRequired)
-	r.Put("undisturbed_capacity_over_floor_min", undisturbed.MinCapacityOverRequired)
-	r.Put("capacity_over_load_min", f.MinCapacityOverLoad)
-	r.Put("waves", float64(f.Waves))
-	r.Put("waves_over_bound", wavesOverBound(f))
-	r.Zero("drained_twice", f.DuplicateDrains)
-	r.Put("voters_away_most", float64(f.MaxVotersDraining))
-	r.Put("rolled", f.CompletedFraction)
-	r.Put("took_s", f.Duration.Seconds())
-	r.Put("undisturbed_took_s", undisturbed.Duration.Seconds())
+	r.AddFigure("zone_capacity_over_floor_min", f.MinCapacityOverRequired)
+	r.AddFigure("undisturbed_capacity_over_floor_min", undisturbed.MinCapacityOverRequired)
+	r.AddFigure("capacity_over_load_min", f.MinCapacityOverLoad)
+	r.AddFigure("waves", float64(f.Waves))
+	r.AddFigure("waves_over_bound", wavesOverBound(f))
+	r.ExpectZero("drained_twice", f.DuplicateDrains)
+	r.AddFigure("voters_away_most", float64(f.MaxVotersDraining))
+	r.AddFigure("rolled", f.CompletedFraction)
+	r.AddFigure("took_s", f.Duration.Seconds())
+	r.AddFigure("undisturbed_took_s", undisturbed.Duration.Seconds())
 	checkRollout(r, f, undisturbed)
 	return r, nil
 }
@@ -159,18 +168,18 @@
 func checkRollout(r *lab.Report, f, undisturbed emulator.RolloutFigures) {
 	const maxWaves, rounding = 1.15, 1e-9
 	if f.MinCapacityOverRequired < 1 || undisturbed.MinCapacityOverRequired < 1 {
-		r.Fault("a zone's capacity was %.3f times the required, %.3f undisturbed; expected 1 at least", f.MinCapacityOverRequired, undisturbed.MinCapacityOverRequired)
+		r.AddFault("a zone's capacity was %.3f times the required, %.3f undisturbed; expected 1 at least", f.MinCapacityOverRequired, undisturbed.MinCapacityOverRequired)
 	}
 	if waves := wavesOverBound(f); waves > maxWaves {
-		r.Fault("%.3f times the bound on waves, expected %.2f at most", waves, maxWaves)
+		r.AddFault("%.3f times the bound on waves, expected %.2f at most", waves, maxWaves)
 	}
 	if f.MaxVotersDraining > 1 {
-		r.Fault("%d voters draining at once, expected 1 at most", f.MaxVotersDraining)
+		r.AddFault("%d voters draining at once, expected 1 at most", f.MaxVotersDraining)
 	}
 	if f.CompletedFraction < 1-rounding || undisturbed.CompletedFraction < 1-rounding {
-		r.Fault("%.3f of the instances were replaced, %.3f undisturbed; expected all", f.CompletedFraction, undisturbed.CompletedFraction)
+		r.AddFault("%.3f of the instances were replaced, %.3f undisturbed; expected all", f.CompletedFraction, undisturbed.CompletedFraction)
 	}
 	if !f.IsInfeasibleRejected {
-		r.Fault("a required capacity that cannot be kept was not rejected")
+		r.AddFault("a required capacity that cannot be kept was not rejected")
 	}
 }
--- a/cmd/testbed/experiment_test.go
+++ b/cmd/testbed/experiment_test.go
@@ -22,20 +22,20 @@
 	}{
 		{name: "holds", run: func(t trialOptions) (*lab.Report, error) {
 			r := &lab.Report{}
-			r.Put("b_ms", float64(t.size))
-			r.Zero("a", 0)
+			r.AddFigure("b_ms", float64(t.size))
+			r.ExpectZero("a", 0)
 			t.progress("half way")
 			return r, nil
 		}, out: "b_ms 7\na    0\n", errs: "half way\n"},
 		{name: "as JSON", args: "--json --size 9 --seed 3", run: func(t trialOptions) (*lab.Report, error) {
 			r := &lab.Report{}
-			r.Put("seed", float64(t.seed))
-			r.Put("b_ms", float64(t.size))
+			r.AddFigure("seed", float64(t.seed))
+			r.AddFigure("b_ms", float64(t.size))
 			return r, nil
 		}, out: `{"b_ms":9,"seed":3}` + "\n"},
 		{name: "does not hold", run: func(trialOptions) (*lab.Report, error) {
 			r := &lab.Report{}
-			r.Zero("lost", 2)
+			r.ExpectZero("lost", 2)
 			return r, nil
 		}, out: "lost 2\n", errs: "lost is 2, expected 0\n", err: "try: its claim does not hold"},
 		{name: "not tried", run: func(trialOptions) (*lab.Report, error) { return nil, failed }, err: failed.Error()},
--- a/cmd/testbed/main_test.go
+++ b/cmd/testbed/main_test.go
@@ -13,13 +13,13 @@
 	"time"
 )
 
-// runLimit is the longest that one command of these tests may take.
-const runLimit = 60 * time.Second
+// commandTimeout bounds one command of these tests.
+const commandTimeout = 60 * time.Second
 
-// outside runs an executable with no Go tool at hand, in a folder that is in no repository.
-func outside(t *testing.T, executable string, args ...string) (out, errs string, code int) {
+// runOutsideRepository runs an executable in a directory outside the repository, without PATH and so without Go's tools.
+func runOutsideRepository(t *testing.T, executable string, args ...string) (out, errs string, code int) {
 	t.Helper()
-	ctx, cancel := context.WithTimeout(t.Context(), runLimit)
+	ctx, cancel := context.WithTimeout(t.Context(), commandTimeout)
 	defer cancel()
 	c := exec.CommandContext(ctx, executable, args...)
 	var stdout, stderr bytes.Buffer
@@ -33,7 +33,7 @@
 	return stdout.String(), stderr.String(), c.ProcessState.ExitCode()
 }
 
-// An experiment runs from any folder, with the program that stands beside testbed; without one it says what is missing.
+// An experiment runs from any directory with the thymechute executable beside testbed; without it, the error names what is missing.
 func TestExperimentRunsOutsideTheRepository(t *testing.T) {
 	folder := t.TempDir()
 	if out, err := exec.Command("go", "build", "-o", folder, "thymechute/cmd/thymechute", "thymechute/cmd/testbed").CombinedOutput(); err != nil {
@@ -41,7 +41,7 @@
 	}
 	testbed, program := filepath.Join(folder, "testbed"), filepath.Join(folder, "thymechute")
 
-	out, errs, code := outside(t, testbed, "run", "amqp-storm", "--size", "200", "--json")
+	out, errs, code := runOutsideRepository(t, testbed, "run", "amqp-storm", "--size", "200", "--json")
 	figures := map[string]float64{}
 	if err := json.Unmarshal([]byte(out), &figures); err != nil || code != 0 || figures["read"] < 200 {
 		t.Errorf("exit code %d, %v, %s%s", code, err, out, errs)
@@ -50,7 +50,7 @@
 	if err := os.Remove(program); err != nil {
 		t.Fatal(err)
 	}
-	out, errs, code = outside(t, testbed, "run", "amqp-storm", "--size", "200", "--json")
+	out, errs, code = runOutsideRepository(t, testbed, "run", "amqp-storm", "--size", "200", "--json")
 	for _, part := range []string{program, "found nothing", "expected the executable thymechute", "go build -o bin/ ./cmd/..."} {
 		if !strings.Contains(errs, part) {
 			t.Errorf("%q does not say %q", errs, part)
@@ -61,8 +61,8 @@
 	}
 }
 
-// The fakes start by "fake" and by the former "stand", which scripts and pages still use.
-func TestFakesHaveTheirFormerCommandName(t *testing.T) {
+// The fakes start by "fake" and by its alias "stand", which existing scripts use.
+func TestFakeCommandHasItsAlias(t *testing.T) {
 	for _, group := range []string{"fake", "stand"} {
 		for _, name := range []string{"broker", "runtime"} {
 			command, rest, err := newRootCommand().Find([]string{group, name})
--- a/cmd/testbed/program_experiments.go
+++ b/cmd/testbed/program_experiments.go
@@ -40,7 +40,7 @@
 			return nil, err
 		}
 		defer os.RemoveAll(folder)
-		return run(program, folder, options.seed, options.size, options.progress)
+		return run(lab.Options{Program: program, Folder: folder, Seed: options.seed, Size: options.size, Progress: options.progress})
 	}
 }
 
--- a/cmd/testbed/scale.go
+++ b/cmd/testbed/scale.go
@@ -23,32 +23,37 @@
 // scalePartTimeout bounds the run of one part.
 const scalePartTimeout = 15 * time.Minute
 
+// scaleOptions are the flags of scaleCommand.
+type scaleOptions struct {
+	part   string // empty for all parts
+	seed   uint64
+	asJSON bool
+}
+
 // scaleCommand runs the scale measurements, all parts or one of them.
 func scaleCommand() *cobra.Command {
-	var part string
-	var seed uint64
-	var asJSON bool
+	var options scaleOptions
 	c := &cobra.Command{Use: "scale", Short: "How each role's state, messages, time and memory grow, extrapolated to 1,200 instances",
 		Args: cobra.NoArgs, RunE: func(c *cobra.Command, _ []string) error {
-			parts, err := selectParts(part)
+			parts, err := selectParts(options.part)
 			if err != nil {
 				return usageError{err}
 			}
 			for _, p := range parts {
-				if err := runPart(c, p, seed, asJSON); err != nil {
+				if err := runPart(c, p, options); err != nil {
 					return err
 				}
 			}
 			return nil
 		}}
-	c.Flags().StringVar(&part, "part", "", "run only this part: "+partNames())
-	c.Flags().Uint64Var(&seed, "seed", 1, "seed of the faults' positions and of the instances")
-	c.Flags().BoolVar(&asJSON, "json", false, "print one JSON object per part")
+	c.Flags().StringVar(&options.part, "part", "", "run only this part: "+partNames())
+	c.Flags().Uint64Var(&options.seed, "seed", 1, "seed of the faults' positions and of the instances")
+	c.Flags().BoolVar(&options.asJSON, "json", false, "print one JSON object per part")
 	return c
 }
 
-// runPart runs one part in a temporary directory and prints its result.
-func runPart(c *cobra.Command, part scale.Part, seed uint64, asJSON bool) error {
+// runPart runs one part in a temporary directory and prints its result. A claim that does not hold is an error.
+func runPart(c *cobra.Command, part scale.Part, flags scaleOptions) error {
 	program, err := programPath()
 	if err != nil {
 		return err
@@ -61,11 +66,11 @@
 	ctx, cancel := context.WithTimeout(c.Context(), scalePartTimeout)
 	defer cancel()
 	progress := func(line string) { fmt.Fprintln(c.ErrOrStderr(), line) }
-	result, err := part.Run(ctx, scale.Options{Seed: seed, Folder: folder, Program: program, Progress: progress})
+	result, err := part.Run(ctx, scale.Options{Seed: flags.seed, Folder: folder, Program: program, Progress: progress})
 	if err != nil {
 		return fmt.Errorf("scale, part %s: %w", part.Name(), err)
 	}
-	if asJSON {
+	if flags.asJSON {
 		err = result.WriteJSON(c.OutOrStdout())
 	} else {
 		result.WriteText(c.OutOrStdout())
--- a/internal/lab/amqp.go
+++ b/internal/lab/amqp.go
@@ -19,13 +19,13 @@
 
 // AMQP is the experiment on the AMQP consumer: two instances at a broker that loses acks, closes connections within a batch and
 // restarts once, with one instance killed and started anew; then the CPU cost beside the JSON-RPC front.
-func AMQP(program, folder string, seed uint64, size int, progress func(string)) (*Report, error) {
-	r := run{program, folder, seed, size, progress}
+func AMQP(options Options) (*Report, error) {
+	r := run{options}
 	report := &Report{}
 	if err := r.amqpFaults(report); err != nil {
 		return report, err
 	}
-	r.size = max(size/5, minCostSize)
+	r.Size = max(r.Size/5, minCostSize)
 	return report, r.amqpCost(report)
 }
 
@@ -41,7 +41,7 @@
 	if err != nil {
 		return err
 	}
-	r.progress(fmt.Sprintf("%d messages, half of them %s", r.size, rig.ClassExcursion))
+	r.Progress(fmt.Sprintf("%d messages, half of them %s", r.Size, rig.ClassExcursion))
 	f := &faultRun{run: r, recorded: recorded, pair: pair, lastDelivery: time.Now(), lastProgress: time.Now()}
 	begin := time.Now()
 	drainError, err := f.untilDrained(begin.Add(maxRunTime))
@@ -49,23 +49,23 @@
 		return err
 	}
 	if drainError != "" {
-		report.Fault("%s", drainError)
+		report.AddFault("%s", drainError)
 	}
 	took := time.Since(begin)
 	f.noteMemory(pair.memory())
 	pair.drain(report)
-	recorded.report(report, r.size, f.maxMemory)
-	report.Put("drain_s", took.Seconds())
+	recorded.report(report, r.Size, f.maxMemory)
+	report.AddFigure("drain_s", took.Seconds())
 	return nil
 }
 
 // amqpFaultScript drops every twentieth ack and closes the connection after some deliveries, at places that the seed determines.
 func (r run) amqpFaultScript() []broker.Fault {
 	const ackInterval = 20
-	cutInterval := max(r.size/200, 500)
+	cutInterval := max(r.Size/200, 500)
 	return []broker.Fault{
-		{Point: broker.AtSettle, Nth: 1 + int(r.seed%ackInterval), Every: ackInterval, Action: broker.Drop},
-		{Point: broker.AtDeliver, Nth: cutInterval + int(r.seed%7), Every: cutInterval, Action: broker.CutAfter},
+		{Point: broker.AtSettle, Nth: 1 + int(r.Seed%ackInterval), Every: ackInterval, Action: broker.Drop},
+		{Point: broker.AtDeliver, Nth: cutInterval + int(r.Seed%7), Every: cutInterval, Action: broker.CutAfter},
 	}
 }
 
@@ -108,7 +108,7 @@
 
 // publish fills the queue up to maxReadyMessages.
 func (f *faultRun) publish(state broker.QueueState) broker.QueueState {
-	for ; f.published < f.size && state.Ready < maxReadyMessages; f.published++ {
+	for ; f.published < f.Size && state.Ready < maxReadyMessages; f.published++ {
 		f.recorded.publishNext(f.published)
 		state.Ready++
 	}
@@ -134,35 +134,35 @@
 		return
 	}
 	f.lastProgress = time.Now()
-	f.progress(fmt.Sprintf("%d succeeded, %d connections lost, %+v", succeeded, f.recorded.broker.EventCount(broker.EventConnLost), state))
+	f.Progress(fmt.Sprintf("%d succeeded, %d connections lost, %+v", succeeded, f.recorded.broker.EventCount(broker.EventConnLost), state))
 }
 
 // killOnce kills the second instance after a third of the messages, and starts it anew without its state.
 func (f *faultRun) killOnce(succeeded int) (err error) {
-	if f.killed || succeeded <= f.size/3 {
+	if f.killed || succeeded <= f.Size/3 {
 		return nil
 	}
 	f.killed = true
-	f.progress("n2 is killed and starts without state")
+	f.Progress("n2 is killed and starts without state")
 	f.noteMemory(f.pair.instances[1].PeakMemory())
 	f.pair.instances[1].Kill()
-	f.pair.instances[1], err = f.launch(instanceName(1), f.pair.runtimes[1], settingsPath(f.folder), f.seed+9)
+	f.pair.instances[1], err = f.launch(instanceName(1), f.pair.runtimes[1], settingsPath(f.Folder), f.Seed+9)
 	return err
 }
 
 // restartOnce restarts the broker after half of the messages.
 func (f *faultRun) restartOnce(succeeded int) {
-	if f.restarted || succeeded <= f.size/2 {
+	if f.restarted || succeeded <= f.Size/2 {
 		return
 	}
 	f.restarted = true
-	f.progress("the broker restarts")
+	f.Progress("the broker restarts")
 	f.recorded.broker.Restart()
 }
 
 // isDrained reports whether all messages were published and the queue has been empty for drainedTime.
 func (f *faultRun) isDrained(state broker.QueueState) bool {
-	if f.published < f.size || state.Ready > 0 || state.Unacked > 0 {
+	if f.published < f.Size || state.Ready > 0 || state.Unacked > 0 {
 		f.drainedSince = time.Time{}
 		return false
 	}
--- a/internal/lab/amqp_cost.go
+++ b/internal/lab/amqp_cost.go
@@ -32,13 +32,13 @@
 
 // amqpCost measures the CPU time of the same work by AMQP and by JSON-RPC.
 func (r run) amqpCost(report *Report) error {
-	r.size -= r.size % rpcConns // the same for both fronts
+	r.Size -= r.Size % rpcConns // the same for both fronts
 	costs := map[front]cost{}
 	round := 0
 	for range roundsPerFront {
 		for _, by := range []front{frontAMQP, frontRPC} {
-			r.progress(fmt.Sprintf("cost, round %d: %s", round+1, by))
-			measured, err := r.costRound(by, r.seed+uint64(round))
+			r.Progress(fmt.Sprintf("cost, round %d: %s", round+1, by))
+			measured, err := r.costRound(by, r.Seed+uint64(round))
 			if err != nil {
 				return err
 			}
@@ -46,13 +46,13 @@
 			round++
 		}
 	}
-	items := float64(roundsPerFront * r.size)
+	items := float64(roundsPerFront * r.Size)
 	amqp, rpc := costs[frontAMQP], costs[frontRPC]
-	report.Put("amqp_cpu_ms_per_item", milliseconds(amqp.cpu)/items)
-	report.Put("rpc_cpu_ms_per_item", milliseconds(rpc.cpu)/items)
-	report.Put("amqp_per_rpc_cpu_ratio", amqp.cpu.Seconds()/rpc.cpu.Seconds())
-	report.Put("amqp_items_per_s", items/amqp.elapsed.Seconds())
-	report.Put("rpc_items_per_s", items/rpc.elapsed.Seconds())
+	report.AddFigure("amqp_cpu_ms_per_item", milliseconds(amqp.cpu)/items)
+	report.AddFigure("rpc_cpu_ms_per_item", milliseconds(rpc.cpu)/items)
+	report.AddFigure("amqp_per_rpc_cpu_ratio", amqp.cpu.Seconds()/rpc.cpu.Seconds())
+	report.AddFigure("amqp_items_per_s", items/amqp.elapsed.Seconds())
+	report.AddFigure("rpc_items_per_s", items/rpc.elapsed.Seconds())
 	return nil
 }
 
@@ -71,7 +71,7 @@
 	defer fake.Close()
 	settings := ""
 	if by == frontAMQP {
-		if settings, err = recorded.writeSettings(r.folder, fmt.Sprintf(` least-credit="%d"`, rpcConns*rpcOpenRequests)); err != nil {
+		if settings, err = recorded.writeSettings(r.Folder, fmt.Sprintf(` least-credit="%d"`, rpcConns*rpcOpenRequests)); err != nil {
 			return cost{}, err
 		}
 	}
@@ -81,9 +81,9 @@
 	}
 	defer instance.Kill()
 	if by == frontRPC {
-		return measureRPC(instance, r.size)
+		return measureRPC(instance, r.Size)
 	}
-	return measureAMQP(instance, recorded, r.size), nil
+	return measureAMQP(instance, recorded, r.Size), nil
 }
 
 // measureAMQP publishes size messages and waits until all are settled. The prefetch limit is at least the number of requests that
--- a/internal/lab/amqp_storm.go
+++ b/internal/lab/amqp_storm.go
@@ -15,8 +15,8 @@
 
 // AMQPStorm is the experiment on redelivery: each message is delivered six times, acked or not, to two consumers with a small
 // prefetch limit. The claim: memory does not grow with the deliveries, and no message causes further messages for ever.
-func AMQPStorm(program, folder string, seed uint64, size int, progress func(string)) (*Report, error) {
-	r := run{program, folder, seed, size, progress}
+func AMQPStorm(options Options) (*Report, error) {
+	r := run{options}
 	report := &Report{}
 	recorded, err := newRecordedBroker()
 	if err != nil {
@@ -24,10 +24,10 @@
 	}
 	defer recorded.broker.Close()
 	recorded.broker.Redeliveries = stormRedeliveries
-	for n := range size {
+	for n := range r.Size {
 		recorded.publishNext(n)
 	}
-	progress(fmt.Sprintf("%d messages ready, each delivered %d times", size, stormRedeliveries+1))
+	r.Progress(fmt.Sprintf("%d messages ready, each delivered %d times", r.Size, stormRedeliveries+1))
 	pair, err := recorded.launchPair(r, ` least-credit="8" most-credit="16"`)
 	defer pair.end()
 	if err != nil {
@@ -35,14 +35,16 @@
 	}
 	begin := time.Now()
 	earlyMemory := r.awaitStormEnd(report, recorded, pair, begin.Add(maxRunTime))
-	took, endMemory, cpu := time.Since(begin), pair.memory(), pair.cpu()
+	took := time.Since(begin)
+	endMemory := pair.memory()
+	cpu := pair.cpu()
 	pair.drain(report)
-	recorded.report(report, size, endMemory)
+	recorded.report(report, r.Size, endMemory)
 	deliveries := recorded.broker.EventCount(broker.EventDelivered)
-	report.Put("early_memory_mb", megabytes(earlyMemory))
-	report.Put("cpu_ms_per_delivery", milliseconds(cpu)/float64(max(deliveries, 1)))
-	report.Put("drain_s", took.Seconds())
-	checkStorm(report, size, deliveries, earlyMemory, endMemory)
+	report.AddFigure("early_memory_mb", megabytes(earlyMemory))
+	report.AddFigure("cpu_ms_per_delivery", milliseconds(cpu)/float64(max(deliveries, 1)))
+	report.AddFigure("drain_s", took.Seconds())
+	checkStorm(report, r.Size, deliveries, earlyMemory, endMemory)
 	return report, nil
 }
 
@@ -50,14 +52,14 @@
 func (r run) awaitStormEnd(report *Report, recorded *recordedBroker, pair *instancePair, end time.Time) (earlyMemory int64) {
 	for ; ; time.Sleep(pollInterval) {
 		state := recorded.broker.QueueState(readingsQueue)
-		if earlyMemory == 0 && recorded.broker.EventCount(broker.EventDelivered) > r.size {
+		if earlyMemory == 0 && recorded.broker.EventCount(broker.EventDelivered) > r.Size {
 			earlyMemory = pair.memory()
 		}
 		if state.Ready+state.Unacked == 0 {
 			return earlyMemory
 		}
 		if time.Now().After(end) {
-			report.Fault("%s", notDrained(state))
+			report.AddFault("%s", notDrained(state))
 			return earlyMemory
 		}
 	}
@@ -67,9 +69,9 @@
 // cause deliveries.
 func checkStorm(report *Report, size, deliveries int, earlyMemory, endMemory int64) {
 	if maxDeliveries := (stormRedeliveries + 1) * size; deliveries > maxDeliveries {
-		report.Fault("%d deliveries, expected at most %d: messages loop", deliveries, maxDeliveries)
+		report.AddFault("%d deliveries, expected at most %d: messages loop", deliveries, maxDeliveries)
 	}
 	if float64(endMemory) > maxMemoryGrowth*float64(earlyMemory)+memoryTolerance {
-		report.Fault("memory grew from %d to %d bytes", earlyMemory, endMemory)
+		report.AddFault("memory grew from %d to %d bytes", earlyMemory, endMemory)
 	}
 }
--- a/internal/lab/emulator/configuration_control.go
+++ b/internal/lab/emulator/configuration_control.go
@@ -40,8 +40,11 @@
 func (c *configurationControlNode) start() {
 	s, p := c.process.simulation, c.process
 	p.incarnation++
-	p.isUp, p.isPaused = true, false
-	p.activeVersion, c.startedAt, c.token = c.store.State().Version(), s.now, 0
+	p.isUp = true
+	p.isPaused = false
+	p.activeVersion = c.store.State().Version()
+	c.startedAt = s.now
+	c.token = 0
 	c.ControlNode = configuration.NewControlNode(s.now, p, c.store)
 	c.elector = lease.NewElector(c, c.table, configurationLease, p.name, uint64(p.incarnation))
 	c.elector.SetClaimPosition(configurationDuty, p.index)
@@ -60,7 +63,7 @@
 	c.process.simulation.propose(c.process, command)
 }
 
-// LeaseAcquired implements lease.Host. The token is kept for commands that are proposed without checking the lease.
+// LeaseAcquired implements lease.Host. The token is remembered for commands that are proposed without checking the lease.
 func (c *configurationControlNode) LeaseAcquired(_ string, token uint64) { c.token = token }
 
 // LeaseLost implements lease.Host. The token stays, see LeaseAcquired.
--- a/internal/lab/emulator/configuration_events.go
+++ b/internal/lab/emulator/configuration_events.go
@@ -25,7 +25,10 @@
 func (h configurationEventHeap) Len() int { return len(h) }
 
 func (h configurationEventHeap) Less(a, b int) bool {
-	return h[a].at < h[b].at || h[a].at == h[b].at && h[a].sequence < h[b].sequence
+	if h[a].at != h[b].at {
+		return h[a].at < h[b].at
+	}
+	return h[a].sequence < h[b].sequence
 }
 
 func (h configurationEventHeap) Swap(a, b int) { h[a], h[b] = h[b], h[a] }
@@ -70,16 +73,22 @@
 	q.free = append(q.free, e)
 }
 
+// after schedules an action.
 func (s *configurationSimulation) after(delay time.Duration, action func()) {
 	s.events.push(configurationEvent{at: s.now + delay, action: action})
 }
 
+// tickAfter schedules a tick of a process, unless it restarts before.
 func (s *configurationSimulation) tickAfter(delay time.Duration, p *configurationProcess) {
 	s.events.push(configurationEvent{at: s.now + delay, to: p, incarnation: p.incarnation})
 }
 
+// every schedules an action each interval, for good.
 func (s *configurationSimulation) every(interval time.Duration, action func()) {
-	s.after(interval, func() { action(); s.every(interval, action) })
+	s.after(interval, func() {
+		action()
+		s.every(interval, action)
+	})
 }
 
 // runUntil executes all events up to a time.
--- a/internal/lab/emulator/configuration_faults.go
+++ b/internal/lab/emulator/configuration_faults.go
@@ -22,7 +22,7 @@
 	minRelayChildren     = 3 // of a relay that faults select
 )
 
-// kill ends a process now; then schedules its restart.
+// kill ends a process now, and calls scheduleRestart. A process that is down already stays as it is.
 func (s *configurationSimulation) kill(p *configurationProcess, scheduleRestart func()) {
 	if !p.isUp {
 		return
@@ -40,6 +40,12 @@
 	scheduleRestart()
 }
 
+// killRandomMember kills a random member, which restarts with its last state.
+func (s *configurationSimulation) killRandomMember() {
+	p := s.randomMember()
+	s.kill(p, s.restartLater(p))
+}
+
 // restartLater schedules the restart of a member with its last state.
 func (s *configurationSimulation) restartLater(p *configurationProcess) func() {
 	return func() { s.restartAfter(minRestartTime+s.jitter(restartJitter), p) }
@@ -63,6 +69,7 @@
 	s.startMember(p, state, recovery)
 }
 
+// removeFromZone removes a dead member from its zone's view.
 func (s *configurationSimulation) removeFromZone(p *configurationProcess) {
 	z := s.zones[p.zone]
 	z.members = slices.DeleteFunc(z.members, func(other *configurationProcess) bool { return other == p })
@@ -115,6 +122,7 @@
 	})
 }
 
+// failRack kills a rack's members in a random zone; they restart after rackOutage.
 func (s *configurationSimulation) failRack() {
 	z := s.zones[s.random.IntN(len(s.zones))]
 	for _, p := range slices.Clone(z.members[:min(s.scenario.rackSize, len(z.members))]) {
@@ -122,6 +130,7 @@
 	}
 }
 
+// failZone kills all members of a random zone; they restart after the scenario's zoneOutage.
 func (s *configurationSimulation) failZone() {
 	for _, p := range slices.Clone(s.zones[s.random.IntN(len(s.zones))].members) {
 		s.kill(p, func() { s.restartAfter(s.scenario.zoneOutage+s.jitter(5*time.Second), p) })
@@ -164,6 +173,7 @@
 	}
 }
 
+// restartControlNode kills a control node, which restarts after controlNodeOutage with what is on its disk.
 func (s *configurationSimulation) restartControlNode(index int) {
 	p := s.processes[index]
 	if !p.isUp {
--- a/internal/lab/emulator/configuration_network.go
+++ b/internal/lab/emulator/configuration_network.go
@@ -66,7 +66,10 @@
 	if n.regionLinks[a.region][b.region] == linkCut {
 		return false
 	}
-	return a.zone == b.zone || !n.isInCutZone(a) && !n.isInCutZone(b)
+	if a.zone == b.zone {
+		return true
+	}
+	return !n.isInCutZone(a) && !n.isInCutZone(b)
 }
 
 func (n *configurationNetwork) isInCutZone(p *configurationProcess) bool {
@@ -108,12 +111,9 @@
 	wireBytes := wireBytesOf(size)
 	s.checker.result.Messages++
 	s.countTraffic(from, wireBytes)
-	delay := s.network.delay[from.region][to.region]
-	delay += s.jitter(delay/4) + s.jitter(time.Millisecond)
-	if isStream {
-		delay = 3*delay + time.Duration(float64(size)/streamBytesPerSecond*float64(time.Second))
-	}
-	if !isStream && s.random.Float64() < lossRate(from, to) || !s.network.isReachable(from, to) {
+	delay := s.messageDelay(from, to, size)
+	isLost := !isStream && s.random.Float64() < lossRate(from, to)
+	if isLost || !s.network.isReachable(from, to) {
 		return
 	}
 	event := configurationEvent{at: s.now + delay, from: from, to: to, incarnation: from.incarnation, wireBytes: wireBytes,
@@ -125,6 +125,19 @@
 	}
 }
 
+// messageDelay draws how long a message of an encoded size takes. A stream takes three one-way delays until it is open, and the
+// transfer of its bytes.
+func (s *configurationSimulation) messageDelay(from, to *configurationProcess, size int) time.Duration {
+	delay := s.network.delay[from.region][to.region]
+	delay += s.jitter(delay / 4)
+	delay += s.jitter(time.Millisecond)
+	if size <= maxDatagramBytes {
+		return delay
+	}
+	transferSeconds := float64(size) / streamBytesPerSecond
+	return 3*delay + time.Duration(transferSeconds*float64(time.Second))
+}
+
 // wireBytesOf is what a message of an encoded size takes on the wire, in one direction.
 func wireBytesOf(size int) int {
 	if size <= maxDatagramBytes {
@@ -177,7 +190,8 @@
 	if !e.to.isRunning() || !s.network.isReachable(e.from, e.to) {
 		return
 	}
-	if e.isStream && (e.from.incarnation != e.incarnation || !e.from.isUp) {
+	isSenderAlive := e.from.isUp && e.from.incarnation == e.incarnation
+	if e.isStream && !isSenderAlive {
 		return
 	}
 	s.countTraffic(e.to, e.wireBytes)
--- a/internal/lab/emulator/configuration_scenario.go
+++ b/internal/lab/emulator/configuration_scenario.go
@@ -75,7 +75,7 @@
 func (s *configurationSimulation) scheduleScenario() {
 	c := s.scenario
 	s.scheduleRandomly(c.Changes, 0, 1, s.requestChange)
-	s.scheduleRandomly(c.Restarts, 0, 1, func() { p := s.randomMember(); s.kill(p, s.restartLater(p)) })
+	s.scheduleRandomly(c.Restarts, 0, 1, s.killRandomMember)
 	s.scheduleRandomly(c.MachineLosses, 0, 0.9, func() { s.loseMachine(s.randomMember()) })
 	s.scheduleRandomly(c.Members/2, 0.4, 0.9, func() { s.release(s.randomMember()) })
 	s.scheduleRandomly(20, 0, 0.95, func() { s.pendingRelayKills++ })
--- a/internal/lab/emulator/lease.go
+++ b/internal/lab/emulator/lease.go
@@ -188,7 +188,7 @@
 	return nil
 }
 
-// settle delivers the whole log to all members and counts tables that differ.
+// settle delivers the complete log to all members and counts tables that differ.
 func (s *LeaseSim) settle() {
 	s.CommitAll()
 	for _, m := range s.Members {
--- a/internal/lab/emulator/lease_member.go
+++ b/internal/lab/emulator/lease_member.go
@@ -100,7 +100,7 @@
 }
 
 // ProposeStale lets a member go on as if it had been stopped between its check and its act: it proposes decisions under
-// its last tokens, whoever the holder is by now.
+// its last tokens, also when another member holds the lease by now.
 func (s *LeaseSim) ProposeStale(m *LeaseMember) {
 	for duty, token := range m.tokens {
 		if state, _ := s.truth.At(duty); state.Token > token {
@@ -110,7 +110,7 @@
 	}
 }
 
-// Drain gives a member the notice of its end.
+// Drain starts the graceful shutdown of a member: it releases its leases. A paused member ignores it.
 func (s *LeaseSim) Drain(m *LeaseMember) {
 	if !m.Paused {
 		m.Elector.Drain(m.clock())
--- a/internal/lab/emulator/lease_run.go
+++ b/internal/lab/emulator/lease_run.go
@@ -19,7 +19,7 @@
 // leaseRun is a run with faults on a LeaseSim.
 type leaseRun struct {
 	*LeaseSim
-	r             *rand.Rand
+	random        *rand.Rand
 	stepsPerLease int
 }
 
@@ -33,15 +33,15 @@
 }
 
 // RunLeases emulates a fleet through faults. Every few leases one holder is paused, restarted, or cut off in one direction,
-// and all faults are healed; one in twenty proposals is lost. At the end all members have the whole log.
+// and all faults are healed; one in twenty proposals is lost. At the end all members have the complete log.
 func RunLeases(scenario LeaseScenario) (LeaseFigures, error) {
-	r := rand.New(rand.NewPCG(scenario.Seed, 0x07e4))
+	random := rand.New(rand.NewPCG(scenario.Seed, 0x07e4))
 	config := lease.Config{Duration: time.Second, MaxDrift: 0.01, SafetyMargin: 10 * time.Millisecond}
 	s := &LeaseSim{Config: config, onStart: scenario.OnStart}
-	if err := s.start(scenario.Members, r, []string{"budget", "ring", "roll"}); err != nil {
+	if err := s.start(scenario.Members, random, []string{"budget", "ring", "roll"}); err != nil {
 		return LeaseFigures{}, err
 	}
-	run := &leaseRun{LeaseSim: s, r: r, stepsPerLease: int(config.Duration / leaseStep)}
+	run := &leaseRun{LeaseSim: s, random: random, stepsPerLease: int(config.Duration / leaseStep)}
 	for n := range scenario.Leases * run.stepsPerLease {
 		run.step(n)
 	}
@@ -49,11 +49,12 @@
 	return s.Figures, nil
 }
 
+// step plays the n-th step: commits, deliveries, decisions and faults.
 func (run *leaseRun) step(n int) {
 	run.Advance(leaseStep)
 	run.commitSome()
 	for _, m := range run.Members {
-		run.Deliver(m, run.r.IntN(maxEntriesPerStep+1))
+		run.Deliver(m, run.random.IntN(maxEntriesPerStep+1))
 	}
 	if n%decideEvery == 0 {
 		if m := run.randomHolder(); m != nil {
@@ -73,9 +74,9 @@
 
 // commitSome commits or loses some of the proposals in flight, in any order; the others remain.
 func (run *leaseRun) commitSome() {
-	for run.InFlight() > 0 && run.r.IntN(4) > 0 {
-		n := run.r.IntN(run.InFlight())
-		if run.r.IntN(lossOneIn) == 0 {
+	for run.InFlight() > 0 && run.random.IntN(4) > 0 {
+		n := run.random.IntN(run.InFlight())
+		if run.random.IntN(lossOneIn) == 0 {
 			run.Drop(n)
 		} else {
 			run.Commit(n)
@@ -85,11 +86,12 @@
 
 // randomHolder returns the holder of a random duty, nil if it has none.
 func (run *leaseRun) randomHolder() *LeaseMember {
-	return run.HolderOf(run.duties[run.r.IntN(len(run.duties))])
+	return run.HolderOf(run.duties[run.random.IntN(len(run.duties))])
 }
 
+// injectFault restarts, cuts off in one direction, or pauses a member.
 func (run *leaseRun) injectFault(m *LeaseMember) {
-	switch run.r.IntN(4) {
+	switch run.random.IntN(4) {
 	case 0:
 		run.Restart(m)
 	case 1:
--- a/internal/lab/fleet.go
+++ b/internal/lab/fleet.go
@@ -19,28 +19,34 @@
 	// fleetFaultDuration is how long a member is stopped and how long a one-way partition lasts.
 	fleetFaultDuration = 3 * time.Second
 
-	killedFraction    = 8 // one in so many members is killed
-	partitionFraction = 3 // one in so many members is partitioned from the others
-	remainingFraction = 3 // one in so many members remains at the end
+	killedFraction    = 8 // one of so many members is killed
+	partitionFraction = 3 // one of so many members is partitioned from the others
+	remainingFraction = 3 // one of so many members remains at the end
 	minRemaining      = 2
 )
 
 // Fleet runs the experiment on membership: half of the members start, the others join, an eighth is killed, one is
-// stopped and continued, the killed restart; then one member is isolated, two are partitioned one way, a third is
-// partitioned from the rest; at last all but a third drain. The claims: after each step the live members agree on the view
-// and on dense ranks within 2 s, and every member that drains exits with 0.
-func Fleet(program, folder string, seed uint64, size int, progress func(string)) (*Report, error) {
-	return FleetWithClaim(program, folder, seed, size, progress, fleetAgreementClaim)
+// stopped and continued, and the killed ones restart. Then one member is isolated, two are partitioned one way, and a third
+// is partitioned from the rest. At the end all but a third drain. The claims: after each step the live members agree on the
+// view and on dense ranks within 2 s, and every member that drains exits with 0. A size other than 4 to 64 members is an error.
+func Fleet(options Options) (*Report, error) {
+	return FleetWithClaim(options, fleetAgreementClaim)
 }
 
 // FleetWithClaim is Fleet with another claim on the agreement after each step; 0 for none but the rig's own timeout. Small
 // fleets detect failures more slowly, as a member probes each other once in n probe intervals and fewer members confirm a
 // suspicion; without a claim, the one-way partition is also only reported and not held to no false detection.
-func FleetWithClaim(program, folder string, seed uint64, size int, progress func(string), claim time.Duration) (*Report, error) {
-	if size < minFleetSize || size > maxFleetSize {
-		return nil, fmt.Errorf("--size: found %d, expected %d to %d members", size, minFleetSize, maxFleetSize)
+func FleetWithClaim(options Options, claim time.Duration) (*Report, error) {
+	if options.Size < minFleetSize || options.Size > maxFleetSize {
+		return nil, fmt.Errorf("--size: found %d, expected %d to %d members", options.Size, minFleetSize, maxFleetSize)
+	}
+	experiment := &fleetExperiment{
+		members:  rig.NewFleet(options.Program, options.Folder, options.Seed),
+		size:     options.Size,
+		claim:    claim,
+		progress: options.Progress,
+		report:   &Report{},
 	}
-	experiment := &fleetExperiment{members: rig.NewFleet(program, folder, seed), size: size, claim: claim, progress: progress, report: &Report{}}
 	defer experiment.members.Close()
 	for _, phase := range []func() error{
 		experiment.start, experiment.kill, experiment.stopAndContinue, experiment.restart,
@@ -116,9 +122,10 @@
 		return err
 	}
 	e.live = memberNames(0, e.size)
-	return e.agree("grown")
+	return e.agree("join")
 }
 
+// kill kills an eighth of the members, and one at least.
 func (e *fleetExperiment) kill() error {
 	remaining := len(e.live) - max(e.size/killedFraction, 1)
 	e.killed = slices.Clone(e.live[remaining:])
@@ -129,6 +136,7 @@
 	return e.agree("kill -9")
 }
 
+// stopAndContinue stops one member for fleetFaultDuration.
 func (e *fleetExperiment) stopAndContinue() error {
 	stopped := e.live[len(e.live)-1]
 	e.members.Member(stopped).Signal(syscall.SIGSTOP)
@@ -149,41 +157,41 @@
 		return err
 	}
 	e.live = append(e.live, e.killed...)
-	return e.agree("cold restart")
+	return e.agree("restart without state")
 }
 
-// drain gives the notice to all but a third of the members at once.
+// drain shuts all but a third of the members down gracefully, at once.
 func (e *fleetExperiment) drain() error {
 	remaining := max(e.size/remainingFraction, minRemaining)
-	leaving := e.live[remaining:]
-	errs := make(chan error, len(leaving))
-	notice := time.Now()
-	for _, name := range leaving {
+	draining := e.live[remaining:]
+	errs := make(chan error, len(draining))
+	start := time.Now()
+	for _, name := range draining {
 		go func(member *rig.Instance) { errs <- member.Drain() }(e.members.Member(name))
 	}
-	for range leaving {
+	for range draining {
 		if err := <-errs; err != nil {
 			e.badExits++
-			e.report.Fault("%s", err.Error())
+			e.report.AddFault("%s", err.Error())
 		}
 	}
-	for _, name := range leaving {
+	for _, name := range draining {
 		e.members.Remove(name)
 	}
 	e.live = e.live[:remaining]
-	return e.agreeSince("shrunk by notice", notice)
+	return e.agreeSince("drain", start)
 }
 
 // finish reports the times and holds them to the claim.
 func (e *fleetExperiment) finish() {
 	slices.Sort(e.agreements)
 	slowest := e.agreements[len(e.agreements)-1]
-	e.report.Put("smaller_side_still_holds", float64(e.staleMembers))
-	e.report.Put("members_most", float64(e.size))
-	e.report.Put("converge_ms_p99", float64(slowest.Milliseconds()))
-	e.report.Put("converge_ms_median", float64(e.agreements[len(e.agreements)/2].Milliseconds()))
-	e.report.Zero("bad_exits", e.badExits)
+	e.report.AddFigure("smaller_side_still_holds", float64(e.staleMembers))
+	e.report.AddFigure("members_most", float64(e.size))
+	e.report.AddFigure("converge_ms_p99", float64(slowest.Milliseconds()))
+	e.report.AddFigure("converge_ms_median", float64(e.agreements[len(e.agreements)/2].Milliseconds()))
+	e.report.ExpectZero("bad_exits", e.badExits)
 	if e.claim > 0 && slowest > e.claim {
-		e.report.Fault("fleet: agreement took %v, expected at most %v", slowest, e.claim)
+		e.report.AddFault("fleet: agreement took %v, expected at most %v", slowest, e.claim)
 	}
 }
--- a/internal/lab/fleetpartitions.go
+++ b/internal/lab/fleetpartitions.go
@@ -10,32 +10,31 @@
 	isolated := e.live[len(e.live)/2]
 	e.members.Network.Isolate(isolated, e.live)
 	larger := slices.DeleteFunc(slices.Clone(e.live), func(name string) bool { return name == isolated })
-	if err := e.agreeOnLargerSide("cut one off", larger, []string{isolated}); err != nil {
+	if err := e.agreeOnLargerSide("isolated member", larger, []string{isolated}); err != nil {
 		return err
 	}
 	e.members.Network.Heal()
 	return e.agree("healed")
 }
 
-// partitionOneWay drops what one member sends to another for a while; no member may be declared dead for it.
+// partitionOneWay drops what one member sends to another for a while; it is a fault if a member is declared dead for it.
 //
-// What an isolated member came to suspect may still be declared when it is back, until it is refuted. That belongs to the
-// step before and is counted apart, after the longest suspicion.
+// A member that was isolated may still declare the members dead that it came to suspect, until they refute that. Such
+// declarations belong to the step before: they are counted separately, for as long as a suspicion lasts.
 func (e *fleetExperiment) partitionOneWay() error {
-	departures := func() int { return e.members.CountDepartures(e.live) }
-	before := departures()
+	before := e.members.CountDepartures(e.live)
 	time.Sleep(fleetFaultDuration)
-	e.report.Put("after_heal_declared_gone", float64(departures()-before))
+	e.report.AddFigure("after_heal_declared_gone", float64(e.members.CountDepartures(e.live)-before))
 
-	before = departures()
+	before = e.members.CountDepartures(e.live)
 	e.members.Network.Cut(e.live[1], e.live[2])
 	time.Sleep(fleetFaultDuration)
 	e.members.Network.Heal()
-	falseDetections := departures() - before
+	falseDetections := e.members.CountDepartures(e.live) - before
 	if e.claim > 0 {
-		e.report.Zero("one_way_cut_declared_gone", falseDetections)
+		e.report.ExpectZero("one_way_cut_declared_gone", falseDetections)
 	} else { // in a small fleet few members are left for indirect probes: one false detection was seen under load
-		e.report.Put("one_way_cut_declared_gone", float64(falseDetections))
+		e.report.AddFigure("one_way_cut_declared_gone", float64(falseDetections))
 	}
 	return nil
 }
--- a/internal/lab/instance_pair.go
+++ b/internal/lab/instance_pair.go
@@ -21,7 +21,7 @@
 // and must be ended, also after an error.
 func (r *recordedBroker) launchPair(in run, attributes string) (*instancePair, error) {
 	p := &instancePair{}
-	settings, err := r.writeSettings(in.folder, attributes)
+	settings, err := r.writeSettings(in.Folder, attributes)
 	if err != nil {
 		return p, err
 	}
@@ -32,7 +32,7 @@
 		}
 		p.closers = append(p.closers, fake.Close)
 		p.runtimes[n] = address
-		if p.instances[n], err = in.launch(instanceName(n), address, settings, in.seed+uint64(n)); err != nil {
+		if p.instances[n], err = in.launch(instanceName(n), address, settings, in.Seed+uint64(n)); err != nil {
 			return p, err
 		}
 	}
@@ -53,7 +53,7 @@
 func (p *instancePair) drain(report *Report) {
 	for _, i := range p.instances {
 		if err := i.Drain(); err != nil {
-			report.Fault("%s", err.Error())
+			report.AddFault("%s", err.Error())
 		}
 	}
 }
--- a/internal/lab/lab_test.go
+++ b/internal/lab/lab_test.go
@@ -11,7 +11,7 @@
 	folder := t.TempDir()
 	program := testutil.BuildProgram(t)
 	for name, run := range map[string]Experiment{"amqp": AMQP, "amqp-storm": AMQPStorm} {
-		r, err := run(program, folder, 1, 1500, func(string) {})
+		r, err := run(Options{Program: program, Folder: folder, Seed: 1, Size: 1500, Progress: func(string) {}})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -33,7 +33,7 @@
 	}
 	folder := t.TempDir()
 	program := testutil.BuildProgram(t)
-	r, err := FleetWithClaim(program, folder, 1, 6, func(line string) { t.Log(line) }, 0)
+	r, err := FleetWithClaim(Options{Program: program, Folder: folder, Seed: 1, Size: 6, Progress: func(line string) { t.Log(line) }}, 0)
 	if err != nil {
 		t.Fatal(err)
 	}
--- /dev/null
+++ b/internal/lab/procfs/procfs.go
@@ -0,0 +1,118 @@
+// Package procfs reads what Linux reports on the resources of a process under /proc: memory, CPU time and open files. Each
+// function reads one file or directory of /proc when it is called; the package has no state.
+package procfs
+
+import (
+	"bytes"
+	"fmt"
+	"os"
+	"strconv"
+	"strings"
+	"time"
+)
+
+// Self stands for the calling process where a function expects a process ID.
+const Self = 0
+
+const (
+	clockTick = 10 * time.Millisecond // unit of CPU time in /proc/PID/stat
+	kilobyte  = 1 << 10
+)
+
+// Indexes of fields of /proc/PID/stat, counted after the command's name.
+const (
+	statUserField   = 11
+	statSystemField = 12
+	minStatFields   = 13
+)
+
+// FormatError reports a file of /proc without an expected value.
+type FormatError struct {
+	Path     string
+	Expected string
+	Err      error // of parsing the value; nil when the file has none
+}
+
+// Error implements error.
+func (e *FormatError) Error() string {
+	if e.Err == nil {
+		return fmt.Sprintf("%s: found none, expected %s", e.Path, e.Expected)
+	}
+	return fmt.Sprintf("%s: expected %s: %v", e.Path, e.Expected, e.Err)
+}
+
+// Unwrap returns the error of parsing the value, or nil.
+func (e *FormatError) Unwrap() error { return e.Err }
+
+// path is the path of a file of a process under /proc.
+func path(pid int, file string) string {
+	if pid == Self {
+		return "/proc/self/" + file
+	}
+	return fmt.Sprintf("/proc/%d/%s", pid, file)
+}
+
+// ResidentBytes returns the resident memory of a process. Its errors are those of reading the file, and *FormatError.
+func ResidentBytes(pid int) (int64, error) {
+	file := path(pid, "statm")
+	text, err := os.ReadFile(file)
+	if err != nil {
+		return 0, err
+	}
+	var size, resident int64
+	if _, err := fmt.Fscan(bytes.NewReader(text), &size, &resident); err != nil {
+		return 0, &FormatError{Path: file, Expected: "the total and the resident pages", Err: err}
+	}
+	return resident * int64(os.Getpagesize()), nil
+}
+
+// PeakResidentBytes returns the largest resident memory of a process so far. Its errors are those of reading the file, and
+// *FormatError: a process that has ended and was not waited for has a file without the value.
+func PeakResidentBytes(pid int) (int64, error) {
+	const label = "VmHWM:"
+	file := path(pid, "status")
+	text, err := os.ReadFile(file)
+	if err != nil {
+		return 0, err
+	}
+	_, rest, _ := strings.Cut(string(text), label)
+	fields := strings.Fields(rest)
+	if len(fields) == 0 {
+		return 0, &FormatError{Path: file, Expected: label}
+	}
+	kilobytes, err := strconv.ParseInt(fields[0], 10, 64)
+	if err != nil {
+		return 0, &FormatError{Path: file, Expected: label, Err: err}
+	}
+	return kilobytes * kilobyte, nil
+}
+
+// CPUTime returns the user and system time of a process so far, in steps of 10 ms. Its errors are those of reading the
+// file, and *FormatError.
+func CPUTime(pid int) (time.Duration, error) {
+	file := path(pid, "stat")
+	text, err := os.ReadFile(file)
+	if err != nil {
+		return 0, err
+	}
+	afterName := text[bytes.LastIndexByte(text, ')')+1:] // the name may contain spaces and parentheses
+	fields := strings.Fields(string(afterName))
+	if len(fields) < minStatFields {
+		return 0, &FormatError{Path: file, Expected: "user and system time"}
+	}
+	user, err := strconv.ParseInt(fields[statUserField], 10, 64)
+	if err != nil {
+		return 0, &FormatError{Path: file, Expected: "user time", Err: err}
+	}
+	system, err := strconv.ParseInt(fields[statSystemField], 10, 64)
+	if err != nil {
+		return 0, &FormatError{Path: file, Expected: "system time", Err: err}
+	}
+	return time.Duration(user+system) * clockTick, nil
+}
+
+// DescriptorCount returns how many file descriptors a process has open. Its errors are those of reading the directory.
+func DescriptorCount(pid int) (int, error) {
+	entries, err := os.ReadDir(path(pid, "fd"))
+	return len(entries), err
+}
--- a/internal/lab/recorded_broker.go
+++ b/internal/lab/recorded_broker.go
@@ -35,8 +35,8 @@
 
 	mu           sync.Mutex
 	checker      *invariant.Checker
-	republished  map[messageKey]invariant.Outcome // what a consumer's publication tells of the message that it acks next
-	acked        map[string]bool                  // attempts, until their connection ends
+	republished  map[messageKey]invariant.Outcome // by original: its outcome once the consumer has acked it
+	acked        map[string]bool                  // attempts that were acked; removed when their connection ends
 	deadLettered int
 }
 
@@ -54,6 +54,7 @@
 	return invariant.NonIdempotent
 }
 
+// newRecordedBroker starts a broker that injects these faults. Close it by its field broker.
 func newRecordedBroker(faults ...broker.Fault) (*recordedBroker, error) {
 	b, err := broker.New(faults...)
 	if err != nil {
@@ -73,7 +74,8 @@
 func (r *recordedBroker) observe(e broker.Event) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	now, attempt := time.Since(r.start), fmt.Sprintf("%d/%d", e.Conn, e.Tag)
+	now := time.Since(r.start)
+	attempt := fmt.Sprintf("%d/%d", e.Conn, e.Tag)
 	key := messageKey{e.Peer, e.ID}
 	switch e.Kind {
 	case broker.EventPublished:
@@ -142,42 +144,44 @@
 	r.publish(classes[n%len(classes)], n)
 }
 
+// publish publishes the n-th message, whose ID and body are its name.
 func (r *recordedBroker) publish(class string, n int) {
 	id := fmt.Sprintf("m%d", n)
 	props := broker.Props{broker.Type: class, broker.MessageID: id, broker.Headers: broker.Table{"customer": "acme"}}
 	r.broker.Publish("", readingsQueue, props, []byte(id))
 }
 
-// report adds the figures and the violations to a report, once the instances have ended. maxMemory is in bytes.
+// report adds the figures and the violations to a report; the instances must have ended. maxMemory is in bytes.
 func (r *recordedBroker) report(report *Report, size int, maxMemory int64) {
-	state, unknownTags := r.broker.QueueState(readingsQueue), r.broker.EventCount(broker.EventUnknownTag)
+	state := r.broker.QueueState(readingsQueue)
+	unknownTags := r.broker.EventCount(broker.EventUnknownTag)
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	c := r.checker
 	c.Finish()
 	c.CheckMemory("instances", maxMemory, rig.MemoryMB*bytesPerMB)
-	report.Put("messages", float64(size))
-	report.Put("read", float64(c.AttemptCount()))
-	report.Put("fulfilled", float64(c.OutcomeCount(invariant.Succeeded)))
-	report.Put("turned_back", float64(c.OutcomeCount(invariant.Rejected)))
-	report.Put("scrapped", float64(c.OutcomeCount(invariant.Failed)))
-	report.Put("caller_gone", float64(c.OutcomeCount(invariant.CallerGone)))
-	report.Put("dead_lettered", float64(r.deadLettered))
-	report.Put("ran_messages", float64(c.ExecutedItems()))
-	report.Put("acks_dropped", float64(r.broker.EventCount(broker.EventAckDropped)))
-	report.Put("connections_lost", float64(r.broker.EventCount(broker.EventConnLost)))
-	report.Zero("unsettled_at_broker", state.Ready+state.Unacked)
-	report.Zero("ended_twice", c.DuplicateOutcomes+unknownTags)
-	report.Zero("late", c.LateOutcomes)
-	report.Zero("double_runs_one_instance", c.DoubleRunsPerInstance)
-	report.Zero("double_runs_all", c.DoubleRunsAll)
+	report.AddFigure("messages", float64(size))
+	report.AddFigure("read", float64(c.AttemptCount()))
+	report.AddFigure("fulfilled", float64(c.OutcomeCount(invariant.Succeeded)))
+	report.AddFigure("turned_back", float64(c.OutcomeCount(invariant.Rejected)))
+	report.AddFigure("scrapped", float64(c.OutcomeCount(invariant.Failed)))
+	report.AddFigure("caller_gone", float64(c.OutcomeCount(invariant.CallerGone)))
+	report.AddFigure("dead_lettered", float64(r.deadLettered))
+	report.AddFigure("ran_messages", float64(c.ExecutedItems()))
+	report.AddFigure("acks_dropped", float64(r.broker.EventCount(broker.EventAckDropped)))
+	report.AddFigure("connections_lost", float64(r.broker.EventCount(broker.EventConnLost)))
+	report.ExpectZero("unsettled_at_broker", state.Ready+state.Unacked)
+	report.ExpectZero("ended_twice", c.DuplicateOutcomes+unknownTags)
+	report.ExpectZero("late", c.LateOutcomes)
+	report.ExpectZero("double_runs_one_instance", c.DoubleRunsPerInstance)
+	report.ExpectZero("double_runs_all", c.DoubleRunsAll)
 	violations := c.Violations()
-	report.Zero("breaches", len(violations))
+	report.ExpectZero("breaches", len(violations))
 	for _, violation := range violations[:min(len(violations), maxReportedFaults)] {
-		report.Fault("%s", violation.String())
+		report.AddFault("%s", violation.String())
 	}
 	if lost := size - c.ExecutedItems() - r.deadLettered; lost > 0 {
-		report.Fault("%d messages neither ran nor are dead letters", lost)
+		report.AddFault("%d messages neither ran nor are dead letters", lost)
 	}
-	report.Put("most_memory_mb", megabytes(maxMemory))
+	report.AddFigure("most_memory_mb", megabytes(maxMemory))
 }
--- a/internal/lab/report.go
+++ b/internal/lab/report.go
@@ -8,9 +8,18 @@
 	Value float64
 }
 
-// Experiment runs one experiment with the executable program and its files in folder. The report is set whenever figures
-// were measured; an error means that the claim could not be checked. progress is called with one line at a time.
-type Experiment func(program, folder string, seed uint64, size int, progress func(string)) (*Report, error)
+// Options are the options of an experiment.
+type Options struct {
+	Program  string // path of the thymechute executable
+	Folder   string // for the experiment's files; the caller removes it
+	Seed     uint64 // of the run's random generators
+	Size     int    // in the experiment's unit: messages or members
+	Progress func(line string)
+}
+
+// Experiment runs one experiment. The report is set whenever figures were measured; an error means that the claim could not be
+// checked.
+type Experiment func(Options) (*Report, error)
 
 // Report is the outcome of an experiment, with the figures in the order in which they are printed.
 type Report struct {
@@ -18,19 +27,21 @@
 	Faults  []string // reasons why the claim does not hold; empty when it holds
 }
 
-// Put adds a figure.
-func (r *Report) Put(name string, value float64) { r.Figures = append(r.Figures, Figure{name, value}) }
+// AddFigure adds a figure.
+func (r *Report) AddFigure(name string, value float64) {
+	r.Figures = append(r.Figures, Figure{name, value})
+}
 
-// Zero adds a figure that must be 0, and a fault when it is not.
-func (r *Report) Zero(name string, value int) {
-	r.Put(name, float64(value))
+// ExpectZero adds a figure that must be 0, and a fault when it is not.
+func (r *Report) ExpectZero(name string, value int) {
+	r.AddFigure(name, float64(value))
 	if value != 0 {
-		r.Fault("%s is %d, expected 0", name, value)
+		r.AddFault("%s is %d, expected 0", name, value)
 	}
 }
 
-// Fault adds a reason why the claim does not hold.
-func (r *Report) Fault(why string, args ...any) {
+// AddFault adds a reason why the claim does not hold.
+func (r *Report) AddFault(why string, args ...any) {
 	r.Faults = append(r.Faults, fmt.Sprintf(why, args...))
 }
 
--- a/internal/lab/rig/fleet.go
+++ b/internal/lab/rig/fleet.go
@@ -70,7 +70,14 @@
 		return err
 	}
 	f.closers = append(f.closers, fake.Close)
-	member, err := Launch(f.program, f.folder, name, runtimeAddress, settings, MemoryMB, f.seed+uint64(len(f.addresses)))
+	member, err := Launch(LaunchOptions{
+		Program:  f.program,
+		Folder:   f.folder,
+		Name:     name,
+		Runtime:  runtimeAddress,
+		Settings: settings,
+		Seed:     f.seed + uint64(len(f.addresses)),
+	})
 	if err != nil {
 		return err
 	}
--- a/internal/lab/rig/instance.go
+++ b/internal/lab/rig/instance.go
@@ -13,42 +13,57 @@
 	"time"
 
 	"thymechute/internal/fake/faultnet"
+	"thymechute/internal/lab/deployment"
 )
 
 const (
 	maxLogBytes  = 1 << 20
 	drainTimeout = 5 * time.Second
+	stopMillis   = 3000 // from SIGTERM to SIGKILL, by the platform
+	maxSockets   = 384
 )
 
 // Instance is the program as a process.
 type Instance struct {
-	Name, Listen string // its name, and the address that it listens on
-	command      *exec.Cmd
-	exited       chan struct{}
+	Name    string
+	Listen  string // address that it listens on
+	command *exec.Cmd
+	exited  chan struct{}
 
 	mu    sync.Mutex
 	log   bytes.Buffer
 	wrote chan struct{} // holds one signal, set at each write to the log
 }
 
-// Launch starts the program with its configuration in the folder, connected to a runtime; settings is the path of the
-// operator's file, or empty. The caller ends it by Kill or Drain; it is also killed with the thread that started it.
-func Launch(program, folder, name, runtime, settings string, memoryMB int, seed uint64) (*Instance, error) {
-	listen, err := freeAddress()
+// LaunchOptions are the options of Launch.
+type LaunchOptions struct {
+	Program  string // path of the executable
+	Folder   string // for the configuration file
+	Name     string // of the instance; unique in the folder
+	Runtime  string // address of its runtime
+	Settings string // path of the operator's file; empty for none
+	Seed     uint64
+}
+
+// Launch starts the program with a configuration in the folder, and a memory limit of MemoryMB. The caller ends it by Kill or
+// Drain; it is also killed with the thread that started it. The errors are those of finding free ports, of writing the file and
+// of starting the process.
+func Launch(options LaunchOptions) (*Instance, error) {
+	configuration, err := newConfiguration(options)
 	if err != nil {
 		return nil, err
 	}
-	configuration, err := writeConfiguration(folder, name, listen, runtime, memoryMB, seed)
+	path, err := writeConfiguration(options.Folder, configuration)
 	if err != nil {
 		return nil, err
 	}
 	arguments := []string{"serve"}
-	if settings != "" {
-		arguments = append(arguments, "--settings", settings)
+	if options.Settings != "" {
+		arguments = append(arguments, "--settings", options.Settings)
 	}
-	i := &Instance{Name: name, Listen: listen, exited: make(chan struct{}), wrote: make(chan struct{}, 1)}
-	i.command = exec.Command(program, arguments...)
-	i.command.Env = append(os.Environ(), "GW_CONFIG="+configuration)
+	i := &Instance{Name: options.Name, Listen: configuration.Listen, exited: make(chan struct{}), wrote: make(chan struct{}, 1)}
+	i.command = exec.Command(options.Program, arguments...)
+	i.command.Env = append(os.Environ(), "GW_CONFIG="+path)
 	i.command.Stderr = i
 	i.command.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
 	if err := i.command.Start(); err != nil {
@@ -61,20 +76,37 @@
 	return i, nil
 }
 
-// writeConfiguration writes the platform's file of an instance and returns its path. Nobody listens at the addresses of
+// newConfiguration returns the platform's file of an instance, which listens on a free address. Nobody listens at the addresses of
 // its index and directory.
-func writeConfiguration(folder, name, listen, runtime string, memoryMB int, seed uint64) (path string, err error) {
+func newConfiguration(options LaunchOptions) (deployment.Configuration, error) {
+	listen, err := freeAddress()
+	if err != nil {
+		return deployment.Configuration{}, err
+	}
 	unused, err := freeAddress()
 	if err != nil {
-		return "", err
+		return deployment.Configuration{}, err
 	}
-	text, err := json.Marshal(map[string]any{"name": name, "listen": listen, "runtime": runtime, "index": unused, "directory": unused,
-		"seed": strconv.FormatUint(seed, 16), "stop_ms": 3000, "settings": deployment(),
-		"limits": map[string]any{"cores": 1.0, "memory_mb": memoryMB, "sockets": 384}})
+	return deployment.Configuration{
+		Name:       options.Name,
+		Listen:     listen,
+		Runtime:    options.Runtime,
+		Index:      unused,
+		Directory:  unused,
+		Seed:       strconv.FormatUint(options.Seed, 16),
+		StopMillis: stopMillis,
+		Limits:     deployment.Limits{Cores: 1, MemoryMB: MemoryMB, Sockets: maxSockets},
+		Settings:   newSettings(),
+	}, nil
+}
+
+// writeConfiguration writes the platform's file of an instance and returns its path.
+func writeConfiguration(folder string, configuration deployment.Configuration) (path string, err error) {
+	text, err := json.Marshal(configuration)
 	if err != nil {
 		return "", err
 	}
-	path = filepath.Join(folder, name+".json")
+	path = filepath.Join(folder, configuration.Name+".json")
 	return path, os.WriteFile(path, text, 0o600)
 }
 
--- a/internal/lab/rig/settings.go
+++ b/internal/lab/rig/settings.go
@@ -1,11 +1,15 @@
 package rig
 
-import "time"
+import (
+	"time"
+
+	"thymechute/internal/lab/deployment"
+)
 
 // The classes of the rig's settings.
 const (
-	ClassTrace     = "trace"     // safe to repeat
-	ClassExcursion = "excursion" // idempotent by its key
+	ClassTrace     = "trace"     // safe
+	ClassExcursion = "excursion" // idempotent with a key
 	ClassSeal      = "seal"      // not idempotent
 )
 
@@ -29,19 +33,26 @@
 	return time.Millisecond, make([]byte, resultBytes)
 }
 
-// deployment returns the settings of a small deployment with many cores, so that the program itself is the bottleneck.
-func deployment() map[string]any {
-	var classes []any
+// newSettings returns the settings of a small deployment with many cores, so that the program itself is the bottleneck.
+func newSettings() deployment.Settings {
+	const fleetSize, callerCount, callerIdleSeconds, tenantQuota = 2, 3, 30, 1e6
+	s := deployment.NewSettings(fleetSize)
+	s.Domain.CallerCount = callerCount
+	s.Domain.CallerIdleTimeout = callerIdleSeconds
+	s.Tenants = []deployment.Tenant{{Name: "acme", Quota: tenantQuota}}
 	for n, class := range []struct{ name, idempotency string }{
-		{ClassTrace, "repeatable"}, {ClassExcursion, "by_key"}, {ClassSeal, "once"},
+		{ClassTrace, deployment.Safe},
+		{ClassExcursion, deployment.Idempotent},
+		{ClassSeal, deployment.NonIdempotent},
 	} {
-		classes = append(classes, map[string]any{"name": class.name, "repeat": class.idempotency, "worth": n + 1, "aim_s": CallerTimeout.Seconds(),
-			"deadline_s": CallerTimeout.Seconds(), "window_s": IdempotencyWindow.Seconds(), "late_value": 0})
+		s.AddClass(deployment.Class{
+			Name:             class.name,
+			Idempotency:      class.idempotency,
+			PriorityWeight:   float64(n + 1),
+			LatencyObjective: CallerTimeout.Seconds(),
+			Deadline:         CallerTimeout.Seconds(),
+			KeyWindow:        IdempotencyWindow.Seconds(),
+		})
 	}
-	return map[string]any{"classes": classes, "tenants": []any{map[string]any{"name": "acme", "quota_per_s": 1e6}},
-		"fleet_size": 2, "rules": map[string]any{"drain_grace_s": 1, "fall_multiple": 8},
-		"policy_limits": map[string]any{"max_retry_after_s": 1, "retry_after": true},
-		"domain": map[string]any{"cores": 16, "ram_kb": 1e7, "blowup": 2, "entry_kb": 0.1, "halt": "abort", "say": "threshold",
-			"depends_on": "shared", "dep_share": 50, "dep_window_s": 5, "linger_s": 0.2, "calls_by_class": []any{false, false, false},
-			"degraded_worth": []any{0, 0, 0}, "caller_idle_s": 30, "clients_total": 3, "gauges": []any{"cpu_busy", "runnable"}}}
+	return s
 }
--- a/internal/lab/run.go
+++ b/internal/lab/run.go
@@ -12,17 +12,12 @@
 	bytesPerMB   = 1 << 20
 )
 
-// run is what an experiment is given.
-type run struct {
-	program, folder string
-	seed            uint64
-	size            int // messages
-	progress        func(string)
-}
+// run is a run of an experiment with a broker, whose size is in messages.
+type run struct{ Options }
 
 // launch starts an instance with the fake runtime at that address; settings is the path of the operator's file, or empty.
 func (r run) launch(name, runtime, settings string, seed uint64) (*rig.Instance, error) {
-	return rig.Launch(r.program, r.folder, name, runtime, settings, rig.MemoryMB, seed)
+	return rig.Launch(rig.LaunchOptions{Program: r.Program, Folder: r.Folder, Name: name, Runtime: runtime, Settings: settings, Seed: seed})
 }
 
 func megabytes(bytes int64) float64 { return float64(bytes) / bytesPerMB }
--- a/internal/lab/scale/decisions/collector.go
+++ b/internal/lab/scale/decisions/collector.go
@@ -2,7 +2,6 @@
 
 import (
 	"fmt"
-	"time"
 
 	"thymechute/internal/lab/scale"
 )
@@ -41,13 +40,11 @@
 // addTiming adds the median, the 99th percentile and the maximum of the time of one decision, in milliseconds.
 func (c *collector) addTiming(name, role string, size int, decide func(sample int)) {
 	times := timeDecision(c.samples, decide)
-	c.addPoint(name+"_ms_p50", role, maxDecisionMillis, size, milliseconds(times.p50))
-	c.addPoint(name+"_ms_p99", role, maxDecisionMillis, size, milliseconds(times.p99))
-	c.addPoint(name+"_ms_worst", role, maxDecisionMillis, size, milliseconds(times.worst))
+	c.addPoint(name+"_ms_p50", role, maxDecisionMillis, size, scale.Milliseconds(times.p50))
+	c.addPoint(name+"_ms_p99", role, maxDecisionMillis, size, scale.Milliseconds(times.p99))
+	c.addPoint(name+"_ms_worst", role, maxDecisionMillis, size, scale.Milliseconds(times.worst))
 }
 
-func milliseconds(d time.Duration) float64 { return float64(d.Nanoseconds()) / 1e6 }
-
 // finish fits every series and returns the result.
 func (c *collector) finish(largest int) (*scale.Result, error) {
 	for _, name := range c.order {
--- a/internal/lab/scale/decisions/daily_traffic.go
+++ b/internal/lab/scale/decisions/daily_traffic.go
@@ -41,13 +41,13 @@
 	acknowledgementBytes := c.lastValue("ring_acknowledgement_bytes_s_member") / acknowledgementsPerSecond
 	c.addDaily("ring_acknowledgements", acknowledgementsPerSecond*secondsPerDay, acknowledgementBytes)
 
-	c.result.Put("release_hour_membership_bytes_s_member", 2*drainedInRelease*share*membershipBytes/releaseHourSeconds)
-	c.result.Put("log_membership_entry_bytes_control_alone", float64(membershipEntryBytes(scale.TargetControlMachines)))
-	c.result.Put("applied_record_changes_s_fleet", renewals/secondsPerDay/entriesPerAppliedRecord*float64(largest))
+	c.result.SetFigure("release_hour_membership_bytes_s_member", 2*drainedInRelease*share*membershipBytes/releaseHourSeconds)
+	c.result.SetFigure("log_membership_entry_bytes_control_alone", float64(membershipEntryBytes(scale.TargetControlMachines)))
+	c.result.SetFigure("applied_record_changes_s_fleet", renewals/secondsPerDay/entriesPerAppliedRecord*float64(largest))
 }
 
 // addDaily adds the entries of one kind, and their bytes for each member.
 func (c *collector) addDaily(name string, entries, bytesEach float64) {
-	c.result.Put("day_"+name+"_entries", entries)
-	c.result.Put("day_"+name+"_bytes_s_member", entries*bytesEach/secondsPerDay)
+	c.result.SetFigure("day_"+name+"_entries", entries)
+	c.result.SetFigure("day_"+name+"_bytes_s_member", entries*bytesEach/secondsPerDay)
 }
--- a/internal/lab/scale/decisions/decisions.go
+++ b/internal/lab/scale/decisions/decisions.go
@@ -41,9 +41,7 @@
 	c := newCollector(options.Seed, samples)
 	for _, size := range fleetSizes {
 		l := Layout{Size: size, Zones: size / zoneSize, Regions: scale.TargetRegions}
-		if options.Progress != nil {
-			options.Progress(fmt.Sprintf("decisions: %d members in %d zones", l.Size, l.Zones))
-		}
+		options.ReportProgress(fmt.Sprintf("decisions: %d members in %d zones", l.Size, l.Zones))
 		if err := c.measureAll(ctx, measurements, l); err != nil {
 			return nil, err
 		}
--- a/internal/lab/scale/decisions/lease.go
+++ b/internal/lab/scale/decisions/lease.go
@@ -69,7 +69,7 @@
 	c.addPoint("owner_entries_day", "log_leader", 0, l.Size, float64(len(entries))/measured*86400)
 	c.addPoint("owner_entry_bytes", "log_leader", 0, l.Size, float64(total)/float64(max(len(entries), 1)))
 	if err := s.Check(); err != nil {
-		c.result.Fault("owner at %d: %v", l.Size, err)
+		c.result.AddFault("owner at %d: %v", l.Size, err)
 	}
 	return measureElector(c, l)
 }
@@ -135,18 +135,18 @@
 	}
 	took := s.Now() - start
 	if !isTakenOver(s, loss) {
-		c.result.Fault("%s: nobody took the duties over within %v", name, took)
+		c.result.AddFault("%s: nobody took the duties over within %v", name, took)
 	}
-	c.result.Put(name+"_takeover_s", took.Seconds())
-	c.result.Put(name+"_claims", float64(countClaims(s.Entries()[entries:])))
+	c.result.SetFigure(name+"_takeover_s", took.Seconds())
+	c.result.SetFigure(name+"_claims", float64(countClaims(s.Entries()[entries:])))
 	for _, m := range lost {
 		m.InboundCut, m.OutboundCut = false, false
 	}
 	healed := len(s.Entries())
 	runLeases(s, s.Now()+afterHealLeases*leaseConfig.Duration)
-	c.result.Put(name+"_heal_claims", float64(countClaims(s.Entries()[healed:])))
+	c.result.SetFigure(name+"_heal_claims", float64(countClaims(s.Entries()[healed:])))
 	if err := s.Check(); err != nil {
-		c.result.Fault("%s: %v", name, err)
+		c.result.AddFault("%s: %v", name, err)
 	}
 }
 
--- a/internal/lab/scale/decisions/ring.go
+++ b/internal/lab/scale/decisions/ring.go
@@ -7,6 +7,7 @@
 	"thymechute/internal/decide/lease"
 	"thymechute/internal/decide/ring"
 	"thymechute/internal/fleet/slots"
+	"thymechute/internal/lab/scale"
 )
 
 const (
@@ -233,12 +234,12 @@
 	if err != nil {
 		return nil, err
 	}
-	c.result.Put(name+"_moved", float64(len(migrations)))
-	c.result.Put(name+"_moved_over_least", float64(len(migrations))/float64(max(minimum, 1)))
-	c.result.Put(name+"_plan_ms_p50", milliseconds(t.p50))
-	c.result.Put(name+"_plan_ms_worst", milliseconds(t.worst))
+	c.result.SetFigure(name+"_moved", float64(len(migrations)))
+	c.result.SetFigure(name+"_moved_over_least", float64(len(migrations))/float64(max(minimum, 1)))
+	c.result.SetFigure(name+"_plan_ms_p50", scale.Milliseconds(t.p50))
+	c.result.SetFigure(name+"_plan_ms_worst", scale.Milliseconds(t.worst))
 	if len(migrations) > minimum {
-		c.result.Fault("%s: %d slots migrated, the minimum is %d", name, len(migrations), minimum)
+		c.result.AddFault("%s: %d slots migrated, the minimum is %d", name, len(migrations), minimum)
 	}
 	return next, nil
 }
--- a/internal/lab/scale/decisions/ring_test.go
+++ b/internal/lab/scale/decisions/ring_test.go
@@ -7,12 +7,12 @@
 	"thymechute/internal/decide/ring"
 )
 
-// planDigests are of the tables that follow each loss and return below, taken from the plan as it was before its search for
-// failover targets was made faster: a plan must come out the same in every build of a fleet.
+// planDigests are sums over the digests of the tables of digestsAfterLosses, recorded before the search for failover targets was
+// made faster. All builds that run in one fleet make the same plan.
 var planDigests = map[string]uint64{"alike": 0x53d5c8859716abb1, "unlike": 0x9b2f29c02689bff2}
 
-// losses plays each kind of loss and return on a ring of these weights, and gives each table's digest.
-func losses(t *testing.T, name string, weight func(n int) float64) map[string]uint64 {
+// digestsAfterLosses returns the digest of each table that follows a loss of backends or their return, on rings with these weights.
+func digestsAfterLosses(t *testing.T, name string, weight func(n int) float64) map[string]uint64 {
 	out := map[string]uint64{}
 	for _, l := range []Layout{{Size: 240, Zones: 8, Regions: 4}, {Size: 360, Zones: 10, Regions: 4}} {
 		backends := l.backends()
@@ -38,6 +38,7 @@
 	return out
 }
 
+// mustPlan returns the next table, and fails the test unless it has the fewest migrations.
 func mustPlan(t *testing.T, table *ring.Table, backends []ring.Backend) *ring.Table {
 	next, migrations, minimum, err := table.Plan(backends, ring.BalanceBound{Slack: ringSlack}, nil)
 	if err != nil || len(migrations) != minimum {
@@ -47,10 +48,14 @@
 }
 
 func TestPlanDigestsAreStable(t *testing.T) {
-	for name, weight := range map[string]func(int) float64{"alike": func(int) float64 { return 1 }, "unlike": func(n int) float64 { return float64(1 + n%3) }} {
+	weights := map[string]func(n int) float64{
+		"alike":  func(int) float64 { return 1 },
+		"unlike": func(n int) float64 { return float64(1 + n%3) },
+	}
+	for name, weight := range weights {
 		all := uint64(0)
-		for key, digest := range losses(t, name, weight) {
-			all += digest * (uint64(len(key)) + 1) // in any order
+		for key, digest := range digestsAfterLosses(t, name, weight) {
+			all += digest * (uint64(len(key)) + 1) // a sum, as maps have no order
 		}
 		if all != planDigests[name] {
 			t.Errorf("%s: digest %#x, expected %#x", name, all, planDigests[name])
@@ -58,7 +63,7 @@
 	}
 }
 
-// BenchmarkPlanOfARegionLost is the longest plan: a quarter of 500 backends gone at once, 65,536 slots.
+// BenchmarkPlanOfARegionLost measures the longest plan: a quarter of 500 backends is removed at once, with 65,536 slots.
 func BenchmarkPlanOfARegionLost(b *testing.B) {
 	for _, size := range []int{240, 480, 720, 1200} {
 		b.Run(fmt.Sprint(size, " members"), func(b *testing.B) {
--- a/internal/lab/scale/decisions/rollout.go
+++ b/internal/lab/scale/decisions/rollout.go
@@ -79,7 +79,7 @@
 func measureRolloutSizes(c *collector, l Layout, fleet []rollout.Instance, load map[string]float64) error {
 	bodies := rolloutCommands(l.rolloutLimits(), fleet, load)
 	if len(bodies) < 2 {
-		c.result.Fault("rollout at %d: nobody was drained", l.Size)
+		c.result.AddFault("rollout at %d: nobody was drained", l.Size)
 		return nil
 	}
 	c.addPoint("roll_entry_bytes", "log_leader", 0, l.Size, float64(entryBytes(rolloutEntry(bodies[1]))))
@@ -99,11 +99,17 @@
 // rolloutCommands are the first commands of a rollout's leader: the release and, once that is applied, the first drains.
 func rolloutCommands(limits rollout.Limits, fleet []rollout.Instance, load map[string]float64) (bodies []string) {
 	c := rolling.New(rolling.Config{
-		Name: "x", Limits: limits,
+		Name:              "x",
+		Limits:            limits,
 		Fleet:             func() ([]rollout.Instance, map[string]float64) { return fleet, load },
 		UnreachableVoters: func() []string { return nil },
-		Propose:           func(body string) bool { bodies = append(bodies, body); return true },
-		Resign:            func() {}, Drain: func() {}, Notify: func(string) {},
+		Propose: func(body string) bool {
+			bodies = append(bodies, body)
+			return true
+		},
+		Resign: func() {},
+		Drain:  func() {},
+		Notify: func(string) {},
 	})
 	c.SetRelease(wantedRelease)
 	c.LeaseAcquired()
@@ -146,10 +152,10 @@
 	for figure, value := range map[string]float64{"took_s": f.Duration.Seconds(), "held_s": f.BlockedTime.Seconds(), "drains": float64(f.Drains),
 		"drains_in_loss": float64(f.DrainsDuringLoss), "resumed_s": f.ResumeDelay.Seconds(), "over_floor_min": f.MinCapacityOverRequired,
 		"stuck_most": float64(f.MaxStuck)} {
-		c.result.Put(name+"_"+figure, value)
+		c.result.SetFigure(name+"_"+figure, value)
 	}
 	if f.DrainsBelowRequired > 0 || f.DuplicateDrains > 0 || f.MaxVotersDraining > 1 || f.CompletedFraction < 1-1e-9 || f.Duration == 0 {
-		c.result.Fault("%s: %d drains below the required capacity, %d twice, %d voters at once, %.3f updated, took %v", name, f.DrainsBelowRequired, f.DuplicateDrains,
+		c.result.AddFault("%s: %d drains below the required capacity, %d twice, %d voters at once, %.3f updated, took %v", name, f.DrainsBelowRequired, f.DuplicateDrains,
 			f.MaxVotersDraining, f.CompletedFraction, f.Duration)
 	}
 }
--- a/internal/lab/scale/decisions/subsets.go
+++ b/internal/lab/scale/decisions/subsets.go
@@ -126,7 +126,7 @@
 func (c *collector) putOpened(name string, before map[string][]string, after subsetView, minimum int) {
 	subsets := after.subsets()
 	opened := subset.OpenedConnections(before, subsets)
-	c.result.Put(name+"_opened", float64(opened))
-	c.result.Put(name+"_opened_over_least", float64(opened)/float64(minimum))
-	c.result.Put(name+"_spread", subset.LoadImbalance(subsets, after.backends))
+	c.result.SetFigure(name+"_opened", float64(opened))
+	c.result.SetFigure(name+"_opened_over_least", float64(opened)/float64(minimum))
+	c.result.SetFigure(name+"_spread", subset.LoadImbalance(subsets, after.backends))
 }
--- a/internal/lab/scale/decisions/timing.go
+++ b/internal/lab/scale/decisions/timing.go
@@ -19,7 +19,11 @@
 func timeDecision(samples int, decide func(sample int)) decisionTimes {
 	decide(0)
 	var took []time.Duration
-	for begin := time.Now(); len(took) < samples && (len(took) < minSamples || time.Since(begin) < maxTimingTime); {
+	begin := time.Now()
+	for len(took) < samples {
+		if len(took) >= minSamples && time.Since(begin) >= maxTimingTime {
+			break
+		}
 		start := time.Now()
 		decide(len(took))
 		took = append(took, time.Since(start))
--- a/internal/lab/scale/decisions/voters.go
+++ b/internal/lab/scale/decisions/voters.go
@@ -96,7 +96,7 @@
 func measureVoters(c *collector, l Layout) error {
 	f := newVoterFleet(l, ascending(l.Size), regionsKnown)
 	if len(f.Voters) != targetVoters {
-		c.result.Fault("voters: %d of %d chosen among %d", len(f.Voters), targetVoters, l.Size)
+		c.result.AddFault("voters: %d of %d chosen among %d", len(f.Voters), targetVoters, l.Size)
 	}
 	last := f.Voters[targetVoters-1]
 	f.Members[f.position(last)].UnreachableFor = time.Minute
@@ -140,9 +140,9 @@
 				withQuorum++
 			}
 		}
-		c.result.Put(name+"_region_with_quorum_part", float64(withQuorum)/float64(orders))
+		c.result.SetFigure(name+"_region_with_quorum_part", float64(withQuorum)/float64(orders))
 		if knowledge == regionsKnown && withQuorum > 0 {
-			c.result.Fault("%s: a region has a quorum in %d of %d orders of joining", name, withQuorum, orders)
+			c.result.AddFault("%s: a region has a quorum in %d of %d orders of joining", name, withQuorum, orders)
 		}
 	}
 	return nil
@@ -167,12 +167,12 @@
 			took = now
 		}
 	}
-	c.result.Put(name+"_voters_lost", float64(lost))
-	c.result.Put(name+"_changes", float64(changes))
-	c.result.Put(name+"_s", took.Seconds())
+	c.result.SetFigure(name+"_voters_lost", float64(lost))
+	c.result.SetFigure(name+"_changes", float64(changes))
+	c.result.SetFigure(name+"_s", took.Seconds())
 	quorumLost := 0.0
 	if lost >= quorum.Majority(targetVoters) {
 		quorumLost = 1
 	}
-	c.result.Put(name+"_quorum_lost", quorumLost)
+	c.result.SetFigure(name+"_quorum_lost", quorumLost)
 }
--- a/internal/lab/scale/fit.go
+++ b/internal/lab/scale/fit.go
@@ -62,7 +62,7 @@
 	Slope     float64 `json:"slope"`             // per unit of the model's shape
 	Predicted float64 `json:"largest_predicted"` // value at the largest size, by a fit of the smaller sizes alone
 	Measured  float64 `json:"largest_measured"`
-	Error     float64 `json:"largest_error"` // (predicted - measured) / measured; 0 where both are 0, farOff where only measured is
+	Error     float64 `json:"largest_error"` // (predicted - measured) / measured; 0 where both are 0, maxFitError where only Measured is
 }
 
 // At is the fitted value at a size, at least 0.
--- a/internal/lab/scale/fit_test.go
+++ b/internal/lab/scale/fit_test.go
@@ -8,7 +8,7 @@
 	"pgregory.net/rapid"
 )
 
-// series makes points of a known law with relative noise.
+// series returns points of a known law with relative noise.
 func series(law func(float64) float64, noise func() float64) (points []Point) {
 	for _, size := range []float64{25, 50, 100, 200, 400} {
 		points = append(points, Point{Size: size, Value: law(size) * (1 + noise())})
@@ -44,8 +44,8 @@
 	}
 }
 
+// A figure that steps up at the largest size cannot be predicted from the smaller ones, and the error shows that.
 func TestFitReportsErrorOfStep(t *testing.T) {
-	// A figure that steps up at the largest size can't be predicted from the smaller ones: the error must show it.
 	fit, err := FitPoints([]Point{{25, 1}, {50, 1}, {100, 1}, {400, 12}})
 	if err != nil {
 		t.Fatal(err)
--- a/internal/lab/scale/instance/connections.go
+++ b/internal/lab/scale/instance/connections.go
@@ -28,7 +28,7 @@
 
 // measureConnections opens more and more connections to one program, has a request served on each, and leaves them idle.
 func (m *measurement) measureConnections() error {
-	r, _, err := m.startRig(deployment{tenants: 2, classes: 1, sockets: connectionSockets})
+	r, _, err := m.startRig(deploymentPlan{tenants: 2, classes: 1, sockets: connectionSockets})
 	if err != nil {
 		return err
 	}
@@ -52,7 +52,7 @@
 		time.Sleep(settleTime)
 		open := r.descriptorCount()
 		if open-withoutCallers < size {
-			m.result.Fault("%d idle connections: %d descriptors more than without", size, open-withoutCallers)
+			m.result.AddFault("%d idle connections: %d descriptors more than without", size, open-withoutCallers)
 		}
 		residentMB, err := r.residentMB()
 		if err != nil {
@@ -62,7 +62,7 @@
 		descriptors.Points = append(descriptors.Points, scale.Point{Size: float64(size), Value: float64(open)})
 		m.progress("%d connections: %d descriptors, %.1f MB", size, open, residentMB)
 	}
-	m.result.Put("descriptors_without_callers", float64(withoutCallers))
+	m.result.SetFigure("descriptors_without_callers", float64(withoutCallers))
 	if err := m.addSeries(memory); err != nil {
 		return err
 	}
@@ -83,7 +83,7 @@
 
 // connect opens a connection and waits for the answer to one request on it.
 func (r *rig) connect() (net.Conn, error) {
-	c, err := net.DialTimeout("tcp", r.deployment.listen, requestTimeout)
+	c, err := net.DialTimeout("tcp", r.deploymentPlan.listen, requestTimeout)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/lab/scale/instance/instance.go
+++ b/internal/lab/scale/instance/instance.go
@@ -92,9 +92,7 @@
 
 // progress reports a line of progress.
 func (m *measurement) progress(format string, values ...any) {
-	if m.options.Progress != nil {
-		m.options.Progress("instance: " + fmt.Sprintf(format, values...))
-	}
+	m.options.ReportProgress("instance: " + fmt.Sprintf(format, values...))
 }
 
 // nextSeed is the seed of the next load.
@@ -104,7 +102,7 @@
 }
 
 // startRig starts a program and its fakes; the duration is the time until it was serving.
-func (m *measurement) startRig(d deployment) (*rig, time.Duration, error) {
+func (m *measurement) startRig(d deploymentPlan) (*rig, time.Duration, error) {
 	return newRig(m.ctx, m.options.Program, m.options.Folder, d)
 }
 
@@ -122,7 +120,7 @@
 		return m.result.AddSeries(s)
 	}
 	for _, p := range s.Points {
-		m.result.Put(fmt.Sprintf("%s_at_%.0f_%s", s.Name, p.Size, s.SizeUnit), p.Value)
+		m.result.SetFigure(fmt.Sprintf("%s_at_%.0f_%s", s.Name, p.Size, s.SizeUnit), p.Value)
 	}
 	m.addNotRun(fmt.Sprintf("fewer than four %s, no fit, %s: ", s.SizeUnit, s.Coverage), s.Name)
 	return nil
--- a/internal/lab/scale/instance/instance_test.go
+++ b/internal/lab/scale/instance/instance_test.go
@@ -13,11 +13,11 @@
 	"thymechute/internal/testutil"
 )
 
-func run(t *testing.T, s workload) *scale.Result {
+func run(t *testing.T, w workload) *scale.Result {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(t.Context(), 2*time.Minute)
 	defer cancel()
-	result, err := part{s}.Run(ctx, scale.Options{Seed: 1, Folder: t.TempDir(), Program: testutil.BuildProgram(t), Progress: func(line string) { t.Log(line) }})
+	result, err := part{w}.Run(ctx, scale.Options{Seed: 1, Folder: t.TempDir(), Program: testutil.BuildProgram(t), Progress: func(line string) { t.Log(line) }})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -44,7 +44,7 @@
 	for _, f := range trialFigures {
 		for _, of := range []string{"tenants", "routes"} {
 			if f.name == "reload_in_force_ms_worst" && of == "routes" {
-				continue // what changes with a route no probe shows
+				continue // no probe shows the change of a route
 			}
 			if s, ok := have[f.name+" by "+of]; !ok || len(s.Points) != 4 || s.Bound != f.bound {
 				t.Errorf("%s by %s: %+v", f.name, of, s)
@@ -75,7 +75,7 @@
 
 // A reload that is never answered is reported within the timeout, and a failed reload ends the trial.
 func TestFailedReloadEndsTrial(t *testing.T) {
-	r, _, err := newRig(t.Context(), testutil.BuildProgram(t), t.TempDir(), deployment{tenants: 2, classes: 1, sockets: maxSockets})
+	r, _, err := newRig(t.Context(), testutil.BuildProgram(t), t.TempDir(), deploymentPlan{tenants: 2, classes: 1, sockets: maxSockets})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -98,7 +98,7 @@
 
 // The probe detects whether a limit is in force, and a rejected file changes nothing.
 func TestProbeDetectsLimit(t *testing.T) {
-	d := deployment{tenants: 5, classes: 1, sockets: maxSockets, lastTenantLimited: true}
+	d := deploymentPlan{tenants: 5, classes: 1, sockets: maxSockets, lastTenantLimited: true}
 	r, _, err := newRig(t.Context(), testutil.BuildProgram(t), t.TempDir(), d)
 	if err != nil {
 		t.Fatal(err)
@@ -107,7 +107,7 @@
 	p := r.newProbe()
 	defer p.close()
 	for _, limited := range []bool{true, false, true} {
-		changed := r.deployment
+		changed := r.deploymentPlan
 		changed.lastTenantLimited = limited
 		text, err := changed.encode()
 		if err != nil {
@@ -116,7 +116,7 @@
 		if done, err := r.replaceFile(t.Context(), text); err != nil || done.outcome != applied {
 			t.Fatalf("%+v, %v", done, err)
 		}
-		if _, err := p.waitUntil(t.Context(), limited, reloadTimeout); err != nil {
+		if _, err := p.waitUntil(t.Context(), limitState(limited), reloadTimeout); err != nil {
 			t.Fatal(err)
 		}
 		if isLimited, err := p.isLimited(); err != nil || isLimited != limited {
@@ -135,7 +135,7 @@
 func TestProgramThatDoesNotStartIsAFault(t *testing.T) {
 	m := &measurement{ctx: t.Context(), workload: smallWorkload(), result: &scale.Result{},
 		options: scale.Options{Folder: t.TempDir(), Program: testutil.BuildProgram(t)}}
-	r, err := m.runTrial(deployment{tenants: 2, classes: 1, shorterObjective: -1}, func(*deployment) {}, withLoads)
+	r, err := m.runTrial(deploymentPlan{tenants: 2, classes: 1, shorterObjective: -1}, func(*deploymentPlan) {}, withLoads)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -184,7 +184,9 @@
 		t.Errorf("not run: %q", m.result.NotRun)
 	}
 	for _, s := range m.result.Series {
-		if s.Name == "reload_in_force_ms_worst" || s.Name == "reload_wait_longest_ms" && len(s.Points) != 4 {
+		isUnexpected := s.Name == "reload_in_force_ms_worst"
+		isIncomplete := s.Name == "reload_wait_longest_ms" && len(s.Points) != 4
+		if isUnexpected || isIncomplete {
 			t.Errorf("%+v", s)
 		}
 	}
@@ -202,7 +204,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	d := deployment{tenants: 3, classes: 2, sockets: maxSockets, lastTenantLimited: true, shorterObjective: 1,
+	d := deploymentPlan{tenants: 3, classes: 2, sockets: maxSockets, lastTenantLimited: true, shorterObjective: 1,
 		listen: "127.0.0.1:1", runtime: "127.0.0.1:2", catalog: "127.0.0.1:3"}
 	if text, err := d.encode(); err != nil || !bytes.Equal(text, recorded) {
 		t.Errorf("encoded as %s, %v, recorded %s", text, err, recorded)
--- a/internal/lab/scale/instance/load.go
+++ b/internal/lab/scale/instance/load.go
@@ -45,7 +45,7 @@
 	random := rand.New(rand.NewPCG(options.seed, 2))
 	body := func(n int) string { return fmt.Sprintf("%c %d %d", workLoad, options.seed, n) }
 	load := stub.Load{
-		Address:       r.deployment.listen,
+		Address:       r.deploymentPlan.listen,
 		Rate:          options.rate,
 		Duration:      options.duration,
 		AnswerTimeout: answerTimeout,
@@ -115,5 +115,3 @@
 
 // unservedCount is the number of requests without a result, for any reason.
 func (l loadResult) unservedCount() int { return len(l.samples) - l.samples.Count(stub.Served) }
-
-func milliseconds(t time.Duration) float64 { return float64(t) / float64(time.Millisecond) }
--- a/internal/lab/scale/instance/probe.go
+++ b/internal/lab/scale/instance/probe.go
@@ -18,6 +18,14 @@
 	codeRejected  = -32001
 )
 
+// limitState is whether the last tenant's limit is in force.
+type limitState bool
+
+const (
+	limitActive limitState = true
+	limitLifted limitState = false
+)
+
 // probe tests whether the last tenant's limit is in force, by more requests at once than its bucket holds. A request beyond the
 // limit has no priority weight by these settings, so it is rejected; without the limit, all are served.
 type probe struct {
@@ -38,7 +46,7 @@
 // connect replaces the connection.
 func (p *probe) connect() (err error) {
 	p.close()
-	if p.net, err = net.DialTimeout("tcp", p.rig.deployment.listen, healthCheckTimeout); err != nil {
+	if p.net, err = net.DialTimeout("tcp", p.rig.deploymentPlan.listen, healthCheckTimeout); err != nil {
 		return err
 	}
 	p.in, p.lastID = json.NewDecoder(bufio.NewReader(p.net)), 0
@@ -90,14 +98,15 @@
 	return limited, nil
 }
 
-// waitUntil sends bursts until the limit is in force or not, as wanted, and returns the time of the answer that shows it.
-func (p *probe) waitUntil(ctx context.Context, limited bool, limit time.Duration) (time.Time, error) {
-	for end := time.Now().Add(limit); time.Now().Before(end); {
+// waitUntil sends bursts until the limit has the expected state, and returns the time of the answer that shows it. It fails
+// after the timeout, and when a burst fails.
+func (p *probe) waitUntil(ctx context.Context, expected limitState, timeout time.Duration) (time.Time, error) {
+	for end := time.Now().Add(timeout); time.Now().Before(end); {
 		isLimited, err := p.isLimited()
 		if err != nil {
 			return time.Time{}, err
 		}
-		if isLimited == limited {
+		if limitState(isLimited) == expected {
 			return time.Now(), nil
 		}
 		select {
@@ -106,5 +115,5 @@
 			return time.Time{}, ctx.Err()
 		}
 	}
-	return time.Time{}, fmt.Errorf("probe: after %v the limit does not act as configured", limit)
+	return time.Time{}, fmt.Errorf("probe: after %v the limit does not act as configured", timeout)
 }
--- a/internal/lab/scale/instance/process.go
+++ b/internal/lab/scale/instance/process.go
@@ -2,28 +2,26 @@
 
 import (
 	"bufio"
-	"bytes"
 	"context"
 	"encoding/json"
 	"fmt"
 	"net"
 	"os"
 	"os/exec"
-	"strconv"
 	"strings"
 	"sync"
 	"syscall"
 	"time"
 
-	"thymechute/internal/lab/scale"
+	"thymechute/internal/lab/procfs"
 )
 
 const (
 	startTimeout        = 20 * time.Second // from exec to the first successful health check
 	healthCheckTimeout  = time.Second      // of one health check
 	healthCheckInterval = 2 * time.Millisecond
-	maxLogLines         = 10_000                // of the log
-	clockTick           = 10 * time.Millisecond // unit of CPU time in /proc
+	maxLogLines         = 10_000 // of the log
+	bytesPerMB          = 1 << 20
 )
 
 // logLine is a line of the program's log and when it was read.
@@ -172,38 +170,35 @@
 
 // residentMB is the resident memory now, in megabytes.
 func (p *process) residentMB() (float64, error) {
-	resident, err := scale.ProcessResidentBytes(p.cmd.Process.Pid)
-	return float64(resident) / (1 << 20), err
+	resident, err := procfs.ResidentBytes(p.cmd.Process.Pid)
+	return float64(resident) / bytesPerMB, err
 }
 
 // peakMB is the highest resident memory so far, in megabytes; 0 when the process has ended.
 func (p *process) peakMB() float64 {
-	text, _ := os.ReadFile(fmt.Sprintf("/proc/%d/status", p.cmd.Process.Pid))
-	_, rest, _ := bytes.Cut(text, []byte("VmHWM:"))
-	fields := bytes.Fields(rest)
-	if len(fields) == 0 {
+	peak, err := procfs.PeakResidentBytes(p.cmd.Process.Pid)
+	if err != nil {
 		return 0
 	}
-	kilobytes, _ := strconv.ParseFloat(string(fields[0]), 64)
-	return kilobytes / kbPerMB
+	return float64(peak) / bytesPerMB
 }
 
-// cpuTime is the CPU time used so far, in steps of clockTick.
+// cpuTime is the CPU time used so far, in steps of 10 ms; 0 when the process has ended.
 func (p *process) cpuTime() time.Duration {
-	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", p.cmd.Process.Pid))
+	used, err := procfs.CPUTime(p.cmd.Process.Pid)
 	if err != nil {
 		return 0
 	}
-	fields := strings.Fields(string(text[bytes.LastIndexByte(text, ')')+1:]))
-	user, _ := strconv.Atoi(fields[11])
-	system, _ := strconv.Atoi(fields[12])
-	return time.Duration(user+system) * clockTick
+	return used
 }
 
-// descriptorCount is the number of open file descriptors.
+// descriptorCount is the number of open file descriptors; 0 when the process has ended.
 func (p *process) descriptorCount() int {
-	entries, _ := os.ReadDir(fmt.Sprintf("/proc/%d/fd", p.cmd.Process.Pid))
-	return len(entries)
+	count, err := procfs.DescriptorCount(p.cmd.Process.Pid)
+	if err != nil {
+		return 0
+	}
+	return count
 }
 
 // kill kills the program; its graceful shutdown is not measured.
--- a/internal/lab/scale/instance/reload.go
+++ b/internal/lab/scale/instance/reload.go
@@ -5,6 +5,8 @@
 	"os"
 	"strings"
 	"time"
+
+	"thymechute/internal/lab/scale"
 )
 
 const (
@@ -32,7 +34,7 @@
 	logLine         string
 }
 
-func (r reload) millis() float64 { return milliseconds(r.completed.Sub(r.sent)) }
+func (r reload) millis() float64 { return scale.Milliseconds(r.completed.Sub(r.sent)) }
 
 // replaceFile writes the configuration file, signals the program, and waits for its message.
 func (r *rig) replaceFile(ctx context.Context, text []byte) (reload, error) {
--- a/internal/lab/scale/instance/reports.go
+++ b/internal/lab/scale/instance/reports.go
@@ -59,7 +59,7 @@
 
 // measureOwnReports measures the reports of the program at the catalog, and the CPU time of the program while it is idle.
 func (m *measurement) measureOwnReports() error {
-	r, _, err := m.startRig(deployment{tenants: 2, classes: 1, sockets: maxSockets})
+	r, _, err := m.startRig(deploymentPlan{tenants: 2, classes: 1, sockets: maxSockets})
 	if err != nil {
 		return err
 	}
@@ -69,14 +69,14 @@
 	after, seconds := r.catalog.Counts(), time.Since(begin).Seconds()
 	reports := float64(after.Reports - before.Reports)
 	if reports == 0 {
-		m.result.Fault("no report of the program reached the catalog in %v", m.workload.reportingTime)
+		m.result.AddFault("no report of the program reached the catalog in %v", m.workload.reportingTime)
 		return nil
 	}
 	bytes := float64(after.Bytes - before.Bytes)
-	m.result.Put("report_bytes", bytes/reports)
-	m.result.Put("reports_s_member", reports/seconds)
-	m.result.Put("report_bytes_s_member_with_headers", (bytes+reports*headerBytes)/seconds)
-	m.result.Put("idle_processor_percent", float64(r.cpuTime()-cpu)/float64(time.Second)/seconds*100)
+	m.result.SetFigure("report_bytes", bytes/reports)
+	m.result.SetFigure("reports_s_member", reports/seconds)
+	m.result.SetFigure("report_bytes_s_member_with_headers", (bytes+reports*headerBytes)/seconds)
+	m.result.SetFigure("idle_processor_percent", float64(r.cpuTime()-cpu)/float64(time.Second)/seconds*100)
 	return nil
 }
 
@@ -115,10 +115,10 @@
 	counts := c.Counts()
 	names := c.Names(time.Now())
 	if len(names) != size {
-		m.result.Fault("%d of %d hollow instances listed", len(names), size)
+		m.result.AddFault("%d of %d hollow instances listed", len(names), size)
 	}
 	if m.result.Single["list_bytes_subset"] == 0 {
-		m.result.Put("list_bytes_subset", float64(len(fakecatalog.EncodeList(names[:min(listedSubset, size)], listedAddress))))
+		m.result.SetFigure("list_bytes_subset", float64(len(fakecatalog.EncodeList(names[:min(listedSubset, size)], listedAddress))))
 	}
 	return counts, fakecatalog.EncodeList(names, listedAddress), m.ctx.Err()
 }
--- a/internal/lab/scale/instance/rig.go
+++ b/internal/lab/scale/instance/rig.go
@@ -28,7 +28,7 @@
 
 // rig is a program with the fakes of its runtime and of the catalog.
 type rig struct {
-	deployment
+	deploymentPlan
 	*process
 	runtime *runtime.Runtime
 	catalog *catalog.Catalog
@@ -40,8 +40,8 @@
 
 // newRig starts the fakes and the program and waits until the program serves; startTime is the time from exec to then. After an
 // error nothing runs any more; the error is a *startError when the program did not start.
-func newRig(ctx context.Context, program, folder string, d deployment) (r *rig, startTime time.Duration, err error) {
-	r = &rig{deployment: d, runTimes: map[string]time.Duration{}}
+func newRig(ctx context.Context, program, folder string, d deploymentPlan) (r *rig, startTime time.Duration, err error) {
+	r = &rig{deploymentPlan: d, runTimes: map[string]time.Duration{}}
 	startTime, err = r.start(ctx, program, folder)
 	if err != nil {
 		r.close()
@@ -51,21 +51,21 @@
 }
 
 func (r *rig) start(ctx context.Context, program, folder string) (startTime time.Duration, err error) {
-	if r.runtime, r.deployment.runtime, err = runtime.Start("127.0.0.1:0", work, func(string, []byte) {}); err != nil {
+	if r.runtime, r.deploymentPlan.runtime, err = runtime.Start("127.0.0.1:0", work, func(string, []byte) {}); err != nil {
 		return 0, err
 	}
 	r.runtime.OnEnd(r.observeEnd)
-	if r.catalog, r.deployment.catalog, err = catalog.Start("127.0.0.1:0"); err != nil {
+	if r.catalog, r.deploymentPlan.catalog, err = catalog.Start("127.0.0.1:0"); err != nil {
 		return 0, err
 	}
-	if r.deployment.listen, err = freeAddress(); err != nil {
+	if r.deploymentPlan.listen, err = freeAddress(); err != nil {
 		return 0, err
 	}
 	file := filepath.Join(folder, "instance.json")
 	if err = r.write(file); err != nil {
 		return 0, err
 	}
-	if r.process, err = startProcess(program, file, r.deployment.listen); err != nil {
+	if r.process, err = startProcess(program, file, r.deploymentPlan.listen); err != nil {
 		return 0, err
 	}
 	return r.waitUntilServing(ctx)
--- a/internal/lab/scale/instance/trial.go
+++ b/internal/lab/scale/instance/trial.go
@@ -6,6 +6,7 @@
 	"time"
 
 	"thymechute/internal/fake/stub"
+	"thymechute/internal/lab/scale"
 )
 
 // trial is the measurements of one program with one configuration.
@@ -59,7 +60,7 @@
 	if t.isTruncated() {
 		return math.NaN()
 	}
-	return milliseconds(latency)
+	return scale.Milliseconds(latency)
 }
 
 // truncationPrefix precedes a latency in text that was cut off.
@@ -72,7 +73,7 @@
 
 // runTrial starts a program with that configuration, and takes it through the trial's script. change makes the change that
 // reloads apply and undo. A program that does not start is a failed trial and no error.
-func (m *measurement) runTrial(d deployment, change func(*deployment), loads loadMode) (*trial, error) {
+func (m *measurement) runTrial(d deploymentPlan, change func(*deploymentPlan), loads loadMode) (*trial, error) {
 	d.sockets, d.lastTenantLimited = maxSockets, true
 	r, startTime, err := m.startRig(d)
 	if notStarted := (*startError)(nil); errors.As(err, &notStarted) {
@@ -82,7 +83,7 @@
 		return nil, err
 	}
 	defer r.close()
-	t := &trial{tenants: d.tenants, routes: d.classes, startMillis: milliseconds(startTime),
+	t := &trial{tenants: d.tenants, routes: d.classes, startMillis: scale.Milliseconds(startTime),
 		quietLatency: map[float64]*stub.Distribution{}, reloadingLatency: map[float64]*stub.Distribution{}}
 	s := &trialScript{measurement: m, rig: r, probe: r.newProbe(), trial: t}
 	defer s.probe.close()
--- a/internal/lab/scale/instance/trial_figures.go
+++ b/internal/lab/scale/instance/trial_figures.go
@@ -34,7 +34,10 @@
 
 // of is the figure's value in a trial; ok is false when it was not measured.
 func (f figure) of(t *trial) (value float64, ok bool) {
-	if !t.hasStarted() || f.completeness == completeTrial && !t.hasCompleted() {
+	if !t.hasStarted() {
+		return 0, false
+	}
+	if f.completeness == completeTrial && !t.hasCompleted() {
 		return 0, false
 	}
 	value = f.value(t)
@@ -65,5 +68,5 @@
 	{"reload_processor_ms", 0, completeTrial, func(t *trial) float64 { return t.cpuMillisPerReload }},
 	{"same_file_ms", 0, completeTrial, func(t *trial) float64 { return t.unchangedReload.millis() }},
 	{"faulty_file_ms", 0, completeTrial, func(t *trial) float64 { return t.malformedReload.millis() }},
-	{"odd_files_wait_longest_ms", boundLatencyMillis, completeTrial, func(t *trial) float64 { return milliseconds(t.abnormalLatency.Max()) }},
+	{"odd_files_wait_longest_ms", boundLatencyMillis, completeTrial, func(t *trial) float64 { return scale.Milliseconds(t.abnormalLatency.Max()) }},
 }
--- a/internal/lab/scale/instance/trial_script.go
+++ b/internal/lab/scale/instance/trial_script.go
@@ -6,6 +6,8 @@
 	"fmt"
 	"math"
 	"time"
+
+	"thymechute/internal/lab/scale"
 )
 
 const (
@@ -25,16 +27,16 @@
 	probe       *probe
 	trial       *trial
 	files       [2][]byte
-	limited     [2]bool // whether the last tenant's limit is in force, by file
-	active      int     // index of the file in force
+	limits      [2]limitState // by file
+	active      int           // index of the file in force
 	reloadCount int
 }
 
 // prepare encodes the two files.
-func (s *trialScript) prepare(change func(*deployment)) (err error) {
-	before, after := s.rig.deployment, s.rig.deployment
+func (s *trialScript) prepare(change func(*deploymentPlan)) (err error) {
+	before, after := s.rig.deploymentPlan, s.rig.deploymentPlan
 	change(&after)
-	s.limited = [2]bool{before.lastTenantLimited, after.lastTenantLimited}
+	s.limits = [2]limitState{limitState(before.lastTenantLimited), limitState(after.lastTenantLimited)}
 	if s.files[0], err = before.encode(); err != nil {
 		return err
 	}
@@ -45,7 +47,7 @@
 
 // run runs all steps, until a reload fails.
 func (s *trialScript) run(loads loadMode) error {
-	_, err := s.probe.waitUntil(s.context(), true, startProbeTimeout)
+	_, err := s.probe.waitUntil(s.context(), limitActive, startProbeTimeout)
 	s.trial.limitActiveAtStart = err == nil
 	steps := []func() error{s.runFirstReload, s.runProbedReloads, s.runIdleReloads, s.runAbnormalFiles}
 	if loads == withLoads {
@@ -90,7 +92,7 @@
 		s.trial.failure = fmt.Sprintf("a reload was refused after %.0f ms", done.millis())
 	case applied:
 		s.active = 1 - s.active
-		if done.millis() > milliseconds(maxReloadTime) {
+		if done.millis() > scale.Milliseconds(maxReloadTime) {
 			s.trial.failure = fmt.Sprintf("a reload took %.0f ms", done.millis())
 		}
 	}
@@ -144,7 +146,7 @@
 		}
 		s.trial.loggedMillis = append(s.trial.loggedMillis, done.millis())
 		if !effective.IsZero() {
-			s.trial.effectiveMillis = append(s.trial.effectiveMillis, max(done.millis(), milliseconds(effective.Sub(done.sent))))
+			s.trial.effectiveMillis = append(s.trial.effectiveMillis, max(done.millis(), scale.Milliseconds(effective.Sub(done.sent))))
 		}
 	}
 	s.trial.resident5MB, err = s.rig.residentMB()
@@ -153,11 +155,11 @@
 
 // runProbedReload reloads once. effective is when the probe saw the changed limit in force; zero when no limit changes.
 func (s *trialScript) runProbedReload() (done reload, effective time.Time, err error) {
-	if s.limited[0] == s.limited[1] {
+	if s.limits[0] == s.limits[1] {
 		done, err = s.rig.replaceFile(s.context(), s.inactiveFile())
 		return done, effective, err
 	}
-	wanted, probed := s.limited[1-s.active], make(chan error, 1)
+	wanted, probed := s.limits[1-s.active], make(chan error, 1)
 	go func() {
 		var err error
 		effective, err = s.probe.waitUntil(s.context(), wanted, reloadTimeout)
@@ -201,7 +203,7 @@
 			return err
 		}
 	}
-	s.trial.cpuMillisPerReload = milliseconds(s.rig.cpuTime()-cpu) / float64(s.reloadCount-countBefore)
+	s.trial.cpuMillisPerReload = scale.Milliseconds(s.rig.cpuTime()-cpu) / float64(s.reloadCount-countBefore)
 	residentMB, err := s.rig.residentMB()
 	s.trial.resident20MB = residentMB
 	if s.reloadCount < s.workload().reloadCount {
@@ -228,14 +230,14 @@
 	return nil
 }
 
-// checkAbnormalFiles checks that a malformed file was rejected as a whole, and that the limit in force before still is.
+// checkAbnormalFiles checks that a malformed file was rejected without any effect, and that the limit in force before still is.
 func (s *trialScript) checkAbnormalFiles() {
 	t, result := s.trial, s.measurement.result
 	if t.unchangedReload.outcome != applied || t.malformedReload.outcome != rejected {
-		result.Fault("%d tenants, %d classes: a file that is the same: %q; a faulty one: %q", t.tenants, t.routes,
+		result.AddFault("%d tenants, %d classes: a file that is the same: %q; a faulty one: %q", t.tenants, t.routes,
 			t.unchangedReload.logLine, t.malformedReload.logLine)
 	}
-	if _, err := s.probe.waitUntil(s.context(), s.limited[s.active], startProbeTimeout); err != nil {
-		result.Fault("%d tenants, %d classes: after a faulty file: %v", t.tenants, t.routes, err)
+	if _, err := s.probe.waitUntil(s.context(), s.limits[s.active], startProbeTimeout); err != nil {
+		result.AddFault("%d tenants, %d classes: after a faulty file: %v", t.tenants, t.routes, err)
 	}
 }
--- a/internal/lab/scale/instance/trial_series.go
+++ b/internal/lab/scale/instance/trial_series.go
@@ -17,14 +17,14 @@
 		if slices.Contains(m.workload.loadedTenants, tenants) {
 			loads = withLoads
 		}
-		t, err := m.runTrial(deployment{tenants: tenants, classes: 1}, liftLimit, loads)
+		t, err := m.runTrial(deploymentPlan{tenants: tenants, classes: 1}, liftLimit, loads)
 		if err != nil {
 			return fmt.Errorf("%d tenants: %w", tenants, err)
 		}
 		m.reportTrial(t)
 		trials = append(trials, t)
 		if t.hasStarted() && !t.limitActiveAtStart {
-			m.result.Fault("%d tenants: the last one's limit does not act after the start", tenants)
+			m.result.AddFault("%d tenants: the last one's limit does not act after the start", tenants)
 		}
 	}
 	if err := m.addTrials(trials, "tenants", scale.TargetTenants, func(t *trial) int { return t.tenants }); err != nil {
@@ -38,7 +38,7 @@
 func (m *measurement) measureRoutes() error {
 	var trials []*trial
 	for _, routes := range m.workload.routes {
-		t, err := m.runTrial(deployment{tenants: 2, classes: routes}, shortenObjective, withoutLoads)
+		t, err := m.runTrial(deploymentPlan{tenants: 2, classes: routes}, shortenObjective, withoutLoads)
 		if err != nil {
 			return fmt.Errorf("%d routes: %w", routes, err)
 		}
@@ -53,7 +53,7 @@
 	if !m.workload.combined {
 		return nil
 	}
-	t, err := m.runTrial(deployment{tenants: scale.TargetTenants, classes: scale.TargetRoutes}, liftLimit, withLoads)
+	t, err := m.runTrial(deploymentPlan{tenants: scale.TargetTenants, classes: scale.TargetRoutes}, liftLimit, withLoads)
 	if err != nil {
 		return fmt.Errorf("tenants and routes together: %w", err)
 	}
@@ -61,29 +61,29 @@
 	m.recordFailures(t)
 	for _, f := range trialFigures {
 		if value, ok := f.of(t); ok {
-			m.result.Put("together_"+f.name, value)
+			m.result.SetFigure("together_"+f.name, value)
 		}
 	}
 	m.putLatencies("together_", t)
 	return nil
 }
 
-func liftLimit(d *deployment) { d.lastTenantLimited = false }
+func liftLimit(d *deploymentPlan) { d.lastTenantLimited = false }
 
-func shortenObjective(d *deployment) { d.shorterObjective = 1 }
+func shortenObjective(d *deploymentPlan) { d.shorterObjective = 1 }
 
 // recordFailures records the failures of a trial as faults of the result.
 func (m *measurement) recordFailures(t *trial) {
 	if !t.hasStarted() {
-		m.result.Fault("%d tenants, %d routes: %s", t.tenants, t.routes, t.failure)
+		m.result.AddFault("%d tenants, %d routes: %s", t.tenants, t.routes, t.failure)
 		return
 	}
 	if !t.hasCompleted() {
-		m.result.Fault("%d tenants, %d routes: %s; the longest wait %s%.0f ms", t.tenants, t.routes, t.failure, t.truncationPrefix(),
-			milliseconds(t.reloadLatency.Max()))
+		m.result.AddFault("%d tenants, %d routes: %s; the longest wait %s%.0f ms", t.tenants, t.routes, t.failure, t.truncationPrefix(),
+			scale.Milliseconds(t.reloadLatency.Max()))
 	}
 	if t.unserved > 0 {
-		m.result.Fault("%d tenants, %d routes: %d of %d requests of a load without reloads not served", t.tenants, t.routes, t.unserved, t.sent)
+		m.result.AddFault("%d tenants, %d routes: %d of %d requests of a load without reloads not served", t.tenants, t.routes, t.unserved, t.sent)
 	}
 }
 
@@ -146,7 +146,7 @@
 	}
 	for _, t := range trials {
 		if len(t.quietLatency) > 0 {
-			m.result.Put(fmt.Sprintf("generator_late_ms_p99_at_%d_tenants", t.tenants), milliseconds(t.sendDelayP99))
+			m.result.SetFigure(fmt.Sprintf("generator_late_ms_p99_at_%d_tenants", t.tenants), scale.Milliseconds(t.sendDelayP99))
 		}
 	}
 	return nil
@@ -157,7 +157,7 @@
 		Target: scale.TargetTenants, Bound: p.bound}
 	for _, t := range trials {
 		if d := kind.byRate(t)[rate]; d != nil {
-			s.Points = append(s.Points, scale.Point{Size: float64(t.tenants), Value: milliseconds(d.Percentile(p.percent))})
+			s.Points = append(s.Points, scale.Point{Size: float64(t.tenants), Value: scale.Milliseconds(d.Percentile(p.percent))})
 		}
 	}
 	if len(s.Points) < len(m.workload.loadedTenants) {
@@ -170,7 +170,7 @@
 func (m *measurement) putLatencies(prefix string, t *trial) {
 	for _, kind := range latencyKinds {
 		for rate, d := range kind.byRate(t) {
-			m.result.Put(fmt.Sprintf("%sadded_ms_p99_at_%.0f_s%s", prefix, rate, kind.suffix), milliseconds(d.Percentile(99)))
+			m.result.SetFigure(fmt.Sprintf("%sadded_ms_p99_at_%.0f_s%s", prefix, rate, kind.suffix), scale.Milliseconds(d.Percentile(99)))
 		}
 	}
 }
@@ -178,5 +178,5 @@
 // reportTrial reports a trial as a line of progress.
 func (m *measurement) reportTrial(t *trial) {
 	m.progress("%d tenants, %d routes: start %.0f ms, %.1f MB, first reload %.0f ms, longest wait %.1f ms %s", t.tenants, t.routes, t.startMillis,
-		t.residentStartMB, t.firstReload.millis(), milliseconds(t.reloadLatency.Max()), t.failure)
+		t.residentStartMB, t.firstReload.millis(), scale.Milliseconds(t.reloadLatency.Max()), t.failure)
 }
--- a/internal/lab/scale/members/faults.go
+++ b/internal/lab/scale/members/faults.go
@@ -3,6 +3,8 @@
 import (
 	"context"
 	"time"
+
+	"thymechute/internal/lab/scale"
 )
 
 // restartDelay is how long the effects of restarts are still measured after all agree.
@@ -41,11 +43,11 @@
 		}
 		last = max(last, d.last.Sub(began))
 	}
-	t.outcome.DetectFirstMillis, t.outcome.DetectAllMillis = millis(first), millis(last)
+	t.outcome.DetectFirstMillis, t.outcome.DetectAllMillis = scale.Milliseconds(first), scale.Milliseconds(last)
 }
 
-// restartByNotice restarts members one after the other, as a release does, and measures what one restart costs.
-func (t *trial) restartByNotice(ctx context.Context) error {
+// restartGracefully restarts members one after the other, as a release does, and measures what one restart costs.
+func (t *trial) restartGracefully(ctx context.Context) error {
 	if err := t.settle(ctx); err != nil {
 		return err
 	}
@@ -70,8 +72,8 @@
 	if err := t.agree(ctx, "after the restarts"); err != nil {
 		return err
 	}
-	t.outcome.RestartAgreeMillis = millis(time.Since(began))
-	if err := wait(ctx, restartDelay); err != nil {
+	t.outcome.RestartAgreeMillis = scale.Milliseconds(time.Since(began))
+	if err := scale.Wait(ctx, restartDelay); err != nil {
 		return err
 	}
 	window, err := t.windowSince(before)
@@ -82,8 +84,8 @@
 	return nil
 }
 
-// restartMember restarts a member by notice. It swaps its rank with another's, as the member of the highest rank moves to
-// the rank that a leaving one frees.
+// restartMember restarts a member after a graceful shutdown. It swaps its rank with another's, as the member of the highest rank
+// takes the rank that a leaving one frees.
 func (t *trial) restartMember(h, rankSwap *hollowMember) error {
 	h.leave()
 	t.fleet.takeDeparture(h.name)
@@ -118,9 +120,9 @@
 	t.fleet.network.isolate(region)
 	for time.Since(began) < t.plan.PartitionDuration {
 		if t.outcome.CutAgreeMillis == 0 && t.fleet.sidesAgree(region) {
-			t.outcome.CutAgreeMillis = millis(time.Since(began))
+			t.outcome.CutAgreeMillis = scale.Milliseconds(time.Since(began))
 		}
-		if err := wait(ctx, pollInterval); err != nil {
+		if err := scale.Wait(ctx, pollInterval); err != nil {
 			return err
 		}
 	}
@@ -142,9 +144,9 @@
 	if err := t.agree(ctx, "after the heal"); err != nil {
 		return err
 	}
-	t.outcome.HealAgreeMillis = millis(time.Since(began))
+	t.outcome.HealAgreeMillis = scale.Milliseconds(time.Since(began))
 	if left := t.plan.HealWindow - time.Since(began); left > 0 {
-		if err := wait(ctx, left); err != nil {
+		if err := scale.Wait(ctx, left); err != nil {
 			return err
 		}
 	}
--- a/internal/lab/scale/members/fleet.go
+++ b/internal/lab/scale/members/fleet.go
@@ -33,7 +33,7 @@
 	falseDeaths atomic.Int64 // declarations of a live member that is not partitioned from the declaring one
 }
 
-// departure is how the other members learn that one is gone.
+// departure is when the other members have removed one from their views.
 type departure struct {
 	first, last time.Time
 	reports     int
@@ -47,7 +47,7 @@
 // grow starts members until there are size.
 func (f *fleet) grow(ctx context.Context, size int) error {
 	for n := len(f.members); n < size; n++ {
-		h := &hollowMember{fleet: f, index: n, name: memberName(n), bind: memberAddress(n), region: n % regionCount, rank: n}
+		h := &hollowMember{fleet: f, index: n, name: memberName(n), bind: scale.LoopbackAddress(n), region: n % regionCount, rank: n}
 		f.network.assign(h.bind, h.region)
 		f.mu.Lock()
 		f.members = append(f.members, h)
@@ -55,13 +55,14 @@
 		if err := h.start(); err != nil {
 			return err
 		}
-		if err := wait(ctx, startInterval); err != nil {
+		if err := scale.Wait(ctx, startInterval); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
+// liveMembers returns the members that are up, in the order of their first start.
 func (f *fleet) liveMembers() (live []*hollowMember) {
 	for _, h := range f.members {
 		if h.isLive.Load() {
@@ -87,7 +88,7 @@
 		if time.Since(start) > timeout {
 			return fmt.Errorf("%w: %d of %d apart after %v", errDisagreement, disagreeing, len(live), timeout)
 		}
-		if err := wait(ctx, pollInterval); err != nil {
+		if err := scale.Wait(ctx, pollInterval); err != nil {
 			return err
 		}
 	}
@@ -114,14 +115,14 @@
 	return true
 }
 
-// expectDeparture begins to record who learns that a member is gone.
+// expectDeparture starts to record which members remove a member from their views.
 func (f *fleet) expectDeparture(name string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.departures[name] = &departure{}
 }
 
-// takeDeparture ends that, and returns what was recorded; nil if nothing was.
+// takeDeparture stops the recording of a departure and returns it; nil if there is none.
 func (f *fleet) takeDeparture(name string) *departure {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -150,7 +151,7 @@
 	}
 }
 
-// shutdown ends all members without notice.
+// shutdown ends all members without a graceful shutdown.
 func (f *fleet) shutdown() {
 	var done sync.WaitGroup
 	for _, h := range f.liveMembers() {
--- a/internal/lab/scale/members/hollow.go
+++ b/internal/lab/scale/members/hollow.go
@@ -2,7 +2,6 @@
 
 import (
 	"fmt"
-	"os"
 	"sync/atomic"
 	"time"
 
@@ -61,7 +60,7 @@
 	return addresses
 }
 
-// kill ends the member without notice.
+// kill ends the member without a graceful shutdown.
 func (h *hollowMember) kill() {
 	h.fleet.expectDeparture(h.name)
 	h.isLive.Store(false)
@@ -105,16 +104,8 @@
 	h.fleet.reportDeparture(h, name)
 }
 
-// memberAddress returns the address of the n-th member. IP and port depend on this process's id, so that two runs at once
-// do not meet.
-func memberAddress(n int) string {
-	const networks, ports = 200, 10_000
-	pid := os.Getpid()
-	return fmt.Sprintf("127.%d.%d.%d:%d", 16+pid%networks, n/250, n%250+1, 20_000+pid/networks%ports)
-}
-
-// memberName is like a host's name, with as little in common with others as those have: names that compress well would
-// cost too little.
+// memberName returns the name of the n-th member. Names differ as much as those of hosts do: names with long common parts would
+// compress too well.
 func memberName(n int) string { return fmt.Sprintf("checkout-%010x", mix(n)%(1<<40)) }
 
 // mix spreads the bits of a number.
--- a/internal/lab/scale/members/members_test.go
+++ b/internal/lab/scale/members/members_test.go
@@ -62,7 +62,7 @@
 	}
 }
 
-func TestSummarizeNamesWhatWasNotRunAndWorksOutTarget(t *testing.T) {
+func TestSummarizeListsWhatWasNotRunAndExtrapolates(t *testing.T) {
 	var outcomes []Outcome
 	for _, size := range Sizes {
 		outcomes = append(outcomes, Outcome{Size: size, ExchangeBytes: 200 * membership.PushPullInterval(defaultSyncInterval, size).Seconds(),
--- a/internal/lab/scale/members/meter.go
+++ b/internal/lab/scale/members/meter.go
@@ -1,13 +1,18 @@
 package members
 
-import "sync/atomic"
+import (
+	"net"
+	"sync/atomic"
+
+	"thymechute/internal/lab/scale"
+)
 
 // meter counts what all hollow members of a process send and receive.
 type meter struct {
 	datagramsSent, datagramBytesSent         atomic.Int64
 	datagramsReceived, datagramBytesReceived atomic.Int64
-	streams, streamBytesSent                 atomic.Int64
-	streamBytesReceived                      atomic.Int64
+	streams                                  atomic.Int64 // dialled
+	streamBytes                              scale.ConnCounter
 
 	tracing atomic.Bool // bytes are also counted by kind; off while processor time is measured, as it costs some
 	kinds   [kindCount]atomic.Int64
@@ -19,12 +24,25 @@
 	Kinds                                          [kindCount]int64
 }
 
+// countStream returns one end of a stream with its bytes counted. memberlist writes each message by one call.
+func (m *meter) countStream(conn net.Conn) net.Conn {
+	return &scale.CountedConn{Conn: conn, Counter: &m.streamBytes, OnWrite: m.traceStream}
+}
+
+// traceStream counts a message by its kind, while that is switched on.
+func (m *meter) traceStream(written []byte) {
+	if m.tracing.Load() {
+		m.addStream(written)
+	}
+}
+
 func (m *meter) read() meterReading {
+	streams := m.streamBytes.Counts()
 	r := meterReading{
 		Datagrams:     m.datagramsSent.Load() + m.datagramsReceived.Load(),
 		DatagramBytes: m.datagramBytesSent.Load() + m.datagramBytesReceived.Load(),
 		Streams:       m.streams.Load(),
-		StreamBytes:   m.streamBytesSent.Load() + m.streamBytesReceived.Load(),
+		StreamBytes:   streams.SentBytes + streams.ReceivedBytes,
 	}
 	for kind := range m.kinds {
 		r.Kinds[kind] = m.kinds[kind].Load()
@@ -32,6 +50,7 @@
 	return r
 }
 
+// since returns what was counted after an earlier reading.
 func (r meterReading) since(before meterReading) meterReading {
 	r.Datagrams -= before.Datagrams
 	r.DatagramBytes -= before.DatagramBytes
--- a/internal/lab/scale/members/part.go
+++ b/internal/lab/scale/members/part.go
@@ -25,7 +25,7 @@
 	var trials sync.WaitGroup
 	for n, size := range Sizes {
 		trials.Go(func() {
-			outcomes[n], errs[n] = runInChild(ctx, DefaultPlan(size, options.Seed), options.Progress)
+			outcomes[n], errs[n] = runInChild(ctx, DefaultPlan(size, options.Seed), options.ReportProgress)
 		})
 	}
 	trials.Wait()
--- a/internal/lab/scale/members/plan.go
+++ b/internal/lab/scale/members/plan.go
@@ -15,10 +15,10 @@
 	SyncInterval      time.Duration `json:"Sync"`
 	SettleTimeout     time.Duration `json:"Settle"`  // for gossip to become quiet after all members agree
 	QuietWindow       time.Duration `json:"Quiet"`   // measured with nothing happening
-	TraceWindow       time.Duration `json:"Trace"`   // measured with bytes told apart by kind
+	TraceWindow       time.Duration `json:"Trace"`   // measured with bytes counted by kind of message
 	RecordUpdates     int           `json:"Changes"` // one per second
 	Kills             int           // members killed at once
-	Restarts          int           // members restarted by notice, one per RestartInterval
+	Restarts          int           // members restarted gracefully, one per RestartInterval
 	RestartInterval   time.Duration `json:"RestartEach"`
 	PartitionDuration time.Duration `json:"Cut"` // of one region from the others; 0: no partition
 	HealWindow        time.Duration `json:"AfterHeal"`
--- a/internal/lab/scale/members/summary.go
+++ b/internal/lab/scale/members/summary.go
@@ -96,16 +96,16 @@
 func putTargetFigures(result *scale.Result, atTarget map[string]float64) {
 	quiet, restart := atTarget["bytes_s_member_quiet"], atTarget["bytes_member_one_restart"]
 	ordinaryDay := quiet + restart*restartsPerDay/secondsPerDay
-	result.Put("bytes_s_member_ordinary_day_at_target", ordinaryDay)
-	result.Put("bytes_s_member_release_at_target", quiet+restart*releaseRestartsPerSecond)
+	result.SetFigure("bytes_s_member_ordinary_day_at_target", ordinaryDay)
+	result.SetFigure("bytes_s_member_release_at_target", quiet+restart*releaseRestartsPerSecond)
 	if update := atTarget["bytes_member_one_record_changed"]; update > 0 {
-		result.Put("record_changes_s_fleet_within_share", max(maxBytesPerSecond-ordinaryDay, 0)/update)
+		result.SetFigure("record_changes_s_fleet_within_share", max(maxBytesPerSecond-ordinaryDay, 0)/update)
 	}
 }
 
 // putSizeFigures adds the figures of one size only, and its faults.
 func putSizeFigures(result *scale.Result, outcome Outcome) {
-	put := func(name string, value float64) { result.Put(fmt.Sprintf("%s_%d", name, outcome.Size), value) }
+	put := func(name string, value float64) { result.SetFigure(fmt.Sprintf("%s_%d", name, outcome.Size), value) }
 	put("false_deaths", float64(outcome.FalseDeaths))
 	put("false_deaths_after_heal", float64(outcome.FalseDeathsHeal))
 	if outcome.Unsettled+int(outcome.LateChanges) > 0 {
@@ -113,7 +113,7 @@
 		put("late_changes", float64(outcome.LateChanges))
 	}
 	for _, fault := range outcome.Faults {
-		result.Fault("%d members: %s", outcome.Size, fault)
+		result.AddFault("%d members: %s", outcome.Size, fault)
 	}
 	for kind, bytes := range outcome.Trace.Kinds {
 		put("sent_bytes_s_"+kind, bytes/outcome.Trace.Seconds)
--- a/internal/lab/scale/members/transport.go
+++ b/internal/lab/scale/members/transport.go
@@ -52,7 +52,7 @@
 			return
 		case conn := <-t.Transport.StreamCh():
 			select {
-			case t.conns <- &countedConn{Conn: conn, meter: t.meter}:
+			case t.conns <- t.meter.countStream(conn):
 			case <-t.stop:
 				conn.Close()
 				return
@@ -100,7 +100,7 @@
 		return nil, err
 	}
 	t.meter.streams.Add(1)
-	return &countedConn{Conn: conn, meter: t.meter}, nil
+	return t.meter.countStream(conn), nil
 }
 
 // Shutdown implements memberlist.Transport. The listeners of the inner transport end first, as they may wait for a packet to
@@ -110,26 +110,3 @@
 	close(t.stop)
 	return err
 }
-
-// countedConn is one end of a stream that counts bytes.
-type countedConn struct {
-	net.Conn
-	meter *meter
-}
-
-// Read implements net.Conn.
-func (c *countedConn) Read(b []byte) (int, error) {
-	n, err := c.Conn.Read(b)
-	c.meter.streamBytesReceived.Add(int64(n))
-	return n, err
-}
-
-// Write implements net.Conn. memberlist writes each message by one call.
-func (c *countedConn) Write(b []byte) (int, error) {
-	n, err := c.Conn.Write(b)
-	c.meter.streamBytesSent.Add(int64(n))
-	if c.meter.tracing.Load() {
-		c.meter.addStream(b[:n])
-	}
-	return n, err
-}
--- a/internal/lab/scale/members/trial.go
+++ b/internal/lab/scale/members/trial.go
@@ -43,7 +43,7 @@
 		{"quiet", t.measureQuiet},
 		{"changes", t.updateRecords},
 		{"kills", t.killAndRestart},
-		{"restarts", t.restartByNotice},
+		{"restarts", t.restartGracefully},
 		{"cut", t.partitionRegion},
 	} {
 		began := time.Now()
@@ -71,7 +71,7 @@
 	if err := t.agree(ctx, "after the start"); err != nil {
 		return err
 	}
-	t.outcome.StartAgreeMillis = millis(time.Since(began))
+	t.outcome.StartAgreeMillis = scale.Milliseconds(time.Since(began))
 	if err := t.settle(ctx); err != nil {
 		return err
 	}
@@ -158,11 +158,11 @@
 		record := h.record()
 		record.LagMS = n + 1
 		t.setRecord(h, record)
-		if err := wait(ctx, updateInterval); err != nil {
+		if err := scale.Wait(ctx, updateInterval); err != nil {
 			return err
 		}
 	}
-	if err := wait(ctx, updateDelay); err != nil {
+	if err := scale.Wait(ctx, updateDelay); err != nil {
 		return err
 	}
 	window, err := t.windowSince(before)
--- a/internal/lab/scale/members/window.go
+++ b/internal/lab/scale/members/window.go
@@ -39,7 +39,7 @@
 	if err != nil {
 		return Window{}, err
 	}
-	if err := wait(ctx, length); err != nil {
+	if err := scale.Wait(ctx, length); err != nil {
 		return Window{}, err
 	}
 	return t.windowSince(before)
@@ -60,7 +60,7 @@
 		StreamBytes:     float64(used.StreamBytes) / size,
 		Datagrams:       float64(used.Datagrams) / size,
 		Streams:         float64(used.Streams) / size,
-		ProcessorMillis: millis(now.usage.CPU-before.usage.CPU) / size,
+		ProcessorMillis: scale.Milliseconds(now.usage.CPU-before.usage.CPU) / size,
 	}
 	for kind, bytes := range used.Kinds {
 		if bytes == 0 {
@@ -73,15 +73,3 @@
 	}
 	return window, nil
 }
-
-func millis(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
-
-// wait waits for a time, unless the context ends before.
-func wait(ctx context.Context, pause time.Duration) error {
-	select {
-	case <-ctx.Done():
-		return ctx.Err()
-	case <-time.After(pause):
-		return nil
-	}
-}
--- a/internal/lab/scale/raftlog/catchup.go
+++ b/internal/lab/scale/raftlog/catchup.go
@@ -11,11 +11,12 @@
 // TargetTenants is the number of tenants in a state of the planned size.
 const TargetTenants = scale.TargetTenants
 
-// CatchUp is what it took a late follower to restore the whole state.
+// CatchUp is what it took a late follower to restore the complete state.
 type CatchUp struct {
-	StateBytes, DecodedBytes float64
-	Millis                   float64
-	LeaderBytes              float64
+	StateBytes   float64 // of the leader's encoded state
+	DecodedBytes float64 // that the follower restored
+	Millis       float64
+	LeaderBytes  float64 // sent and received by the leader meanwhile
 }
 
 const (
@@ -73,7 +74,7 @@
 	if _, err := c.leader.call(entries); err != nil {
 		return err
 	}
-	return sleep(ctx, snapshotPeriod)
+	return scale.Wait(ctx, snapshotPeriod)
 }
 
 // waitForState waits until the child has restored a state, and returns its size.
@@ -82,7 +83,7 @@
 		if time.Since(began) > catchUpTimeout {
 			return 0, fmt.Errorf("no state restored within %v", catchUpTimeout)
 		}
-		if err := sleep(ctx, catchUpPoll); err != nil {
+		if err := scale.Wait(ctx, catchUpPoll); err != nil {
 			return 0, err
 		}
 		reply, err := c.call(request{Operation: opApplied})
--- a/internal/lab/scale/raftlog/child.go
+++ b/internal/lab/scale/raftlog/child.go
@@ -22,7 +22,7 @@
 	retryInterval = 20 * time.Millisecond // of an operation that failed
 )
 
-// Child answers the requests of a parent, one JSON object each, until the input ends.
+// Child answers the requests of a parent, one JSON object each, until the input ends. It returns the error of writing to out.
 func Child(ctx context.Context, in io.Reader, out io.Writer) error {
 	g := &replicaGroup{}
 	defer g.stop()
@@ -42,6 +42,7 @@
 	}
 }
 
+// handle carries out one request.
 func (g *replicaGroup) handle(ctx context.Context, r request) (reply response, err error) {
 	switch r.Operation {
 	case opStart:
@@ -69,6 +70,7 @@
 	return reply, nil
 }
 
+// startReplicas starts replicas; with Bootstrap it waits until the first of them leads.
 func (g *replicaGroup) startReplicas(r request, reply *response) error {
 	state := State(r.Tenants)
 	reply.StateBytes = len(state)
@@ -103,6 +105,7 @@
 	return nil
 }
 
+// proposeEntries proposes entries at the first replica, which must lead.
 func (g *replicaGroup) proposeEntries(r request) error {
 	for range r.Count {
 		if err := g.propose(r.BodyBytes); err != nil {
--- a/internal/lab/scale/raftlog/cluster.go
+++ b/internal/lab/scale/raftlog/cluster.go
@@ -4,6 +4,8 @@
 	"context"
 	"fmt"
 	"time"
+
+	"thymechute/internal/lab/scale"
 )
 
 const agreementPollInterval = 50 * time.Millisecond
@@ -90,7 +92,7 @@
 		if followers.Applied >= leader.Applied {
 			return nil
 		}
-		if err := sleep(ctx, agreementPollInterval); err != nil {
+		if err := scale.Wait(ctx, agreementPollInterval); err != nil {
 			return err
 		}
 	}
--- a/internal/lab/scale/raftlog/conn.go
+++ b/internal/lab/scale/raftlog/conn.go
@@ -3,54 +3,9 @@
 import (
 	"net"
 	"sync"
-	"sync/atomic"
 	"time"
 )
 
-// meter counts the payload of all TCP connections of a process, without headers (40 bytes and more per segment).
-type meter struct {
-	sent, received, writes atomic.Int64
-}
-
-// Usage is the state of a meter and of its process at one moment.
-type Usage struct {
-	Sent            int64   `json:"Sent"` // bytes
-	Received        int64   `json:"Received"`
-	Writes          int64   `json:"Writes"` // calls of Write: about one per message
-	ProcessorMillis float64 `json:"ProcessorMillis"`
-	Resident        float64 `json:"Resident"` // bytes
-}
-
-// since returns the usage after an earlier moment; the memory is the present one.
-func (u Usage) since(before Usage) Usage {
-	u.Sent -= before.Sent
-	u.Received -= before.Received
-	u.Writes -= before.Writes
-	u.ProcessorMillis -= before.ProcessorMillis
-	return u
-}
-
-// countedConn counts what passes a connection.
-type countedConn struct {
-	net.Conn
-	meter *meter
-}
-
-// Read implements io.Reader.
-func (c *countedConn) Read(b []byte) (int, error) {
-	n, err := c.Conn.Read(b)
-	c.meter.received.Add(int64(n))
-	return n, err
-}
-
-// Write implements io.Writer.
-func (c *countedConn) Write(b []byte) (int, error) {
-	n, err := c.Conn.Write(b)
-	c.meter.sent.Add(int64(n))
-	c.meter.writes.Add(1)
-	return n, err
-}
-
 // maxQueuedWrites bounds the queue of a delayedConn.
 const maxQueuedWrites = 1024
 
@@ -63,6 +18,7 @@
 	done  chan struct{}
 }
 
+// delayedWrite is the data of one Write, and when it is delivered.
 type delayedWrite struct {
 	due  time.Time
 	data []byte
@@ -78,6 +34,7 @@
 	return c
 }
 
+// deliver writes the queue to the connection, until that is closed or a write fails.
 func (c *delayedConn) deliver() {
 	for {
 		select {
@@ -93,7 +50,7 @@
 	}
 }
 
-// Write implements io.Writer.
+// Write implements io.Writer. Errors of the delayed write are not returned: they close the connection.
 func (c *delayedConn) Write(b []byte) (int, error) {
 	select {
 	case <-c.done:
--- a/internal/lab/scale/raftlog/cost.go
+++ b/internal/lab/scale/raftlog/cost.go
@@ -1,6 +1,39 @@
 package raftlog
 
-import "time"
+import (
+	"time"
+
+	"thymechute/internal/lab/scale"
+)
+
+// Usage is what a process has spent up to one moment. It is sent from a child to its parent as JSON.
+type Usage struct {
+	Sent            int64   `json:"Sent"` // bytes
+	Received        int64   `json:"Received"`
+	Writes          int64   `json:"Writes"` // calls of Write: about one per message
+	ProcessorMillis float64 `json:"ProcessorMillis"`
+	Resident        float64 `json:"Resident"` // bytes
+}
+
+// newUsage joins the counts of a process's connections with its CPU time and memory.
+func newUsage(counts scale.ConnCounts, process scale.Usage) Usage {
+	return Usage{
+		Sent:            counts.SentBytes,
+		Received:        counts.ReceivedBytes,
+		Writes:          counts.Writes,
+		ProcessorMillis: scale.Milliseconds(process.CPU),
+		Resident:        float64(process.ResidentBytes),
+	}
+}
+
+// since returns the usage after an earlier moment; the memory is the present one.
+func (u Usage) since(before Usage) Usage {
+	u.Sent -= before.Sent
+	u.Received -= before.Received
+	u.Writes -= before.Writes
+	u.ProcessorMillis -= before.ProcessorMillis
+	return u
+}
 
 // Cost is what one process spent: the leader, or a follower on average.
 type Cost struct {
@@ -12,6 +45,7 @@
 	Resident               float64 // bytes
 }
 
+// idleBytes is the idle traffic in both directions, in bytes per second.
 func (c Cost) idleBytes() float64 { return c.IdleSent + c.IdleReceived }
 
 // costInput is the usage of processes that share a meter, before and after an idle and a loaded period.
--- a/internal/lab/scale/raftlog/election.go
+++ b/internal/lab/scale/raftlog/election.go
@@ -9,6 +9,7 @@
 	"time"
 
 	"thymechute/internal/decide/lease"
+	"thymechute/internal/lab/scale"
 )
 
 const (
@@ -82,7 +83,7 @@
 func regionDelays(delayFactor float64) func(net.Conn) net.Conn {
 	regions := map[string]int{} // by host
 	for n := range voterCount {
-		host, _, _ := net.SplitHostPort(replicaAddress(n))
+		host, _, _ := net.SplitHostPort(scale.LoopbackAddress(n))
 		regions[host] = voterRegion(n)
 	}
 	return func(conn net.Conn) net.Conn {
@@ -103,7 +104,7 @@
 		return nil, err
 	}
 	term := leader.log.Term()
-	if err := sleep(ctx, quietPeriod); err != nil {
+	if err := scale.Wait(ctx, quietPeriod); err != nil {
 		return nil, err
 	}
 	e.QuietChanges += leader.log.Term() - term
@@ -143,7 +144,7 @@
 				return r, nil
 			}
 		}
-		if err := sleep(ctx, electionPollInterval); err != nil {
+		if err := scale.Wait(ctx, electionPollInterval); err != nil {
 			return nil, err
 		}
 	}
@@ -160,23 +161,11 @@
 		if time.Since(began) > electionTimeout {
 			return errNotCommitted
 		}
-		if err := sleep(ctx, commitPollInterval); err != nil {
+		if err := scale.Wait(ctx, commitPollInterval); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// sleep waits for the duration or until the context ends, whose error it returns then.
-func sleep(ctx context.Context, d time.Duration) error {
-	select {
-	case <-ctx.Done():
-		return ctx.Err()
-	case <-time.After(d):
-		return nil
-	}
-}
-
-func millisSince(began time.Time) float64 {
-	return float64(time.Since(began)) / float64(time.Millisecond)
-}
+func millisSince(began time.Time) float64 { return scale.Milliseconds(time.Since(began)) }
--- a/internal/lab/scale/raftlog/part.go
+++ b/internal/lab/scale/raftlog/part.go
@@ -27,10 +27,14 @@
 // Name implements scale.Part.
 func (Part) Name() string { return "log" }
 
-// Run implements scale.Part.
+// Run implements scale.Part. It returns a *SmallestSizeError where this machine cannot run the smallest of Sizes, and
+// scale.ErrTooFewSizes where it can run too few of them.
 func (Part) Run(ctx context.Context, options scale.Options) (*scale.Result, error) {
 	result := &scale.Result{Part: Part{}.Name(), Seed: options.Seed}
-	outcomes := runTrials(ctx, result, options.Progress)
+	outcomes, err := runTrials(ctx, result, options.ReportProgress)
+	if err != nil {
+		return nil, err
+	}
 	if err := addCosts(result, outcomes); err != nil {
 		return nil, err
 	}
@@ -38,14 +42,14 @@
 	var catchUpErr error
 	var catchUpDone sync.WaitGroup
 	catchUpDone.Go(func() { caught, catchUpErr = measureCatchUp(ctx, TargetTenants) })
-	addElections(ctx, result, options.Progress)
+	addElections(ctx, result, options.ReportProgress)
 	catchUpDone.Wait()
 	if catchUpErr != nil {
 		return nil, catchUpErr
 	}
-	result.Put("state_bytes", caught.StateBytes)
-	result.Put("catch_up_ms", caught.Millis)
-	result.Put("catch_up_leader_bytes", caught.LeaderBytes)
+	result.SetFigure("state_bytes", caught.StateBytes)
+	result.SetFigure("catch_up_ms", caught.Millis)
+	result.SetFigure("catch_up_leader_bytes", caught.LeaderBytes)
 	result.NotRun = append(result.NotRun,
 		fmt.Sprintf("more than %d followers: the figures at %d are worked out", outcomes[len(outcomes)-1].Followers, targetFollowers),
 		"catching up across a delay, or over a link with a limit: the snapshot's time is that of one machine",
@@ -54,21 +58,39 @@
 	return result, nil
 }
 
-// runTrials measures each size, up to the first that this machine cannot run.
-func runTrials(ctx context.Context, result *scale.Result, progress func(string)) (outcomes []Outcome) {
+// SmallestSizeError reports that not even the smallest of Sizes could be measured, so that there is nothing to fit.
+type SmallestSizeError struct {
+	Followers int   // non-voters of the trial
+	Err       error // of the trial
+}
+
+// Error implements error.
+func (e *SmallestSizeError) Error() string {
+	return fmt.Sprintf("log: found no size that this machine can run, expected %d followers without a vote at least: %v", e.Followers, e.Err)
+}
+
+// Unwrap returns the error of the trial.
+func (e *SmallestSizeError) Unwrap() error { return e.Err }
+
+// runTrials measures each size, up to the first that this machine cannot run. It returns a *SmallestSizeError if that is the
+// smallest.
+func runTrials(ctx context.Context, result *scale.Result, progress func(string)) (outcomes []Outcome, err error) {
 	for _, size := range Sizes {
 		out, err := runTrial(ctx, defaultPlan(size))
+		if err != nil && len(outcomes) == 0 {
+			return nil, &SmallestSizeError{Followers: size, Err: err}
+		}
 		if err != nil {
 			line := fmt.Sprintf("failed at %d followers without a vote, on this machine: %v", size, err)
 			progress(line)
 			result.NotRun = append(result.NotRun, line)
-			return outcomes
+			return outcomes, nil
 		}
 		progress(fmt.Sprintf("%d followers without a vote: leader %.0f B/s, %.1f%% of a core; added in %.1f s", size,
 			out.Leader.idleBytes(), out.Leader.IdleProcessor, out.AddSeconds))
 		outcomes = append(outcomes, out)
 	}
-	return outcomes
+	return outcomes, nil
 }
 
 // figure is one series of the result: its name, role and bound, and its value in an outcome.
@@ -105,7 +127,7 @@
 			return err
 		}
 		last := &result.Series[len(result.Series)-1]
-		result.Put(f.role+"_"+f.name+"_at_6_machines", last.Fit.At(scale.TargetControlMachines-1))
+		result.SetFigure(f.role+"_"+f.name+"_at_6_machines", last.Fit.At(scale.TargetControlMachines-1))
 	}
 	return nil
 }
@@ -133,7 +155,7 @@
 		var all Election
 		for n := range fleets {
 			if errs[r][n] != nil {
-				result.Fault("elections with 40 to 150 ms %s: %v", reading.name, errs[r][n])
+				result.AddFault("elections with 40 to 150 ms %s: %v", reading.name, errs[r][n])
 			}
 			all.Takeovers = append(all.Takeovers, found[r][n].Takeovers...)
 			all.Commits = append(all.Commits, found[r][n].Commits...)
@@ -150,9 +172,9 @@
 	}
 	slices.Sort(all.Takeovers)
 	slices.Sort(all.Commits)
-	result.Put(prefix+"count", float64(len(all.Takeovers)))
-	result.Put(prefix+"ms_median", all.Takeovers[len(all.Takeovers)/2])
-	result.Put(prefix+"ms_max", all.Takeovers[len(all.Takeovers)-1])
-	result.Put(prefix+"commit_ms_median", all.Commits[len(all.Commits)/2])
-	result.Put(prefix+"changes_in_quiet", float64(all.QuietChanges))
+	result.SetFigure(prefix+"count", float64(len(all.Takeovers)))
+	result.SetFigure(prefix+"ms_median", all.Takeovers[len(all.Takeovers)/2])
+	result.SetFigure(prefix+"ms_max", all.Takeovers[len(all.Takeovers)-1])
+	result.SetFigure(prefix+"commit_ms_median", all.Commits[len(all.Commits)/2])
+	result.SetFigure(prefix+"changes_in_quiet", float64(all.QuietChanges))
 }
--- a/internal/lab/scale/raftlog/raftlog_test.go
+++ b/internal/lab/scale/raftlog/raftlog_test.go
@@ -2,11 +2,14 @@
 
 import (
 	"context"
+	"errors"
 	"io"
 	"net"
 	"os"
 	"testing"
 	"time"
+
+	"thymechute/internal/lab/scale"
 )
 
 // TestMain makes the test binary the child process too.
@@ -20,6 +23,17 @@
 	os.Exit(m.Run())
 }
 
+// Where not even the smallest size can run, the error says so and has the trial's own.
+func TestRunReportsThatTheSmallestSizeFailed(t *testing.T) {
+	ctx, cancel := context.WithCancel(t.Context())
+	cancel()
+	result, err := Part{}.Run(ctx, scale.Options{})
+	var failed *SmallestSizeError
+	if !errors.As(err, &failed) || failed.Followers != Sizes[0] || !errors.Is(err, context.Canceled) {
+		t.Errorf("found %+v and %v, expected a *SmallestSizeError of %d followers and %v", result, err, Sizes[0], context.Canceled)
+	}
+}
+
 func TestTrialMeasuresLeaderAndFollowersApart(t *testing.T) {
 	if testing.Short() {
 		t.Skip("starts processes")
--- a/internal/lab/scale/raftlog/replica.go
+++ b/internal/lab/scale/raftlog/replica.go
@@ -3,7 +3,6 @@
 import (
 	"fmt"
 	"net"
-	"os"
 	"sync/atomic"
 	"time"
 
@@ -27,7 +26,7 @@
 
 // replicaGroup is the replicas that share a process, and what they have cost.
 type replicaGroup struct {
-	meter    meter
+	traffic  scale.ConnCounter // of all TCP connections of the process
 	replicas []*replica
 }
 
@@ -59,14 +58,6 @@
 	return nil
 }
 
-// replicaAddress returns the address of the n-th replica of this process: an IP of its own in 127.0.0.0/8 and a port, both
-// by the process's id.
-func replicaAddress(n int) string {
-	const networks, ports = 200, 10_000
-	pid := os.Getpid()
-	return fmt.Sprintf("127.%d.%d.%d:%d", 16+pid%networks, n/250, n%250+1, 20_000+pid/networks%ports)
-}
-
 // replicaConfig is the settings of a replica.
 type replicaConfig struct {
 	bootstrap        bool
@@ -79,7 +70,7 @@
 func (g *replicaGroup) start(config replicaConfig) (*replica, error) {
 	n := len(g.replicas)
 	process := fmt.Sprintf("checkout-%04d#%x", n, time.Now().UnixMilli())
-	r := &replica{peer: Peer{process, replicaAddress(n)}, state: config.state}
+	r := &replica{peer: Peer{process, scale.LoopbackAddress(n)}, state: config.state}
 	var err error
 	r.log, err = consensus.Start(consensus.Config{
 		Process:          r.peer.Process,
@@ -89,11 +80,11 @@
 		StateMachine:     r,
 		HeartbeatTimeout: config.heartbeatTimeout,
 		WrapConn: func(conn net.Conn) net.Conn {
-			counted := net.Conn(&countedConn{conn, &g.meter})
-			if config.wrapConn != nil {
-				return config.wrapConn(counted)
+			counted := &scale.CountedConn{Conn: conn, Counter: &g.traffic}
+			if config.wrapConn == nil {
+				return counted
 			}
-			return counted
+			return config.wrapConn(counted)
 		},
 	}, r)
 	if err != nil {
@@ -111,11 +102,8 @@
 }
 
 func (g *replicaGroup) usage() (Usage, error) {
-	own, err := scale.OwnUsage()
-	return Usage{
-		Sent: g.meter.sent.Load(), Received: g.meter.received.Load(), Writes: g.meter.writes.Load(),
-		ProcessorMillis: float64(own.CPU) / float64(time.Millisecond), Resident: float64(own.ResidentBytes),
-	}, err
+	process, err := scale.OwnUsage()
+	return newUsage(g.traffic.Counts(), process), err
 }
 
 // applied returns how far the slowest replica is.
--- a/internal/lab/scale/raftlog/trial.go
+++ b/internal/lab/scale/raftlog/trial.go
@@ -3,6 +3,8 @@
 import (
 	"context"
 	"time"
+
+	"thymechute/internal/lab/scale"
 )
 
 // Plan is what one trial does.
@@ -48,7 +50,7 @@
 	if err := c.waitForAgreement(ctx); err != nil {
 		return out, err
 	}
-	if err := sleep(ctx, settlePeriod); err != nil {
+	if err := scale.Wait(ctx, settlePeriod); err != nil {
 		return out, err
 	}
 	err = c.measure(ctx, plan, &out)
@@ -60,7 +62,7 @@
 	if err != nil {
 		return err
 	}
-	if err := sleep(ctx, plan.IdlePeriod); err != nil {
+	if err := scale.Wait(ctx, plan.IdlePeriod); err != nil {
 		return err
 	}
 	idle, err := c.usage()
--- a/internal/lab/scale/report_test.go
+++ b/internal/lab/scale/report_test.go
@@ -20,8 +20,8 @@
 			t.Fatal(err)
 		}
 	}
-	r.Put("single_ms", 1.5)
-	r.Fault("fault %d", 1)
+	r.SetFigure("single_ms", 1.5)
+	r.AddFault("fault %d", 1)
 	return r
 }
 
--- a/internal/lab/scale/scale.go
+++ b/internal/lab/scale/scale.go
@@ -47,7 +47,14 @@
 	Seed     uint64
 	Folder   string            // for its files; the caller removes it
 	Program  string            // path of the thymechute executable
-	Progress func(line string) // called with one line at a time
+	Progress func(line string) // called with one line at a time, by any goroutine of the part; nil for none
+}
+
+// ReportProgress calls Progress, unless that is nil.
+func (o Options) ReportProgress(line string) {
+	if o.Progress != nil {
+		o.Progress(line)
+	}
 }
 
 // AddSeries fits a model to a series and adds it. It returns the error of FitPoints. A value over its bound is reported and no fault.
@@ -62,15 +69,15 @@
 	return nil
 }
 
-// Put adds a figure of one size only.
-func (r *Result) Put(name string, value float64) {
+// SetFigure adds a figure of one size only.
+func (r *Result) SetFigure(name string, value float64) {
 	if r.Single == nil {
 		r.Single = map[string]float64{}
 	}
 	r.Single[name] = value
 }
 
-// Fault records a claim that does not hold.
-func (r *Result) Fault(format string, values ...any) {
+// AddFault records a claim that does not hold.
+func (r *Result) AddFault(format string, values ...any) {
 	r.Faults = append(r.Faults, fmt.Sprintf(format, values...))
 }
