--- a/internal/fleet/consensus/log_test.go
+++ b/internal/fleet/consensus/log_test.go
@@ -34,7 +34,7 @@
 	for n := range votingMembers {
 		environment := []string{fmt.Sprintf("%s=z%d", zoneVariable, n%zoneCount)}
 		if n == 0 {
-			environment = append(environment, member.FounderVariable+"=1")
+			environment = append(environment, member.BootstrapVariable+"=1")
 		}
 		if c.Start(fmt.Sprint("m", n), environment...); n == 0 {
 			c.WaitFor("first leader", 0, isLeadership)
--- a/internal/fleet/rolling/rolling_test.go
+++ b/internal/fleet/rolling/rolling_test.go
@@ -47,7 +47,7 @@
 	for n := range memberCount {
 		name := fmt.Sprint("m", n)
 		if n == 0 {
-			c.Start(name, append(c.environment(n), member.FounderVariable+"=1")...)
+			c.Start(name, append(c.environment(n), member.BootstrapVariable+"=1")...)
 			c.WaitFor("a leader", 0, isLeaseAcquired)
 		} else {
 			c.Start(name, c.environment(n)...)
--- a/internal/fleet/slots/migration_test.go
+++ b/internal/fleet/slots/migration_test.go
@@ -77,7 +77,7 @@
 	for n := range 5 {
 		environment := append([]string{wantedFileVariable + "=" + s.wantedFile}, variables...)
 		if n == 0 {
-			environment = append(environment, member.FounderVariable+"=1")
+			environment = append(environment, member.BootstrapVariable+"=1")
 		}
 		if s.Start(fmt.Sprint("m", n), environment...); n == 0 {
 			s.WaitFor("first leader", 0, isLeaseAcquired)
--- a/internal/fleet/slots/warm_up_test.go
+++ b/internal/fleet/slots/warm_up_test.go
@@ -137,7 +137,7 @@
 	}
 	setWantedBackends(t, f.wantedFile, f.backends)
 	f.Cluster = testutil.NewCluster(t, subnet, member.Ports, func(e *memberEvent, name string) { e.member = name })
-	f.Start("m0", append(f.environment, member.FounderVariable+"=1")...)
+	f.Start("m0", append(f.environment, member.BootstrapVariable+"=1")...)
 	f.WaitFor("first leader", 0, isLeaseAcquired)
 	for n := 1; n < members; n++ {
 		f.Start(fmt.Sprint("m", n), f.environment...)
--- a/internal/lab/emulator/configuration_result.go
+++ b/internal/lab/emulator/configuration_result.go
@@ -52,40 +52,66 @@
 	maxControlNodePeers     = 99
 )
 
+// Names of the metrics that Violations checks too. They are part of the reported results.
+const (
+	metricPartiallyApplied      = "half_applied"
+	metricRolledBack            = "went_back"
+	metricDiverged              = "diverged"
+	metricAcceptedWithoutQuorum = "accepted_in_minority"
+	metricStaleAccepted         = "stale_accepted"
+	metricAgeUnderstated        = "age_understated"
+	metricStaleProposed         = "stale_tried"
+	metricRejectedWithoutQuorum = "refused_in_minority"
+	metricMessagesCorrupted     = "lies"
+	metricRelaysKilled          = "relays_killed"
+	metricPropagationP99        = "in_force_ms_p99"
+	metricRecoveryMax           = "heal_ms_max"
+	metricMemberBytes           = "bytes_s_member_max"
+	metricControlPeers          = "control_machine_peers_max"
+)
+
 // Violations are the limits and rules that the result breaks.
-func (r ConfigurationResult) Violations() (violations []error) {
-	expectZero := func(name string, n int) {
-		if n != 0 {
-			violations = append(violations, fmt.Errorf("%s is %d, expected 0", name, n))
-		}
+func (r ConfigurationResult) Violations() []error {
+	v := &violations{}
+	v.expectZero(metricPartiallyApplied, r.PartiallyApplied)
+	v.expectZero(metricRolledBack, r.RolledBack)
+	v.expectZero(metricDiverged, r.Diverged)
+	v.expectZero(metricAcceptedWithoutQuorum, r.AcceptedWithoutQuorum)
+	v.expectZero(metricStaleAccepted, r.StaleAccepted)
+	v.expectZero(metricAgeUnderstated, r.AgeUnderstated)
+	v.expectSome(metricStaleProposed, r.StaleProposed)
+	v.expectSome(metricRejectedWithoutQuorum, r.RejectedWithoutQuorum)
+	v.expectSome(metricMessagesCorrupted, r.MessagesCorrupted)
+	v.expectSome(metricRelaysKilled, r.RelaysKilled)
+	v.expectAtMost(metricPropagationP99, milliseconds(r.PropagationP99), milliseconds(maxPropagation))
+	v.expectAtMost(metricRecoveryMax, milliseconds(r.RecoveryMax), milliseconds(maxPropagation))
+	v.expectAtMost(metricMemberBytes, r.MemberBytesPerSecond, maxMemberBytesPerSecond)
+	v.expectAtMost(metricControlPeers, float64(r.ControlPeers), maxControlNodePeers)
+	return v.errors
+}
+
+// violations collects the metrics that are not as expected.
+type violations struct{ errors []error }
+
+func (v *violations) expectZero(name string, n int) {
+	if n != 0 {
+		v.errors = append(v.errors, fmt.Errorf("%s is %d, expected 0", name, n))
 	}
-	expectZero("half_applied", r.PartiallyApplied)
-	expectZero("went_back", r.RolledBack)
-	expectZero("diverged", r.Diverged)
-	expectZero("accepted_in_minority", r.AcceptedWithoutQuorum)
-	expectZero("stale_accepted", r.StaleAccepted)
-	expectZero("age_understated", r.AgeUnderstated)
-	expectSome := func(name string, n int) {
-		if n == 0 {
-			violations = append(violations, fmt.Errorf("%s is 0, expected some", name))
-		}
+}
+
+func (v *violations) expectSome(name string, n int) {
+	if n == 0 {
+		v.errors = append(v.errors, fmt.Errorf("%s is 0, expected some", name))
 	}
-	expectSome("stale_tried", r.StaleProposed)
-	expectSome("refused_in_minority", r.RejectedWithoutQuorum)
-	expectSome("lies", r.MessagesCorrupted)
-	expectSome("relays_killed", r.RelaysKilled)
-	expectAtMost := func(name string, n, limit float64) {
-		if n > limit {
-			violations = append(violations, fmt.Errorf("%s is %.0f, expected %.0f at most", name, n, limit))
-		}
+}
+
+func (v *violations) expectAtMost(name string, n, limit float64) {
+	if n > limit {
+		v.errors = append(v.errors, fmt.Errorf("%s is %.0f, expected %.0f at most", name, n, limit))
 	}
-	expectAtMost("in_force_ms_p99", milliseconds(r.PropagationP99), milliseconds(maxPropagation))
-	expectAtMost("heal_ms_max", milliseconds(r.RecoveryMax), milliseconds(maxPropagation))
-	expectAtMost("bytes_s_member_max", r.MemberBytesPerSecond, maxMemberBytesPerSecond)
-	expectAtMost("control_machine_peers_max", float64(r.ControlPeers), maxControlNodePeers)
-	return violations
 }
 
+// milliseconds are whole milliseconds: the fraction is dropped.
 func milliseconds(d time.Duration) float64 { return float64(d.Milliseconds()) }
 
 // Metrics are the measurements by their reported names, which contain the units.
@@ -94,25 +120,25 @@
 		"members":                      float64(r.Members),
 		"resources":                    float64(r.Resources),
 		"versions":                     float64(r.Versions),
-		"in_force_ms_p99":              milliseconds(r.PropagationP99),
+		metricPropagationP99:           milliseconds(r.PropagationP99),
 		"in_force_ms_max":              milliseconds(r.PropagationMax),
-		"heal_ms_max":                  milliseconds(r.RecoveryMax),
+		metricRecoveryMax:              milliseconds(r.RecoveryMax),
 		"in_force_over_9_s_part":       r.LateFraction,
-		"half_applied":                 float64(r.PartiallyApplied),
-		"went_back":                    float64(r.RolledBack),
-		"diverged":                     float64(r.Diverged),
-		"accepted_in_minority":         float64(r.AcceptedWithoutQuorum),
-		"refused_in_minority":          float64(r.RejectedWithoutQuorum),
-		"stale_tried":                  float64(r.StaleProposed),
-		"stale_accepted":               float64(r.StaleAccepted),
+		metricPartiallyApplied:         float64(r.PartiallyApplied),
+		metricRolledBack:               float64(r.RolledBack),
+		metricDiverged:                 float64(r.Diverged),
+		metricAcceptedWithoutQuorum:    float64(r.AcceptedWithoutQuorum),
+		metricRejectedWithoutQuorum:    float64(r.RejectedWithoutQuorum),
+		metricStaleProposed:            float64(r.StaleProposed),
+		metricStaleAccepted:            float64(r.StaleAccepted),
 		"owner_changes":                float64(r.LeaseChanges),
 		"proposals_lost":               float64(r.ProposalsLost),
-		"bytes_s_member_max":           r.MemberBytesPerSecond,
+		metricMemberBytes:              r.MemberBytesPerSecond,
 		"bytes_s_relay_max":            r.RelayBytesPerSecond,
 		"bytes_s_leaf_max":             r.LeafBytesPerSecond,
 		"bytes_window_s":               ConfigurationTrafficWindow.Seconds(),
 		"control_machine_bytes_s_max":  r.ControlBytesPerSecond,
-		"control_machine_peers_max":    float64(r.ControlPeers),
+		metricControlPeers:             float64(r.ControlPeers),
 		"start_bytes_member":           float64(r.StartBytesMax[recoveryFromNothing]),
 		"start_bytes_member_image":     float64(r.StartBytesMax[recoveryFromImage]),
 		"start_bytes_member_kept":      float64(r.StartBytesMax[recoveryFromSnapshot]),
@@ -124,12 +150,12 @@
 		"starts_kept":                  float64(r.Starts[recoveryFromSnapshot]),
 		"messages":                     float64(r.Messages),
 		"messages_refused":             float64(r.MessagesRejected),
-		"lies":                         float64(r.MessagesCorrupted),
-		"relays_killed":                float64(r.RelaysKilled),
+		metricMessagesCorrupted:        float64(r.MessagesCorrupted),
+		metricRelaysKilled:             float64(r.RelaysKilled),
 		"repairs":                      float64(r.Repairs),
 		"referred":                     float64(r.Referred),
 		"held_by_pace":                 float64(r.Throttled),
-		"age_understated":              float64(r.AgeUnderstated),
+		metricAgeUnderstated:           float64(r.AgeUnderstated),
 		"age_ms_max_at_end":            milliseconds(r.AgeMax),
 		"state_bytes_names_and_bodies": float64(r.StateBytes),
 	}
--- a/internal/lab/scale/decisions/decisions_test.go
+++ b/internal/lab/scale/decisions/decisions_test.go
@@ -8,7 +8,7 @@
 	"thymechute/internal/lab/scale"
 )
 
-// deterministic are the figures that the seed determines: all but times and heap sizes.
+// deterministic returns the figures that the seed determines: all but times and heap sizes.
 func deterministic(r *scale.Result) map[string]float64 {
 	out := map[string]float64{}
 	add := func(name string, value float64) {
@@ -59,8 +59,8 @@
 	for _, zones := range []int{40, tenZones} {
 		l := Layout{Size: scale.TargetMembers, Zones: zones, Regions: scale.TargetRegions}
 		for n := range l.Size {
-			rack, zone, region := l.lossAround("rack", n), l.lossAround("zone", n), l.lossAround("region", n)
-			for _, loss := range []Loss{l.lossAround("machine", n), rack, zone, region} {
+			rack, zone, region := l.lossAround(lossOfRack, n), l.lossAround(lossOfZone, n), l.lossAround(lossOfRegion, n)
+			for _, loss := range []Loss{l.lossAround(lossOfMachine, n), rack, zone, region} {
 				if !loss.contains(n) {
 					t.Fatalf("%d zones: %+v does not take %d", zones, loss, n)
 				}
@@ -75,7 +75,7 @@
 	}
 }
 
-// A process that joins the log is named in an entry with all others: the entry grows with the fleet.
+// The entry by which a process joins the log names all servers, so it grows with the fleet.
 func TestMembershipEntryGrowsWithFleet(t *testing.T) {
 	if few, many := membershipEntryBytes(6), membershipEntryBytes(1200); many < 150*few {
 		t.Errorf("%d bytes at 6, %d at 1,200", few, many)
--- a/internal/lab/scale/decisions/ring_test.go
+++ b/internal/lab/scale/decisions/ring_test.go
@@ -72,7 +72,7 @@
 			if err != nil {
 				b.Fatal(err)
 			}
-			rest := without(l.backends(), l.backendLosses().lossAround("region", 0))
+			rest := without(l.backends(), l.backendLosses().lossAround(lossOfRegion, 0))
 			for b.Loop() {
 				_, _, _, _ = table.Plan(rest, ring.BalanceBound{Slack: ringSlack}, nil)
 			}
--- a/internal/lab/scale/fit.go
+++ b/internal/lab/scale/fit.go
@@ -1,6 +1,7 @@
 package scale
 
 import (
+	"cmp"
 	"errors"
 	"math"
 	"slices"
@@ -33,6 +34,9 @@
 // minImprovement is the factor by which a faster growing model must reduce the residual to be preferred.
 const minImprovement = 0.9
 
+// minValue stands for a value of 0 where something is divided by it.
+const minValue = 1e-9
+
 // ErrTooFewSizes is the error of FitPoints for points at fewer than MinSizes sizes.
 var ErrTooFewSizes = errors.New("scale: a fit needs points at four different sizes at least")
 
@@ -74,7 +78,7 @@
 // intercept to all points. It returns ErrTooFewSizes for points at fewer than MinSizes different sizes.
 func FitPoints(points []Point) (Fit, error) {
 	points = slices.Clone(points)
-	slices.SortFunc(points, func(a, b Point) int { return int(math.Copysign(1, a.Size-b.Size)) })
+	slices.SortStableFunc(points, func(a, b Point) int { return cmp.Compare(a.Size, b.Size) })
 	if countSizes(points) < MinSizes {
 		return Fit{}, ErrTooFewSizes
 	}
@@ -129,7 +133,7 @@
 func leastSquares(model Model, points []Point) Fit {
 	var weights, sumX, sumY, sumXX, sumXY float64
 	for _, p := range points {
-		weight := 1 / max(p.Value*p.Value, 1e-18)
+		weight := 1 / max(p.Value*p.Value, minValue*minValue)
 		x := model.shape(p.Size)
 		weights += weight
 		sumX += weight * x
@@ -149,7 +153,7 @@
 func relativeResidual(fit Fit, points []Point) float64 {
 	sum := 0.0
 	for _, p := range points {
-		relativeError := (fit.At(p.Size) - p.Value) / max(math.Abs(p.Value), 1e-9)
+		relativeError := (fit.At(p.Size) - p.Value) / max(math.Abs(p.Value), minValue)
 		sum += relativeError * relativeError
 	}
 	return sum
--- a/internal/lab/scale/instance/reports.go
+++ b/internal/lab/scale/instance/reports.go
@@ -37,15 +37,15 @@
 	list := reports
 	list.Name, list.Coverage = "list_bytes", "a line of name and address each: the page states no form"
 	for _, size := range m.workload.reporters {
-		counts, listed, err := m.simulateReporters(size)
+		simulated, err := m.simulateReporters(size)
 		if err != nil {
 			return err
 		}
-		n := float64(size)
-		reports.Points = append(reports.Points, scale.Point{Size: n, Value: float64(counts.Reports) / m.workload.reportingTime.Seconds()})
-		bytes.Points = append(bytes.Points, scale.Point{Size: n,
-			Value: float64(counts.Bytes+counts.Reports*headerBytes) / m.workload.reportingTime.Seconds()})
-		list.Points = append(list.Points, scale.Point{Size: n, Value: float64(len(listed))})
+		counts, n, seconds := simulated.counts, float64(size), m.workload.reportingTime.Seconds()
+		wireBytes := counts.Bytes + counts.Reports*headerBytes
+		reports.Points = append(reports.Points, scale.Point{Size: n, Value: float64(counts.Reports) / seconds})
+		bytes.Points = append(bytes.Points, scale.Point{Size: n, Value: float64(wireBytes) / seconds})
+		list.Points = append(list.Points, scale.Point{Size: n, Value: float64(len(simulated.list))})
 		m.progress("%d reporters: %d reports, %d bytes in %v", size, counts.Reports, counts.Bytes, m.workload.reportingTime)
 	}
 	for _, s := range []scale.Series{reports, bytes, list} {
@@ -83,28 +83,48 @@
 // memberName is the name of the n-th simulated instance, from 0.
 func memberName(n int) string { return fmt.Sprintf("n%d", n+1) }
 
-// simulateReporters runs the program's reporter for size instances, and returns what the catalog received and its list. The first
-// reports are spread over one interval.
-func (m *measurement) simulateReporters(size int) (fakecatalog.Counts, []byte, error) {
+// simulatedReports is what the catalog received from simulated instances.
+type simulatedReports struct {
+	counts fakecatalog.Counts
+	list   []byte // the catalog's list, encoded
+}
+
+// simulateReporters runs the program's reporter for size instances, which report to a catalog of their own.
+func (m *measurement) simulateReporters(size int) (simulatedReports, error) {
 	c, address, err := fakecatalog.Start("127.0.0.1:0")
 	if err != nil {
-		return fakecatalog.Counts{}, nil, err
+		return simulatedReports{}, err
 	}
 	defer c.Close()
 	reporters := make([]*catalog.Reporter, size)
 	for n := range reporters {
 		socket, err := net.Dial("udp", address)
 		if err != nil {
-			return fakecatalog.Counts{}, nil, err
+			return simulatedReports{}, err
 		}
 		defer socket.Close()
 		reporters[n] = catalog.New(memberName(n), func(p loop.Handler) { p.Opened(reporterSocket{socket}) })
 	}
+	m.sweepReporters(reporters)
+	counts := c.Counts()
+	names := c.Names(time.Now())
+	if len(names) != size {
+		m.result.AddFault("%d of %d hollow instances listed", len(names), size)
+	}
+	if m.result.Single["list_bytes_subset"] == 0 {
+		subset := fakecatalog.EncodeList(names[:min(listedSubset, size)], listedAddress)
+		m.result.SetFigure("list_bytes_subset", float64(len(subset)))
+	}
+	return simulatedReports{counts: counts, list: fakecatalog.EncodeList(names, listedAddress)}, m.ctx.Err()
+}
+
+// sweepReporters lets the reporters report for the workload's time. The first reports are spread over one interval.
+func (m *measurement) sweepReporters(reporters []*catalog.Reporter) {
 	begin := time.Now()
 	for now := begin; now.Sub(begin) < m.workload.reportingTime && m.ctx.Err() == nil; now = time.Now() {
-		due := size
+		due := len(reporters)
 		if since := now.Sub(begin); since < reportInterval {
-			due = int(float64(size) * float64(since) / float64(reportInterval))
+			due = int(float64(len(reporters)) * float64(since) / float64(reportInterval))
 		}
 		for _, reporter := range reporters[:due] {
 			reporter.Sweep(now, node.Healthy)
@@ -112,15 +132,6 @@
 		time.Sleep(sweepInterval)
 	}
 	time.Sleep(sweepInterval) // for datagrams still in the socket
-	counts := c.Counts()
-	names := c.Names(time.Now())
-	if len(names) != size {
-		m.result.AddFault("%d of %d hollow instances listed", len(names), size)
-	}
-	if m.result.Single["list_bytes_subset"] == 0 {
-		m.result.SetFigure("list_bytes_subset", float64(len(fakecatalog.EncodeList(names[:min(listedSubset, size)], listedAddress))))
-	}
-	return counts, fakecatalog.EncodeList(names, listedAddress), m.ctx.Err()
 }
 
 // listedAddress is an address of typical length.
--- a/internal/lab/scale/raftlog/raftlog_test.go
+++ b/internal/lab/scale/raftlog/raftlog_test.go
@@ -51,7 +51,7 @@
 	}
 	ratio := out.Leader.idleBytes() / (out.Follower.idleBytes() * followers)
 	if out.Follower.idleBytes() <= 0 || ratio < 0.8 || ratio > 1.25 {
-		t.Errorf("idle: leader %.0f B/s, all followers %.0f: they speak with each other alone", out.Leader.idleBytes(),
+		t.Errorf("idle: leader %.0f B/s, all followers %.0f: expected about the same, as they send to each other only", out.Leader.idleBytes(),
 			out.Follower.idleBytes()*followers)
 	}
 	if out.Leader.EntryBytes < 300*followers {
@@ -71,7 +71,7 @@
 		t.Fatal(err)
 	}
 	if out.DecodedBytes != out.StateBytes || out.LeaderBytes < out.StateBytes {
-		t.Errorf("%+v, want the whole state", out)
+		t.Errorf("%+v, want the complete state", out)
 	}
 	t.Logf("%+v", out)
 }
--- a/internal/lab/scale/report.go
+++ b/internal/lab/scale/report.go
@@ -5,7 +5,6 @@
 	"fmt"
 	"io"
 	"maps"
-	"math"
 	"slices"
 )
 
@@ -51,7 +50,7 @@
 	case s.Bound == 0:
 		return ""
 	case s.Extrapolated <= s.Bound:
-		return fmt.Sprintf(", bound %.6g, headroom %.1f times", s.Bound, s.Bound/math.Max(s.Extrapolated, 1e-9))
+		return fmt.Sprintf(", bound %.6g, headroom %.1f times", s.Bound, s.Bound/max(s.Extrapolated, minValue))
 	default:
 		return fmt.Sprintf(", OVER its bound %.6g by %.1f times", s.Bound, s.Extrapolated/s.Bound)
 	}
--- a/internal/testutil/member/member.go
+++ b/internal/testutil/member/member.go
@@ -1,7 +1,7 @@
-// Package member runs a test's own binary as a member of a testutil.Cluster: gossip membership and the agreed log over
+// Package member runs a test's own binary as a member of a testutil.Cluster: gossip membership and the replicated log over
 // loopback, wired as in the program, with terms for tests (leases of a second, health checks each 200 ms).
 //
-// It is apart from package testutil because the tests of the packages that it imports use that one. Only tests import it.
+// It is no part of package testutil, which the tests of the packages that it imports use. Only tests import it.
 package member
 
 import (
@@ -23,8 +23,8 @@
 	"thymechute/internal/testutil"
 )
 
-// FounderVariable is set in the environment of the member that founds the log.
-const FounderVariable = "CLUSTER_FOUNDER"
+// BootstrapVariable is set in the environment of the member that bootstraps the log.
+const BootstrapVariable = "CLUSTER_FOUNDER"
 
 const (
 	maxLifetime         = 100 * time.Second // of a member, whatever its parent does
@@ -34,8 +34,9 @@
 	exchangeInterval    = 500 * time.Millisecond
 	heartbeatTimeout    = 300 * time.Millisecond
 
-	membershipPort, logPort = 0, 1 // of a member in its Cluster
-	// Ports is how many each member needs.
+	// Indexes of a member's ports in its Cluster.
+	membershipPort, logPort = 0, 1
+	// Ports is how many ports each member needs.
 	Ports = 2
 )
 
@@ -76,7 +77,7 @@
 	return &Member{Name: name, Process: fmt.Sprintf("%s#%x", name, incarnation), Incarnation: incarnation, joined: make(chan struct{})}
 }
 
-// Config says how a member joins.
+// Config is how a member joins.
 type Config struct {
 	Record        membership.Record // its Process, LogAddress and Rank are filled in
 	Duties        []string          // leases in the log
@@ -97,7 +98,7 @@
 	m.ExitOn(err)
 	driver, err := consensus.StartDriver(consensus.DriverConfig{
 		Log: consensus.Config{
-			Process: m.Process, Bind: bind(logPort), Advertise: proxy(logPort), Bootstrap: os.Getenv(FounderVariable) != "",
+			Process: m.Process, Bind: bind(logPort), Advertise: proxy(logPort), Bootstrap: os.Getenv(BootstrapVariable) != "",
 			Duties: c.Duties, HeartbeatTimeout: heartbeatTimeout, StateMachine: c.StateMachine,
 		},
 		Leases: LeaseConfig, Incarnation: m.Incarnation, Watcher: c.Watcher, Send: m.send, OnReady: m.driver.Store,
@@ -172,16 +173,18 @@
 	return peers
 }
 
-// number is the one in the member's name, "m3".
+// number is the number in the member's name, such as 3 in m3.
 func (m *Member) number() int {
 	number, err := strconv.Atoi(m.Name[1:])
 	m.ExitOn(err)
 	return number
 }
 
+// bind and proxy are the addresses of the member's port of that index: the one it binds, and the one others use.
 func bind(port int) string  { return os.Getenv(fmt.Sprint(testutil.MemberBindVariable, port)) }
 func proxy(port int) string { return os.Getenv(fmt.Sprint(testutil.MemberProxyVariable, port)) }
 
+// seeds are the addresses by which the member joins; none for the first.
 func seeds() []string {
 	if seed := os.Getenv(testutil.MemberSeedVariable); seed != "" {
 		return []string{seed}
