--- a/cmd/testbed/emulator_experiments.go
+++ b/cmd/testbed/emulator_experiments.go
@@ -15,10 +15,10 @@
 // ranks).
 func subsetsCommand() *cobra.Command {
 	var subsetSize int
-	c := newExperimentCommand("subsets", "Subsets of services below as members join and leave, in the emulator",
-		sizeRange{defaultSize: 24, minSize: 6, maxSize: 100_000, unit: "members at the most; services below are a quarter of it, at least 6"},
+	c := newExperimentCommand("subsets", "Subsets of backends as members join and leave, in the emulator",
+		sizeRange{defaultSize: 24, minSize: 6, maxSize: 100_000, unit: "members at the most; backends are a quarter of it, at least 6"},
 		func(t trialOptions) (*lab.Report, error) { return compareSubsets(t, subsetSize) })
-	c.Flags().IntVar(&subsetSize, "subset", 3, "services below a member")
+	c.Flags().IntVar(&subsetSize, "subset", 3, "backends of a member")
 	return c
 }
 
--- a/internal/fake/broker/decode.go
+++ b/internal/fake/broker/decode.go
@@ -16,12 +16,12 @@
 	fieldInt8      = 'b'
 	fieldUint8     = 'B'
 	fieldInt16     = 's'
-	fieldSpecInt16 = 'U' // as the specification has it; decoded only
+	fieldSpecInt16 = 'U' // of the specification; decoded only
 	fieldUint16    = 'u'
 	fieldInt32     = 'I'
 	fieldUint32    = 'i'
 	fieldInt64     = 'l'
-	fieldSpecInt64 = 'L' // as the specification has it; decoded only
+	fieldSpecInt64 = 'L' // of the specification; decoded only
 	fieldFloat32   = 'f'
 	fieldFloat64   = 'd'
 	fieldDecimal   = 'D' // decoded only
--- a/internal/fake/broker/deliver_faults.go
+++ b/internal/fake/broker/deliver_faults.go
@@ -29,7 +29,7 @@
 	return true
 }
 
-// disturbDelivery injects a fault that goes before a delivery.
+// disturbDelivery injects a fault before a delivery.
 func (b *Broker) disturbDelivery(c *consumer, action FaultAction) {
 	to := c.channel.conn
 	switch action {
--- a/internal/lab/emulator/configuration_control.go
+++ b/internal/lab/emulator/configuration_control.go
@@ -69,7 +69,8 @@
 // LeaseLost implements lease.Host. The token stays, see LeaseAcquired.
 func (c *configurationControlNode) LeaseLost(string) {}
 
-// proposeWithoutLeaseCheck proposes under the last lease, as a node does that checked it, was paused and goes on.
+// proposeWithoutLeaseCheck proposes under the last lease, like a node that was paused between the check of its lease and the
+// proposal.
 func (c *configurationControlNode) proposeWithoutLeaseCheck() {
 	if c.token == 0 {
 		return
--- a/internal/lab/emulator/configuration_faults.go
+++ b/internal/lab/emulator/configuration_faults.go
@@ -156,7 +156,7 @@
 	s.after(byzantineTime, func() { p.isByzantine = false })
 }
 
-// pauseLeaseHolder pauses the lease holder past its lease; it goes on without checking the lease.
+// pauseLeaseHolder pauses the lease holder until its lease has expired; it continues without checking the lease.
 func (s *configurationSimulation) pauseLeaseHolder() {
 	for _, p := range s.controlProcesses() {
 		if _, isHolder := p.control.elector.Token(p.control.clock(), configurationDuty); !isHolder || !p.isUp {
--- a/internal/lab/emulator/configuration_log.go
+++ b/internal/lab/emulator/configuration_log.go
@@ -12,7 +12,7 @@
 	configurationLogInterval = 100 * time.Millisecond // between steps of the log
 	electionTimeout          = time.Second            // without a leader that has a quorum
 	proposalLossPercent      = 1
-	duplicateEntryOdds       = 50 // one in so many effective entries is committed twice
+	duplicateEntryOdds       = 50 // one of 50 effective entries is committed twice
 )
 
 // configurationLog is the replicated log among the control nodes, a stand-in for raft: a leader that a quorum of voters
--- a/internal/lab/emulator/configuration_network.go
+++ b/internal/lab/emulator/configuration_network.go
@@ -76,7 +76,7 @@
 	return p.zone != noZone && n.zoneCut[p.zone]
 }
 
-// isIsolated reports whether nobody outside its zone or region reaches a process.
+// isIsolated reports whether no process outside its zone or region reaches a process.
 func (n *configurationNetwork) isIsolated(p *configurationProcess) bool {
 	for region, link := range n.regionLinks[p.region] {
 		if region != p.region && link == linkUp {
@@ -154,7 +154,7 @@
 	return lossBetweenRegions
 }
 
-// corrupt is what a byzantine relay sends instead of a message: one body or root altered, and all else as it was.
+// corrupt returns what a byzantine relay sends instead of a message: a copy with one body or root altered.
 func (s *configurationSimulation) corrupt(m configuration.Message) configuration.Message {
 	switch m := m.(type) {
 	case configuration.Delta:
--- a/internal/lab/emulator/lease_member.go
+++ b/internal/lab/emulator/lease_member.go
@@ -99,7 +99,7 @@
 	}
 }
 
-// ProposeStale lets a member go on as if it had been stopped between its check and its act: it proposes decisions under
+// ProposeStale lets a member continue as if it had been paused between the check of its lease and the proposal: it proposes under
 // its last tokens, also when another member holds the lease by now.
 func (s *LeaseSim) ProposeStale(m *LeaseMember) {
 	for duty, token := range m.tokens {
--- a/internal/lab/emulator/lease_run.go
+++ b/internal/lab/emulator/lease_run.go
@@ -12,7 +12,7 @@
 	decideEvery       = 8                     // steps
 	faultEvery        = 4                     // leases
 	faultAt           = 2                     // leases after the last heal
-	lossOneIn         = 20                    // proposals
+	lossOdds          = 20                    // one of 20 proposals is lost
 	maxEntriesPerStep = 5                     // that a member applies
 )
 
@@ -76,7 +76,7 @@
 func (run *leaseRun) commitSome() {
 	for run.InFlight() > 0 && run.random.IntN(4) > 0 {
 		n := run.random.IntN(run.InFlight())
-		if run.random.IntN(lossOneIn) == 0 {
+		if run.random.IntN(lossOdds) == 0 {
 			run.Drop(n)
 		} else {
 			run.Commit(n)
@@ -103,7 +103,7 @@
 	}
 }
 
-// heal ends all faults. A member that was paused goes on without looking at what happened meanwhile.
+// heal ends all faults. A member that was paused continues without checking its lease first.
 func (run *leaseRun) heal() {
 	for _, m := range run.Members {
 		wasPaused := m.Paused
--- a/internal/lab/emulator/ring.go
+++ b/internal/lab/emulator/ring.go
@@ -42,7 +42,7 @@
 }
 
 // CompareRing runs the script: half as many backends join one by one (a quarter at a time past 40), then the fleet shrinks by
-// a third, at last one fails and comes back. It fails if a plan does.
+// a third, and at the end one backend fails and returns. It returns the error of the first plan that fails.
 func CompareRing(scenario RingScenario) (RingResult, error) {
 	random := rand.New(rand.NewPCG(scenario.Seed, ringRandomStream))
 	keys := make([]uint64, scenario.Keys)
--- a/internal/lab/emulator/rollout.go
+++ b/internal/lab/emulator/rollout.go
@@ -128,7 +128,7 @@
 	if s.WithFaults && tick%ticksPerFailure == firstFailureTick {
 		s.failOneOfEachZone()
 	}
-	if s.WithFaults && tick%ticksPerLeader == ticksPerLeader-1 { // lost in mid-wave; its successor goes on from the log
+	if s.WithFaults && tick%ticksPerLeader == ticksPerLeader-1 { // the leader changes within a wave; the new one continues from the log
 		s.fleet.setLeader(s.random.IntN(s.Instances))
 	}
 	s.restartInstances()
--- a/internal/lab/emulator/rollout_loss.go
+++ b/internal/lab/emulator/rollout_loss.go
@@ -46,7 +46,7 @@
 	DuplicateDrains         int
 	DrainsBelowRequired     int // that left their zone below its requirement with its largest instance lost
 	MaxVotersDraining       int
-	MinCapacityOverRequired float64 // of the zones that lost nobody, over the required part of the total
+	MinCapacityOverRequired float64 // of the zones without a lost member, over the required part of the total
 	MaxStuck                int     // instances stuck at the same time
 	CompletedFraction       float64
 	ResumeDelay             time.Duration // from the members' return to the next drain; 0 if none was left
@@ -204,7 +204,7 @@
 	}
 }
 
-// SpreadVoters makes so many members voters, evenly spread, and the first of them the leader too.
+// SpreadVoters makes that many members voters, evenly spread, and the first voter the leader.
 func SpreadVoters(members []RolloutMember, voters int) {
 	for k := range voters {
 		members[k*len(members)/voters].IsVoter = true
--- a/internal/lab/emulator/subsets.go
+++ b/internal/lab/emulator/subsets.go
@@ -20,7 +20,7 @@
 
 func (o SubsetOptions) validate() error {
 	if o.Members < minSubsetMembers || o.SubsetSize < 1 || o.Backends < o.SubsetSize {
-		return fmt.Errorf("size %d, below %d, subset %d: expected size of %d and more, 1 to below",
+		return fmt.Errorf("subsets: found %d members, %d backends and subsets of %d, expected %d members at least and subsets of 1 to all backends",
 			o.Members, o.Backends, o.SubsetSize, minSubsetMembers)
 	}
 	return nil
--- a/internal/lab/fleet.go
+++ b/internal/lab/fleet.go
@@ -19,9 +19,9 @@
 	// fleetFaultDuration is how long a member is stopped and how long a one-way partition lasts.
 	fleetFaultDuration = 3 * time.Second
 
-	killedFraction    = 8 // one of so many members is killed
-	partitionFraction = 3 // one of so many members is partitioned from the others
-	remainingFraction = 3 // one of so many members remains at the end
+	killedFraction    = 8 // 1/8 of the members is killed
+	partitionFraction = 3 // 1/3 is partitioned from the others
+	remainingFraction = 3 // 1/3 remains at the end
 	minRemaining      = 2
 )
 
--- a/internal/lab/scale/decisions/lease.go
+++ b/internal/lab/scale/decisions/lease.go
@@ -21,7 +21,7 @@
 	sampleIncarnation     = 0x18f3a2b4c5000000 // as long as a real one is when it is encoded
 )
 
-// As cmd/thymechute has them by default.
+// The defaults of cmd/thymechute.
 var (
 	leaseConfig = lease.Config{Duration: 2 * time.Second, MaxDrift: 0.01, SafetyMargin: 40 * time.Millisecond}
 	duties      = []string{"ring", "roll"}
--- a/internal/lab/scale/decisions/rollout.go
+++ b/internal/lab/scale/decisions/rollout.go
@@ -126,8 +126,8 @@
 		Token: leaderToken, Body: body}
 }
 
-// measureRolloutLosses replaces half the members in an hour through each loss; the others' load rises by what the lost part
-// carried. A region is cut off and comes back as it was; the rest is restarted.
+// measureRolloutLosses replaces half of the members within an hour, through each kind of loss. The remaining members take over the
+// load of the lost ones. Members of a lost region are partitioned and return unchanged; those of the other losses restart.
 func measureRolloutLosses(c *collector, l Layout) error {
 	r := newRandom(c.seed, 0x6011)
 	for _, kind := range append([]LossKind{noLoss}, lossKinds...) {
--- a/internal/lab/scale/decisions/voters.go
+++ b/internal/lab/scale/decisions/voters.go
@@ -11,14 +11,14 @@
 )
 
 const (
-	voterChangeInterval = 250 * time.Millisecond // as internal/fleet/consensus has it
+	voterChangeInterval = 250 * time.Millisecond // that of internal/fleet/consensus
 	maxReplacementTime  = 30 * time.Second       // run after a loss
 	targetVoters        = 5
 	joinOrders          = 200 // in which the voters of each region are counted; a tenth in the small run
 	votersSeed          = 0x707e
 )
 
-// voterConfig is as cmd/thymechute has it with leases of 2 s.
+// voterConfig is that of cmd/thymechute with leases of 2 s.
 var voterConfig = quorum.Config{MaxVoters: targetVoters, MinAge: 2 * time.Second, HoldDown: 4 * time.Second}
 
 // regionKnowledge says whether members name their regions.
--- a/internal/lab/scale/instance/instance_test.go
+++ b/internal/lab/scale/instance/instance_test.go
@@ -131,7 +131,7 @@
 	}
 }
 
-// A program that rejects its configuration is a failed trial without figures; the run goes on.
+// A program that rejects its configuration is a failed trial without figures; the run continues.
 func TestProgramThatDoesNotStartIsAFault(t *testing.T) {
 	m := &measurement{ctx: t.Context(), workload: smallWorkload(), result: &scale.Result{},
 		options: scale.Options{Folder: t.TempDir(), Program: testutil.BuildProgram(t)}}
--- a/internal/lab/scale/instance/load.go
+++ b/internal/lab/scale/instance/load.go
@@ -68,7 +68,8 @@
 	return result, nil
 }
 
-// runUnderLoad runs act during a load, after the first leadPart-th of its duration, and goes on with the load as long after act.
+// runUnderLoad runs act during a load. act starts after 1/leadPart of the load's duration, and the load continues for at least as
+// long after act.
 func (r *rig) runUnderLoad(ctx context.Context, options loadOptions, act func() error) (result loadResult, err error) {
 	duration, lead := options.duration, options.duration/leadPart
 	stop, done := make(chan struct{}), make(chan error, 1)
--- a/internal/lab/scale/raftlog/childprocess.go
+++ b/internal/lab/scale/raftlog/childprocess.go
@@ -8,7 +8,7 @@
 	"os/exec"
 )
 
-// childProcess is a process that runs Child, as its parent has it.
+// childProcess is the parent's side of a process that runs Child.
 type childProcess struct {
 	command   *exec.Cmd
 	stdin     io.WriteCloser
@@ -16,6 +16,7 @@
 	responses *json.Decoder
 }
 
+// startChild starts this executable with ChildCommand. stop must be called, also after the context has ended.
 func startChild(ctx context.Context) (*childProcess, error) {
 	program, err := os.Executable()
 	if err != nil {
@@ -34,6 +35,7 @@
 	return c, c.command.Start()
 }
 
+// call sends a request and waits for the response. The child's own errors are *childError.
 func (c *childProcess) call(r request) (response, error) {
 	return roundTrip(c.requests, c.responses, r)
 }
