--- a/internal/fake/faultnet/address.go
+++ b/internal/fake/faultnet/address.go
@@ -5,6 +5,7 @@
 	"fmt"
 	"math/rand/v2"
 	"net"
+	"sync"
 )
 
 // ErrNoFreePort is the error of FreeAddress when all ports that it tried are in use.
@@ -19,12 +20,20 @@
 
 const maxPortAttempts = 100
 
+// returnedAddresses has all addresses that FreeAddress has returned in this process. Their owners bind them later, so until
+// then they look free: without the table a member could get one address for two of its ports.
+var returnedAddresses sync.Map
+
 // FreeAddress returns an address on a loopback IP whose port is free for both TCP and UDP, as memberlist binds both. The port is
-// random and not determined by any seed. It returns ErrNoFreePort after maxPortAttempts ports.
+// random and not determined by any seed. No address is returned twice in a process. It returns ErrNoFreePort after
+// maxPortAttempts ports.
 func FreeAddress(ip string) (string, error) {
 	for range maxPortAttempts {
 		address := fmt.Sprintf("%s:%d", ip, minPort+rand.IntN(portsEnd-minPort))
-		if isFree(address) {
+		if !isFree(address) {
+			continue
+		}
+		if _, isReturned := returnedAddresses.LoadOrStore(address, struct{}{}); !isReturned {
 			return address, nil
 		}
 	}
--- a/internal/fake/faultnet/address_test.go
+++ b/internal/fake/faultnet/address_test.go
@@ -29,3 +29,19 @@
 		defer u.Close()
 	}
 }
+
+// An address that was returned and is not bound yet is not returned again: of so many draws some would otherwise be alike.
+func TestFreeAddressIsNotReturnedTwice(t *testing.T) {
+	const draws = 3000 // of 22,000 ports: about 200 pairs by chance
+	returned := map[string]bool{}
+	for range draws {
+		address, err := FreeAddress("127.0.90.2")
+		if err != nil {
+			t.Fatal(err)
+		}
+		if returned[address] {
+			t.Fatalf("%s was returned twice", address)
+		}
+		returned[address] = true
+	}
+}
