--- a/internal/decide/configuration/configuration.go
+++ b/internal/decide/configuration/configuration.go
@@ -1,6 +1,6 @@
 // Package configuration decides how versioned resources (tenants, routes, classes) are distributed to every member of a
 // fleet. A replicated log orders the commands that make versions (Store). A State is an immutable set of resources with a
-// Merkle tree of digests. Control nodes (ControlNode) serve the newest state to a tree of members (Tree); each Member polls
+// Merkle tree of digests. Control nodes (ControlNode) serve the newest state to a tree of members (DistributionTree); each Member polls
 // its source, receives deltas, repairs larger differences by comparing digests, and relays to the members below it.
 //
 // The package performs no I/O, reads no clock and starts no goroutine: time is passed in as a duration since the start, and
--- a/internal/decide/configuration/configuration_test.go
+++ b/internal/decide/configuration/configuration_test.go
@@ -220,7 +220,7 @@
 		zone = append(zone, subset.Claim{Name: fmt.Sprintf("m%02d", n), Rank: n, JoinEpoch: uint64(n)})
 	}
 	controls := []string{"c0", "c1", "c2", "c3", "c4", "c5"}
-	tree := configuration.Tree("z", zone, controls)
+	tree := configuration.DistributionTree("z", zone, controls)
 	pollers := map[string]int{}
 	for n, claim := range zone {
 		s := tree[claim.Name]
@@ -237,7 +237,7 @@
 			t.Errorf("%d members poll %s", n, name)
 		}
 	}
-	without := configuration.Tree("z", zone[:29], controls) // the last one leaves: no other may change its source
+	without := configuration.DistributionTree("z", zone[:29], controls) // the last one leaves: no other may change its source
 	for _, claim := range zone[:29] {
 		if without[claim.Name].Primary[0] != tree[claim.Name].Primary[0] {
 			t.Errorf("%s changed its source", claim.Name)
--- a/internal/decide/configuration/decode.go
+++ b/internal/decide/configuration/decode.go
@@ -4,9 +4,9 @@
 	"encoding/binary"
 )
 
-// Decode decodes a message from a peer. Errors: a *RejectionError; the message is rejected as a whole. It allocates no more
+// DecodeMessage decodes a message from a peer. Errors: a *RejectionError; the message is rejected as a whole. It allocates no more
 // than a small multiple of the input.
-func Decode(b []byte) (Message, error) {
+func DecodeMessage(b []byte) (Message, error) {
 	d, kind, err := openEnvelope(b)
 	if err != nil {
 		return nil, err
--- a/internal/decide/configuration/encode.go
+++ b/internal/decide/configuration/encode.go
@@ -25,8 +25,8 @@
 // encoder appends fields to a buffer: integers as varints, digests as fixed little-endian integers, strings with their length.
 type encoder struct{ buf []byte }
 
-// Append appends a message's encoding with its checksum to b.
-func Append(b []byte, m Message) []byte {
+// AppendMessage appends a message's encoding with its checksum to b.
+func AppendMessage(b []byte, m Message) []byte {
 	e := encoder{b}
 	m.encode(&e)
 	return appendChecksum(e.buf, e.buf[len(b):])
--- a/internal/decide/configuration/encoding_test.go
+++ b/internal/decide/configuration/encoding_test.go
@@ -76,8 +76,8 @@
 func TestMessagesRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := drawMessage(t)
-		b := configuration.Append(nil, m)
-		found, err := configuration.Decode(b)
+		b := configuration.AppendMessage(nil, m)
+		found, err := configuration.DecodeMessage(b)
 		if err != nil || !reflect.DeepEqual(found, m) {
 			t.Fatalf("%#v\ndecoded as %#v, %v", m, found, err)
 		}
@@ -86,14 +86,14 @@
 
 func TestDamagedMessagesAreRejected(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		b := configuration.Append(nil, drawMessage(t))
+		b := configuration.AppendMessage(nil, drawMessage(t))
 		switch rapid.IntRange(0, 1).Draw(t, "damage") {
 		case 0:
 			b[rapid.IntRange(0, len(b)-1).Draw(t, "at")] ^= byte(1 << rapid.IntRange(0, 7).Draw(t, "bit"))
 		default:
 			b = b[:rapid.IntRange(0, len(b)-1).Draw(t, "length")]
 		}
-		if m, err := configuration.Decode(b); err == nil {
+		if m, err := configuration.DecodeMessage(b); err == nil {
 			t.Fatalf("decoded as %#v", m)
 		}
 	})
@@ -104,7 +104,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		body := rapid.SliceOfN(rapid.Byte(), 1, 400).Draw(t, "body")
 		body[0] %= 11
-		m, err := configuration.Decode(configuration.AppendChecksum(body))
+		m, err := configuration.DecodeMessage(configuration.AppendChecksum(body))
 		if err == nil && m == nil {
 			t.Fatal("neither a message nor an error")
 		}
@@ -126,11 +126,11 @@
 		"a resource in the wrong bucket": {[]byte{7, 1, 1, 0, 0, 0, 0, 0, 0, 0, 0, 0, 1, 0, 0, 1, 1, 1, 'a', 0}, configuration.ReasonMalformed},
 	} {
 		t.Run(name, func(t *testing.T) {
-			_, err := configuration.Decode(configuration.AppendChecksum(c.body))
+			_, err := configuration.DecodeMessage(configuration.AppendChecksum(c.body))
 			wantRejection(t, err, c.want)
 		})
 	}
-	_, err := configuration.Decode(make([]byte, configuration.MaxMessageBytes+1))
+	_, err := configuration.DecodeMessage(make([]byte, configuration.MaxMessageBytes+1))
 	wantRejection(t, err, configuration.ReasonLimitExceeded)
 }
 
@@ -145,7 +145,7 @@
 	} {
 		var before, after runtime.MemStats
 		runtime.ReadMemStats(&before)
-		_, err := configuration.Decode(configuration.AppendChecksum(body))
+		_, err := configuration.DecodeMessage(configuration.AppendChecksum(body))
 		runtime.ReadMemStats(&after)
 		wantRejection(t, err, configuration.ReasonMalformed)
 		if allocated := after.TotalAlloc - before.TotalAlloc; allocated > 1<<20 {
--- a/internal/decide/configuration/fixture_test.go
+++ b/internal/decide/configuration/fixture_test.go
@@ -103,10 +103,10 @@
 func TestMessagesKeepTheirEncoding(t *testing.T) {
 	encoded := readFixture(t)
 	for name, m := range fixtureMessages(t) {
-		if b := configuration.Append(nil, m); !bytes.Equal(b, encoded[name]) {
+		if b := configuration.AppendMessage(nil, m); !bytes.Equal(b, encoded[name]) {
 			t.Errorf("%s: encoded as %x, expected %x", name, b, encoded[name])
 		}
-		if decoded, err := configuration.Decode(encoded[name]); err != nil || !reflect.DeepEqual(decoded, m) {
+		if decoded, err := configuration.DecodeMessage(encoded[name]); err != nil || !reflect.DeepEqual(decoded, m) {
 			t.Errorf("%s: decoded as %#v, %v, expected %#v", name, decoded, err, m)
 		}
 	}
--- a/internal/decide/configuration/member_test.go
+++ b/internal/decide/configuration/member_test.go
@@ -126,9 +126,9 @@
 	sent := from.sent
 	from.sent = nil
 	for _, s := range sent {
-		encoded := configuration.Append(nil, s.message)
+		encoded := configuration.AppendMessage(nil, s.message)
 		bytes += len(encoded)
-		decoded, err := configuration.Decode(encoded)
+		decoded, err := configuration.DecodeMessage(encoded)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -241,15 +241,15 @@
 	for n := range 2 * configuration.MaxChildren {
 		_ = m.Receive(time.Second, fmt.Sprint("c", n), empty)
 	}
-	if m.Children() != configuration.MaxChildren {
-		t.Errorf("%d children", m.Children())
+	if m.ChildCount() != configuration.MaxChildren {
+		t.Errorf("%d children", m.ChildCount())
 	}
 	if _, ok := host.lastTo(t, fmt.Sprint("c", 2*configuration.MaxChildren-1)).(configuration.Referral); !ok {
 		t.Error("a child over the limit was not referred")
 	}
 	m.Tick(12 * time.Second)
-	if m.Children() != 0 {
-		t.Errorf("%d silent children", m.Children())
+	if m.ChildCount() != 0 {
+		t.Errorf("%d silent children", m.ChildCount())
 	}
 }
 
@@ -283,7 +283,7 @@
 			t.Fatal(err)
 		}
 		for _, out := range host.sent {
-			sent[n] += len(configuration.Append(nil, out.message))
+			sent[n] += len(configuration.AppendMessage(nil, out.message))
 		}
 		for k := range 5 { // they stay and have received everything
 			_ = m.Receive(now, fmt.Sprint("child", k), configuration.Poll{Version: s.Version(), Root: s.Root()})
--- a/internal/decide/configuration/server.go
+++ b/internal/decide/configuration/server.go
@@ -46,8 +46,8 @@
 // Age is how long ago the log last confirmed, as far as is known here, that the active state is the newest.
 func (s *server) Age(now time.Duration) time.Duration { return now - s.confirmedAt }
 
-// Children is the number of members that poll this server.
-func (s *server) Children() int { return len(s.children) }
+// ChildCount is the number of members that poll this server.
+func (s *server) ChildCount() int { return len(s.children) }
 
 func (s *server) position(now time.Duration) Position {
 	return Position{Version: s.state.version, Root: s.state.root, Age: s.Age(now)}
--- a/internal/decide/configuration/simulation_test.go
+++ b/internal/decide/configuration/simulation_test.go
@@ -116,7 +116,7 @@
 	for n := range 8 {
 		zone = append(zone, subset.Claim{Name: fmt.Sprint("m", n), Rank: n})
 	}
-	tree := configuration.Tree("z", zone, []string{"c0", "c1"})
+	tree := configuration.DistributionTree("z", zone, []string{"c0", "c1"})
 	for n := range 2 {
 		node := &testNode{name: fmt.Sprint("c", n), simulation: sim, store: sim.newStore(configuration.Empty(), 1)}
 		node.control = configuration.NewControlNode(0, node, node.store)
@@ -261,7 +261,7 @@
 	if mode == corrupted {
 		m = sim.corrupt(m)
 	}
-	decoded, err := configuration.Decode(configuration.Append(nil, m))
+	decoded, err := configuration.DecodeMessage(configuration.AppendMessage(nil, m))
 	if err != nil {
 		sim.undecodable++ // our own encoder's bytes
 		return
@@ -324,7 +324,7 @@
 			zone = append(zone, subset.Claim{Name: fmt.Sprint("m", n), Rank: n})
 		}
 		node.member = sim.newMember(node, state, time.Minute, sim.random.Uint64())
-		node.member.SetSources(sim.now, configuration.Tree("z", zone, []string{"c0", "c1"})[node.name])
+		node.member.SetSources(sim.now, configuration.DistributionTree("z", zone, []string{"c0", "c1"})[node.name])
 		return
 	}
 	node.store = sim.newStore(node.store.State(), 0) // its snapshot contains the log's entries so far
--- a/internal/decide/configuration/tree.go
+++ b/internal/decide/configuration/tree.go
@@ -14,12 +14,12 @@
 // control nodes for the top of a zone; Fallback are the control nodes, for when all primary sources are silent.
 type Sources struct{ Primary, Fallback []string }
 
-// Tree returns the sources of each member of one zone, by name. Members are ordered by stable rank as in a heap: the one of rank r polls
+// DistributionTree returns the sources of each member of one zone, by name. Members are ordered by stable rank as in a heap: the one of rank r polls
 // that of rank (r-1)/RelayFanOut, so that a leaving member moves only its own children and the member that takes its rank.
 // A relay's backup is the one that the relay itself polls; the backup of the zone's first member is the second, which then
 // polls a control node. No source has a higher rank than the member that polls it, so that no view, however old, closes a
 // cycle by itself. Control nodes are in rendezvous order, by zone for its first two members and by member for all others.
-func Tree(zone string, members []subset.Claim, controls []string) map[string]Sources {
+func DistributionTree(zone string, members []subset.Claim, controls []string) map[string]Sources {
 	byRank := subset.MembersByRank(members)
 	controlsOfZone := subset.Rendezvous(controls, zone, len(controls))
 	tree := make(map[string]Sources, len(byRank))
--- a/internal/lab/emulator/configuration.go
+++ b/internal/lab/emulator/configuration.go
@@ -129,7 +129,7 @@
 	for n, p := range z.members {
 		p.claim = claims[n]
 	}
-	z.tree = configuration.Tree(z.name, claims, s.controlNames)
+	z.tree = configuration.DistributionTree(z.name, claims, s.controlNames)
 }
 
 func (s *configurationSimulation) jitter(span time.Duration) time.Duration {
--- a/internal/lab/emulator/configuration_faults.go
+++ b/internal/lab/emulator/configuration_faults.go
@@ -149,7 +149,7 @@
 // corruptRelay makes a relay byzantine for a while.
 func (s *configurationSimulation) corruptRelay() {
 	p := s.randomMember()
-	for n := 0; n < 1000 && p.member.Children() < minRelayChildren; n++ {
+	for n := 0; n < 1000 && p.member.ChildCount() < minRelayChildren; n++ {
 		p = s.randomMember()
 	}
 	p.isByzantine = true
--- a/internal/lab/emulator/configuration_network.go
+++ b/internal/lab/emulator/configuration_network.go
@@ -105,7 +105,7 @@
 	if from.isByzantine {
 		m = s.corrupt(m)
 	}
-	s.encodeBuffer = configuration.Append(s.encodeBuffer[:0], m)
+	s.encodeBuffer = configuration.AppendMessage(s.encodeBuffer[:0], m)
 	size := len(s.encodeBuffer)
 	isStream := size > maxDatagramBytes
 	wireBytes := wireBytesOf(size)
--- a/internal/lab/emulator/configuration_process.go
+++ b/internal/lab/emulator/configuration_process.go
@@ -67,11 +67,11 @@
 func (s *configurationSimulation) tickProcess(p *configurationProcess) {
 	if !p.isPaused && p.member != nil {
 		p.member.Tick(s.now)
-		p.hasRelayed = p.hasRelayed || p.member.Children() > 0
+		p.hasRelayed = p.hasRelayed || p.member.ChildCount() > 0
 	}
 	if !p.isPaused && p.control != nil {
 		p.control.Tick(s.now)
-		s.maxControlPeers = max(s.maxControlPeers, p.control.Children())
+		s.maxControlPeers = max(s.maxControlPeers, p.control.ChildCount())
 	}
 	s.tickAfter(configuration.TickInterval, p)
 }
@@ -98,7 +98,7 @@
 func (p *configurationProcess) Activated(now time.Duration, state *configuration.State) {
 	s := p.simulation
 	s.checker.checkActivation(p, now, state)
-	if p.member != nil && s.pendingRelayKills > 0 && p.member.Children() >= minRelayChildren {
+	if p.member != nil && s.pendingRelayKills > 0 && p.member.ChildCount() >= minRelayChildren {
 		s.pendingRelayKills--
 		s.checker.result.RelaysKilled++
 		s.after(0, func() { s.kill(p, s.restartLater(p)) })
