--- a/internal/decide/configuration/comparison.go
+++ b/internal/decide/configuration/comparison.go
@@ -2,7 +2,7 @@
 
 import "slices"
 
-// differingGroups are the digests of the groups that are not as in the request.
+// differingGroups returns the bucket digests of each group whose digest differs from the one in the request.
 func (s *State) differingGroups(m DigestRequest) (groups []GroupDigests) {
 	for n, g := range s.groups {
 		if shortDigest(g.digest) != m.Groups[n] {
@@ -12,7 +12,7 @@
 	return groups
 }
 
-// differingBuckets are the indexes of the buckets that are not as in the reply, in its order.
+// differingBuckets returns the indexes of the buckets whose digests differ from those in the reply, in ascending order.
 func (s *State) differingBuckets(m DigestReply) (indexes []uint16) {
 	for _, group := range m.Groups {
 		own := s.groups[group.Group].shortDigests()
@@ -25,7 +25,7 @@
 	return indexes
 }
 
-// repairFor turns a peer's bucket into this one.
+// repairFor returns the repair that turns a peer's bucket into b.
 func (b *bucket) repairFor(peer BucketDigests) BucketRepair {
 	repair := BucketRepair{Bucket: peer.Bucket}
 	for _, r := range b.entries {
@@ -41,7 +41,7 @@
 	return repair
 }
 
-// changes are what the repair does to a bucket. A resource that is replaced is one change, not a removal and an addition.
+// changes returns the changes that the repair makes to b. A replaced resource is one change, not a removal and an addition.
 func (r BucketRepair) changes(b *bucket) []Change {
 	var changes []Change
 	for _, entry := range b.entries {
@@ -56,7 +56,7 @@
 	return changes
 }
 
-// sizeBytes is the approximate encoded size.
+// sizeBytes returns the approximate encoded size of the repair.
 func (r BucketRepair) sizeBytes() int {
 	size := 4 * len(r.Remove)
 	for _, added := range r.Add {
--- a/internal/decide/configuration/configuration_test.go
+++ b/internal/decide/configuration/configuration_test.go
@@ -10,7 +10,7 @@
 	"thymechute/internal/decide/subset"
 )
 
-// recordingHost is a Host that records the calls.
+// recordingHost is a Host that records the messages sent and the versions activated.
 type recordingHost struct {
 	sent      []sentMessage
 	activated []configuration.Version
@@ -37,7 +37,7 @@
 			return h.sent[n].message
 		}
 	}
-	t.Fatalf("nothing was sent to %s", to)
+	t.Fatalf("no message was sent to %q", to)
 	return nil
 }
 
@@ -54,7 +54,7 @@
 	return r
 }
 
-// putChanges adds or replaces tenants, given as alternating names and bodies.
+// putChanges returns changes that add or replace tenants, given as alternating names and bodies.
 func putChanges(t testing.TB, v configuration.Version, namesAndBodies ...string) (changes []configuration.Change) {
 	t.Helper()
 	for n := 0; n < len(namesAndBodies); n += 2 {
@@ -63,11 +63,12 @@
 	return changes
 }
 
+// command returns a command that adds or replaces tenants, given as alternating names and bodies.
 func command(t testing.TB, base, v configuration.Version, namesAndBodies ...string) configuration.Command {
 	return configuration.Command{Base: base, Version: v, Changes: putChanges(t, v, namesAndBodies...)}
 }
 
-// tenantState is a state of count tenants at version 1/1.
+// tenantState returns a state of count tenants at version 1/1.
 func tenantState(t testing.TB, count int) *configuration.State {
 	t.Helper()
 	v := version(1, 1)
@@ -86,7 +87,7 @@
 	t.Helper()
 	var rejection *configuration.RejectionError
 	if !errors.As(err, &rejection) || rejection.Reason != want || !errors.Is(err, want) {
-		t.Errorf("found %v, expected a rejection: %v", err, want)
+		t.Errorf("found error %v, expected a RejectionError with reason %v", err, want)
 	}
 }
 
@@ -130,7 +131,7 @@
 	if err := s.Apply(command(t, version(0, 0), version(1, 1), "a", "1")); err != nil {
 		t.Fatal(err)
 	}
-	s.RaiseFence(2) // granted, though the new lease holder has made no version yet
+	s.RaiseFence(2) // a lease is granted, but its holder has created no version yet
 	wantRejection(t, s.Apply(command(t, version(1, 1), version(1, 2), "a", "2")), configuration.ReasonStale)
 	if err := s.Apply(command(t, version(1, 1), version(2, 2), "a", "3")); err != nil {
 		t.Error(err)
@@ -210,7 +211,7 @@
 		t.Fatal(err)
 	}
 	if err := c.Apply(6*time.Second, decoded); err != nil || c.State().Version() != version(1, 1) {
-		t.Errorf("%v, version %v", err, c.State().Version())
+		t.Errorf("Apply: error %v, active version %v, expected no error and version {1 1}", err, c.State().Version())
 	}
 }
 
@@ -226,21 +227,21 @@
 		s := tree[claim.Name]
 		pollers[s.Primary[0]]++
 		if n > 0 && s.Primary[0] >= claim.Name || n > 1 && (len(s.Primary) < 2 && s.Primary[0] != "m00" || s.Primary[len(s.Primary)-1] >= claim.Name) {
-			t.Errorf("%s polls %v", claim.Name, s.Primary)
+			t.Errorf("%s has the primary sources %v, expected a relay and a backup of lower rank", claim.Name, s.Primary)
 		}
 		if len(s.Primary)+len(s.Fallback) < len(controls) {
-			t.Errorf("%s has no control node", claim.Name)
+			t.Errorf("%s lacks control nodes among its sources", claim.Name)
 		}
 	}
 	for name, n := range pollers {
 		if n > configuration.RelayFanOut {
-			t.Errorf("%d members poll %s", n, name)
+			t.Errorf("%d members poll %s, expected at most RelayFanOut", n, name)
 		}
 	}
-	without := configuration.DistributionTree("z", zone[:29], controls) // the last one leaves: no other may change its source
+	without := configuration.DistributionTree("z", zone[:29], controls) // after the last member has left; all others must keep their source
 	for _, claim := range zone[:29] {
 		if without[claim.Name].Primary[0] != tree[claim.Name].Primary[0] {
-			t.Errorf("%s changed its source", claim.Name)
+			t.Errorf("%s changed its source after the last member left", claim.Name)
 		}
 	}
 }
--- a/internal/decide/configuration/control.go
+++ b/internal/decide/configuration/control.go
@@ -3,13 +3,13 @@
 import "time"
 
 const (
-	// maxConfirmationAge bounds the time since the last LogConfirmed: once it is exceeded, proposals are rejected.
+	// maxConfirmationAge is the longest time since the last LogConfirmed at which proposals are still accepted.
 	maxConfirmationAge = 2 * time.Second
-	// proposalTimeout is the time after which a proposed command that was not applied counts as lost.
+	// proposalTimeout is the time after which a proposed command that has not been applied is considered lost.
 	proposalTimeout = 3 * time.Second
 )
 
-// Edit is a change that an operator requests. A rollback is an Edit with the previous body and makes a new version.
+// Edit is a change that an operator requests. A rollback is an Edit with the previous body, and creates a new version.
 type Edit struct {
 	Type    ResourceType
 	Name    string
@@ -17,22 +17,22 @@
 	Removed bool
 }
 
-// Lease is a control node's current view of the lease on the configuration duty.
+// Lease is what a control node currently knows of the lease on the configuration duty.
 type Lease struct {
 	Token uint64 // fencing token
-	Valid bool   // this control node holds it and it has not expired
+	Valid bool   // this control node holds the lease, and it has not expired
 }
 
-// ControlNode serves the newest state to members. It proposes commands while it holds the lease, and applies what the
-// replicated log commits; it never makes a version by itself.
+// ControlNode serves the newest state to members. It proposes commands while it holds the lease, and applies the commands that
+// the replicated log commits; a version never becomes active before its command is committed.
 type ControlNode struct {
 	server
-	store      *Store
-	proposed   Version // of the command in flight
-	proposedAt time.Duration
+	store           *Store
+	proposedVersion Version // version of the last proposed command
+	proposedAt      time.Duration
 }
 
-// NewControlNode makes the control node of a process that has just started with the store of its log snapshot.
+// NewControlNode returns the control node of a process that has just started, with the store from its log snapshot.
 func NewControlNode(now time.Duration, h Host, s *Store) *ControlNode {
 	c := &ControlNode{store: s}
 	c.server = server{
@@ -47,24 +47,26 @@
 	return c
 }
 
-// LeaseGranted records that the log has granted the lease to some control node, under a fencing token.
+// LeaseGranted records that the log has granted the lease, to this or another control node, with a fencing token.
 func (c *ControlNode) LeaseGranted(token uint64) { c.store.RaiseFence(token) }
 
-// LogConfirmed records that this node has applied everything that the log's leader, with a quorum, had committed by now.
+// LogConfirmed records that this node has applied everything that the log's leader, backed by a quorum, has committed by now.
 func (c *ControlNode) LogConfirmed(now time.Duration) { c.confirmedAt = now }
 
-// Propose makes the command for edits, to be submitted to the log. The change is not active, and may still be lost, until
-// Apply. Errors: a *RejectionError.
+// Propose returns the command for edits, which the caller submits to the log. Until Apply the change is not active and may
+// still be lost. An error is a *RejectionError.
 func (c *ControlNode) Propose(now time.Duration, lease Lease, edits []Edit) (Command, error) {
 	if now-c.confirmedAt > maxConfirmationAge {
-		return Command{}, reject(ReasonNoQuorum, "the log was last confirmed %v ago, expected at most %v", now-c.confirmedAt, maxConfirmationAge)
+		return Command{}, reject(ReasonNoQuorum, "the replicated log was last confirmed %v ago, expected at most %v",
+			now-c.confirmedAt, maxConfirmationAge)
 	}
 	if !lease.Valid {
-		return Command{}, reject(ReasonNotLeaseHolder, "token %d", lease.Token)
+		return Command{}, reject(ReasonNotLeaseHolder, "proposal with fencing token %d, whose lease is not held or has expired", lease.Token)
 	}
 	active := c.state.version
-	if c.proposed.Compare(active) > 0 && now-c.proposedAt < proposalTimeout {
-		return Command{}, reject(ReasonInFlight, "%v is in flight on %v", c.proposed, active)
+	if c.proposedVersion.Compare(active) > 0 && now-c.proposedAt < proposalTimeout {
+		return Command{}, reject(ReasonInFlight, "version %v was proposed and is not applied yet, the active version is %v",
+			c.proposedVersion, active)
 	}
 	command := Command{Base: active, Version: Version{Token: lease.Token, Counter: active.Counter + 1}}
 	for _, e := range edits {
@@ -77,12 +79,12 @@
 	if err := c.store.validate(command); err != nil {
 		return Command{}, err
 	}
-	c.proposed = command.Version
+	c.proposedVersion = command.Version
 	c.proposedAt = now
 	return command, nil
 }
 
-// Apply applies a command that the log has committed. Errors: a *RejectionError, and nothing has changed.
+// Apply applies a command that the log has committed. An error is a *RejectionError; nothing has changed then.
 func (c *ControlNode) Apply(now time.Duration, command Command) error {
 	if err := c.store.Apply(command); err != nil {
 		c.Counters.Rejected++
@@ -94,7 +96,7 @@
 	return nil
 }
 
-// Receive handles a message from a member. Errors: a *RejectionError.
+// Receive handles a message from a member. An error is a *RejectionError.
 func (c *ControlNode) Receive(now time.Duration, from string, message Message) error {
 	switch message.(type) {
 	case Poll, DigestRequest, RepairRequest:
@@ -102,9 +104,9 @@
 		return nil
 	}
 	c.Counters.Rejected++
-	return reject(ReasonUnknownSender, "reply from %s", from)
+	return reject(ReasonUnknownSender, "reply from %q, expected none as a control node polls no source", from)
 }
 
-// Tick drops silent children and sends what the byte budget has not allowed before. It must be called at least once per
-// TickInterval.
+// Tick drops silent children and sends the deltas that the byte budget did not allow earlier. It must be called at least once
+// per TickInterval.
 func (c *ControlNode) Tick(now time.Duration) { c.tick(now) }
--- a/internal/decide/configuration/decode.go
+++ b/internal/decide/configuration/decode.go
@@ -4,10 +4,10 @@
 	"encoding/binary"
 )
 
-// DecodeMessage decodes a message from a peer. Errors: a *RejectionError; the message is rejected as a whole. It allocates no more
-// than a small multiple of the input.
+// DecodeMessage decodes a message from a peer. It allocates no more than a small multiple of the input's size. An error is a
+// *RejectionError; the message is rejected as a whole.
 func DecodeMessage(b []byte) (Message, error) {
-	d, kind, err := openEnvelope(b)
+	d, kind, err := newDecoder(b)
 	if err != nil {
 		return nil, err
 	}
@@ -18,28 +18,30 @@
 	return m, d.finish()
 }
 
-// DecodeCommand decodes a log entry. Errors: a *RejectionError.
+// DecodeCommand decodes the command in a log entry. An error is a *RejectionError.
 func DecodeCommand(b []byte) (Command, error) {
-	d, kind, err := openEnvelope(b)
+	d, kind, err := newDecoder(b)
 	if err != nil {
 		return Command{}, err
 	}
 	if kind != kindCommand {
-		return Command{}, reject(ReasonUnknownType, "entry of kind %d, expected %d", kind, kindCommand)
+		return Command{}, reject(ReasonUnknownType, "log entry of kind %d, expected a command of kind %d", kind, kindCommand)
 	}
 	c := Command{Base: d.version(), Version: d.version()}
 	c.Changes = d.changes(c.Version)
 	return c, d.finish()
 }
 
-// openEnvelope verifies the size and checksum, and returns a decoder of what follows the kind.
-func openEnvelope(b []byte) (*decoder, byte, error) {
+// newDecoder verifies the size and checksum of an encoded message or log entry, and returns a decoder of the fields after its
+// kind, and the kind.
+func newDecoder(b []byte) (*decoder, byte, error) {
 	if len(b) < 1+checksumSize || len(b) > MaxMessageBytes {
-		return nil, 0, reject(ReasonLimitExceeded, "message of %d bytes, expected %d to %d", len(b), 1+checksumSize, MaxMessageBytes)
+		return nil, 0, reject(ReasonLimitExceeded, "message or log entry of %d bytes, expected %d to %d", len(b), 1+checksumSize, MaxMessageBytes)
 	}
 	body := b[:len(b)-checksumSize]
 	if found, expected := checksum(body), binary.LittleEndian.Uint32(b[len(body):]); found != expected {
-		return nil, 0, reject(ReasonDigestMismatch, "message of %d bytes with checksum %08x, expected %08x", len(b), found, expected)
+		return nil, 0, reject(ReasonDigestMismatch, "message or log entry of %d bytes with checksum %08x, expected %08x",
+			len(b), found, expected)
 	}
 	return &decoder{rest: body[1:]}, body[0], nil
 }
@@ -86,7 +88,7 @@
 		g := &m.Groups[n]
 		g.Group = d.byte()
 		if g.Group >= digestFanOut || n > 0 && g.Group <= m.Groups[n-1].Group {
-			d.fail(reject(ReasonMalformed, "group %d, expected under %d and in order", g.Group, digestFanOut))
+			d.fail(reject(ReasonMalformed, "digest reply with group %d, expected groups below %d in ascending order", g.Group, digestFanOut))
 			return m
 		}
 		for k := range g.Buckets {
@@ -130,7 +132,8 @@
 	for range cap(repair.Add) {
 		c := d.change(messageVersion)
 		if d.err == nil && (c.Removed || bucketIndex(c.Resource) != int(repair.Bucket)) {
-			d.fail(reject(ReasonMalformed, "a removed resource, or one that is not of bucket %d", repair.Bucket))
+			d.fail(reject(ReasonMalformed, "repair of bucket %d adds a resource that is marked as removed or belongs to another bucket",
+				repair.Bucket))
 		}
 		if d.err != nil {
 			return repair
--- a/internal/decide/configuration/digest.go
+++ b/internal/decide/configuration/digest.go
@@ -7,8 +7,8 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// The shape of the Merkle tree: groups of buckets of resources. It is the same in all members, as peers compare digests
-// position by position.
+// The shape of the Merkle tree: a state consists of groups, a group of buckets, a bucket of resources. It must be the same in
+// all members, as peers compare the digests at equal indexes.
 const (
 	digestFanOut = 64                          // groups in a state, and buckets in a group
 	bucketCount  = digestFanOut * digestFanOut // buckets in a state
@@ -23,7 +23,7 @@
 // bucket is a leaf of the tree.
 type bucket struct {
 	entries []*Resource // in the order of compareKeys
-	digest  uint64      // 0 where there are no entries
+	digest  uint64      // 0 if there are no entries
 }
 
 var (
@@ -40,7 +40,8 @@
 	return g
 }
 
-// with returns the group after changes, which are sorted and all in this group, and updates the totals of the state s.
+// with returns a copy of the group with changes applied, and updates the totals of s. The changes are sorted and all belong to
+// this group.
 func (g *group) with(s *State, sorted []Change) *group {
 	next := *g
 	for len(sorted) > 0 {
@@ -57,7 +58,8 @@
 	return &next
 }
 
-// with returns the bucket after changes, which are sorted and all in this bucket, by merging the two sorted lists.
+// with returns a copy of the bucket with changes applied, by merging two sorted lists. The changes are sorted and all belong to
+// this bucket.
 func (b *bucket) with(sorted []Change) *bucket {
 	merged := make([]*Resource, 0, len(b.entries)+len(sorted))
 	entries := b.entries
@@ -106,7 +108,7 @@
 
 func bucketIndex(r *Resource) int { return int(r.keyHash % bucketCount) }
 
-// compareKeys orders resources by bucket, then hash, then type and name.
+// compareKeys orders resources by bucket, then by key hash, then by type and name.
 func compareKeys(a, b *Resource) int {
 	if order := cmp.Compare(bucketIndex(a), bucketIndex(b)); order != 0 {
 		return order
@@ -114,7 +116,8 @@
 	return cmp.Or(cmp.Compare(a.keyHash, b.keyHash), cmp.Compare(a.Type, b.Type), cmp.Compare(a.Name, b.Name))
 }
 
-// shortDigest is a digest as requests and replies carry it. What its 32 bits miss by chance, the 64 bits of the root show.
+// shortDigest truncates a digest to the 32 bits that requests and replies carry. A difference that a collision of these hides
+// is detected by the 64-bit root digest.
 func shortDigest(digest uint64) uint32 { return uint32(digest) }
 
 func (g *group) shortDigests() (digests [digestFanOut]uint32) {
--- a/internal/decide/configuration/emulator_test.go
+++ b/internal/decide/configuration/emulator_test.go
@@ -18,7 +18,7 @@
 			continue
 		}
 		if again := emulator.Configuration(emulator.NewConfigurationScenario(48), seed); again != result {
-			t.Errorf("seed %d gives %+v, then %+v", seed, result, again)
+			t.Errorf("seed %d: the first run gives %+v, the second %+v, expected equal results", seed, result, again)
 		}
 	}
 }
@@ -40,11 +40,11 @@
 				result := emulator.Configuration(scenario, seed)
 				detected += c.detected(result)
 				if c.detected(result) > 0 && len(result.Violations()) == 0 {
-					t.Error("detected, but the run reports no violation")
+					t.Error("a check counted a fault, but the result reports no violation")
 				}
 			}
 			if detected == 0 {
-				t.Errorf("without %s the emulated scenario detects nothing", name)
+				t.Errorf("without the safeguard %q the emulated scenario detects no fault", name)
 			}
 		})
 	}
@@ -53,8 +53,8 @@
 func TestMemberMemoryIsBounded(t *testing.T) {
 	scenario := emulator.NewConfigurationScenario(1200)
 	state, history := emulator.ConfigurationMemory(scenario)
-	t.Logf("%d bytes for %d resources, %d for the history", state, scenario.Tenants+scenario.Routes, history)
+	t.Logf("state: %d bytes for %d resources; history: %d bytes", state, scenario.Tenants+scenario.Routes, history)
 	if state > 16<<20 || history > 6<<20 {
-		t.Errorf("%d bytes for the state, %d for the history; expected 16 MB and 6 MB at most", state, history)
+		t.Errorf("state: %d bytes, history: %d bytes, expected at most 16 MB and 6 MB", state, history)
 	}
 }
--- a/internal/decide/configuration/encode.go
+++ b/internal/decide/configuration/encode.go
@@ -6,7 +6,7 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Kinds of encoded messages and log entries: the first byte of each.
+// Kinds of encoded messages and log entries. The kind is the first byte of an encoding.
 const (
 	kindPoll byte = 1 + iota
 	kindPollReply
@@ -19,20 +19,21 @@
 	kindCommand
 )
 
-// checksumSize is the size of the checksum at the end of each encoding, in bytes.
+// checksumSize is the size in bytes of the checksum at the end of each encoding.
 const checksumSize = 4
 
-// encoder appends fields to a buffer: integers as varints, digests as fixed little-endian integers, strings with their length.
+// encoder appends fields to a buffer: integers as varints, digests as fixed-size little-endian integers, strings after their
+// length.
 type encoder struct{ buf []byte }
 
-// AppendMessage appends a message's encoding with its checksum to b.
+// AppendMessage appends the encoding of m, which ends with its checksum, to b.
 func AppendMessage(b []byte, m Message) []byte {
 	e := encoder{b}
 	m.encode(&e)
 	return appendChecksum(e.buf, e.buf[len(b):])
 }
 
-// Encode returns the command's encoding with its checksum, as an entry of the log.
+// Encode returns the command's encoding, which ends with its checksum, as an entry of the log.
 func (c Command) Encode() []byte {
 	e := encoder{[]byte{kindCommand}}
 	e.version(c.Base)
@@ -72,19 +73,19 @@
 // Flags in the first byte of an encoded change, above the resource's type.
 const (
 	flagRemoved    = 1 << 7
-	flagOwnVersion = 1 << 6 // the resource's version follows; otherwise it is the message's
+	flagOwnVersion = 1 << 6 // the resource's version follows; without the flag it is the message's version
 )
 
 func (e *encoder) change(messageVersion Version, c Change) {
 	r := c.Resource
-	first := byte(r.Type)
+	typeAndFlags := byte(r.Type)
 	if c.Removed {
-		first |= flagRemoved
+		typeAndFlags |= flagRemoved
 	}
 	if r.Version != messageVersion {
-		first |= flagOwnVersion
+		typeAndFlags |= flagOwnVersion
 	}
-	e.byte(first)
+	e.byte(typeAndFlags)
 	if r.Version != messageVersion {
 		e.version(r.Version)
 	}
--- a/internal/decide/configuration/encoding_test.go
+++ b/internal/decide/configuration/encoding_test.go
@@ -46,7 +46,7 @@
 	case 3:
 		m := configuration.DigestRequest{}
 		for n := range m.Groups {
-			m.Groups[n] = rapid.Uint32().Draw(t, "sum")
+			m.Groups[n] = rapid.Uint32().Draw(t, "group digest")
 		}
 		return m
 	case 4:
@@ -79,7 +79,7 @@
 		b := configuration.AppendMessage(nil, m)
 		found, err := configuration.DecodeMessage(b)
 		if err != nil || !reflect.DeepEqual(found, m) {
-			t.Fatalf("%#v\ndecoded as %#v, %v", m, found, err)
+			t.Fatalf("%#v\ndecoded as %#v with error %v", m, found, err)
 		}
 	})
 }
@@ -94,19 +94,19 @@
 			b = b[:rapid.IntRange(0, len(b)-1).Draw(t, "length")]
 		}
 		if m, err := configuration.DecodeMessage(b); err == nil {
-			t.Fatalf("decoded as %#v", m)
+			t.Fatalf("the damaged message was decoded as %#v, expected an error", m)
 		}
 	})
 }
 
-// Any content with a valid checksum is rejected or decoded, without a panic.
+// DecodeMessage must either reject or decode any bytes with a valid checksum; it must not panic.
 func TestArbitraryBytesAreRejectedOrDecoded(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		body := rapid.SliceOfN(rapid.Byte(), 1, 400).Draw(t, "body")
 		body[0] %= 11
 		m, err := configuration.DecodeMessage(configuration.AppendChecksum(body))
 		if err == nil && m == nil {
-			t.Fatal("neither a message nor an error")
+			t.Fatal("DecodeMessage returned neither a message nor an error")
 		}
 	})
 }
@@ -134,7 +134,7 @@
 	wantRejection(t, err, configuration.ReasonLimitExceeded)
 }
 
-// A count of more elements than the bytes can contain allocates nothing of that size.
+// A message whose count exceeds what its bytes can contain must not cause an allocation of that size.
 func TestDecodeAllocationsAreBoundedByTheInput(t *testing.T) {
 	position := []byte{1, 1, 0, 0, 0, 0, 0, 0, 0, 0, 0}
 	count := []byte{0xff, 0xff, 0x3f} // 2^20 - 1
@@ -149,7 +149,7 @@
 		runtime.ReadMemStats(&after)
 		wantRejection(t, err, configuration.ReasonMalformed)
 		if allocated := after.TotalAlloc - before.TotalAlloc; allocated > 1<<20 {
-			t.Errorf("%s: %d bytes allocated for %d", name, allocated, len(body))
+			t.Errorf("%s: %d bytes allocated to decode %d, expected at most 1 MB", name, allocated, len(body))
 		}
 	}
 }
@@ -160,7 +160,7 @@
 	c.Changes = append(c.Changes, configuration.Change{Resource: resource(t, "gone", "", v), Removed: true})
 	found, err := configuration.DecodeCommand(c.Encode())
 	if err != nil || !reflect.DeepEqual(found, c) {
-		t.Errorf("%#v decoded as %#v, %v", c, found, err)
+		t.Errorf("%#v decoded as %#v with error %v", c, found, err)
 	}
 	b := c.Encode()
 	b[5] ^= 1
--- a/internal/decide/configuration/export_test.go
+++ b/internal/decide/configuration/export_test.go
@@ -6,28 +6,28 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// DisableFencing makes a store accept older tokens and versions, which a check must detect.
+// DisableFencing makes a store accept older tokens and versions. The tests' checks must detect that.
 func DisableFencing(s *Store) { s.isFencingDisabled = true }
 
-// DisableAtomicity makes a member activate parts of a version, which a check must detect.
+// DisableAtomicity makes a member activate parts of a version. The tests' checks must detect that.
 func DisableAtomicity(m *Member) { m.disabled.atomicity = true }
 
-// DisableDigestCheck makes a member compare no root digests, which a check must detect.
+// DisableDigestCheck makes a member skip the comparison of root digests. The tests' checks must detect that.
 func DisableDigestCheck(m *Member) { m.disabled.digestCheck = true }
 
-// BucketIndex is the index of a resource's bucket.
+// BucketIndex returns the index of a resource's bucket.
 func BucketIndex(r *Resource) uint16 { return uint16(bucketIndex(r)) }
 
-// AppendChecksum returns a message's body with its checksum, computed apart from the encoder that the tests check.
+// AppendChecksum returns an encoded message's body followed by its checksum. It does not use the encoder that the tests check.
 func AppendChecksum(body []byte) []byte {
 	return binary.LittleEndian.AppendUint32(body[:len(body):len(body)], uint32(xxhash.Sum64(body)))
 }
 
-// RelayBudgetBytes is the most that a relay sends in a minute.
+// RelayBudgetBytes is the number of bytes that a relay may send in a minute.
 const RelayBudgetBytes = relayBudgetBytes
 
-// DigestReplyOf is what a server with the state would reply, at a position that the caller chooses. It compares
-// apart from the server's own comparison, so that the two check each other.
+// DigestReplyOf returns the reply of a server with the state s, but with a position that the caller chooses. It does not use the
+// server's own comparison, so that the tests check one against the other.
 func DigestReplyOf(s *State, request DigestRequest, position Position) DigestReply {
 	reply := DigestReply{Position: position}
 	for n, group := range s.groups {
@@ -43,7 +43,7 @@
 	return reply
 }
 
-// RepairReplyOf is what a server with the state would reply, at a position that the caller chooses.
+// RepairReplyOf returns the reply of a server with the state s, but with a position that the caller chooses.
 func RepairReplyOf(s *State, request RepairRequest, position Position) RepairReply {
 	reply := RepairReply{Position: position}
 	for _, b := range request.Buckets {
--- a/internal/decide/configuration/fixture_test.go
+++ b/internal/decide/configuration/fixture_test.go
@@ -15,11 +15,11 @@
 	"thymechute/internal/decide/configuration"
 )
 
-// fixturePath holds one line for each encoding: its name, a space, the bytes in hexadecimal. The bytes were written by
-// the program as of commit d489d24; peers and logs of that version must stay readable.
+// fixturePath is a file with one line for each encoding: its name, a space, and its bytes in hexadecimal. The bytes were written
+// by the program at commit d489d24; messages and log entries of that version must stay readable.
 const fixturePath = "testdata/encoded-d489d24.txt"
 
-// fixtureResources are resources of each type, at versions of their own.
+// fixtureResources returns one resource of each type, each at a different version.
 func fixtureResources(t testing.TB) []*configuration.Resource {
 	t.Helper()
 	var resources []*configuration.Resource
@@ -45,7 +45,8 @@
 	}
 }
 
-// fixtureMessages has each kind of message, by its name in the fixture, which has the names of that version.
+// fixtureMessages returns a message of each kind, by its name in the fixture file. The file uses the names of the program version
+// that wrote it.
 func fixtureMessages(t testing.TB) map[string]configuration.Message {
 	t.Helper()
 	position := configuration.Position{Version: version(3, 300), Root: 0x0123456789abcdef, Age: 1500 * time.Millisecond}
@@ -74,7 +75,7 @@
 	return configuration.Command{Base: version(2, 299), Version: version(3, 300), Changes: fixtureChanges(t)}
 }
 
-// fixtureState is a few hundred tenants and a resource of each type.
+// fixtureState returns a state of 500 tenants, and one more resource of each type.
 func fixtureState(t testing.TB) *configuration.State {
 	t.Helper()
 	s, err := tenantState(t, 500).With(version(3, 300), fixtureChanges(t))
@@ -107,7 +108,7 @@
 			t.Errorf("%s: encoded as %x, expected %x", name, b, encoded[name])
 		}
 		if decoded, err := configuration.DecodeMessage(encoded[name]); err != nil || !reflect.DeepEqual(decoded, m) {
-			t.Errorf("%s: decoded as %#v, %v, expected %#v", name, decoded, err, m)
+			t.Errorf("%s: decoded as %#v with error %v, expected %#v", name, decoded, err, m)
 		}
 	}
 }
@@ -118,16 +119,16 @@
 		t.Errorf("encoded as %x, expected %x", b, encoded)
 	}
 	if decoded, err := configuration.DecodeCommand(encoded); err != nil || !reflect.DeepEqual(decoded, c) {
-		t.Errorf("decoded as %#v, %v, expected %#v", decoded, err, c)
+		t.Errorf("decoded as %#v with error %v, expected %#v", decoded, err, c)
 	}
 }
 
-// Members of different program versions compare these digests with each other.
+// Digests must not change between program versions, as members of different versions compare them with each other.
 func TestStatesKeepTheirDigests(t *testing.T) {
 	encoded := readFixture(t)
 	for name, s := range map[string]*configuration.State{"root": fixtureState(t), "root-of-empty": configuration.Empty()} {
 		if root := binary.BigEndian.AppendUint64(nil, s.Root()); !bytes.Equal(root, encoded[name]) {
-			t.Errorf("%s: %x, expected %x", name, root, encoded[name])
+			t.Errorf("%s: root digest %x, expected %x", name, root, encoded[name])
 		}
 	}
 }
--- a/internal/decide/configuration/history.go
+++ b/internal/decide/configuration/history.go
@@ -2,8 +2,8 @@
 
 import "slices"
 
-// history is the deltas that led to the active state, oldest first and without a gap, for peers that are a little behind. It
-// is bounded by MaxHistoryDeltas and MaxHistoryBytes. The zero value is empty.
+// history holds the most recent deltas that led to the active state, oldest first and without gaps, for peers that are slightly
+// behind. It is bounded by MaxHistoryDeltas and MaxHistoryBytes. The zero value is empty.
 type history struct {
 	entries []historyEntry
 	bytes   int
@@ -13,10 +13,10 @@
 	from, to    Version
 	changes     []Change
 	bytes       int
-	bytesBefore int // sizes of all earlier entries, dropped ones included
+	bytesBefore int // total size of all earlier entries, including dropped ones
 }
 
-// add appends a delta. One that does not follow the last entry replaces all of them.
+// add appends a delta. If it does not start at the version of the last entry, all previous entries are dropped.
 func (h *history) add(from, to Version, changes []Change) {
 	if n := len(h.entries); n > 0 && h.entries[n-1].to != from {
 		h.entries, h.bytes = nil, 0
@@ -43,7 +43,8 @@
 	}
 }
 
-// bytesSince is an upper bound on the size of changesSince in bytes; found is false where the version is not in the history.
+// bytesSince returns an upper bound on the encoded size of changesSince(v). found is false if no delta in the history starts
+// at v.
 func (h *history) bytesSince(v Version) (size int, found bool) {
 	n, found := h.search(v)
 	if !found {
@@ -53,6 +54,7 @@
 	return last.bytesBefore + last.bytes - h.entries[n].bytesBefore, true
 }
 
+// search returns the index of the delta that starts at v.
 func (h *history) search(v Version) (index int, found bool) {
 	return slices.BinarySearchFunc(h.entries, v, func(e historyEntry, v Version) int { return e.from.Compare(v) })
 }
@@ -63,8 +65,8 @@
 	name         string
 }
 
-// changesSince merges all changes since a version: each resource once, with its newest change. found is false where the version
-// is not in the history.
+// changesSince merges all changes since v: each resource occurs once, with its newest change. found is false if no delta in the
+// history starts at v.
 func (h *history) changesSince(v Version) (changes []Change, found bool) {
 	n, found := h.search(v)
 	if !found {
--- a/internal/decide/configuration/limits.go
+++ b/internal/decide/configuration/limits.go
@@ -2,14 +2,14 @@
 
 import "time"
 
-// Limits of the children that poll a relay or control node.
+// Maximum numbers of children, the members that poll a relay or control node.
 const (
-	MaxChildren        = 12 // of a relay: its own, those of a failed relay that it backs up, and some that switch sources
-	MaxControlChildren = 96 // of a control node: the zones' first members, starting members, and members far behind
+	MaxChildren        = 12 // of a relay: its own, those of a failed relay that it backs up, and a few that are switching sources
+	MaxControlChildren = 96 // of a control node: the first members of zones, starting members, and members that are far behind
 )
 
-// Byte budgets. A relay's window is a minute, in which it sends 2.7 KB/s of the 6 KB/s that a member may use; the rest is for
-// polls and what it receives. A control node's window is three seconds.
+// Byte budgets for what is sent to children. A relay's window is a minute: its budget is 2.7 KB/s, of the 6 KB/s that a member
+// may use in total; the rest is for polls and for what it receives. A control node's window is three seconds.
 const (
 	relayLimiterSlot   = 5 * time.Second
 	relayBudgetBytes   = 160 << 10 // in a window
@@ -17,14 +17,14 @@
 	controlBudgetBytes = 6 << 20 // in a window
 )
 
-// Retransmission of deltas: one counts as in flight for minResendDelay and the time that its bytes take at
+// Retransmission of deltas. A delta is assumed to be in flight for minResendDelay plus the time that its bytes take at
 // assumedBytesPerSecond.
 const (
 	minResendDelay        = time.Second
 	assumedBytesPerSecond = 64 << 10
 )
 
-// Approximate costs on the wire: a message within maxDatagramBytes is sent as a datagram, a larger one on a stream.
+// Approximate costs on the wire. A message of at most maxDatagramBytes is sent as a datagram, a larger one on a stream.
 const (
 	maxDatagramBytes           = 1100
 	datagramOverheadBytes      = 100
@@ -33,12 +33,12 @@
 	groupDigestsBytes          = 1 + 4*digestFanOut // one encoded GroupDigests
 )
 
-// serverLimits bound what a relay or control node does for its children.
+// serverLimits bounds what a relay or control node does for its children.
 type serverLimits struct {
 	maxChildren     int
-	maxDeltaBytes   int           // of one delta; a child that lacks more is referred to a control node, or compares digests there
+	maxDeltaBytes   int           // of one delta; a relay refers a child that lacks more, a control node makes it compare digests
 	maxRepairBytes  int           // of one RepairReply
-	maxDigestGroups int           // groups that differ; a child with more is referred to a control node
+	maxDigestGroups int           // differing groups; a child with more is referred to a control node
 	childTimeout    time.Duration // a child that is silent for longer is dropped
 }
 
@@ -59,7 +59,7 @@
 	}
 )
 
-// wireCost is approximately what a message with a payload of size bytes takes on the wire.
+// wireCost returns the approximate number of bytes on the wire for a message with a payload of size bytes.
 func wireCost(size int) int {
 	if size <= maxDatagramBytes {
 		return size + datagramOverheadBytes
--- a/internal/decide/configuration/member.go
+++ b/internal/decide/configuration/member.go
@@ -10,42 +10,42 @@
 // TickInterval bounds the time between two calls of Tick.
 const TickInterval = 400 * time.Millisecond
 
-// Times of polls.
+// Intervals between polls.
 const (
-	pollInterval      = 2 * time.Second // on average, with a jitter of a tenth
-	pollRetryInterval = 800 * time.Millisecond
-	minPollInterval   = 300 * time.Millisecond // where a newer version is known to exist
+	pollInterval      = 2 * time.Second        // on average, with a jitter of 10% either way
+	pollRetryInterval = 800 * time.Millisecond // while a poll has no reply
+	minPollInterval   = 300 * time.Millisecond // while a newer version is known to exist
 )
 
-// Member is one process of the fleet, and a relay to the members that poll it. Its active version never decreases, and it only
-// activates complete states.
+// Member is one process of the fleet, which is also the relay of the members that poll it. Its active version never decreases,
+// and it activates complete states only.
 type Member struct {
 	server
 	random          random.Source
-	sources         []string // the primary ones first
+	sources         []string // the primary ones, then the fallbacks
 	primaryCount    int
-	current         int // index of the source that it polls
+	sourceIndex     int // index of the source that the member polls
 	switchedAt      time.Duration
-	lastHeard       time.Duration // from the current source; before switchedAt: nothing yet
+	lastReply       time.Duration // of the current source; none yet if before switchedAt
 	nextPoll        time.Duration
 	lastPoll        time.Duration
-	failbackAt      time.Duration // when it returns to the preferred source
-	sourceVersion   Version       // that the current source is known to have
-	nextStaleSwitch time.Duration // before then it does not leave a source for its age
+	failbackAt      time.Duration // when to return to the preferred source
+	sourceVersion   Version       // active version of the current source, as last reported
+	nextStaleSwitch time.Duration // earliest time to leave a source because the state is too old
 	avoidedSources  []avoidedSource
 	repair          *repair
 
 	disabled disabledSafeguards
 }
 
-// disabledSafeguards are set by tests alone, to prove that a check detects a member without each of them.
+// disabledSafeguards are set only by tests, which prove that their checks detect the absence of each safeguard.
 type disabledSafeguards struct {
-	atomicity   bool // it activates a version's changes before all of them are known
-	digestCheck bool // it accepts a state without comparing its digest
+	atomicity   bool // the member activates part of a version's changes
+	digestCheck bool // the member activates a state without comparing its root digest
 }
 
-// NewMember makes the member of a process that has just started. The state is Empty or one from before the restart, which the
-// log confirmed age ago. The seed must differ between members.
+// NewMember returns the member of a process that has just started. The state is Empty, or one from before the restart that the
+// log last confirmed as the newest the given age ago. The seed must differ between members, so that their jitter differs.
 func NewMember(now time.Duration, h Host, s *State, age time.Duration, seed uint64) *Member {
 	m := &Member{random: random.New(seed), nextStaleSwitch: now + staleSwitchInterval}
 	m.server = server{
@@ -59,7 +59,8 @@
 	return m
 }
 
-// Tick switches sources, retries repairs and polls, each if it is due. It must be called at least once per TickInterval.
+// Tick serves the children, switches sources, retries a repair and polls, each if due. It must be called at least once per
+// TickInterval.
 func (m *Member) Tick(now time.Duration) {
 	m.tick(now)
 	if len(m.sources) == 0 {
@@ -80,12 +81,12 @@
 	m.host.Send(m.Source(), Poll{Version: m.state.version, Root: m.state.root})
 }
 
-// pollSoon brings the next poll forward.
+// pollSoon brings the next poll forward, at most to minPollInterval after the last one.
 func (m *Member) pollSoon(now time.Duration) {
 	m.nextPoll = min(m.nextPoll, max(now, m.lastPoll+minPollInterval))
 }
 
-// Receive handles a message. Errors: a *RejectionError; a rejected message has not changed the active state.
+// Receive handles a message. An error is a *RejectionError; a rejected message does not change the active state.
 func (m *Member) Receive(now time.Duration, from string, message Message) error {
 	err := m.dispatch(now, from, message)
 	if err != nil {
@@ -101,10 +102,10 @@
 		return nil
 	}
 	if !slices.Contains(m.sources, from) || m.isDistrusted(from) {
-		return reject(ReasonUnknownSender, "reply from %s", from)
+		return reject(ReasonUnknownSender, "reply from %q, which is not a trusted source of this member", from)
 	}
 	if from == m.Source() {
-		m.noteReply(now)
+		m.recordReply(now)
 	}
 	switch message := message.(type) {
 	case PollReply:
@@ -121,23 +122,24 @@
 	return nil
 }
 
-// noteReply records a message of the current source. The first one since a poll sets the time of the next regular poll.
-func (m *Member) noteReply(now time.Duration) {
-	if m.lastHeard < m.lastPoll {
+// recordReply records a message from the current source. The first one after a poll schedules the next regular poll.
+func (m *Member) recordReply(now time.Duration) {
+	if m.lastReply < m.lastPoll {
 		m.nextPoll = m.lastPoll + pollInterval*9/10 + m.jitter(pollInterval/5)
 	}
-	m.lastHeard = now
+	m.lastReply = now
 }
 
-// noteConfirmation records when the log confirmed the active state, according to a sender that knows no newer one.
-func (m *Member) noteConfirmation(now time.Duration, sender Position) {
+// recordConfirmation records when the log last confirmed the active state as the newest, according to a sender whose version is
+// not newer.
+func (m *Member) recordConfirmation(now time.Duration, sender Position) {
 	if sender.Version.Compare(m.state.version) <= 0 {
 		m.confirmedAt = max(m.confirmedAt, now-sender.Age)
 	}
 }
 
 func (m *Member) handlePollReply(now time.Duration, from string, reply PollReply) {
-	m.noteConfirmation(now, reply.Position)
+	m.recordConfirmation(now, reply.Position)
 	isFromSource := from == m.Source()
 	if isFromSource {
 		m.sourceVersion = reply.Version
@@ -161,7 +163,7 @@
 
 func (m *Member) handleDelta(now time.Duration, from string, d Delta) error {
 	if d.Version.Compare(m.state.version) <= 0 {
-		m.noteConfirmation(now, d.Position)
+		m.recordConfirmation(now, d.Position)
 		return nil
 	}
 	if d.From != m.state.version {
@@ -174,7 +176,7 @@
 	}
 	next, err := m.state.With(d.Version, changes)
 	if err == nil && next.root != d.Root && m.disabled == (disabledSafeguards{}) {
-		err = reject(ReasonDigestMismatch, "delta to %v from %s: found root %x, expected %x", d.Version, from, next.root, d.Root)
+		err = reject(ReasonDigestMismatch, "delta to version %v from %q gives root digest %x, expected %x", d.Version, from, next.root, d.Root)
 	}
 	if err != nil {
 		m.distrust(now, from)
@@ -185,13 +187,13 @@
 	return nil
 }
 
-// activate replaces the active state atomically and pushes it to the children.
+// activate replaces the active state atomically and pushes the change to the children.
 func (m *Member) activate(now time.Duration, s *State, source Position) {
 	m.state = s
 	m.repair = nil
-	m.noteConfirmation(now, source)
+	m.recordConfirmation(now, source)
 	if !m.isAtPreferredSource() {
-		m.failbackAt = min(m.failbackAt, now+m.jitter(currentFailbackDelay))
+		m.failbackAt = min(m.failbackAt, now+m.jitter(upToDateFailbackDelay))
 	}
 	m.host.Activated(now, s)
 	m.pushDeltas(now)
--- a/internal/decide/configuration/member_test.go
+++ b/internal/decide/configuration/member_test.go
@@ -8,7 +8,7 @@
 	"thymechute/internal/decide/configuration"
 )
 
-// newTestMember is a member at a state, whose sources are a relay, its backup and two control nodes.
+// newTestMember returns a member with a state, whose sources are a relay, its backup and two control nodes.
 func newTestMember(s *configuration.State) (*configuration.Member, *recordingHost) {
 	host := &recordingHost{}
 	m := configuration.NewMember(0, host, s, 0, 1)
@@ -16,7 +16,7 @@
 	return m, host
 }
 
-// nextDelta leads from a state to the next version, with tenants added or replaced.
+// nextDelta returns the delta from a state to the next version, which adds or replaces tenants, and the resulting state.
 func nextDelta(t testing.TB, s *configuration.State, namesAndBodies ...string) (configuration.Delta, *configuration.State) {
 	t.Helper()
 	v := version(s.Version().Token, s.Version().Counter+1)
@@ -40,14 +40,14 @@
 			m, host := newTestMember(first)
 			wantRejection(t, m.Receive(time.Second, "relay", bad), configuration.ReasonDigestMismatch)
 			if m.State() != first || len(host.activated) > 0 {
-				t.Error("the delta was activated in part")
+				t.Error("an invalid delta was activated")
 			}
 			if m.Source() != "backup" {
-				t.Errorf("still polls %s", m.Source())
+				t.Errorf("polls %q after an invalid delta, expected the backup", m.Source())
 			}
 			wantRejection(t, m.Receive(time.Second, "relay", good), configuration.ReasonUnknownSender)
 			if err := m.Receive(time.Second, "backup", good); err != nil || m.State().Root() != next.Root() {
-				t.Errorf("from the backup: %v", err)
+				t.Errorf("valid delta from the backup: error %v, or it was not activated", err)
 			}
 		})
 	}
@@ -60,18 +60,18 @@
 	m, host := newTestMember(s0)
 	for n, d := range []configuration.Delta{d2, d1, d1, d2, d1, d2} {
 		if err := m.Receive(time.Second, "relay", d); err != nil {
-			t.Errorf("message %d: %v", n, err)
+			t.Errorf("delta %d: %v", n, err)
 		}
 	}
 	if m.State().Root() != s2.Root() || len(host.activated) != 2 {
-		t.Errorf("version %v after %v", m.State().Version(), host.activated)
+		t.Errorf("version %v is active after activations %v, expected two activations", m.State().Version(), host.activated)
 	}
 	wantRejection(t, m.Receive(time.Second, "nobody", d2), configuration.ReasonUnknownSender)
-	older := s0.Version() // an older version, though all else matches
+	older := s0.Version() // only the version is invalid: it is older than the active one
 	back := configuration.Delta{Position: configuration.Position{Version: older, Root: s0.Root()}, From: s2.Version(),
 		Changes: []configuration.Change{{Resource: resource(t, "a", "", older), Removed: true}}}
 	if err := m.Receive(time.Second, "relay", back); err != nil || m.State().Root() != s2.Root() {
-		t.Errorf("%v, version %v", err, m.State().Version())
+		t.Errorf("delta to an older version: error %v, active version %v", err, m.State().Version())
 	}
 }
 
@@ -80,8 +80,8 @@
 	reply := configuration.PollReply{Position: configuration.Position{Version: m.State().Version(), Root: m.State().Root()}}
 	answer := func(now time.Duration, from string) { _ = m.Receive(now, from, reply) }
 	now := time.Duration(0)
-	run := func(span time.Duration, alive ...string) (left map[string]time.Duration) {
-		left = map[string]time.Duration{}
+	tickFor := func(span time.Duration, alive ...string) (firstPolled map[string]time.Duration) {
+		firstPolled = map[string]time.Duration{}
 		for end := now + span; now < end; now += 100 * time.Millisecond {
 			host.sent = nil
 			m.Tick(now)
@@ -92,35 +92,35 @@
 					}
 				}
 			}
-			if _, seen := left[m.Source()]; !seen {
-				left[m.Source()] = now
+			if _, seen := firstPolled[m.Source()]; !seen {
+				firstPolled[m.Source()] = now
 			}
 		}
-		return left
+		return firstPolled
 	}
-	run(20*time.Second, "relay")
+	tickFor(20*time.Second, "relay")
 	failedAt := now
-	at := run(5*time.Second, "backup", "c1")["backup"]
+	at := tickFor(5*time.Second, "backup", "c1")["backup"]
 	if at == 0 || at-failedAt > 4500*time.Millisecond {
-		t.Errorf("switched to the backup %v after the relay failed", at-failedAt)
+		t.Errorf("switched to the backup %v after the relay failed, expected at most 4.5 s", at-failedAt)
 	}
 	failedAt = now
-	at = run(7*time.Second, "c1")["c1"]
+	at = tickFor(7*time.Second, "c1")["c1"]
 	if at == 0 || at-failedAt > 6500*time.Millisecond {
-		t.Errorf("switched to a control node %v after the backup failed", at-failedAt)
+		t.Errorf("switched to a control node %v after the backup failed, expected at most 6.5 s", at-failedAt)
 	}
-	run(20*time.Second, "relay", "backup", "c1")
+	tickFor(20*time.Second, "relay", "backup", "c1")
 	if m.Source() != "relay" {
-		t.Errorf("polls %s although the relay is back", m.Source())
+		t.Errorf("polls %q although the relay replies again", m.Source())
 	}
-	run(30 * time.Second)
+	tickFor(30 * time.Second)
 	if age := m.Age(now); age < 30*time.Second || age > 33*time.Second {
-		t.Errorf("age %v after 30 s without a reachable source", age)
+		t.Errorf("age %v after 30 s without a reachable source, expected 30 to 33 s", age)
 	}
 }
 
-// transfer encodes and decodes the messages that a host has sent, clears them, and hands each to receive. It returns the
-// bytes transferred.
+// transfer encodes and decodes each message that a host has sent, passes it to receive, and clears the host's list. It returns
+// the number of bytes transferred.
 func transfer(t testing.TB, from *recordingHost, receive func(configuration.Message) error) (bytes int) {
 	t.Helper()
 	sent := from.sent
@@ -139,7 +139,7 @@
 	return bytes
 }
 
-// connectedPair is a member m and the control node c1, its only source.
+// connectedPair is a member with the name m, and the control node c1, its only source.
 type connectedPair struct {
 	member      *configuration.Member
 	memberHost  *recordingHost
@@ -155,19 +155,19 @@
 	return p
 }
 
-// exchange delivers messages until neither has more to send, and returns the bytes in both directions.
+// exchange delivers messages until neither side sends more, and returns the bytes in both directions.
 func (p *connectedPair) exchange(t testing.TB, now time.Duration) (bytes int) {
 	t.Helper()
 	for range 1000 {
 		if len(p.memberHost.sent)+len(p.controlHost.sent) == 0 {
 			return bytes
 		}
-		toMember := &recordingHost{sent: p.controlHost.sent} // sent before the control node receives more
+		toMember := &recordingHost{sent: p.controlHost.sent} // only what was sent before this round
 		p.controlHost.sent = nil
 		bytes += transfer(t, p.memberHost, func(m configuration.Message) error { return p.control.Receive(now, "m", m) })
 		bytes += transfer(t, toMember, func(m configuration.Message) error { return p.member.Receive(now, "c1", m) })
 	}
-	t.Fatal("the exchange does not end")
+	t.Fatal("the member and the control node still exchange messages after 1000 rounds")
 	return 0
 }
 
@@ -194,7 +194,7 @@
 				bytes += p.exchange(t, now)
 			}
 			if p.member.State().Root() != target.Root() || bytes > c.limit || len(p.memberHost.activated) != 1 {
-				t.Errorf("%v after %v, %d bytes, activated %v", p.member.State().Version(), now, bytes, p.memberHost.activated)
+				t.Errorf("version %v after %v and %d bytes, activated %v", p.member.State().Version(), now, bytes, p.memberHost.activated)
 			}
 			t.Logf("%d bytes, %v", bytes, now)
 		})
@@ -204,7 +204,7 @@
 func TestMemberAbandonsARepairThatNeverMatches(t *testing.T) {
 	target := tenantState(t, 100)
 	m, host := newTestMember(configuration.Empty())
-	position := configuration.Position{Version: target.Version(), Root: target.Root() + 1} // no state has this digest
+	position := configuration.Position{Version: target.Version(), Root: target.Root() + 1} // the root digest of no state
 	var err error
 	for now := time.Duration(0); now < 30*time.Second && err == nil; now += configuration.TickInterval {
 		m.Tick(now)
@@ -223,7 +223,7 @@
 	}
 	wantRejection(t, err, configuration.ReasonDigestMismatch)
 	if len(host.activated) > 0 || m.Source() == "relay" {
-		t.Errorf("activated %v, polls %s", host.activated, m.Source())
+		t.Errorf("activated %v, polls %q, expected no activation and another source", host.activated, m.Source())
 	}
 }
 
@@ -232,24 +232,24 @@
 	empty := configuration.Poll{}
 	_ = m.Receive(time.Second, "child", empty)
 	if reply, ok := host.lastTo(t, "child").(configuration.PollReply); !ok || !reply.NeedsRepair {
-		t.Errorf("replied %#v", host.lastTo(t, "child"))
+		t.Errorf("replied %#v to a poll, expected a PollReply with NeedsRepair", host.lastTo(t, "child"))
 	}
 	_ = m.Receive(time.Second, "child", configuration.DigestRequest{Groups: [64]uint32{1, 2, 3, 4, 5, 6, 7, 8, 9}})
 	if _, ok := host.lastTo(t, "child").(configuration.Referral); !ok {
-		t.Errorf("replied %#v", host.lastTo(t, "child"))
+		t.Errorf("replied %#v to a digest request, expected a Referral", host.lastTo(t, "child"))
 	}
 	for n := range 2 * configuration.MaxChildren {
 		_ = m.Receive(time.Second, fmt.Sprint("c", n), empty)
 	}
 	if m.ChildCount() != configuration.MaxChildren {
-		t.Errorf("%d children", m.ChildCount())
+		t.Errorf("%d children, expected MaxChildren", m.ChildCount())
 	}
 	if _, ok := host.lastTo(t, fmt.Sprint("c", 2*configuration.MaxChildren-1)).(configuration.Referral); !ok {
-		t.Error("a child over the limit was not referred")
+		t.Error("a poll from a member over the limit of children was not answered with a Referral")
 	}
 	m.Tick(12 * time.Second)
 	if m.ChildCount() != 0 {
-		t.Errorf("%d silent children", m.ChildCount())
+		t.Errorf("%d silent children are kept, expected none", m.ChildCount())
 	}
 }
 
@@ -257,11 +257,11 @@
 	m, _ := newTestMember(configuration.Empty())
 	_ = m.Receive(time.Second, "relay", configuration.Referral{})
 	if m.Source() != "c1" {
-		t.Errorf("polls %s", m.Source())
+		t.Errorf("polls %q after a referral by its relay, expected c1", m.Source())
 	}
 	_ = m.Receive(time.Second, "c1", configuration.Referral{})
 	if m.Source() != "c2" {
-		t.Errorf("polls %s", m.Source())
+		t.Errorf("polls %q after a referral by c1, expected c2", m.Source())
 	}
 }
 
@@ -285,7 +285,7 @@
 		for _, out := range host.sent {
 			sent[n] += len(configuration.AppendMessage(nil, out.message))
 		}
-		for k := range 5 { // they stay and have received everything
+		for k := range 5 { // the children stay connected and have received everything
 			_ = m.Receive(now, fmt.Sprint("child", k), configuration.Poll{Version: s.Version(), Root: s.Root()})
 		}
 	}
@@ -297,9 +297,10 @@
 		}
 		most = max(most, sum)
 	}
-	// The budget also counts the overhead of streams, which these bytes do not include.
+	// The budget includes the overhead of streams, which the measured bytes do not.
 	if most > configuration.RelayBudgetBytes || most < configuration.RelayBudgetBytes*3/4 || m.Counters.Throttled == 0 {
-		t.Errorf("%d bytes in a minute, %d throttled, expected %d at most", most, m.Counters.Throttled, configuration.RelayBudgetBytes)
+		t.Errorf("%d bytes in a minute with %d messages throttled, expected at most %d bytes and some messages throttled",
+			most, m.Counters.Throttled, configuration.RelayBudgetBytes)
 	}
 }
 
@@ -311,22 +312,23 @@
 	for n := range configuration.MaxChangeBytes/4000 + 1 {
 		tenants = append(tenants, fmt.Sprint("t", n), fmt.Sprintf("%04000d", n))
 	}
-	d, _ := nextDelta(t, s, tenants...) // as after a partition: the changes of many versions
+	d, _ := nextDelta(t, s, tenants...) // as large as the merged changes of many versions after a partition
 	if err := m.Receive(time.Second, "relay", d); err != nil {
 		t.Fatal(err)
 	}
 	if _, ok := host.lastTo(t, "child").(configuration.Referral); !ok {
-		t.Errorf("sent %#v", host.lastTo(t, "child"))
+		t.Errorf("sent %#v, expected a Referral", host.lastTo(t, "child"))
 	}
 }
 
-// A server answers digest requests of known children only, so a repair resumes at another source after its poll reply.
+// A server answers digest requests only from its children, and a member becomes a child with its first poll. So after a switch to
+// another source, a member must wait for the reply to its poll before it resumes a repair.
 func TestRepairResumesAtAnotherSourceAfterItsPollReply(t *testing.T) {
 	m, host := newTestMember(configuration.Empty())
 	reply := configuration.PollReply{Position: configuration.Position{Version: version(1, 1), Root: 1}, NeedsRepair: true}
 	_ = m.Receive(time.Second, "relay", reply)
 	if _, ok := host.lastTo(t, "relay").(configuration.DigestRequest); !ok {
-		t.Fatalf("sent %#v", host.lastTo(t, "relay"))
+		t.Fatalf("sent %#v to the relay, expected a DigestRequest", host.lastTo(t, "relay"))
 	}
 	_ = m.Receive(time.Second, "relay", configuration.Referral{})
 	for now := time.Second; now < 2*time.Second; now += 100 * time.Millisecond {
@@ -334,37 +336,37 @@
 	}
 	for _, s := range host.sent {
 		if _, isDigestRequest := s.message.(configuration.DigestRequest); isDigestRequest && s.to == "c1" {
-			t.Error("sent a digest request to c1 before its poll reply")
+			t.Error("sent a digest request to c1 before c1 replied to a poll")
 		}
 	}
 	_ = m.Receive(2*time.Second, "c1", reply)
 	if _, ok := host.lastTo(t, "c1").(configuration.DigestRequest); !ok {
-		t.Errorf("sent %#v", host.lastTo(t, "c1"))
+		t.Errorf("sent %#v to c1, expected a DigestRequest", host.lastTo(t, "c1"))
 	}
 }
 
 func TestMemberLeavesAControlNodeCutOffFromTheLog(t *testing.T) {
 	s := tenantState(t, 1)
 	m := configuration.NewMember(0, &recordingHost{}, s, 0, 1)
-	m.SetSources(0, configuration.Sources{Primary: []string{"c0", "c1", "c2"}}) // the first of a zone
+	m.SetSources(0, configuration.Sources{Primary: []string{"c0", "c1", "c2"}}) // as the first member of a zone
 	answer := func(now, age time.Duration) {
 		_ = m.Receive(now, m.Source(), configuration.PollReply{Position: configuration.Position{Version: s.Version(), Root: s.Root(), Age: age}})
 	}
 	answer(time.Second, time.Second)
 	if m.Source() != "c0" {
-		t.Fatalf("left for %s although c0 is up to date", m.Source())
+		t.Fatalf("polls %q although the state of c0 is recent, expected c0", m.Source())
 	}
 	answer(2*time.Second, 5*time.Second)
 	if m.Source() != "c1" {
-		t.Fatalf("polls %s", m.Source())
+		t.Fatalf("polls %q after c0 reported a stale state, expected c1", m.Source())
 	}
 	answer(3*time.Second, time.Second)
 	for now := 4 * time.Second; now < 60*time.Second; now += time.Second {
 		m.Tick(now)
 		answer(now, time.Second)
-		m.SetSources(now, configuration.Sources{Primary: []string{"c0", "c1", "c2"}}) // the zone's tree is rebuilt
+		m.SetSources(now, configuration.Sources{Primary: []string{"c0", "c1", "c2"}}) // the distribution tree is recomputed
 		if m.Source() != "c1" {
-			t.Fatalf("went back to %s at %v", m.Source(), now)
+			t.Fatalf("switched from c1 to %q at %v", m.Source(), now)
 		}
 	}
 	answer(61*time.Second, 5*time.Second)
@@ -372,14 +374,14 @@
 	answer(61*time.Second, 5*time.Second)
 	last := m.Source()
 	for now := 62 * time.Second; now < 66*time.Second; now += 100 * time.Millisecond {
-		answer(now, 5*time.Second) // all are stale: switching does not help
+		answer(now, 5*time.Second) // all control nodes are stale: switching does not help
 		if m.Source() != last {
-			t.Fatalf("switched to %s", m.Source())
+			t.Fatalf("switched to %q although all control nodes are stale", m.Source())
 		}
 	}
 }
 
-// BenchmarkDelta activates one change of one tenant among 69,800 resources.
+// BenchmarkDelta measures the activation of a delta with one change, in a state of 69,800 resources.
 func BenchmarkDelta(b *testing.B) {
 	const changes = 2000
 	first := tenantState(b, 69800)
--- a/internal/decide/configuration/repair.go
+++ b/internal/decide/configuration/repair.go
@@ -7,34 +7,34 @@
 )
 
 const (
-	maxRepairRounds     = 6   // comparisons before a repair is given up; the source's state changing meanwhile costs one
+	maxRepairRounds     = 6   // digest comparisons before a repair is abandoned; a change of the source's state meanwhile costs one
 	maxRequestBuckets   = 256 // buckets in one RepairRequest
 	repairRetryInterval = 2 * time.Second
 	repairRetryJitter   = time.Second
 )
 
-// repair is a repair in progress. It builds the source's state by comparing digests, and activates the result only if its root is
-// the one that the source reports for its version. The staged state is bounded like any State, and shares its equal parts
-// with the active one.
+// repair is a repair in progress. It reconstructs the source's state by comparing digests; the result is activated only if its
+// root digest is the one that the source reports for its version. The staged state is bounded like any State, and shares the
+// parts that are equal with the active state.
 type repair struct {
 	staged      *State
-	pending     []uint16 // buckets that differ, in order
-	hasDigests  bool     // the differing buckets are known, so that it requests these
+	pending     []uint16 // differing buckets that are not repaired yet, in ascending order
+	isCompared  bool     // a digest reply has arrived: pending lists all differing buckets
 	rounds      int
 	nextRequest time.Duration
 }
 
-// awaitingPollReply is the time of the next request while the source has not replied yet that a repair is needed.
+// awaitingPollReply is the value of nextRequest until the source replies to a poll that a repair is needed.
 const awaitingPollReply = math.MaxInt64
 
-// restart makes the repair compare all digests again, with the next request at the given time.
+// restart starts the comparison of digests again, with the next request at a given time.
 func (r *repair) restart(at time.Duration) {
 	r.pending = nil
-	r.hasDigests = false
+	r.isCompared = false
 	r.nextRequest = at
 }
 
-// request sends the next request, or repeats the last one, if that is due.
+// request sends the next request, or repeats the last one, if it is due.
 func (r *repair) request(now time.Duration, m *Member) {
 	if now < r.nextRequest {
 		return
@@ -44,7 +44,7 @@
 }
 
 func (r *repair) nextMessage() Message {
-	if !r.hasDigests {
+	if !r.isCompared {
 		return DigestRequest{Groups: r.staged.shortDigests()}
 	}
 	message := RepairRequest{}
@@ -56,18 +56,18 @@
 
 func (m *Member) handleDigestReply(now time.Duration, from string, reply DigestReply) error {
 	r := m.repair
-	if r == nil || r.hasDigests || from != m.Source() {
+	if r == nil || r.isCompared || from != m.Source() {
 		return nil
 	}
 	r.pending = append(r.pending, r.staged.differingBuckets(reply)...)
-	r.hasDigests = true
+	r.isCompared = true
 	r.nextRequest = now
 	return m.continueRepair(now, from, reply.Position)
 }
 
 func (m *Member) handleRepairReply(now time.Duration, from string, reply RepairReply) error {
 	r := m.repair
-	if r == nil || !r.hasDigests || from != m.Source() {
+	if r == nil || !r.isCompared || from != m.Source() {
 		return nil
 	}
 	changes, repaired := r.pendingChanges(reply)
@@ -86,7 +86,8 @@
 	return m.continueRepair(now, from, reply.Position)
 }
 
-// pendingChanges are the changes to the buckets of a reply that are still pending; others come from a duplicate reply.
+// pendingChanges returns the changes to those buckets of a reply that are still pending, and their indexes. Buckets that are
+// not pending come from a duplicate reply.
 func (r *repair) pendingChanges(reply RepairReply) (changes []Change, repaired []uint16) {
 	for _, b := range reply.Buckets {
 		if _, isPending := slices.BinarySearch(r.pending, b.Bucket); !isPending {
@@ -98,8 +99,8 @@
 	return changes, repaired
 }
 
-// continueRepair requests what is still pending. With nothing pending it activates the staged state if its root is the
-// source's, and compares again or gives up otherwise.
+// continueRepair requests the buckets that are still pending. If none are, it activates the staged state if its root digest is
+// the source's; otherwise it compares again, or abandons the repair after maxRepairRounds.
 func (m *Member) continueRepair(now time.Duration, from string, source Position) error {
 	r := m.repair
 	if len(r.pending) > 0 {
@@ -111,7 +112,7 @@
 		return err
 	}
 	if source.Version.Compare(m.state.version) <= 0 {
-		m.repair = nil // a delta has overtaken it
+		m.repair = nil // a delta has already activated this version or a newer one
 		return nil
 	}
 	if next.root == source.Root || m.disabled.digestCheck {
@@ -127,5 +128,6 @@
 	}
 	m.repair = nil
 	m.distrust(now, from)
-	return reject(ReasonDigestMismatch, "state %v of %s after %d rounds", source.Version, from, maxRepairRounds)
+	return reject(ReasonDigestMismatch, "repair to version %v from %q gives, after %d rounds, root digest %x, expected %x",
+		source.Version, from, maxRepairRounds, next.root, source.Root)
 }
--- a/internal/decide/configuration/resource.go
+++ b/internal/decide/configuration/resource.go
@@ -6,10 +6,10 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// ResourceType is the type of a resource. Its value is part of the encoding.
+// ResourceType distinguishes the kinds of resources. Its values are part of the encoding.
 type ResourceType uint8
 
-// The known resource types; any other is rejected.
+// The known resource types. Any other is rejected.
 const (
 	Tenant ResourceType = 1 + iota
 	Route
@@ -17,24 +17,25 @@
 	resourceTypeEnd // one past the last
 )
 
-// Resource is one piece of configuration. It is immutable and shared between the states that contain it.
+// Resource is one configured object, identified by type and name. It is immutable and shared by the states that contain it.
 type Resource struct {
 	Type    ResourceType
 	Name    string
-	Body    string // in the type's own encoding, opaque to this package
+	Body    string // opaque to this package; its encoding depends on the type
 	Version Version
 	digest  uint64 // hash of all fields above
-	keyHash uint64 // hash of type and name, which selects the bucket
+	keyHash uint64 // hash of type and name; it selects the bucket
 }
 
-// NewResource makes a resource. Errors: a *RejectionError for an unknown type, an empty name, or a name or body over its
-// limit.
+// NewResource returns a resource. It returns a *RejectionError for an unknown type, an empty name, or a name or body that
+// exceeds its limit.
 func NewResource(t ResourceType, name, body string, v Version) (*Resource, error) {
 	if t == 0 || t >= resourceTypeEnd {
 		return nil, reject(ReasonUnknownType, "resource type %d, expected 1 to %d", t, resourceTypeEnd-1)
 	}
 	if name == "" || len(name) > MaxNameBytes || len(body) > MaxBodyBytes {
-		return nil, reject(ReasonLimitExceeded, "resource with a name of %d bytes and a body of %d, expected 1 to %d and at most %d",
+		return nil, reject(ReasonLimitExceeded,
+			"resource name of %d bytes and body of %d bytes, expected a name of 1 to %d and a body of at most %d",
 			len(name), len(body), MaxNameBytes, MaxBodyBytes)
 	}
 	r := &Resource{Type: t, Name: name, Body: body, Version: v, keyHash: hashKey(t, name)}
@@ -70,10 +71,10 @@
 	Removed  bool
 }
 
-// changeOverheadBytes is what an encoded change takes beside the name and body, approximately.
+// changeOverheadBytes is the approximate size of an encoded change without the name and body.
 const changeOverheadBytes = 8
 
-// encodedSize is the approximate encoded size of changes in bytes.
+// encodedSize returns the approximate encoded size of changes in bytes.
 func encodedSize(changes []Change) (size int) {
 	for _, c := range changes {
 		size += c.Resource.sizeBytes() + changeOverheadBytes
--- a/internal/decide/configuration/server.go
+++ b/internal/decide/configuration/server.go
@@ -5,8 +5,9 @@
 	"time"
 )
 
-// server is what relays and control nodes share: it answers and pushes to the children that poll it, within its byte budget.
-// It queues nothing, as what a child lacks follows from the version that it was sent or reports. The zero value is not usable.
+// server is the part that relays and control nodes share. It replies to the children that poll it and pushes deltas to them,
+// within its byte budget. It queues nothing, as the changes that a child lacks follow from the version that it reported or was
+// sent. The zero value is not usable.
 type server struct {
 	host        Host
 	isControl   bool
@@ -14,39 +15,39 @@
 	limiter     byteLimiter
 	state       *State
 	history     *history
-	confirmedAt time.Duration // when the log last confirmed that the state is the newest
+	confirmedAt time.Duration // when the log last confirmed the state as the newest, as far as is known
 	children    []*child
 	Counters    Counters
 }
 
-// Counters are events since the start of a member or control node.
+// Counters counts events since a member or control node started.
 type Counters struct {
 	Rejected      int // messages and commands rejected
-	Referred      int // referrals to a control node
-	Throttled     int // replies and pushes that the byte budget did not allow
-	Repairs       int // states activated by comparing digests
+	Referred      int // referrals sent
+	Throttled     int // replies and pushes not sent, as the byte budget did not allow them
+	Repairs       int // states activated after comparing digests
 	SourceChanges int // switches to another source
 }
 
-// referralInterval is the time between unrequested referrals of one child.
+// referralInterval is the minimum time between two referrals of one child that do not answer a request.
 const referralInterval = 10 * time.Second
 
 // child is a member that polls this server.
 type child struct {
-	name       string
-	lastHeard  time.Duration
-	version    Version       // that it reports, or was sent since
-	resendAt   time.Duration // before then what it was sent may still be in flight
-	referralAt time.Duration // before then it is not referred again unrequested
+	name         string
+	lastRequest  time.Duration
+	knownVersion Version       // that it last reported, or was sent since
+	resendAt     time.Duration // until then the last delta sent may still be in flight
+	referralAt   time.Duration // earliest time of the next referral that answers no request
 }
 
 // State returns the active state.
 func (s *server) State() *State { return s.state }
 
-// Age is how long ago the log last confirmed, as far as is known here, that the active state is the newest.
+// Age returns how long ago the log last confirmed, as far as is known here, that the active state is the newest.
 func (s *server) Age(now time.Duration) time.Duration { return now - s.confirmedAt }
 
-// ChildCount is the number of members that poll this server.
+// ChildCount returns the number of members that poll this server.
 func (s *server) ChildCount() int { return len(s.children) }
 
 func (s *server) position(now time.Duration) Position {
@@ -62,7 +63,7 @@
 	return nil
 }
 
-// handleRequest answers a child. A new one is added by its first Poll, unless the table is full.
+// handleRequest replies to a child. The first Poll of a member adds it as a child; at maxChildren it gets a referral instead.
 func (s *server) handleRequest(now time.Duration, from string, m Message) {
 	c := s.findChild(from)
 	if c == nil {
@@ -73,7 +74,7 @@
 		c = &child{name: from}
 		s.children = append(s.children, c)
 	}
-	c.lastHeard = now
+	c.lastRequest = now
 	switch m := m.(type) {
 	case Poll:
 		s.handlePoll(now, c, m)
@@ -90,14 +91,14 @@
 }
 
 func (s *server) handlePoll(now time.Duration, c *child, m Poll) {
-	if now >= c.resendAt || m.Version.Compare(c.version) >= 0 {
-		c.version = m.Version
+	if now >= c.resendAt || m.Version.Compare(c.knownVersion) >= 0 {
+		c.knownVersion = m.Version
 	}
-	if c.version.Compare(s.state.version) >= 0 {
+	if c.knownVersion.Compare(s.state.version) >= 0 {
 		s.host.Send(c.name, PollReply{Position: s.position(now)})
 		return
 	}
-	size, found := s.history.bytesSince(c.version)
+	size, found := s.history.bytesSince(c.knownVersion)
 	switch {
 	case !found || s.isControl && size > s.limits.maxDeltaBytes:
 		s.host.Send(c.name, PollReply{Position: s.position(now), NeedsRepair: true})
@@ -111,14 +112,14 @@
 	}
 }
 
-// sendDelta brings a child from its version to the active one, and reports whether the byte budget allowed it.
+// sendDelta sends a child the changes that it lacks, of the given size in bytes, and reports whether the byte budget allowed it.
 func (s *server) sendDelta(now time.Duration, c *child, size int) bool {
 	if !s.allow(now, size) {
 		return false
 	}
-	changes, _ := s.history.changesSince(c.version)
-	s.host.Send(c.name, Delta{Position: s.position(now), From: c.version, Changes: changes})
-	c.version = s.state.version
+	changes, _ := s.history.changesSince(c.knownVersion)
+	s.host.Send(c.name, Delta{Position: s.position(now), From: c.knownVersion, Changes: changes})
+	c.knownVersion = s.state.version
 	c.resendAt = now + minResendDelay + time.Duration(size)*time.Second/assumedBytesPerSecond
 	return true
 }
@@ -132,14 +133,14 @@
 	return isAllowed
 }
 
-// pushDeltas sends the newest state to all children that lack it. Those too far behind for one delta are referred to a control
-// node.
+// pushDeltas sends each child that lacks the newest state a delta to it. A relay refers a child that is too far behind for one
+// delta to a control node.
 func (s *server) pushDeltas(now time.Duration) {
 	for _, c := range s.children {
-		if c.version.Compare(s.state.version) >= 0 {
+		if c.knownVersion.Compare(s.state.version) >= 0 {
 			continue
 		}
-		size, found := s.history.bytesSince(c.version)
+		size, found := s.history.bytesSince(c.knownVersion)
 		switch {
 		case found && size <= s.limits.maxDeltaBytes:
 			s.sendDelta(now, c, size)
@@ -150,9 +151,9 @@
 	}
 }
 
-// tick drops silent children and sends what the byte budget has not allowed before.
+// tick drops silent children and sends the deltas that the byte budget did not allow earlier.
 func (s *server) tick(now time.Duration) {
-	s.children = slices.DeleteFunc(s.children, func(c *child) bool { return now-c.lastHeard > s.limits.childTimeout })
+	s.children = slices.DeleteFunc(s.children, func(c *child) bool { return now-c.lastRequest > s.limits.childTimeout })
 	s.pushDeltas(now)
 }
 
@@ -173,7 +174,8 @@
 	}
 }
 
-// repairsWithinLimit answers the request's first buckets, as many as the limit allows and at least one.
+// repairsWithinLimit returns the repairs of the request's first buckets, as many as the limit allows but at least one, and their
+// approximate encoded size.
 func (s *server) repairsWithinLimit(m RepairRequest) (repairs []BucketRepair, size int) {
 	for _, b := range m.Buckets {
 		repair := s.state.bucket(int(b.Bucket)).repairFor(b)
--- a/internal/decide/configuration/simulation_properties_test.go
+++ b/internal/decide/configuration/simulation_properties_test.go
@@ -10,21 +10,21 @@
 	"thymechute/internal/decide/configuration"
 )
 
-// Any sequence of changes, lease grants, delayed or lost entries, lost, delayed, duplicated, reordered and corrupted messages,
-// partitions and restarts.
-func TestMembersOnlyActivateAgreedStates(t *testing.T) {
+// Checks the invariants after each step of any sequence of changes, lease grants, delayed or lost log entries, lost, delayed,
+// duplicated, reordered or corrupted messages, partitions and restarts. At the end all nodes must reach the newest version.
+func TestMembersOnlyActivateCommittedStates(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		sim := newSimulation(rapid.Uint64().Draw(t, "seed"), startHooks{})
-		draw := func(t *rapid.T, of []*testNode) *testNode { return of[rapid.IntRange(0, len(of)-1).Draw(t, "which")] }
+		draw := func(t *rapid.T, of []*testNode) *testNode { return of[rapid.IntRange(0, len(of)-1).Draw(t, "node")] }
 		inFlight := func(t *rapid.T) int {
 			if len(sim.inFlight) == 0 {
-				t.Skip("nothing in flight")
+				t.Skip("no message in flight")
 			}
 			return rapid.IntRange(0, len(sim.inFlight)-1).Draw(t, "message")
 		}
 		proposal := func(t *rapid.T) int {
 			if len(sim.proposed) == 0 {
-				t.Skip("nothing proposed")
+				t.Skip("no command proposed")
 			}
 			return rapid.IntRange(0, len(sim.proposed)-1).Draw(t, "proposal")
 		}
@@ -60,7 +60,7 @@
 	})
 }
 
-// runRandomSteps runs the same simulation with steps drawn by a seed, also without safeguards, which must be detected.
+// runRandomSteps runs the simulation with random steps drawn from a seed. The hooks may disable a safeguard.
 func runRandomSteps(seed uint64, steps int, onStart startHooks) *simulation {
 	sim := newSimulation(seed, onStart)
 	r := sim.random
@@ -108,10 +108,10 @@
 		if err := sim.settle(); err != nil {
 			t.Errorf("seed %d: %v", seed, err)
 		}
-		versions, stale, corrupted = versions+len(sim.agreedRoots), stale+sim.staleProposed, corrupted+sim.corruptedCount
+		versions, stale, corrupted = versions+len(sim.committedRoots), stale+sim.staleProposed, corrupted+sim.corruptedCount
 	}
 	if versions < 100 || stale < 20 || corrupted < 100 {
-		t.Errorf("%d versions, %d stale commands proposed, %d messages corrupted: too few to be conclusive", versions, stale, corrupted)
+		t.Errorf("%d versions, %d stale commands proposed, %d messages corrupted, expected at least 100, 20 and 100", versions, stale, corrupted)
 	}
 	t.Logf("%d versions, %d stale commands proposed, %d messages corrupted", versions, stale, corrupted)
 }
@@ -132,7 +132,7 @@
 				detected += c.detected(runRandomSteps(seed, 2000, c.onStart))
 			}
 			if detected == 0 {
-				t.Errorf("without %s the checks detect nothing", name)
+				t.Errorf("without the safeguard %q the checks detect no fault", name)
 			}
 		})
 	}
--- a/internal/decide/configuration/simulation_test.go
+++ b/internal/decide/configuration/simulation_test.go
@@ -10,35 +10,36 @@
 	"thymechute/internal/decide/subset"
 )
 
-// simulation is two control nodes over one log and a zone of members, with all messages in one list: the caller decides which
-// are lost, delayed, duplicated, reordered or corrupted. It checks the nodes against a model of its own: a map of bodies.
+// simulation simulates two control nodes with one replicated log, and a zone of members. All messages in flight are in one list,
+// and the caller decides which are lost, delayed, duplicated, reordered or corrupted. The nodes' states are checked against a
+// model: a map from resource names to bodies and versions.
 type simulation struct {
-	now         time.Duration
-	controls    []*testNode
-	members     []*testNode
-	inFlight    []envelope
-	proposed    []configuration.Command
-	log         []logEntry
-	token       uint64 // of the last lease that was granted
-	leaseHolder int    // index of the control node that has it
-	expected    map[string]expectedResource
-	agreedRoots map[configuration.Version]uint64 // root of each version that the log agreed on
-	lastAgreed  configuration.Version
-	random      *rand.Rand
-	editCount   int
-	onStart     startHooks
+	now            time.Duration
+	controls       []*testNode
+	members        []*testNode
+	inFlight       []envelope
+	proposed       []configuration.Command
+	log            []logEntry
+	token          uint64                           // fencing token of the last lease that was granted
+	leaseHolder    int                              // index of the control node that holds that lease
+	expected       map[string]expectedResource      // the model, by resource name
+	committedRoots map[configuration.Version]uint64 // root digest of each version that was validly committed
+	lastCommitted  configuration.Version
+	random         *rand.Rand
+	editCount      int
+	onStart        startHooks
 
 	staleProposed, corruptedCount                        int
 	staleAccepted, inconsistent, rolledBack, undecodable int // must stay 0
 }
 
-// startHooks are called with each store and each member that starts; nil for none.
+// startHooks are called with each store and each member when it starts. Either may be nil.
 type startHooks struct {
 	store  func(*configuration.Store)
 	member func(*configuration.Member)
 }
 
-// expectedResource is the model of a resource.
+// expectedResource is a resource of the model.
 type expectedResource struct {
 	body    string
 	version configuration.Version
@@ -52,7 +53,7 @@
 	withoutLeaseCheck
 )
 
-// deliverMode tells whether a message is corrupted on the way.
+// deliverMode tells whether a message is corrupted before delivery.
 type deliverMode int
 
 const (
@@ -61,7 +62,7 @@
 )
 
 type logEntry struct {
-	grantedToken uint64 // of a granted lease; 0 for a command
+	grantedToken uint64 // fencing token of a granted lease; 0 if the entry is a command
 	command      configuration.Command
 }
 
@@ -70,17 +71,17 @@
 	message  configuration.Message
 }
 
-// testNode is one process and its Host.
+// testNode is a member or control node, and its Host.
 type testNode struct {
 	name           string
 	simulation     *simulation
 	member         *configuration.Member
 	control        *configuration.ControlNode
 	store          *configuration.Store
-	appliedEntries int // of the log
+	appliedEntries int // number of log entries applied
 	activeVersion  configuration.Version
-	snapshots      []*configuration.State // its last states, to restart from
-	token          uint64                 // of the last lease that it held
+	snapshots      []*configuration.State // its last activated states, for restarts
+	token          uint64                 // fencing token of the last lease that it held
 	isPartitioned  bool
 }
 
@@ -94,7 +95,7 @@
 	if state.Version().Compare(node.activeVersion) <= 0 {
 		node.simulation.rolledBack++
 	}
-	if root, agreed := node.simulation.agreedRoots[state.Version()]; !agreed || root != state.Root() {
+	if root, committed := node.simulation.committedRoots[state.Version()]; !committed || root != state.Root() {
 		node.simulation.inconsistent++
 	}
 	node.activeVersion = state.Version()
@@ -106,11 +107,11 @@
 
 func newSimulation(seed uint64, onStart startHooks) *simulation {
 	sim := &simulation{
-		expected:    map[string]expectedResource{},
-		agreedRoots: map[configuration.Version]uint64{},
-		random:      rand.New(rand.NewPCG(seed, 7)),
-		token:       1,
-		onStart:     onStart,
+		expected:       map[string]expectedResource{},
+		committedRoots: map[configuration.Version]uint64{},
+		random:         rand.New(rand.NewPCG(seed, 7)),
+		token:          1,
+		onStart:        onStart,
 	}
 	var zone []subset.Claim
 	for n := range 8 {
@@ -132,7 +133,7 @@
 	return sim
 }
 
-// newStore returns the store of a control node that starts.
+// newStore returns the store of a control node that starts, after its hook.
 func (sim *simulation) newStore(s *configuration.State, fencingToken uint64) *configuration.Store {
 	store := configuration.NewStore(s, fencingToken)
 	if sim.onStart.store != nil {
@@ -141,7 +142,7 @@
 	return store
 }
 
-// newMember returns the member of a process that starts now with a state of an age.
+// newMember returns the member of a process that starts now with a state of the given age, after its hook.
 func (sim *simulation) newMember(node *testNode, s *configuration.State, age time.Duration, seed uint64) *configuration.Member {
 	member := configuration.NewMember(sim.now, node, s, age, seed)
 	if sim.onStart.member != nil {
@@ -169,7 +170,7 @@
 	}
 }
 
-// randomEdits changes one to four tenants and removes some of those that exist.
+// randomEdits returns edits that put one to four tenants, or remove some of them if they exist in a state.
 func (sim *simulation) randomEdits(in *configuration.State) (edits []configuration.Edit) {
 	for n := range 1 + sim.random.IntN(4) {
 		sim.editCount++
@@ -182,7 +183,8 @@
 	return edits
 }
 
-// propose makes a control node propose under the last lease that it held, whether or not it checks that it still holds it.
+// propose makes a control node propose random edits with the last lease that it held. Depending on the mode, it proposes even if
+// another node holds the lease now.
 func (sim *simulation) propose(node *testNode, mode proposeMode) {
 	node.control.LogConfirmed(sim.now)
 	isValid := node.token > 0 && (mode == withoutLeaseCheck || node.token == sim.token)
@@ -195,15 +197,16 @@
 	}
 }
 
-// commit appends a proposal to the log and applies it to the model, by rules of the model's own.
+// commit appends a proposal to the log. If it is valid by the model's own rules, it also applies it to the model and records the
+// root digest of a state rebuilt from the model.
 func (sim *simulation) commit(n int) {
 	c := sim.proposed[n]
 	sim.proposed = slices.Delete(sim.proposed, n, n+1)
 	sim.log = append(sim.log, logEntry{command: c})
-	if c.Version.Token < sim.token || c.Version.Counter != sim.lastAgreed.Counter+1 || c.Base != sim.lastAgreed {
+	if c.Version.Token < sim.token || c.Version.Counter != sim.lastCommitted.Counter+1 || c.Base != sim.lastCommitted {
 		return
 	}
-	sim.lastAgreed = c.Version
+	sim.lastCommitted = c.Version
 	var changes []configuration.Change
 	for _, change := range c.Changes {
 		r := change.Resource
@@ -222,10 +225,10 @@
 	if err != nil {
 		panic(err)
 	}
-	sim.agreedRoots[c.Version] = rebuilt.Root()
+	sim.committedRoots[c.Version] = rebuilt.Root()
 }
 
-// grantLease appends to the log that a control node gets the lease.
+// grantLease appends a grant of the lease to a control node to the log.
 func (sim *simulation) grantLease(n int) {
 	sim.token++
 	sim.leaseHolder = n
@@ -233,7 +236,7 @@
 	sim.log = append(sim.log, logEntry{grantedToken: sim.token})
 }
 
-// applyEntries applies up to n entries of the log to a control node.
+// applyEntries applies up to n further entries of the log to a control node.
 func (sim *simulation) applyEntries(node *testNode, n int) {
 	for ; n > 0 && node.appliedEntries < len(sim.log); n-- {
 		e := sim.log[node.appliedEntries]
@@ -243,13 +246,13 @@
 			continue
 		}
 		accepted := node.control.Apply(sim.now, e.command) == nil
-		if _, agreed := sim.agreedRoots[e.command.Version]; accepted && !agreed {
+		if _, committed := sim.committedRoots[e.command.Version]; accepted && !committed {
 			sim.staleAccepted++
 		}
 	}
 }
 
-// deliver encodes and decodes the n-th message and hands it over. A corrupted one has a valid checksum.
+// deliver encodes, decodes and delivers the n-th message in flight. A corrupted message has a valid checksum.
 func (sim *simulation) deliver(n int, mode deliverMode) {
 	e := sim.inFlight[n]
 	sim.inFlight = slices.Delete(sim.inFlight, n, n+1)
@@ -263,7 +266,7 @@
 	}
 	decoded, err := configuration.DecodeMessage(configuration.AppendMessage(nil, m))
 	if err != nil {
-		sim.undecodable++ // our own encoder's bytes
+		sim.undecodable++ // the bytes come from the package's own encoder
 		return
 	}
 	if to.member != nil {
@@ -273,7 +276,7 @@
 	}
 }
 
-// corrupt is what a byzantine peer would send instead of a message: another body, one change less, another version.
+// corrupt returns what a Byzantine peer might send instead of a message: another body, one change fewer, another version.
 func (sim *simulation) corrupt(m configuration.Message) configuration.Message {
 	withOtherBody := func(r *configuration.Resource) *configuration.Resource {
 		replaced, _ := configuration.NewResource(r.Type, r.Name, r.Body+"!", r.Version)
@@ -311,7 +314,7 @@
 	return m
 }
 
-// restart restarts a process from one of its snapshots, or from nothing where there is none of that index.
+// restart restarts a process from one of its snapshots, or with an empty state if there is none with that index.
 func (sim *simulation) restart(node *testNode, snapshot int) {
 	state := configuration.Empty()
 	if snapshot < len(node.snapshots) {
@@ -327,7 +330,7 @@
 		node.member.SetSources(sim.now, configuration.DistributionTree("z", zone, []string{"c0", "c1"})[node.name])
 		return
 	}
-	node.store = sim.newStore(node.store.State(), 0) // its snapshot contains the log's entries so far
+	node.store = sim.newStore(node.store.State(), 0) // its log snapshot contains all entries that it applied
 	for _, e := range sim.log[:node.appliedEntries] {
 		node.store.RaiseFence(e.grantedToken)
 	}
@@ -335,7 +338,7 @@
 	node.control = configuration.NewControlNode(sim.now, node, node.store)
 }
 
-// settle delivers everything for a while; then all nodes must have the newest version.
+// settle delivers all messages and log entries for 80 simulated seconds, then checks that all nodes have the newest version.
 func (sim *simulation) settle() error {
 	for _, node := range sim.nodes() {
 		node.isPartitioned = false
@@ -351,21 +354,23 @@
 		}
 	}
 	for _, node := range sim.members {
-		if node.member.State().Version() != sim.lastAgreed || node.member.Age(sim.now) > 10*time.Second {
-			return fmt.Errorf("%s has %v of age %v, expected %v", node.name, node.member.State().Version(), node.member.Age(sim.now), sim.lastAgreed)
+		if node.member.State().Version() != sim.lastCommitted || node.member.Age(sim.now) > 10*time.Second {
+			return fmt.Errorf("%s has version %v of age %v, expected version %v of at most 10 s",
+				node.name, node.member.State().Version(), node.member.Age(sim.now), sim.lastCommitted)
 		}
 	}
 	for _, node := range sim.controls {
-		if node.control.State().Version() != sim.lastAgreed {
-			return fmt.Errorf("%s has %v, expected %v", node.name, node.control.State().Version(), sim.lastAgreed)
+		if node.control.State().Version() != sim.lastCommitted {
+			return fmt.Errorf("%s has version %v, expected %v", node.name, node.control.State().Version(), sim.lastCommitted)
 		}
 	}
 	return sim.check()
 }
 
+// check returns an error if an invariant has been violated.
 func (sim *simulation) check() error {
 	if sim.staleAccepted+sim.inconsistent+sim.rolledBack+sim.undecodable > 0 {
-		return fmt.Errorf("%d stale accepted, %d inconsistent, %d rolled back, %d undecodable",
+		return fmt.Errorf("%d stale commands accepted, %d inconsistent states, %d states rolled back, %d undecodable messages, expected none",
 			sim.staleAccepted, sim.inconsistent, sim.rolledBack, sim.undecodable)
 	}
 	return nil
--- a/internal/decide/configuration/state.go
+++ b/internal/decide/configuration/state.go
@@ -7,8 +7,8 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// State is all resources at one version, as an immutable Merkle tree. States share the groups and buckets that they have in
-// common, so that one more state costs only what differs.
+// State holds all resources at one version, as an immutable Merkle tree. States share the groups and buckets that they have in
+// common, so that an additional state takes memory only for the differences.
 type State struct {
 	version       Version
 	groups        [digestFanOut]*group
@@ -17,7 +17,7 @@
 	bytes         int
 }
 
-// Empty is the state before the first version.
+// Empty returns the state before the first version, which has no resources.
 func Empty() *State {
 	s := &State{}
 	for n := range s.groups {
@@ -30,16 +30,16 @@
 // Version returns the state's version.
 func (s *State) Version() Version { return s.version }
 
-// Root is the digest of the whole state and its version: equal states have equal roots.
+// Root returns the root digest, which covers all resources and the version. Equal states have equal roots.
 func (s *State) Root() uint64 { return s.root }
 
-// Len is the number of resources.
+// Len returns the number of resources.
 func (s *State) Len() int { return s.resourceCount }
 
-// Bytes is the total size of the resources' names and bodies.
+// Bytes returns the total size of the resources' names and bodies.
 func (s *State) Bytes() int { return s.bytes }
 
-// Get returns the resource of a type and name, or nil.
+// Get returns the resource with a type and name, or nil if there is none.
 func (s *State) Get(t ResourceType, name string) *Resource {
 	key, err := NewResource(t, name, "", Version{})
 	if err != nil {
@@ -52,14 +52,14 @@
 	return nil
 }
 
-// With returns the state after changes, at version v; s is not modified. Removing a resource that does not exist has no
-// effect. Errors: a *RejectionError for a resource changed twice or a state over its limits.
+// With returns a copy of s at version v, with changes applied; s is not modified. Removing a resource that does not exist has
+// no effect. It returns a *RejectionError if a resource is changed twice or the new state exceeds its limits.
 func (s *State) With(v Version, changes []Change) (*State, error) {
 	sorted := slices.Clone(changes)
 	slices.SortFunc(sorted, func(a, b Change) int { return compareKeys(a.Resource, b.Resource) })
 	for n := 1; n < len(sorted); n++ {
 		if compareKeys(sorted[n-1].Resource, sorted[n].Resource) == 0 {
-			return nil, reject(ReasonMalformed, "resource %q changed twice, expected once", sorted[n].Resource.Name)
+			return nil, reject(ReasonMalformed, "resource %q is changed more than once in one version, expected once", sorted[n].Resource.Name)
 		}
 	}
 	next := *s
@@ -77,7 +77,7 @@
 	return &next, nil
 }
 
-// setVersion sets the version of a state that is not shared yet, and computes its root.
+// setVersion sets the version of a state and computes its root digest. The state must not be shared yet.
 func (s *State) setVersion(v Version) {
 	s.version = v
 	var digests [8*digestFanOut + 16]byte
@@ -93,7 +93,7 @@
 	return s.groups[index/digestFanOut].buckets[index%digestFanOut]
 }
 
-// prefixLength is how many changes from the first on are in the same place of the tree.
+// prefixLength returns the number of leading changes for which isSame holds.
 func prefixLength(sorted []Change, isSame func(Change) bool) int {
 	if end := slices.IndexFunc(sorted, func(c Change) bool { return !isSame(c) }); end >= 0 {
 		return end
