--- a/internal/decide/intake/controller.go
+++ b/internal/decide/intake/controller.go
@@ -35,11 +35,11 @@
 	ResponseTimeout      time.Duration // a broker that owes a response for longer is disconnected
 }
 
-// InstanceState is what consuming depends on at the instance.
+// InstanceState is the load of the instance that processes the messages.
 type InstanceState struct {
-	Ready    bool // the instance can process work at all
-	Items    int  // work items in the instance
-	Capacity int  // work items that the instance can hold
+	Ready    bool // whether the instance accepts requests
+	Requests int  // in the instance, queued or running
+	Capacity int  // the most requests that the instance can hold
 }
 
 // phase is the state of the connection.
@@ -90,7 +90,7 @@
 // UpdateInstance takes in the state of the instance. Saturation has hysteresis between saturatedBelow and
 // saturatedAbove.
 func (c *Controller) UpdateInstance(now time.Duration, state InstanceState) {
-	items, capacity := float64(state.Items), float64(state.Capacity)
+	items, capacity := float64(state.Requests), float64(state.Capacity)
 	if items >= saturatedAbove*capacity {
 		c.saturated = true
 	} else if items < saturatedBelow*capacity {
--- a/internal/decide/intake/controller_test.go
+++ b/internal/decide/intake/controller_test.go
@@ -164,7 +164,7 @@
 			controller.UpdateInstance(now, InstanceState{Ready: !on, Capacity: 100})
 		},
 		"saturated": func(controller *Controller, now time.Duration, on bool) {
-			controller.UpdateInstance(now, InstanceState{Ready: true, Items: map[bool]int{true: 90, false: 69}[on], Capacity: 100})
+			controller.UpdateInstance(now, InstanceState{Ready: true, Requests: map[bool]int{true: 90, false: 69}[on], Capacity: 100})
 		},
 		"blocked": func(controller *Controller, now time.Duration, on bool) { controller.SetBlocked(now, on) },
 	} {
@@ -183,8 +183,8 @@
 		}
 	}
 	controller, h := newConnected(t)
-	controller.UpdateInstance(0, InstanceState{Ready: true, Items: 90, Capacity: 100})
-	controller.UpdateInstance(time.Second, InstanceState{Ready: true, Items: 80, Capacity: 100}) // between the two thresholds it stays as it is
+	controller.UpdateInstance(0, InstanceState{Ready: true, Requests: 90, Capacity: 100})
+	controller.UpdateInstance(time.Second, InstanceState{Ready: true, Requests: 80, Capacity: 100}) // between the two thresholds it stays as it is
 	controller.Tick(2 * time.Second)
 	if h.consuming {
 		t.Error("resumes between the thresholds")
@@ -338,7 +338,7 @@
 func (s *eventSequence) updateInstance(t *rapid.T) {
 	s.isReady = rapid.Bool().Draw(t, "ready")
 	items := rapid.IntRange(0, 100).Draw(t, "items")
-	s.controller.UpdateInstance(s.now, InstanceState{Ready: s.isReady, Items: items, Capacity: 100})
+	s.controller.UpdateInstance(s.now, InstanceState{Ready: s.isReady, Requests: items, Capacity: 100})
 }
 
 func (s *eventSequence) changeConnection(t *rapid.T) {
--- a/internal/decide/ring/codec.go
+++ b/internal/decide/ring/codec.go
@@ -38,21 +38,21 @@
 
 // encodedState is a ReplicatedState in a snapshot. The keys are part of its format.
 type encodedState struct {
-	Active         *encodedTable `json:"Table"`
-	Pending        *encodedTable `json:"Moving"`
-	MigratingSlots []int         `json:"Slots"`
-	Participants   []string      `json:"Roster,omitempty"`
-	LastGrant      uint64        `json:"Lot,omitempty"`
+	Active            *encodedTable `json:"Table"`
+	Pending           *encodedTable `json:"Moving"`
+	MigratingSlots    []int         `json:"Slots"`
+	Participants      []string      `json:"Roster,omitempty"`
+	LastGrantSequence uint64        `json:"Lot,omitempty"`
 }
 
 // Encode returns the state for a snapshot.
 func (s *ReplicatedState) Encode() ([]byte, error) {
 	return json.Marshal(encodedState{
-		Active:         s.Active.encode(),
-		Pending:        s.Pending.encode(),
-		MigratingSlots: s.MigratingSlots,
-		Participants:   s.Participants,
-		LastGrant:      s.LastGrant,
+		Active:            s.Active.encode(),
+		Pending:           s.Pending.encode(),
+		MigratingSlots:    s.MigratingSlots,
+		Participants:      s.Participants,
+		LastGrantSequence: s.LastGrantSequence,
 	})
 }
 
@@ -77,7 +77,7 @@
 	if !slices.IsSorted(e.Participants) || len(e.Participants) > MaxMembers {
 		return state, newValueError("participants", len(e.Participants), "at most %d, in order", MaxMembers)
 	}
-	state = ReplicatedState{MigratingSlots: e.MigratingSlots, Participants: e.Participants, LastGrant: e.LastGrant}
+	state = ReplicatedState{MigratingSlots: e.MigratingSlots, Participants: e.Participants, LastGrantSequence: e.LastGrantSequence}
 	if state.Active, err = e.Active.decode(); err != nil {
 		return state, err
 	}
--- a/internal/decide/ring/codec_test.go
+++ b/internal/decide/ring/codec_test.go
@@ -24,7 +24,7 @@
 	empty, _ := New(8)
 	active, _, _ := mustPlan(t, empty, all, bound)
 	next, migrations, _ := mustPlan(t, active, remaining, bound)
-	state := &ReplicatedState{Active: active, LastGrant: 41}
+	state := &ReplicatedState{Active: active, LastGrantSequence: 41}
 	for _, process := range []string{"m1#18f3", "m0#18f2", "m2#18f4"} {
 		state.RecordAcknowledgement(process)
 	}
@@ -75,7 +75,7 @@
 	if b, ok := s.Active.backendNamed("b2"); !ok || !b.WarmingUp || b.Weight != 0.25 || b.Zone != "z0" {
 		t.Errorf("b2 is %+v, %v", b, ok)
 	}
-	if s.Active.Version != 1 || s.Pending.Version != 2 || s.LastGrant != 42 ||
+	if s.Active.Version != 1 || s.Pending.Version != 2 || s.LastGrantSequence != 42 ||
 		!slices.Equal(s.MigratingSlots, []int{7}) || !slices.Equal(s.Participants, []string{"m0#18f2", "m1#18f3"}) {
 		t.Errorf("found %+v", s)
 	}
--- a/internal/decide/ring/flap_damper.go
+++ b/internal/decide/ring/flap_damper.go
@@ -58,9 +58,9 @@
 	return true
 }
 
-// Present returns the backends that are present, sorted by name, and when that may next change without another
-// observation (0: not).
-func (d *FlapDamper) Present(now time.Duration) (names []string, nextChange time.Duration) {
+// PresentBackends returns the backends that count as present, sorted by name, and the time of the next change that can
+// occur without another observation, or 0 if there is none.
+func (d *FlapDamper) PresentBackends(now time.Duration) (names []string, nextChange time.Duration) {
 	for name, b := range d.backends {
 		if b.isPresent != (b.observed == Up) {
 			at := b.observedAt + d.delay(b)
--- a/internal/decide/ring/flap_damper_test.go
+++ b/internal/decide/ring/flap_damper_test.go
@@ -12,11 +12,11 @@
 	damper := NewFlapDamper(flapDamping)
 	damper.Observe(0, "a", Up)
 	damper.Observe(10*time.Second, "a", Down)
-	if names, next := damper.Present(14 * time.Second); len(names) != 1 || next != 15*time.Second {
+	if names, next := damper.PresentBackends(14 * time.Second); len(names) != 1 || next != 15*time.Second {
 		t.Errorf("%v, next %v", names, next)
 	}
 	damper.Observe(14*time.Second, "a", Up)
-	if names, next := damper.Present(time.Hour); len(names) != 1 || next != 0 {
+	if names, next := damper.PresentBackends(time.Hour); len(names) != 1 || next != 0 {
 		t.Errorf("%v, next %v", names, next)
 	}
 }
@@ -29,7 +29,7 @@
 	changes := 0
 	for at := time.Duration(0); at < 200*time.Second; at += time.Second {
 		damper.Observe(at, "a", Health(at%(20*time.Second) < 12*time.Second))
-		if names, _ := damper.Present(at); (len(names) == 1) != isPresent {
+		if names, _ := damper.PresentBackends(at); (len(names) == 1) != isPresent {
 			isPresent = !isPresent
 			changes++
 		}
@@ -38,8 +38,8 @@
 		t.Errorf("%d changes in ten outages, want 3 at most", changes)
 	}
 	damper.Observe(200*time.Second, "a", Down)
-	damper.Present(300 * time.Second)
-	if damper.Present(800 * time.Second); len(damper.backends) != 0 {
+	damper.PresentBackends(300 * time.Second)
+	if damper.PresentBackends(800 * time.Second); len(damper.backends) != 0 {
 		t.Error("a backend that is down for long is still tracked")
 	}
 }
--- a/internal/decide/ring/migration_simulation_test.go
+++ b/internal/decide/ring/migration_simulation_test.go
@@ -177,7 +177,7 @@
 		m.gate.Freeze(e.slots)
 		m.ackVersion = e.table.Version
 		if m == s.leader {
-			s.migrator.Frozen(e.table.Version)
+			s.migrator.FreezeApplied(e.table.Version)
 			s.frozenAt = s.now
 		}
 	case entryActivate:
@@ -186,7 +186,7 @@
 		}
 		m.gate.Activate(m.state.Active)
 		if m == s.leader {
-			s.migrator.Activated(e.version)
+			s.migrator.ActivationApplied(e.version)
 			s.figures.activated++
 			s.figures.longestFreeze = max(s.figures.longestFreeze, s.now-s.frozenAt)
 		}
@@ -195,7 +195,7 @@
 			return
 		}
 		if m == s.leader {
-			s.migrator.Acknowledged(s.clock(m), e.process, e.version)
+			s.migrator.AcknowledgementApplied(s.clock(m), e.process, e.version)
 		}
 		if e.process == m.process {
 			m.gate.ExtendLease(e.sent, s.memberTerms)
--- a/internal/decide/ring/migrator.go
+++ b/internal/decide/ring/migrator.go
@@ -101,8 +101,8 @@
 	}
 }
 
-// Activated notes that the table of this version is active.
-func (m *Migrator) Activated(version uint64) {
+// ActivationApplied records that the table of this version is active, which ends the plan that leads to it.
+func (m *Migrator) ActivationApplied(version uint64) {
 	if m.next != nil && m.next.Version <= version {
 		m.next = nil
 		m.slots = nil
@@ -110,19 +110,19 @@
 	}
 }
 
-// Frozen notes that the freeze of this version is in the log. A member that joins later
-// applies the freeze before its first call.
-func (m *Migrator) Frozen(version uint64) {
+// FreezeApplied records that the freeze for this version is in the log. A member that joins later applies the freeze
+// before its first call.
+func (m *Migrator) FreezeApplied(version uint64) {
 	if m.next != nil && m.next.Version == version && !m.isFrozen {
 		m.isFrozen = true
 		m.nextProposal = 0
 	}
 }
 
-// Acknowledged notes that a process uses this version and has no call in flight that the freeze forbids, by an
-// acknowledgement that the log accepted (ReplicatedState.AcceptsAcknowledgement). It returns false if there are too many
-// members; that process then gets no lease.
-func (m *Migrator) Acknowledged(now time.Duration, process string, version uint64) bool {
+// AcknowledgementApplied records an acknowledgement that ReplicatedState.AcceptsAcknowledgement accepted: the process has
+// applied this version and has no call in flight on a slot frozen for it. It returns false if there are already
+// MaxMembers members; the process then gets no lease.
+func (m *Migrator) AcknowledgementApplied(now time.Duration, process string, version uint64) bool {
 	last, known := m.members[process]
 	if !known && len(m.members) >= MaxMembers {
 		return false
--- a/internal/decide/ring/replicated_state.go
+++ b/internal/decide/ring/replicated_state.go
@@ -14,8 +14,8 @@
 
 	// Participants are the processes that share grants, sorted by name; at most MaxMembers. There are some only while
 	// the active table has a backend that is warming up.
-	Participants []string
-	LastGrant    uint64 // sequence of the last grant
+	Participants      []string
+	LastGrantSequence uint64 // Sequence of the last applied grant
 }
 
 // Freeze starts the migration to the next table. It returns false during another migration, and for a table that is
@@ -59,10 +59,10 @@
 
 // ApplyGrant applies a grant's entry. It returns false for one that is not next in sequence, such as a duplicate.
 func (s *ReplicatedState) ApplyGrant(g Grant) bool {
-	if g.Sequence != s.LastGrant+1 {
+	if g.Sequence != s.LastGrantSequence+1 {
 		return false
 	}
-	s.LastGrant = g.Sequence
+	s.LastGrantSequence = g.Sequence
 	for _, process := range g.Departed {
 		s.RemoveParticipant(process)
 	}
--- a/internal/decide/ring/replicated_state_test.go
+++ b/internal/decide/ring/replicated_state_test.go
@@ -21,7 +21,7 @@
 		t.Fatal(err)
 	}
 	var decoded ReplicatedState
-	if err := decoded.Decode(b); err != nil || !slices.Equal(decoded.Participants, a.Participants) || decoded.LastGrant != 1 {
+	if err := decoded.Decode(b); err != nil || !slices.Equal(decoded.Participants, a.Participants) || decoded.LastGrantSequence != 1 {
 		t.Fatalf("%v: %+v", err, decoded)
 	}
 	withoutWarmUp := tableOf(t, append(want[:2:2], Backend{Name: "new", Weight: 1}))
--- a/internal/decide/ring/warm_up.go
+++ b/internal/decide/ring/warm_up.go
@@ -61,10 +61,10 @@
 		return Grant{}, false
 	}
 	c.nextGrant = now + c.terms.Duration/proposalsPerLease
-	if c.pending != nil && c.pending.Sequence > state.LastGrant { // lost or in flight: the sequence makes it idempotent
+	if c.pending != nil && c.pending.Sequence > state.LastGrantSequence { // lost or in flight: the sequence makes it idempotent
 		return *c.pending, true
 	}
-	grant := Grant{Sequence: state.LastGrant + 1}
+	grant := Grant{Sequence: state.LastGrantSequence + 1}
 	for _, b := range state.Active.backends {
 		if p := c.progress[b.Name]; b.WarmingUp && p != nil {
 			grant.Quotas = append(grant.Quotas, BackendQuota{b.Name, c.budget.grantSize(grant.Sequence, p.fraction, c.terms)})
--- a/internal/fleet/slots/apply.go
+++ b/internal/fleet/slots/apply.go
@@ -46,7 +46,7 @@
 		c.gate.Freeze(slots)
 		c.nextAck = now
 		if c.migrator != nil {
-			c.migrator.Frozen(next.Version)
+			c.migrator.FreezeApplied(next.Version)
 		}
 	case errors.As(err, &mismatch) && !c.isDiverged:
 		c.isDiverged = true
@@ -60,7 +60,7 @@
 	}
 	c.gate.Activate(c.state.Active)
 	if c.migrator != nil {
-		c.migrator.Activated(version)
+		c.migrator.ActivationApplied(version)
 	}
 	c.config.Notify(fmt.Sprintf("ring: table %d active", version))
 }
@@ -98,7 +98,7 @@
 	}
 	c.state.RecordAcknowledgement(entry.Member)
 	if c.migrator != nil {
-		c.migrator.Acknowledged(now, entry.Member, version)
+		c.migrator.AcknowledgementApplied(now, entry.Member, version)
 	}
 	if entry.Member == c.config.Process && entry.Incarnation == c.config.Incarnation {
 		c.extendLease(entry.Seq)
--- a/internal/front/amqp/front.go
+++ b/internal/front/amqp/front.go
@@ -132,7 +132,7 @@
 	}
 	f.loadCheckedAt = now
 	load := f.admission.Load()
-	f.controller.UpdateInstance(f.now(), intake.InstanceState{Ready: load.Ready, Items: load.Requests, Capacity: load.Capacity})
+	f.controller.UpdateInstance(f.now(), intake.InstanceState{Ready: load.Ready, Requests: load.Requests, Capacity: load.Capacity})
 }
 
 // dropSession drops a session and its messages, which the broker delivers again. Runs of idempotent requests continue, and
