--- a/internal/decide/ring/budget.go
+++ b/internal/decide/ring/budget.go
@@ -8,56 +8,59 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// CallBudget bounds the calls that all members together may send to a backend while it warms up. The zero value means
-// no budget. The leader spends it in grants, which the log's order splits among the participants without any further
-// message; grants whose use can overlap one window never sum to more than the budget of that window.
+// CallBudget limits the calls that all members together may send to a backend while it warms up. The zero value means
+// that there is no budget. The leader proposes grants, and each member computes its quota of a grant from the state at
+// the grant's place in the log, without further messages. Grants that can be used within the same window never sum to
+// more than the budget of a window.
 type CallBudget struct {
-	CallsPerWindow int           // at full weight; over 0
-	Window         time.Duration // over 0
-	GrantInterval  time.Duration // between grants; over 0, at most Window; the shorter, the more of the budget is usable
+	CallsPerWindow int           // at full weight; greater than 0
+	Window         time.Duration // greater than 0
+	GrantInterval  time.Duration // between grants; greater than 0, at most Window; the shorter, the more of the budget is usable
 }
 
-// Validate returns a *ValueError for a field out of range.
+// Validate returns a *ValueError if a field is out of range.
 func (b CallBudget) Validate() error {
 	return firstInvalid([]rangeCheck{
-		{b.CallsPerWindow > 0, "budget calls per window", b.CallsPerWindow, "over 0"},
-		{b.Window > 0, "budget window", b.Window, "over 0"},
-		{b.GrantInterval > 0 && b.GrantInterval <= b.Window, "budget grant interval", b.GrantInterval, "over 0 and at most the window"},
+		{b.CallsPerWindow > 0, "budget calls per window", b.CallsPerWindow, "greater than 0"},
+		{b.Window > 0, "budget window", b.Window, "greater than 0"},
+		{b.GrantInterval > 0 && b.GrantInterval <= b.Window, "budget grant interval", b.GrantInterval, "greater than 0 and at most the window"},
 	})
 }
 
-// CallsAt returns the calls in a window that a backend at this fraction of its weight can take.
+// CallsAt returns the calls per window that a backend may receive at this fraction of its full weight.
 func (b CallBudget) CallsAt(fraction float64) int { return int(float64(b.CallsPerWindow) * fraction) }
 
-// maxOverlap is how many grants can be used within one window. A grant is usable from its entry until less than a lease
-// later, and entries are at least GrantInterval apart by a clock within the drift.
+// maxOverlap returns an upper bound on the grants that can be used within one window. A grant is usable for less than a
+// lease duration after it enters the log, and grants enter the log at least GrantInterval apart by the leader's clock,
+// which may drift by MaxDrift.
 func (b CallBudget) maxOverlap(terms LeaseTerms) uint64 {
 	return uint64(float64(b.Window+terms.Duration)/float64(b.GrantInterval)*(1+terms.MaxDrift)) + 1
 }
 
-// grantSize is the number of calls in a grant, such that any maxOverlap consecutive ones sum to CallsAt(fraction).
+// grantSize returns the calls that a grant allots to one backend. Any maxOverlap consecutive grants sum to
+// CallsAt(fraction).
 func (b CallBudget) grantSize(sequence uint64, fraction float64, terms LeaseTerms) int {
 	calls, overlap := uint64(b.CallsAt(fraction)), b.maxOverlap(terms)
 	return int((sequence+1)*calls/overlap - sequence*calls/overlap)
 }
 
-// Grant is a log entry that allots calls to backends that are warming up. It is split among the participants at its
-// place in the log.
+// Grant is a log entry that allots calls to backends that are warming up. It is split among the processes that are
+// participants when it is applied.
 type Grant struct {
 	Sequence uint64         `json:"number"` // one more than the previous grant's
 	Quotas   []BackendQuota `json:"calls"`
-	Departed []string       `json:"gone,omitempty"` // processes that no longer acknowledge, removed before the split
+	Departed []string       `json:"gone,omitempty"` // participants that no longer acknowledge, removed before the split
 }
 
-// BackendQuota is the calls that a grant allots to one backend.
+// BackendQuota is the number of calls to one backend that a grant allots to all participants together.
 type BackendQuota struct {
 	Backend string `json:"backend"`
 	Calls   int    `json:"calls"`
 }
 
-// QuotasFor returns a process's calls by backend, or nil for one that is not among the sorted participants. The quotas
-// of all participants sum to the grant. Who gets the remainder of the division is drawn by sequence and backend, the same in
-// all members.
+// QuotasFor returns a process's quotas: calls by backend, or nil if the process is not a participant. participants must be
+// sorted. The quotas of all participants sum to the grant. A hash of backend and sequence selects the participants that
+// get one call more if the division leaves a remainder, the same in all members.
 func (g Grant) QuotasFor(participants []string, process string) map[string]int {
 	rank, found := slices.BinarySearch(participants, process)
 	if !found {
--- a/internal/decide/ring/call_gate_test.go
+++ b/internal/decide/ring/call_gate_test.go
@@ -8,23 +8,23 @@
 func TestIdempotentCallsContinueWithoutLease(t *testing.T) {
 	empty, _ := New(4)
 	if _, _, decision := NewCallGate(empty).Admit(0, 0, Idempotent); decision != RejectUnassigned {
-		t.Errorf("decision %d on an unassigned slot", decision)
+		t.Errorf("decision %d for an unassigned slot, want RejectUnassigned", decision)
 	}
 	table, _, _ := mustPlan(t, empty, testBackends(2), BalanceBound{})
 	gate := NewCallGate(table)
 	if _, _, decision := gate.Admit(0, 0, NotIdempotent); decision != RejectLeaseExpired {
-		t.Errorf("decision %d before any lease", decision)
+		t.Errorf("decision %d before the first lease, want RejectLeaseExpired", decision)
 	}
 	if b, _, decision := gate.Admit(0, 0, Idempotent); decision != AllowStale || b == nil {
-		t.Errorf("decision %d for an idempotent call", decision)
+		t.Errorf("decision %d for an idempotent call without a lease, want AllowStale and a backend", decision)
 	}
 	gate.ExtendLease(time.Second, leaseTerms)
 	if _, until, decision := gate.Admit(time.Second, 0, NotIdempotent); decision != Allow || until != time.Second+882*time.Millisecond {
-		t.Errorf("decision %d until %v", decision, until)
+		t.Errorf("decision %d, deadline %v", decision, until)
 	}
 	gate.Freeze([]int{0})
 	if _, _, decision := gate.Admit(time.Second, 0, Idempotent); decision != RejectMigrating {
-		t.Errorf("decision %d on a migrating slot", decision)
+		t.Errorf("decision %d for a migrating slot, want RejectMigrating", decision)
 	}
 }
 
@@ -34,30 +34,30 @@
 	granted := map[string]int{"new": 2}
 	for _, idempotency := range []Idempotency{NotIdempotent, Idempotent} {
 		if _, _, decision := gate.Admit(0, 0, idempotency); decision != RejectQuotaExhausted {
-			t.Errorf("decision %d without a grant", decision)
+			t.Errorf("decision %d without a grant, want RejectQuotaExhausted", decision)
 		}
 	}
 	if gate.SetQuotas(granted); gate.leaseExpiry != 0 {
-		t.Error("a grant extends the lease")
+		t.Error("a grant extended the lease")
 	}
-	gate.ExtendLease(time.Second, leaseTerms) // after the grant, so it says nothing of its age
+	gate.ExtendLease(time.Second, leaseTerms) // after the grant, so it does not prove that the grant is recent
 	if _, _, decision := gate.Admit(time.Second, 0, Idempotent); decision != RejectQuotaExhausted {
-		t.Errorf("decision %d by a grant from before any lease", decision)
+		t.Errorf("decision %d by a grant applied before the first lease, want RejectQuotaExhausted", decision)
 	}
 	gate.SetQuotas(granted)
-	gate.ExtendLease(2*time.Second, leaseTerms) // a later lease does not extend a quota
+	gate.ExtendLease(2*time.Second, leaseTerms) // a renewed lease does not extend a quota
 	expiry := time.Second + leaseTerms.usableDuration()
 	for n, want := range []Decision{Allow, Allow, RejectQuotaExhausted} {
 		if _, until, decision := gate.Admit(time.Second, 0, Idempotency(n == 0)); decision != want || decision == Allow && until != expiry {
-			t.Errorf("call %d: decision %d until %v", n, decision, until)
+			t.Errorf("call %d: decision %d, deadline %v", n, decision, until)
 		}
 	}
 	gate.SetQuotas(granted)
 	if gate.SetQuotas(nil); gate.quotas["new"] != nil {
-		t.Error("a grant without a quota for it leaves the last one's")
+		t.Error("the quota of an earlier grant remains after a grant without one for the backend")
 	}
 	gate.quotas["new"] = &callQuota{remaining: 1, expiry: expiry}
 	if _, _, decision := gate.Admit(expiry, 0, Idempotent); decision != RejectQuotaExhausted {
-		t.Errorf("decision %d past the lease that the grant was applied under", decision)
+		t.Errorf("decision %d after the expiry of the lease under which the grant was applied, want RejectQuotaExhausted", decision)
 	}
 }
--- a/internal/decide/ring/codec.go
+++ b/internal/decide/ring/codec.go
@@ -11,8 +11,8 @@
 
 const bytesPerSlot = 2
 
-// Digest returns a hash that is the same for tables with the same assignment. A member whose plan has another digest
-// than the leader's must not use it.
+// Digest returns a hash that is the same for tables with the same assignment of slots. A member whose own plan has a
+// different digest from the leader's must not use the plan.
 func (t *Table) Digest() uint64 {
 	h := xxhash.New()
 	for _, b := range t.backends {
@@ -29,14 +29,14 @@
 	return h.Sum64()
 }
 
-// encodedTable is a table in a snapshot.
+// encodedTable is the form of a table in a snapshot. The field names are part of the snapshot format.
 type encodedTable struct {
 	Version  uint64
 	Backends []Backend
-	Slots    []byte // bytesPerSlot each, little-endian
+	Slots    []byte // index of the owner of each slot, bytesPerSlot each, little-endian
 }
 
-// encodedState is a ReplicatedState in a snapshot. The keys are part of its format.
+// encodedState is the form of a ReplicatedState in a snapshot. The JSON keys are part of the snapshot format.
 type encodedState struct {
 	Active            *encodedTable `json:"Table"`
 	Pending           *encodedTable `json:"Moving"`
@@ -45,7 +45,7 @@
 	LastGrantSequence uint64        `json:"Lot,omitempty"`
 }
 
-// Encode returns the state for a snapshot.
+// Encode returns a snapshot of the state.
 func (s *ReplicatedState) Encode() ([]byte, error) {
 	return json.Marshal(encodedState{
 		Active:            s.Active.encode(),
@@ -56,7 +56,8 @@
 	})
 }
 
-// Decode replaces the state by a snapshot's. If that is not valid, it fails with ErrInvalidSnapshot and changes nothing.
+// Decode replaces the state by that of a snapshot. If the snapshot is not valid, Decode fails with ErrInvalidSnapshot and
+// leaves the state unchanged.
 func (s *ReplicatedState) Decode(snapshot []byte) error {
 	var e encodedState
 	if err := json.Unmarshal(snapshot, &e); err != nil {
@@ -72,10 +73,10 @@
 
 func (e *encodedState) decode() (state ReplicatedState, err error) {
 	if e.Active == nil {
-		return state, newValueError("active table", "none", "one")
+		return state, newValueError("active table", "none", "a table")
 	}
 	if !slices.IsSorted(e.Participants) || len(e.Participants) > MaxMembers {
-		return state, newValueError("participants", len(e.Participants), "at most %d, in order", MaxMembers)
+		return state, newValueError("participants", len(e.Participants), "at most %d, sorted by name", MaxMembers)
 	}
 	state = ReplicatedState{MigratingSlots: e.MigratingSlots, Participants: e.Participants, LastGrantSequence: e.LastGrantSequence}
 	if state.Active, err = e.Active.decode(); err != nil {
@@ -114,7 +115,7 @@
 	for slot := range t.slots {
 		owner := int16(binary.LittleEndian.Uint16(e.Slots[bytesPerSlot*slot:]))
 		if owner < unassigned || int(owner) >= len(t.backends) {
-			return nil, newValueError(fmt.Sprint("owner of slot ", slot), owner, "one of %d backends", len(t.backends))
+			return nil, newValueError(fmt.Sprint("owner of slot ", slot), owner, "-1 or the index of one of %d backends", len(t.backends))
 		}
 		t.slots[slot] = owner
 	}
--- a/internal/decide/ring/codec_test.go
+++ b/internal/decide/ring/codec_test.go
@@ -8,14 +8,14 @@
 	"thymechute/internal/testutil"
 )
 
-// Digests of the fixture's tables, as the build that wrote it (commit d489d24) computed them.
+// Digests of the tables in testdata/state_migrating.json, computed by the build that wrote the file (commit d489d24).
 const (
 	fixtureActiveDigest  = 0x8f3377afb77cd10e
 	fixturePendingDigest = 0x4161b4287fd6ebd7
 )
 
-// migratingState builds the state of testdata/state_migrating.json: three backends, one of them in slow start, that is
-// removed by the pending plan.
+// migratingState builds the state in testdata/state_migrating.json: three backends, one of them in slow start, which the
+// pending table no longer contains.
 func migratingState(t *testing.T) *ReplicatedState {
 	t.Helper()
 	bound := BalanceBound{Slack: 0.05}
@@ -34,13 +34,13 @@
 		slots[n] = migration.Slot
 	}
 	if !state.Freeze(next, slots) {
-		t.Fatal("the freeze was rejected")
+		t.Fatal("Freeze returned false")
 	}
 	return state
 }
 
-// Snapshots written by an older build (commit d489d24) must be read, and the same state must be written as the same bytes.
-func TestSnapshotsOfOlderBuildsAreReadAndWrittenAlike(t *testing.T) {
+// Snapshots that an older build (commit d489d24) wrote must be decoded, and the same state must be encoded as the same bytes.
+func TestSnapshotsOfOlderBuildsRoundTrip(t *testing.T) {
 	empty, _ := New(8)
 	for file, state := range map[string]*ReplicatedState{
 		"state_empty.json":     {Active: empty},
@@ -54,13 +54,13 @@
 		for what, s := range map[string]*ReplicatedState{"decoded": &decoded, "built": state} {
 			encoded, err := s.Encode()
 			if err != nil || !bytes.Equal(encoded, stored) {
-				t.Errorf("%s, %s: %v\nfound    %s\nexpected %s", file, what, err, encoded, stored)
+				t.Errorf("%s, encoding the %s state: %v\nfound    %s\nexpected %s", file, what, err, encoded, stored)
 			}
 		}
 	}
 }
 
-func TestFieldsOfASnapshotOfAnOlderBuild(t *testing.T) {
+func TestDecodeReadsAllFieldsOfOlderSnapshot(t *testing.T) {
 	stored := testutil.ReadFixture(t, "state_migrating.json")
 	var s ReplicatedState
 	if err := s.Decode(stored); err != nil {
@@ -73,11 +73,11 @@
 		t.Errorf("pending table: digest %#x, expected %#x", got, uint64(fixturePendingDigest))
 	}
 	if b, ok := s.Active.backendNamed("b2"); !ok || !b.WarmingUp || b.Weight != 0.25 || b.Zone != "z0" {
-		t.Errorf("b2 is %+v, %v", b, ok)
+		t.Errorf("b2: found %+v, %v, expected weight 0.25 in zone z0, warming up", b, ok)
 	}
 	if s.Active.Version != 1 || s.Pending.Version != 2 || s.LastGrantSequence != 42 ||
 		!slices.Equal(s.MigratingSlots, []int{7}) || !slices.Equal(s.Participants, []string{"m0#18f2", "m1#18f3"}) {
-		t.Errorf("found %+v", s)
+		t.Errorf("decoded state %+v", s)
 	}
 }
 
@@ -94,14 +94,14 @@
 	var decoded ReplicatedState
 	if err := decoded.Decode(b); err != nil || decoded.Active.Digest() != table.Digest() || decoded.Pending.Digest() != next.Digest() ||
 		decoded.Pending.Version != next.Version || len(decoded.MigratingSlots) != 1 {
-		t.Errorf("%v: %+v", err, decoded)
+		t.Errorf("error %v, decoded state %+v", err, decoded)
 	}
 	if table.Digest() == next.Digest() {
 		t.Error("different tables have the same digest")
 	}
 	for _, bad := range []string{"", "{}", `{"Table":{"Slots":"AAAA"}}`, `{"Table":{"Backends":[{"Name":"a","Weight":1}],"Slots":"BQAFAA=="}}`} {
 		if err := decoded.Decode([]byte(bad)); err == nil {
-			t.Errorf("%q was accepted", bad)
+			t.Errorf("snapshot %q was accepted", bad)
 		}
 	}
 }
--- a/internal/decide/ring/errors.go
+++ b/internal/decide/ring/errors.go
@@ -5,16 +5,16 @@
 	"fmt"
 )
 
-// ErrInvalidSnapshot is the error of bytes that ReplicatedState.Encode did not produce.
-var ErrInvalidSnapshot = errors.New("invalid snapshot of a ring")
+// ErrInvalidSnapshot is returned for a snapshot that ReplicatedState.Encode cannot have produced.
+var ErrInvalidSnapshot = errors.New("invalid ring snapshot")
 
-// ValueError is a value out of its range, in settings or in a table's backends.
+// ValueError reports a value that is out of range, in settings, in a table's backends or in a snapshot.
 type ValueError struct {
 	Field           string
 	Found, Expected string
 }
 
-// Error names the field, what it is, and what it may be.
+// Error names the field, the value found and the values expected.
 func (e *ValueError) Error() string {
 	return fmt.Sprintf("%s: found %s, expected %s", e.Field, e.Found, e.Expected)
 }
@@ -23,7 +23,7 @@
 	return &ValueError{Field: field, Found: fmt.Sprint(found), Expected: fmt.Sprintf(expected, args...)}
 }
 
-// rangeCheck is a condition on one field.
+// rangeCheck is the result of checking one field.
 type rangeCheck struct {
 	isValid  bool
 	field    string
@@ -31,7 +31,7 @@
 	expected string
 }
 
-// firstInvalid returns a *ValueError of the first check that fails.
+// firstInvalid returns a *ValueError for the first check that failed, or nil.
 func firstInvalid(checks []rangeCheck) error {
 	for _, c := range checks {
 		if !c.isValid {
--- a/internal/decide/ring/failover.go
+++ b/internal/decide/ring/failover.go
@@ -2,9 +2,9 @@
 
 import "math"
 
-// FailoverTarget returns the backend that takes a slot first if its owner fails: one in another zone if there is one.
-// All members compute the same target, and it changes only when the target itself joins or leaves. It returns false
-// if there is no other backend.
+// FailoverTarget returns the backend that is preferred to take over a slot if its owner fails: one in another zone if there
+// is any. All members compute the same target. It changes only if the target is removed or a backend that becomes the
+// target is added. FailoverTarget returns false if there is no other backend.
 func (t *Table) FailoverTarget(slot int) (*Backend, bool) {
 	if index, ok := t.failoverAmong(slot, nil); ok {
 		return &t.backends[index], true
@@ -12,7 +12,8 @@
 	return nil, false
 }
 
-// failoverAmong is FailoverTarget among the backends that are assigned an index in remaining; nil means all.
+// failoverAmong returns the index of the failover target among the remaining backends: those whose entry in remaining is
+// not unassigned, or all if remaining is nil.
 func (t *Table) failoverAmong(slot int, remaining []int16) (best int, ok bool) {
 	owner := t.slots[slot]
 	best, bestScore, bestInOtherZone := -1, math.Inf(-1), false
@@ -25,7 +26,7 @@
 		if bestInOtherZone && !inOtherZone {
 			continue
 		}
-		score := t.score(b, slot)
+		score := t.rendezvousScore(b, slot)
 		if inOtherZone && !bestInOtherZone || score > bestScore {
 			best, bestScore, bestInOtherZone = n, score, inOtherZone
 		}
@@ -33,20 +34,21 @@
 	return best, best >= 0
 }
 
-// score is the weighted rendezvous score: -weight/log(u), with u uniform by slot and name.
-func (t *Table) score(b *Backend, slot int) float64 {
+// rendezvousScore returns the score of a backend for a slot in weighted rendezvous hashing: -weight/log(u), where u is a
+// hash of slot and name, uniform between 0 and 1.
+func (t *Table) rendezvousScore(b *Backend, slot int) float64 {
 	u := (float64(rendezvousHash(b.hash, slotSalt(slot))) + 0.5) / (1 << 53)
 	if t.equalWeights {
-		return u // the same order without the logarithm
+		return u // gives the same order, without the cost of the logarithm
 	}
 	return -b.Weight / math.Log(u)
 }
 
-// slotSalt makes a backend's hash differ by slot.
+// slotSalt returns the value that rendezvousHash combines with a backend's hash to make it differ by slot.
 func slotSalt(slot int) uint64 { return (uint64(slot) + 1) * 0x9e3779b97f4a7c15 }
 
-// rendezvousHash mixes a backend's hash with a slot's salt into 53 bits, with the finalizer of MurmurHash3: the product
-// alone would leave the low bits alike.
+// rendezvousHash mixes a backend's hash and a slot's salt into 53 bits by a step of the MurmurHash3 finalizer. The salt's
+// multiplication alone would leave the low bits too similar.
 func rendezvousHash(backendHash, salt uint64) uint64 {
 	h := backendHash ^ salt
 	h ^= h >> 33
@@ -55,15 +57,16 @@
 	return h >> 11
 }
 
-// failoverCandidates are the remaining backends in columns, for a plan that searches many failover targets.
+// failoverCandidates holds the remaining backends as one slice per field, for a plan that searches many failover targets.
 type failoverCandidates struct {
 	hash  []uint64
 	zone  []int32
-	index []int32 // in the table's backends
+	index []int32 // in Table.backends
 }
 
-// failoverFinder returns a failoverAmong for slots whose owner does not remain. With equal weights it compares hashes
-// directly: a plan after the loss of a region then takes a quarter of the time.
+// failoverFinder returns a function that gives the same result as failoverAmong, for slots whose owner does not remain. If
+// all weights are equal it compares hashes directly, which reduces the time of a plan after the loss of a region to a
+// quarter.
 func (t *Table) failoverFinder(remaining []int16) func(slot int) (best int, ok bool) {
 	if !t.equalWeights {
 		return func(slot int) (int, bool) { return t.failoverAmong(slot, remaining) }
@@ -77,15 +80,16 @@
 		}
 	}
 	return func(slot int) (int, bool) {
-		if best, ok := candidates.bestOutside(slot, int32(t.backends[t.slots[slot]].zoneIndex)); ok {
+		if best, ok := candidates.bestInOtherZone(slot, int32(t.backends[t.slots[slot]].zoneIndex)); ok {
 			return best, true
 		}
 		return t.failoverAmong(slot, remaining) // no backend remains in another zone
 	}
 }
 
-// bestOutside returns the candidate of another zone with the highest score, the first of equals, as Table.score has it.
-func (c *failoverCandidates) bestOutside(slot int, zone int32) (best int, ok bool) {
+// bestInOtherZone returns the candidate with the highest rendezvous score that is not in this zone; of several the first,
+// as failoverAmong does.
+func (c *failoverCandidates) bestInOtherZone(slot int, zone int32) (best int, ok bool) {
 	salt := slotSalt(slot)
 	highest, at := uint64(0), -1
 	zones := c.zone[:len(c.hash)]
--- a/internal/decide/ring/failover_test.go
+++ b/internal/decide/ring/failover_test.go
@@ -11,7 +11,7 @@
 	next, migrations, _ := mustPlan(t, previous, testBackends(9)[1:], BalanceBound{Slack: 0.3})
 	for _, m := range migrations {
 		if m.From != "b000" {
-			t.Fatalf("%+v: only the failed backend's slots need to migrate", m)
+			t.Fatalf("%+v: a slot of a backend that has not failed migrates", m)
 		}
 		target, _ := previous.FailoverTarget(m.Slot)
 		if target.Zone != "z0" {
@@ -22,10 +22,11 @@
 		}
 	}
 	if inOtherZone != len(migrations) || takenByTarget < len(migrations)*9/10 {
-		t.Errorf("%d migrations: %d failover targets in another zone, %d slots owned by theirs", len(migrations), inOtherZone, takenByTarget)
+		t.Errorf("%d migrations: %d slots have a failover target in another zone, %d are owned by their failover target",
+			len(migrations), inOtherZone, takenByTarget)
 	}
 	single, _, _ := mustPlan(t, empty, testBackends(1), BalanceBound{})
 	if _, ok := single.FailoverTarget(0); ok {
-		t.Error("a failover target though there is only one backend")
+		t.Error("found a failover target though there is only one backend")
 	}
 }
--- a/internal/decide/ring/flap_damper.go
+++ b/internal/decide/ring/flap_damper.go
@@ -5,11 +5,11 @@
 	"time"
 )
 
-// FlapDamping says how long a backend's change of health must last before it counts.
+// FlapDamping configures how long a change of a backend's health must last before it takes effect.
 type FlapDamping struct {
-	DownDelay time.Duration // a shorter outage migrates nothing
-	UpDelay   time.Duration // after which a recovered backend owns slots again
-	MaxDelay  time.Duration // each further outage within MaxDelay of the last doubles both delays, up to MaxDelay
+	DownDelay time.Duration // a shorter outage migrates no slots
+	UpDelay   time.Duration // how long a recovered backend must be up before it may own slots again
+	MaxDelay  time.Duration // each outage within MaxDelay of the previous one doubles both delays, up to MaxDelay
 }
 
 // Health is a backend's observed health.
@@ -21,39 +21,40 @@
 	Up   Health = true
 )
 
-// FlapDamper decides which backends are present for planning: it ignores short outages, and keeps flapping backends out
-// for longer each time.
+// FlapDamper decides which backends count as present when slots are planned. It ignores short outages, and excludes a
+// backend that flaps for longer each time.
 type FlapDamper struct {
 	damping  FlapDamping
 	backends map[string]*backendHealth
 }
 
 type backendHealth struct {
-	isPresent  bool // as it counts
-	observed   Health
-	observedAt time.Duration // when observed last changed
-	removedAt  time.Duration // when it last stopped being present
-	flaps      int           // consecutive outages, each within MaxDelay of the previous
+	isPresent     bool // whether the backend counts as present
+	observed      Health
+	observedSince time.Duration // when observed last changed
+	removedAt     time.Duration // when isPresent last became false
+	flaps         int           // consecutive outages, each within MaxDelay of the previous
 }
 
-// NewFlapDamper returns a damper that knows no backend yet.
+// NewFlapDamper returns a damper without any backends.
 func NewFlapDamper(d FlapDamping) *FlapDamper {
 	return &FlapDamper{damping: d, backends: map[string]*backendHealth{}}
 }
 
-// Observe records a backend's health, as membership or its callers see it. A new backend that is up counts at once: it
-// owns nothing that could be taken from it. It returns false if the damper is full.
+// Observe records a backend's health, as seen by the membership or by its callers. A new backend that is up counts as
+// present at once, as it owns no slots that could migrate. Observe returns false if the backend is new and the damper
+// already holds MaxBackends.
 func (d *FlapDamper) Observe(now time.Duration, name string, health Health) bool {
 	b, known := d.backends[name]
 	if !known {
 		if len(d.backends) >= MaxBackends {
 			return false
 		}
-		d.backends[name] = &backendHealth{isPresent: health == Up, observed: health, observedAt: now, removedAt: now - d.damping.MaxDelay}
+		d.backends[name] = &backendHealth{isPresent: health == Up, observed: health, observedSince: now, removedAt: now - d.damping.MaxDelay}
 		return true
 	}
 	if b.observed != health {
-		b.observed, b.observedAt = health, now
+		b.observed, b.observedSince = health, now
 	}
 	return true
 }
@@ -63,14 +64,14 @@
 func (d *FlapDamper) PresentBackends(now time.Duration) (names []string, nextChange time.Duration) {
 	for name, b := range d.backends {
 		if b.isPresent != (b.observed == Up) {
-			at := b.observedAt + d.delay(b)
+			at := b.observedSince + d.delay(b)
 			if now >= at {
-				d.confirm(now, b)
+				d.applyObserved(now, b)
 			} else if nextChange == 0 || at < nextChange {
 				nextChange = at
 			}
 		}
-		isQuiet := now-max(b.observedAt, b.removedAt) > 2*d.damping.MaxDelay
+		isQuiet := now-max(b.observedSince, b.removedAt) > 2*d.damping.MaxDelay
 		switch {
 		case b.isPresent:
 			names = append(names, name)
@@ -82,7 +83,7 @@
 	return names, nextChange
 }
 
-// delay is how long the observed health must last, doubled for each flap.
+// delay returns how long the observed health must last before it takes effect: doubled for each flap, up to MaxDelay.
 func (d *FlapDamper) delay(b *backendHealth) time.Duration {
 	delay := d.damping.DownDelay
 	if b.observed == Up {
@@ -96,8 +97,8 @@
 	return delay
 }
 
-// confirm makes the observed health count.
-func (d *FlapDamper) confirm(now time.Duration, b *backendHealth) {
+// applyObserved makes the observed health take effect.
+func (d *FlapDamper) applyObserved(now time.Duration, b *backendHealth) {
 	b.isPresent = b.observed == Up
 	if b.isPresent {
 		return
--- a/internal/decide/ring/flap_damper_test.go
+++ b/internal/decide/ring/flap_damper_test.go
@@ -13,15 +13,15 @@
 	damper.Observe(0, "a", Up)
 	damper.Observe(10*time.Second, "a", Down)
 	if names, next := damper.PresentBackends(14 * time.Second); len(names) != 1 || next != 15*time.Second {
-		t.Errorf("%v, next %v", names, next)
+		t.Errorf("during a short outage: present %v, next change at %v", names, next)
 	}
 	damper.Observe(14*time.Second, "a", Up)
 	if names, next := damper.PresentBackends(time.Hour); len(names) != 1 || next != 0 {
-		t.Errorf("%v, next %v", names, next)
+		t.Errorf("after a short outage: present %v, next change at %v", names, next)
 	}
 }
 
-// A backend is up for 12 s and down for 8 s, ten times. Each outage or recovery that takes effect migrates slots.
+// A backend is up for 12 s and down for 8 s, ten times. Each outage or recovery that takes effect would migrate slots.
 func TestFlapDamperDoublesDelayOfFlappingBackend(t *testing.T) {
 	damper := NewFlapDamper(flapDamping)
 	damper.Observe(0, "a", Up)
@@ -35,12 +35,12 @@
 		}
 	}
 	if changes > 3 {
-		t.Errorf("%d changes in ten outages, want 3 at most", changes)
+		t.Errorf("%d changes of presence in ten outages, want at most 3", changes)
 	}
 	damper.Observe(200*time.Second, "a", Down)
 	damper.PresentBackends(300 * time.Second)
 	if damper.PresentBackends(800 * time.Second); len(damper.backends) != 0 {
-		t.Error("a backend that is down for long is still tracked")
+		t.Error("a backend that has been down for long is still tracked")
 	}
 }
 
@@ -50,6 +50,6 @@
 		damper.Observe(0, fmt.Sprint(n), Up)
 	}
 	if damper.Observe(0, "one more", Up) {
-		t.Error("a backend over MaxBackends was accepted")
+		t.Error("accepted more than MaxBackends backends")
 	}
 }
--- a/internal/decide/ring/load.go
+++ b/internal/decide/ring/load.go
@@ -6,11 +6,11 @@
 	"slices"
 )
 
-// LoadCounter counts one member's calls by slot in a period, in 4 bytes a slot. A sketch of the top slots alone
-// (Space-Saving) was slower: at 128 entries a call on another slot took 2 us for the search.
+// LoadCounter counts one member's calls by slot in a period, in 4 bytes per slot. A Space-Saving sketch of only the
+// most loaded slots was slower: with 128 entries, a call on a slot outside the sketch took 2 us for the search.
 type LoadCounter struct{ calls []uint32 }
 
-// NewLoadCounter returns a counter for a table of so many slots.
+// NewLoadCounter returns a counter for a table with the given number of slots.
 func NewLoadCounter(slots int) *LoadCounter { return &LoadCounter{make([]uint32, slots)} }
 
 // Record counts a call on a slot.
@@ -26,7 +26,7 @@
 	Calls float64
 }
 
-// Report returns the most loaded slots, at most maxSlots, and the sum over all slots, and resets the counter.
+// Report returns up to maxSlots slots, the most loaded first, and the calls on all slots. It resets the counter.
 func (c *LoadCounter) Report(maxSlots int) (top []SlotLoad, total float64) {
 	for slot, calls := range c.calls {
 		if calls > 0 {
@@ -41,18 +41,18 @@
 	return top[:min(maxSlots, len(top))], total
 }
 
-// LoadEstimate is the leader's moving average of the members' reports: calls in a period by slot. The weight of a
-// report halves each period.
+// LoadEstimate is the leader's exponential moving average of the members' reports: calls per period by slot. The weight
+// of a report halves each period.
 type LoadEstimate struct{ perSlot []float64 }
 
-// NewLoadEstimate returns an estimate for a table of so many slots.
+// NewLoadEstimate returns an estimate for a table with the given number of slots.
 func NewLoadEstimate(slots int) *LoadEstimate { return &LoadEstimate{perSlot: make([]float64, slots)} }
 
-// PerSlot returns the loads by slot. They are valid until the next AddPeriod, and must not be changed.
+// PerSlot returns the load of each slot. The slice is valid until the next AddPeriod and must not be modified.
 func (e *LoadEstimate) PerSlot() []float64 { return e.perSlot }
 
-// AddPeriod adds the reports of one period. Calls of the total that no report attributes to a slot are spread over all
-// slots. Reports of unknown slots and negative counts are ignored.
+// AddPeriod adds the reports of one period; total is the members' calls on all slots. Calls that no report attributes to
+// a slot are spread evenly over all slots. Unknown slots and counts that are not positive are ignored.
 func (e *LoadEstimate) AddPeriod(reports [][]SlotLoad, total float64) {
 	for slot := range e.perSlot {
 		e.perSlot[slot] /= 2
--- a/internal/decide/ring/load_test.go
+++ b/internal/decide/ring/load_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// recordZipfCalls records calls by a Zipf law: the most called key gets some twenty times the mean.
+// recordZipfCalls records calls on Zipf-distributed keys: the most called key gets about twenty times the mean.
 func recordZipfCalls(seed uint64, table *Table, calls int, record func(slot int)) {
 	z := rand.NewZipf(rand.New(rand.NewPCG(seed, 5)), 1.1, 20, 9999)
 	for range calls {
@@ -22,13 +22,14 @@
 	}
 	top, all := counter.Report(2)
 	if all != 13 || len(top) != 2 || top[0] != (SlotLoad{2, 9}) || top[1] != (SlotLoad{0, 3}) {
-		t.Errorf("%v of %v", top, all)
+		t.Errorf("top slots %v, %v calls in total", top, all)
 	}
 	if top, all := counter.Report(2); len(top) != 0 || all != 0 {
-		t.Errorf("%v of %v", top, all)
+		t.Errorf("after the reset: top slots %v, %v calls in total", top, all)
 	}
 	estimate := NewLoadEstimate(8)
-	estimate.AddPeriod([][]SlotLoad{top, {{Slot: 99, Calls: 5}, {Slot: 1, Calls: -5}}}, all+20) // invalid reports are ignored
+	// The unknown slot and the negative count are ignored.
+	estimate.AddPeriod([][]SlotLoad{top, {{Slot: 99, Calls: 5}, {Slot: 1, Calls: -5}}}, all+20)
 	if load := estimate.PerSlot(); load[2] != 4.5+(33-12)/16.0 || load[1] != (33-12)/16.0 {
 		t.Errorf("load per slot %v", load)
 	}
--- a/internal/decide/ring/migration_simulation_test.go
+++ b/internal/decide/ring/migration_simulation_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// Terms of a simulation of migrations.
+// Size of a simulation of migrations.
 const (
 	simulatedMembers = 5
 	simulatedSlots   = 16
@@ -15,7 +15,7 @@
 	simulationTick   = 10 * time.Millisecond
 )
 
-// Kinds of a migrationEntry.
+// Kinds of log entries.
 const (
 	entryFreeze   = "freeze"
 	entryActivate = "activate"
@@ -29,27 +29,27 @@
 	slots   []int
 	process string
 	version uint64
-	sent    time.Duration // by the sender's clock
+	sent    time.Duration // by the sender's clock; only of an acknowledgement
 }
 
-// inFlightCall is a call at a backend.
+// inFlightCall is a call that runs at a backend.
 type inFlightCall struct {
 	slot    int
 	backend string
-	end     time.Duration // in true time, the cancellation included
+	end     time.Duration // in true time, including the delay of a cancellation
 }
 
 // migrationMember is a member of the simulated fleet.
 type migrationMember struct {
-	process                               string
-	clockRate                             float64 // to true time
-	state                                 ReplicatedState
-	gate                                  *CallGate
-	applied                               int // entries
-	isInboundCut, isOutboundCut, isPaused bool
-	inFlight                              []inFlightCall
-	ackVersion                            uint64 // acknowledged once no call is in flight on a frozen slot
-	nextAck                               time.Duration
+	process                                               string
+	clockRate                                             float64 // of the member's clock, relative to true time
+	state                                                 ReplicatedState
+	gate                                                  *CallGate
+	applied                                               int // number of log entries applied
+	isInboundPartitioned, isOutboundPartitioned, isPaused bool
+	inFlight                                              []inFlightCall
+	ackVersion                                            uint64 // version to acknowledge; only sent while no call is in flight on a frozen slot
+	nextAck                                               time.Duration
 }
 
 // finishCalls removes the calls that have ended.
@@ -57,21 +57,21 @@
 	m.inFlight = slices.DeleteFunc(m.inFlight, func(c inFlightCall) bool { return c.end <= now })
 }
 
-// hasCallOnFrozenSlot reports whether a call is in flight on a migrating slot: the freeze can't be acknowledged yet.
+// hasCallOnFrozenSlot reports whether a call is in flight on a frozen slot. The freeze cannot be acknowledged until it ends.
 func (m *migrationMember) hasCallOnFrozenSlot() bool {
 	return slices.ContainsFunc(m.inFlight, func(c inFlightCall) bool { return m.gate.frozen[c.slot] })
 }
 
-// migrationFigures are the results of a simulation.
-type migrationFigures struct {
-	violations    int // moments at which a slot was called at two backends
-	activated     int // migrations
+// migrationStats holds the results of a simulation.
+type migrationStats struct {
+	violations    int // slots called at two backends at once, counted each tick
+	activated     int // number of migrations completed
 	calls         int
 	longestFreeze time.Duration
 }
 
-// migrationSimulation is a fleet whose leader migrates slots again and again, through members cut off or suspended,
-// leaders that change in mid-migration, lost and reordered entries.
+// migrationSimulation simulates a fleet whose leader migrates slots repeatedly, while members are partitioned and suspended,
+// leaders change during migrations, and entries are lost and reordered.
 type migrationSimulation struct {
 	random                   *rand.Rand
 	leaderTerms, memberTerms LeaseTerms
@@ -81,11 +81,11 @@
 	leader                   *migrationMember
 	migrator                 *Migrator
 	frozenAt                 time.Duration
-	figures                  migrationFigures
+	stats                    migrationStats
 }
 
-// simulateMigrations runs such a fleet for a minute.
-func simulateMigrations(seed uint64, leaderTerms, memberTerms LeaseTerms) migrationFigures {
+// simulateMigrations runs a simulation for a minute.
+func simulateMigrations(seed uint64, leaderTerms, memberTerms LeaseTerms) migrationStats {
 	s := newMigrationSimulation(seed, leaderTerms, memberTerms)
 	for range simulationTicks {
 		s.now += simulationTick
@@ -95,13 +95,13 @@
 				s.runMember(m)
 			}
 		}
-		if !s.leader.isPaused && !s.leader.isInboundCut {
+		if !s.leader.isPaused && !s.leader.isInboundPartitioned {
 			s.runLeader()
 		}
 		s.countViolations()
 		s.injectFault()
 	}
-	return s.figures
+	return s.stats
 }
 
 func newMigrationSimulation(seed uint64, leaderTerms, memberTerms LeaseTerms) *migrationSimulation {
@@ -143,7 +143,7 @@
 	s.inFlight = append(s.inFlight, migrationEntry{kind: entryActivate, version: next.Version})
 }
 
-// deliver appends proposed entries to the log in any order; some are delayed or lost.
+// deliver appends proposed entries to the log in random order. Some are delayed or lost.
 func (s *migrationSimulation) deliver() {
 	for len(s.inFlight) > 0 && s.random.IntN(3) > 0 {
 		n := s.random.IntN(len(s.inFlight))
@@ -154,14 +154,14 @@
 	}
 }
 
-// runMember applies entries, acknowledges and calls.
+// runMember applies entries, sends an acknowledgement when it is due, and makes a call if it is allowed.
 func (s *migrationSimulation) runMember(m *migrationMember) {
 	m.finishCalls(s.now)
-	for !m.isInboundCut && m.applied < len(s.log) && s.random.IntN(5) > 0 {
+	for !m.isInboundPartitioned && m.applied < len(s.log) && s.random.IntN(5) > 0 {
 		m.applied++
 		s.apply(m, s.log[m.applied-1])
 	}
-	if s.clock(m) >= m.nextAck && !m.isOutboundCut && !m.hasCallOnFrozenSlot() {
+	if s.clock(m) >= m.nextAck && !m.isOutboundPartitioned && !m.hasCallOnFrozenSlot() {
 		s.inFlight = append(s.inFlight, migrationEntry{kind: entryAck, process: m.process, version: m.ackVersion, sent: s.clock(m)})
 		m.nextAck = s.clock(m) + s.leaderTerms.Duration/5
 	}
@@ -187,8 +187,8 @@
 		m.gate.Activate(m.state.Active)
 		if m == s.leader {
 			s.migrator.ActivationApplied(e.version)
-			s.figures.activated++
-			s.figures.longestFreeze = max(s.figures.longestFreeze, s.now-s.frozenAt)
+			s.stats.activated++
+			s.stats.longestFreeze = max(s.stats.longestFreeze, s.now-s.frozenAt)
 		}
 	case entryAck:
 		if !m.state.AcceptsAcknowledgement(e.version) {
@@ -203,14 +203,14 @@
 	}
 }
 
-// call makes a call, if it is allowed. It is cancelled at its deadline at the latest.
+// call makes a call if the gate allows it. The call is cancelled at its deadline at the latest.
 func (s *migrationSimulation) call(m *migrationMember) {
 	slot := s.random.IntN(simulatedSlots)
 	backend, deadline, decision := m.gate.Admit(s.clock(m), slot, NotIdempotent)
 	if decision != Allow {
 		return
 	}
-	s.figures.calls++
+	s.stats.calls++
 	wanted := s.clock(m) + time.Duration(s.random.IntN(200))*time.Millisecond
 	end := time.Duration(float64(min(wanted, deadline))/m.clockRate) + s.memberTerms.CancelDelay
 	m.inFlight = append(m.inFlight, inFlightCall{slot, backend.Name, end})
@@ -235,25 +235,25 @@
 				continue
 			}
 			if backend, ok := calledAt[c.slot]; ok && backend != c.backend {
-				s.figures.violations++
+				s.stats.violations++
 			}
 			calledAt[c.slot] = c.backend
 		}
 	}
 }
 
-// injectFault starts or ends a member's fault, or changes the leader, also during a migration, to one that has applied all
-// entries.
+// injectFault starts or ends a fault of a random member, or makes a member that has applied all entries the leader, even
+// during a migration.
 func (s *migrationSimulation) injectFault() {
 	switch m := s.members[s.random.IntN(len(s.members))]; s.random.IntN(300) {
 	case 0:
-		m.isInboundCut = !m.isInboundCut
+		m.isInboundPartitioned = !m.isInboundPartitioned
 	case 1:
-		m.isOutboundCut = !m.isOutboundCut
+		m.isOutboundPartitioned = !m.isOutboundPartitioned
 	case 2:
 		m.isPaused = !m.isPaused
 	case 3:
-		if !m.isPaused && !m.isInboundCut && m != s.leader && m.applied == len(s.log) {
+		if !m.isPaused && !m.isInboundPartitioned && m != s.leader && m.applied == len(s.log) {
 			s.leader, s.frozenAt = m, s.now
 			s.migrator = NewMigrator(s.clock(m), s, s.leaderTerms, s.processes(), m.state.Pending, m.state.MigratingSlots)
 		}
--- a/internal/decide/ring/migrator.go
+++ b/internal/decide/ring/migrator.go
@@ -5,53 +5,55 @@
 	"time"
 )
 
-// proposalsPerLease is how often in a lease an entry is proposed again while it has not been applied.
+// proposalsPerLease is how many times per lease duration an entry is proposed until it is applied.
 const proposalsPerLease = 4
 
-// LeaseTerms are the terms of the lease that members hold on a table. They are the same in all members.
+// LeaseTerms describes the lease that members hold on a table. The terms must be the same in all members.
 type LeaseTerms struct {
 	Duration    time.Duration
-	MaxDrift    float64       // fraction by which a clock may run fast or slow; 0 to 0.5
-	CancelDelay time.Duration // for which a cancelled call may still run at its backend
+	MaxDrift    float64       // fraction by which a member's clock may run fast or slow; 0 to 0.5
+	CancelDelay time.Duration // how long a cancelled call may still run at its backend
 }
 
-// usableDuration is how long a member may call, from before it sent the acknowledgement; cancelled calls included.
+// usableDuration returns how long a member may have calls in flight, counted from when it sent the acknowledgement. It
+// leaves time for cancelled calls to end, and for drift of the member's clock.
 func (t LeaseTerms) usableDuration() time.Duration {
 	return time.Duration(float64(t.Duration-t.CancelDelay) * (1 - t.MaxDrift))
 }
 
-// expiryWait is how long the leader waits for a member's lease to expire.
+// expiryWait returns how long the leader waits for a member's lease to expire, with allowance for drift of its clock.
 func (t LeaseTerms) expiryWait() time.Duration {
 	return time.Duration(float64(t.Duration) * (1 + t.MaxDrift))
 }
 
-// MigrationProposer proposes entries to the log under the leader's fencing token. Entries may be lost.
+// MigrationProposer proposes entries to the replicated log under the leader's fencing token. Proposed entries may be lost.
 type MigrationProposer interface {
 	ProposeFreeze(next *Table, slots []int)
 	ProposeActivation(next *Table)
 }
 
-// Migrator carries out one plan at a time at the leader: freeze the slots, wait until every member has acknowledged or its
-// lease has expired, activate the table. Its members are at most MaxMembers, removed by MemberLeft and on expiry.
+// Migrator carries out one plan at a time at the leader: it freezes the migrating slots, waits until each member has
+// acknowledged the freeze or its lease has expired, and activates the next table. It holds at most MaxMembers members,
+// which are removed by MemberLeft or when their lease expires.
 type Migrator struct {
 	proposer     MigrationProposer
 	terms        LeaseTerms
 	members      map[string]acknowledgement // by process
-	next         *Table                     // being migrated to; nil without a plan
+	next         *Table                     // the table being migrated to; nil if no plan is in progress
 	slots        []int
-	isFrozen     bool          // the freeze is in the log
+	isFrozen     bool          // whether the freeze is in the log
 	nextProposal time.Duration // when the current step is proposed again
 }
 
-// acknowledgement is a member's last one.
+// acknowledgement is the last acknowledgement of a member.
 type acknowledgement struct {
-	at      time.Duration // when it was applied here
+	at      time.Duration // when the leader applied it
 	version uint64
 }
 
-// NewMigrator returns the migrator of a leader that has just been elected. It knows members' acknowledgements only from
-// now on, so it waits a whole lease for each known one. pending is what the previous leader froze and did not activate,
-// or nil.
+// NewMigrator returns the migrator of a newly elected leader. It has no record of earlier acknowledgements, so it assumes
+// that each known member holds a lease that started now. pending is the table for which the previous leader froze slots
+// and which it did not activate, or nil.
 func NewMigrator(now time.Duration, proposer MigrationProposer, terms LeaseTerms, known []string, pending *Table, slots []int) *Migrator {
 	m := &Migrator{
 		proposer: proposer,
@@ -67,8 +69,8 @@
 	return m
 }
 
-// Start starts a plan. It returns false while another is in progress; the caller then plans again from the table that
-// is active afterwards.
+// Start starts to carry out a plan. It returns false while another plan is in progress; the caller must then plan again
+// once the table of that plan is active.
 func (m *Migrator) Start(now time.Duration, next *Table, migrations []Migration) bool {
 	if m.next != nil {
 		return false
@@ -81,15 +83,15 @@
 	}
 	slices.Sort(m.slots)
 	m.nextProposal = now
-	m.propose(now)
+	m.proposeIfDue(now)
 	return true
 }
 
-// InProgress reports whether a plan is being carried out.
+// InProgress reports whether a plan is in progress.
 func (m *Migrator) InProgress() bool { return m.next != nil }
 
-// propose proposes the current step, if it is due.
-func (m *Migrator) propose(now time.Duration) {
+// proposeIfDue proposes the entry of the current step (freeze or activation) if it is time to.
+func (m *Migrator) proposeIfDue(now time.Duration) {
 	if now < m.nextProposal {
 		return
 	}
@@ -101,7 +103,7 @@
 	}
 }
 
-// ActivationApplied records that the table of this version is active, which ends the plan that leads to it.
+// ActivationApplied records that the table of this version is active. It ends the plan if its table is not newer.
 func (m *Migrator) ActivationApplied(version uint64) {
 	if m.next != nil && m.next.Version <= version {
 		m.next = nil
@@ -131,11 +133,11 @@
 	return true
 }
 
-// MemberLeft notes that a process has ended its calls and makes no more.
+// MemberLeft records that a process has ended its calls and makes no more.
 func (m *Migrator) MemberLeft(process string) { delete(m.members, process) }
 
-// Tick removes members whose lease has expired, and proposes the current step if it waits for no member. It returns
-// the members that are waited for.
+// Tick removes members whose lease has expired, and proposes the entry of the current step again if it is due and no
+// acknowledgement is missing. It returns the members whose acknowledgement is missing.
 func (m *Migrator) Tick(now time.Duration) (waiting []string) {
 	for process, last := range m.members {
 		if now-last.at >= m.terms.expiryWait() {
@@ -146,7 +148,7 @@
 	}
 	slices.Sort(waiting)
 	if m.next != nil && len(waiting) == 0 {
-		m.propose(now)
+		m.proposeIfDue(now)
 	}
 	return waiting
 }
--- a/internal/decide/ring/migrator_test.go
+++ b/internal/decide/ring/migrator_test.go
@@ -8,11 +8,11 @@
 var leaseTerms = LeaseTerms{Duration: time.Second, MaxDrift: 0.02, CancelDelay: 100 * time.Millisecond}
 
 func TestNoSlotIsCalledAtTwoBackendsConcurrently(t *testing.T) {
-	var total migrationFigures
+	var total migrationStats
 	for seed := range uint64(30) {
 		f := simulateMigrations(seed, leaseTerms, leaseTerms)
 		if f.violations > 0 {
-			t.Errorf("seed %d: %d times at two backends", seed, f.violations)
+			t.Errorf("seed %d: slots were called at two backends at once %d times", seed, f.violations)
 		}
 		total.activated += f.activated
 		total.calls += f.calls
@@ -20,23 +20,24 @@
 	}
 	t.Logf("%d migrations activated, %d calls, longest freeze %v", total.activated, total.calls, total.longestFreeze)
 	if total.activated < 100 || total.calls < 10000 {
-		t.Errorf("only %d migrations activated, %d calls", total.activated, total.calls)
+		t.Errorf("%d migrations activated and %d calls, want at least 100 and 10000", total.activated, total.calls)
 	}
 }
 
-// Without the safeguards, a leader that waits for leases and members that stop at their expiry, the simulation must find
-// violations.
+// The safeguards are that the leader waits for leases to expire and that members stop calling when theirs has. Without
+// either one the simulation must find violations.
 func TestSlotIsCalledAtTwoBackendsWithoutLeaseWait(t *testing.T) {
-	impatient, overstaying := leaseTerms, leaseTerms
-	impatient.Duration = 50 * time.Millisecond
-	overstaying.Duration = 3 * time.Second
-	for name, m := range map[string][2]LeaseTerms{"impatient leader": {impatient, leaseTerms}, "overstaying members": {leaseTerms, overstaying}} {
+	shortWait, longLease := leaseTerms, leaseTerms
+	shortWait.Duration = 50 * time.Millisecond
+	longLease.Duration = 3 * time.Second
+	for name, m := range map[string][2]LeaseTerms{"leader waits too briefly": {shortWait, leaseTerms},
+		"members call too long": {leaseTerms, longLease}} {
 		violations := 0
 		for seed := range uint64(30) {
 			violations += simulateMigrations(seed, m[0], m[1]).violations
 		}
 		if violations == 0 {
-			t.Errorf("%s: never at two backends: the check detects nothing", name)
+			t.Errorf("%s: no slot was called at two backends at once, so the check does not detect it", name)
 		}
 	}
 }
--- a/internal/decide/ring/plan.go
+++ b/internal/decide/ring/plan.go
@@ -6,29 +6,29 @@
 	"slices"
 )
 
-// Migration is the change of one slot's owner. From is "" for a slot that was unassigned.
+// Migration is a change of one slot's owner. From is empty if the slot was unassigned.
 type Migration struct {
 	Slot     int
 	From, To string
 }
 
-// BalanceBound limits how far a backend may deviate from its fair share of slots by weight. Where Slack allows less
-// than one slot of deviation, the whole numbers around the fair share are allowed.
+// BalanceBound limits how far a backend's number of slots may deviate from its fair share by weight. The fair share
+// rounded down and rounded up is always allowed, even if Slack is less than one slot.
 type BalanceBound struct {
 	Slack float64 // fraction of the fair share, 0 to 1
 }
 
-// slotRange returns the fewest and the most slots for a fair share.
+// slotRange returns the fewest and the most slots that a backend with this fair share may own.
 func (b BalanceBound) slotRange(fair float64) (low, high int) {
 	low = min(int(math.Floor(fair)), int(math.Ceil(fair*(1-b.Slack))))
 	high = max(int(math.Ceil(fair)), int(math.Floor(fair*(1+b.Slack))))
 	return low, high
 }
 
-// MinMigrations returns the fewest migrations that lead from the owned counts to any assignment within low and high.
-// A backend over its upper limit must give the excess away, one under its lower limit must get the rest, and free
-// slots must be assigned. A migration takes from one and gives to one, so the larger of the two sums is a lower
-// bound; Plan reaches it.
+// MinMigrations returns the fewest migrations from the owned counts and the free (unassigned) slots to any assignment
+// within low and high. A backend over its upper limit must give away the excess, a backend under its lower limit must
+// get what it lacks, and free slots must be assigned. One migration removes a slot from one place and adds it to
+// another, so the larger of the two sums is a lower bound, and Plan reaches it.
 func MinMigrations(owned, low, high []int, free int) int {
 	give, get := free, 0
 	for n, count := range owned {
@@ -38,10 +38,11 @@
 	return max(give, get)
 }
 
-// Plan returns the next table over these backends, the migrations that lead to it by slot, and the fewest that any
-// plan must make. Slots of a removed backend go to their failover targets as far as the bound allows. slotLoad, if not
-// nil, is the measured load of each slot: a backend over the mean load gives its most loaded slots away first, one
-// under it its least loaded. It fails if the backends are not valid.
+// Plan returns the next table, which assigns all slots to these backends, the migrations that lead to it, ordered by
+// slot, and the minimum number of migrations that any such plan needs. Slots of a removed backend go to their failover
+// targets as far as the bound allows. slotLoad, if not nil, is the measured load of each slot: a backend with more than
+// the mean load gives away its most loaded slots first, the others their least loaded. Plan fails with a *ValueError if
+// the backends are not valid.
 func (t *Table) Plan(backends []Backend, bound BalanceBound, slotLoad []float64) (next *Table, migrations []Migration, minimum int, err error) {
 	sorted, err := normalizeBackends(backends)
 	if err != nil {
@@ -49,7 +50,7 @@
 	}
 	p := newPlanner(t, sorted, slotLoad)
 	failover, wanted := p.failoverTargets()
-	targets := p.next.slotTargets(bound, p.owned, wanted)
+	targets := p.next.computeSlotTargets(bound, p.owned, wanted)
 	minimum = MinMigrations(p.owned, targets.low, targets.high, len(p.orphans))
 	unplaced := p.releaseExcess(targets.count)
 	unplaced = append(unplaced, p.placeOrphans(failover, targets.count)...)
@@ -57,15 +58,15 @@
 	return p.next, p.migrations(), minimum, nil
 }
 
-// planner holds the intermediate state of one Plan.
+// planner holds the intermediate state of one call of Plan.
 type planner struct {
 	previous *Table
 	next     *Table
-	newIndex []int16   // by index in the previous table; unassigned for removed backends
-	owned    []int     // slots by backend of the next table
-	load     []float64 // of these slots
-	slotLoad []float64 // nil if not measured
-	orphans  []int     // slots without an owner in the next table yet
+	newIndex []int16   // index in the next table by index in the previous one; unassigned for removed backends
+	owned    []int     // number of slots by backend of the next table
+	load     []float64 // total load of the kept slots, by backend of the next table
+	slotLoad []float64 // by slot; nil if not measured
+	orphans  []int     // slots whose previous owner is removed, or that had none
 }
 
 func newPlanner(previous *Table, sorted []Backend, slotLoad []float64) *planner {
@@ -88,7 +89,7 @@
 	return p
 }
 
-// keepOwners assigns each slot to its previous owner where that remains, and collects the others as orphans.
+// keepOwners assigns each slot to its previous owner if that remains, and collects the other slots as orphans.
 func (p *planner) keepOwners() {
 	slots := p.next.slots
 	for slot, previousOwner := range p.previous.slots {
@@ -108,8 +109,8 @@
 	}
 }
 
-// failoverTargets returns the failover target of each orphan, or unassigned, and how many orphans each backend is the
-// target of.
+// failoverTargets returns the failover target of each orphan (unassigned if it has none), and the number of orphans that
+// each backend is the target of.
 func (p *planner) failoverTargets() (failover []int16, wanted []int) {
 	failover, wanted = make([]int16, len(p.orphans)), make([]int, len(p.next.backends))
 	find := p.previous.failoverFinder(p.newIndex)
@@ -126,13 +127,13 @@
 	return failover, wanted
 }
 
-// releaseExcess takes from each backend the slots that it owns over its target.
+// releaseExcess unassigns, for each backend, as many slots as it owns over its target, and returns them.
 func (p *planner) releaseExcess(target []int) (released []int) {
 	meanLoad := 0.0
 	for _, load := range p.load {
 		meanLoad += load / float64(len(p.load))
 	}
-	slotsOf := make([][]int, len(p.owned)) // of the backends over their targets
+	slotsOf := make([][]int, len(p.owned)) // by backend, only of those over their target
 	for slot, b := range p.next.slots {
 		if b != unassigned && p.owned[b] > target[b] {
 			slotsOf[b] = append(slotsOf[b], slot)
@@ -162,7 +163,7 @@
 func (p *planner) leastLoadedFirst(x, y int) int { return cmp.Compare(p.slotLoad[x], p.slotLoad[y]) }
 func (p *planner) mostLoadedFirst(x, y int) int  { return cmp.Compare(p.slotLoad[y], p.slotLoad[x]) }
 
-// placeOrphans assigns orphans to their failover targets up to the targets' counts, and returns the rest.
+// placeOrphans assigns each orphan to its failover target if that is still under its target count, and returns the rest.
 func (p *planner) placeOrphans(failover []int16, target []int) (unplaced []int) {
 	for n, slot := range p.orphans {
 		owner := failover[n]
@@ -176,7 +177,7 @@
 	return unplaced
 }
 
-// assign gives each slot to the first backend by name that is under its target.
+// assign gives each slot to the first backend by name that is under its target count.
 func (p *planner) assign(slots, target []int) {
 	owner := 0
 	for _, slot := range slots {
@@ -188,7 +189,7 @@
 	}
 }
 
-// migrations lists the slots whose owner differs between the two tables.
+// migrations returns the changes of owner from the previous to the next table, ordered by slot.
 func (p *planner) migrations() (migrations []Migration) {
 	for slot, owner := range p.next.slots {
 		from := ""
--- a/internal/decide/ring/plan_test.go
+++ b/internal/decide/ring/plan_test.go
@@ -7,8 +7,8 @@
 	"pgregory.net/rapid"
 )
 
-// Through any joins, leaves and changes of weight: every slot owned by a present backend, each backend within the
-// bound, and exactly the minimum of migrations.
+// After any backends join, leave or change weight, each slot is owned by a present backend, each backend is within the
+// balance bound, and exactly the minimum number of migrations is made.
 func TestPlanMakesFewestMigrationsWithinBalanceBound(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		table, _ := New(1 << rapid.IntRange(2, 8).Draw(t, "slots"))
@@ -40,18 +40,18 @@
 			for n, b := range next.Backends() {
 				low, high := bound.slotRange(float64(table.Slots()) * b.Weight / total)
 				if owned[n] < low || owned[n] > high {
-					t.Fatalf("%s owns %d, want %d to %d", b.Name, owned[n], low, high)
+					t.Fatalf("%s owns %d slots, want %d to %d", b.Name, owned[n], low, high)
 				}
 			}
 			if free != 0 || len(migrations) != minimum {
-				t.Fatalf("%d unassigned, %d migrations, minimum %d", free, len(migrations), minimum)
+				t.Fatalf("%d slots unassigned, %d migrations, minimum %d", free, len(migrations), minimum)
 			}
 			table = next
 		}
 	})
 }
 
-// Plan makes as few migrations as the best of all assignments, at sizes at which all can be tried.
+// Plan makes as few migrations as the best of all assignments, for tables small enough to try all of them.
 func TestMinMigrationsMatchesBruteForce(t *testing.T) {
 	total := 0
 	for _, slots := range []int{2, 4, 8} {
@@ -60,7 +60,7 @@
 				for _, slack := range []float64{0, 0.5} {
 					empty, _ := New(slots)
 					previous, _, _ := mustPlan(t, empty, testBackends(before), BalanceBound{})
-					to := testBackends(4)[4-after:] // with one backend after, none remains of up to three before
+					to := testBackends(4)[4-after:] // a single backend afterwards is a new one
 					if after > 1 {
 						to = testBackends(after)
 					}
@@ -77,7 +77,7 @@
 	t.Logf("%d assignments tried", total)
 }
 
-// fewestMigrations returns the fewest migrations to any assignment within the bound, by trying all, and the number tried.
+// fewestMigrations tries all assignments. It returns the fewest migrations to any within the bound, and the number tried.
 func fewestMigrations(previous *Table, to []Backend, bound BalanceBound) (fewest, tried int) {
 	slots := previous.Slots()
 	low, high := bound.slotRange(float64(slots) / float64(len(to)))
@@ -100,7 +100,7 @@
 	}
 }
 
-// nextAssignment changes the assignment to the next one in counting order, and returns false after the last.
+// nextAssignment advances the assignment like a counter, and returns false after the last one.
 func nextAssignment(assignment []int, backends int) bool {
 	for slot := range assignment {
 		if assignment[slot] < backends-1 {
--- a/internal/decide/ring/rebalance.go
+++ b/internal/decide/ring/rebalance.go
@@ -5,22 +5,24 @@
 	"time"
 )
 
-// minReliefOfLoad is the part of a slot's load that its migration must relieve: one that mostly carries the overload
-// from one backend to the other is not worth a migration.
-const minReliefOfLoad = 0.5
+// minReliefFraction is the fraction of a slot's load by which its migration must relieve the more loaded backend.
+// Otherwise the migration mostly moves the overload to the other backend.
+const minReliefFraction = 0.5
 
-// RebalancePolicy says when load is worth a migration. Ratios are of the most loaded backend to the mean, by weight.
+// RebalancePolicy says when load justifies migrations. Ratios are the load per weight of the most loaded backend,
+// relative to the mean.
 type RebalancePolicy struct {
 	StartRatio    float64       // rebalancing starts above this ratio
-	StopRatio     float64       // and continues until the ratio is at most this
-	MaxMigrations int           // in one plan
-	FreezeTime    time.Duration // for which calls on a slot wait while it migrates
-	ReliefHorizon time.Duration // for which a migration is assumed to relieve
+	StopRatio     float64       // once started, it continues until the ratio is at most this
+	MaxMigrations int           // per call of Rebalance
+	FreezeTime    time.Duration // how long calls on a slot must wait while it migrates
+	ReliefHorizon time.Duration // how long the relief by a migration is assumed to last
 }
 
-// Rebalance returns the next table with slots migrated from the most to the least loaded backend by weight, and the
-// migrations. Each relieves, over the horizon, more calls than wait while it lasts, and at least half of the slot's
-// load; slot counts stay within the bound. Without a worthwhile migration there are none.
+// Rebalance returns the next table, with slots migrated from the most to the least loaded backend by load per weight, and
+// the migrations. A slot migrates only if that relieves the more loaded backend by at least minReliefFraction of the
+// slot's load, and by more calls over ReliefHorizon than must wait during FreezeTime. Slot counts stay within the bound.
+// If no slot qualifies there are no migrations.
 func (t *Table) Rebalance(slotLoad []float64, bound BalanceBound, policy RebalancePolicy) (next *Table, migrations []Migration) {
 	next = &Table{Version: t.Version + 1, backends: t.backends, slots: slices.Clone(t.slots), mask: t.mask, equalWeights: t.equalWeights}
 	r := newRebalancer(t, slotLoad, policy)
@@ -34,10 +36,10 @@
 			break
 		}
 		threshold = policy.StopRatio
-		if !r.mayMigrate(from, to, bound) {
+		if !r.staysWithinBound(from, to, bound) {
 			break
 		}
-		position, found := r.mostRelieving(from, to)
+		position, found := r.mostRelievingSlot(from, to)
 		if !found {
 			break
 		}
@@ -48,11 +50,11 @@
 	return next, migrations
 }
 
-// rebalancer holds the intermediate state of one Rebalance.
+// rebalancer holds the intermediate state of one call of Rebalance.
 type rebalancer struct {
 	table       *Table
 	policy      RebalancePolicy
-	slotLoad    []float64
+	slotLoad    []float64 // by slot
 	load        []float64 // by backend
 	slotsOf     [][]int   // by backend
 	totalLoad   float64
@@ -70,7 +72,7 @@
 	return r
 }
 
-// loadRatio is a backend's load by weight, relative to the mean.
+// loadRatio returns a backend's load per weight, relative to the mean of all backends.
 func (r *rebalancer) loadRatio(b int) float64 {
 	return r.load[b] / r.table.backends[b].Weight / (r.totalLoad / r.totalWeight)
 }
@@ -87,8 +89,8 @@
 	return most, least
 }
 
-// mayMigrate reports whether both slot counts stay within the bound.
-func (r *rebalancer) mayMigrate(from, to int, bound BalanceBound) bool {
+// staysWithinBound reports whether the migration of one slot leaves the slot counts of both backends within the bound.
+func (r *rebalancer) staysWithinBound(from, to int, bound BalanceBound) bool {
 	fair := func(b int) float64 {
 		return float64(len(r.table.slots)) * r.table.backends[b].Weight / r.totalWeight
 	}
@@ -97,14 +99,15 @@
 	return len(r.slotsOf[from]) > low && len(r.slotsOf[to]) < high
 }
 
-// mostRelieving returns the position among from's slots of the one whose migration relieves most, by enough to pay for the migration.
-func (r *rebalancer) mostRelieving(from, to int) (position int, found bool) {
+// mostRelievingSlot returns the position in slotsOf[from] of the slot whose migration gives the most relief, among those
+// with enough relief to be worth a migration.
+func (r *rebalancer) mostRelievingSlot(from, to int) (position int, found bool) {
 	position, bestRelief := -1, 0.0
 	backends := r.table.backends
 	for n, slot := range r.slotsOf[from] {
 		load := r.slotLoad[slot]
 		relief := min(load, r.load[from]-r.load[to]*backends[from].Weight/backends[to].Weight-load)
-		isSufficient := relief >= minReliefOfLoad*load && relief*r.policy.ReliefHorizon.Seconds() > load*r.policy.FreezeTime.Seconds()
+		isSufficient := relief >= minReliefFraction*load && relief*r.policy.ReliefHorizon.Seconds() > load*r.policy.FreezeTime.Seconds()
 		if relief > bestRelief && isSufficient {
 			position, bestRelief = n, relief
 		}
@@ -112,7 +115,7 @@
 	return position, position >= 0
 }
 
-// migrate moves the slot at a position among from's, and returns it.
+// migrate moves the slot at this position in slotsOf[from] to the other backend, and returns it.
 func (r *rebalancer) migrate(position, from, to int) (slot int) {
 	slot = r.slotsOf[from][position]
 	r.slotsOf[from] = slices.Delete(r.slotsOf[from], position, position+1)
@@ -122,7 +125,7 @@
 	return slot
 }
 
-// PeakLoadRatio returns the load by weight of the most loaded backend, relative to the mean; 0 without any load.
+// PeakLoadRatio returns the load per weight of the most loaded backend, relative to the mean, or 0 if there is no load.
 func (t *Table) PeakLoadRatio(slotLoad []float64) (peak float64) {
 	load, totalLoad := t.backendLoad(slotLoad)
 	if totalLoad == 0 {
@@ -135,7 +138,7 @@
 	return peak
 }
 
-// backendLoad sums slot loads by backend, and over all assigned slots.
+// backendLoad returns the load of each backend, and of all assigned slots together.
 func (t *Table) backendLoad(slotLoad []float64) (load []float64, total float64) {
 	load = make([]float64, len(t.backends))
 	for slot, b := range t.slots {
--- a/internal/decide/ring/rebalance_test.go
+++ b/internal/decide/ring/rebalance_test.go
@@ -24,12 +24,12 @@
 		after := next.PeakLoadRatio(estimate.PerSlot())
 		hasNoRelief := before > rebalancePolicy.StartRatio && (after >= before || len(migrations) == 0)
 		if hasNoRelief || len(migrations) > rebalancePolicy.MaxMigrations {
-			t.Errorf("seed %d: %.3f to %.3f by %d migrations", seed, before, after, len(migrations))
+			t.Errorf("seed %d: peak load ratio changed from %.3f to %.3f by %d migrations", seed, before, after, len(migrations))
 		}
-		t.Logf("seed %d: peak load over mean %.3f to %.3f by %d migrations", seed, before, after, len(migrations))
+		t.Logf("seed %d: peak load ratio from %.3f to %.3f by %d migrations", seed, before, after, len(migrations))
 		again, more := next.Rebalance(estimate.PerSlot(), BalanceBound{Slack: 0.2}, rebalancePolicy)
 		if len(more) > 0 && again.PeakLoadRatio(estimate.PerSlot()) >= after {
-			t.Errorf("seed %d: %d more migrations without relief", seed, len(more))
+			t.Errorf("seed %d: the second call made %d migrations that do not lower the peak load", seed, len(more))
 		}
 	}
 }
@@ -44,9 +44,9 @@
 			top = s
 		}
 	}
-	load[top] = 100 // all of the load: its migration would only move the overload
+	load[top] = 100 // all of the load, so its migration would only move the overload
 	if _, migrations := table.Rebalance(load, BalanceBound{Slack: 0.5}, rebalancePolicy); len(migrations) != 0 {
-		t.Errorf("%v", migrations)
+		t.Errorf("migrations that only move the overload: %v", migrations)
 	}
 	for s := range load {
 		if b, _ := table.Owner(s); b.Name == "b000" && s != top {
@@ -55,14 +55,14 @@
 	}
 	next, migrations := table.Rebalance(load, BalanceBound{Slack: 0.5}, rebalancePolicy)
 	if b, _ := next.Owner(top); b.Name != "b000" || len(migrations) == 0 {
-		t.Errorf("the other slots should migrate, not the most loaded one: %v", migrations)
+		t.Errorf("want migrations of the other slots, not of the most loaded one: %v", migrations)
 	}
 	expensive := rebalancePolicy
 	expensive.FreezeTime = 2 * time.Minute // a migration costs more than it relieves
 	if _, migrations := table.Rebalance(load, BalanceBound{Slack: 0.5}, expensive); len(migrations) != 0 {
-		t.Errorf("migrated though that costs more than it relieves: %v", migrations)
+		t.Errorf("migrations that cost more than they relieve: %v", migrations)
 	}
 	if _, migrations := table.Rebalance(make([]float64, 8), BalanceBound{}, rebalancePolicy); len(migrations) != 0 {
-		t.Errorf("migrated without any load: %v", migrations)
+		t.Errorf("migrations without any load: %v", migrations)
 	}
 }
--- a/internal/decide/ring/replicated_state.go
+++ b/internal/decide/ring/replicated_state.go
@@ -2,24 +2,24 @@
 
 import "slices"
 
-// MaxMembers bounds the processes that call by a table.
+// MaxMembers is the largest number of processes that call backends by one table.
 const MaxMembers = 10000
 
-// ReplicatedState is what every member derives from the log's entries in their order. It depends on no clock, so it is the
-// same in all members.
+// ReplicatedState is the state that each member derives by applying the log's entries in order. It depends on no clock, so
+// it is the same in all members.
 type ReplicatedState struct {
 	Active         *Table
-	Pending        *Table // the table being migrated to; nil without a migration
+	Pending        *Table // the table being migrated to; nil if no migration is in progress
 	MigratingSlots []int
 
-	// Participants are the processes that share grants, sorted by name; at most MaxMembers. There are some only while
-	// the active table has a backend that is warming up.
+	// Participants are the processes that grants are split among, sorted by name; at most MaxMembers. It is empty unless
+	// a backend of the active table is warming up.
 	Participants      []string
 	LastGrantSequence uint64 // Sequence of the last applied grant
 }
 
-// Freeze starts the migration to the next table. It returns false during another migration, and for a table that is
-// not the next version.
+// Freeze starts the migration of these slots to the next table. It returns false, and does nothing, if another migration
+// is in progress or the table's version does not follow the active one.
 func (s *ReplicatedState) Freeze(next *Table, slots []int) bool {
 	if s.Pending != nil || next.Version != s.Active.Version+1 {
 		return false
@@ -28,7 +28,8 @@
 	return true
 }
 
-// Activate ends the migration to this version. It returns false if that is not the pending one.
+// Activate makes the pending table active, which ends the migration. It returns false if the pending table does not have
+// this version.
 func (s *ReplicatedState) Activate(version uint64) bool {
 	if s.Pending == nil || s.Pending.Version != version {
 		return false
@@ -42,7 +43,8 @@
 	return true
 }
 
-// RecordAcknowledgement makes a process whose acknowledgement was accepted a participant of the next grants.
+// RecordAcknowledgement adds a process whose acknowledgement was accepted to the participants, if a backend of the active
+// table is warming up.
 func (s *ReplicatedState) RecordAcknowledgement(process string) {
 	index, known := slices.BinarySearch(s.Participants, process)
 	if !known && s.Active.HasWarmingUp() && len(s.Participants) < MaxMembers {
@@ -50,14 +52,15 @@
 	}
 }
 
-// RemoveParticipant notes that a process makes no more calls.
+// RemoveParticipant removes a process that makes no more calls from the participants.
 func (s *ReplicatedState) RemoveParticipant(process string) {
 	if index, known := slices.BinarySearch(s.Participants, process); known {
 		s.Participants = slices.Delete(s.Participants, index, index+1)
 	}
 }
 
-// ApplyGrant applies a grant's entry. It returns false for one that is not next in sequence, such as a duplicate.
+// ApplyGrant applies the log entry of a grant. It returns false, and does nothing, if the grant is not the next in sequence,
+// for example a duplicate.
 func (s *ReplicatedState) ApplyGrant(g Grant) bool {
 	if g.Sequence != s.LastGrantSequence+1 {
 		return false
@@ -69,9 +72,9 @@
 	return true
 }
 
-// AcceptsAcknowledgement reports whether an acknowledgement of a version renews its sender's lease. During a migration
-// only that of the pending version does: otherwise a member that has not seen the freeze could renew its lease between the
-// leader's decision to activate and the activation.
+// AcceptsAcknowledgement reports whether an acknowledgement of this table version renews its sender's lease. During a
+// migration it must be of the pending version: otherwise a member that has not applied the freeze could renew its lease
+// between the leader's decision to activate the table and the activation.
 func (s *ReplicatedState) AcceptsAcknowledgement(version uint64) bool {
 	if s.Pending != nil {
 		return version >= s.Pending.Version
--- a/internal/decide/ring/slow_start.go
+++ b/internal/decide/ring/slow_start.go
@@ -2,34 +2,34 @@
 
 import "time"
 
-// SlowStart says how a backend that joins warms up. Fractions are of its full weight.
+// SlowStart configures how a backend that joins warms up. Fractions are of its full weight.
 type SlowStart struct {
-	InitialFraction float64       // on joining; over 0, at most 1
-	Increment       float64       // added each StepInterval while the backend is healthy; over 0
-	BackoffFactor   float64       // the fraction is multiplied by this when the backend is overloaded; 0 to 1
-	StepInterval    time.Duration // between steps, over 0; after a step back it is twice as long
-	MaxLatency      time.Duration // of its calls; above this it counts as overloaded
-	MaxErrorRate    float64       // fraction of its calls that fail; above this it counts as overloaded
+	InitialFraction float64       // when it joins; greater than 0, at most 1
+	Increment       float64       // added each StepInterval while the backend is not overloaded; greater than 0
+	BackoffFactor   float64       // multiplies the fraction when the backend is overloaded; 0 to 1
+	StepInterval    time.Duration // between steps, doubled after a backoff; greater than 0
+	MaxLatency      time.Duration // the backend counts as overloaded if the latency of its calls exceeds this
+	MaxErrorRate    float64       // the backend counts as overloaded if a larger fraction of its calls fails
 }
 
-// Validate returns a *ValueError for a field out of range.
+// Validate returns a *ValueError if a field is out of range.
 func (s SlowStart) Validate() error {
 	return firstInvalid([]rangeCheck{
-		{s.InitialFraction > 0 && s.InitialFraction <= 1, "slow start initial fraction", s.InitialFraction, "over 0 and at most 1"},
-		{s.Increment > 0, "slow start increment", s.Increment, "over 0"},
+		{s.InitialFraction > 0 && s.InitialFraction <= 1, "slow start initial fraction", s.InitialFraction, "greater than 0 and at most 1"},
+		{s.Increment > 0, "slow start increment", s.Increment, "greater than 0"},
 		{s.BackoffFactor >= 0 && s.BackoffFactor <= 1, "slow start backoff factor", s.BackoffFactor, "0 to 1"},
-		{s.StepInterval > 0, "slow start step interval", s.StepInterval, "over 0"},
+		{s.StepInterval > 0, "slow start step interval", s.StepInterval, "greater than 0"},
 	})
 }
 
-// SlowStartProgress is how far one backend has warmed up. The zero value has not started.
+// SlowStartProgress is how far one backend has warmed up. The zero value is a slow start that has not begun.
 type SlowStartProgress struct {
 	fraction  float64
 	nextStep  time.Duration
 	isStarted bool
 }
 
-// Advance returns the fraction of its weight that the backend may have now, given the latency and the error rate of
+// Advance returns the fraction of its full weight that the backend may have now, given the latency and the error rate of
 // its calls since the last step.
 func (p *SlowStartProgress) Advance(now time.Duration, s SlowStart, latency time.Duration, errorRate float64) float64 {
 	switch {
@@ -48,13 +48,13 @@
 	return p.fraction
 }
 
-// ResumeSlowStart returns the progress of a backend that another leader has brought to a fraction.
+// ResumeSlowStart returns the progress of a backend that a previous leader has brought to this fraction of its weight.
 func ResumeSlowStart(now time.Duration, s SlowStart, fraction float64) SlowStartProgress {
 	return SlowStartProgress{isStarted: true, fraction: min(max(fraction, s.InitialFraction), 1), nextStep: now + s.StepInterval}
 }
 
-// CompletedSlowStart returns the progress of a backend at its full weight.
+// CompletedSlowStart returns the progress of a backend that has its full weight.
 func CompletedSlowStart() SlowStartProgress { return SlowStartProgress{fraction: 1, isStarted: true} }
 
-// Restart makes the backend start again from the initial fraction, as one does that was down for long.
+// Restart makes the backend start again from the initial fraction, as after a long outage.
 func (p *SlowStartProgress) Restart() { *p = SlowStartProgress{} }
--- a/internal/decide/ring/slow_start_test.go
+++ b/internal/decide/ring/slow_start_test.go
@@ -36,7 +36,7 @@
 	for at := time.Duration(0); at <= 8*time.Second; at += 100 * time.Millisecond {
 		fraction := p.Advance(at, slowStart, time.Millisecond, 0)
 		if fraction < last || fraction-last > slowStart.Increment+1e-9 {
-			t.Fatalf("at %v its fraction goes from %g to %g", at, last, fraction)
+			t.Fatalf("at %v: fraction changed from %g to %g", at, last, fraction)
 		}
 		if fraction != last {
 			to := testBackends(6)
@@ -50,8 +50,8 @@
 		}
 		last = fraction
 	}
-	if owned, _ := table.SlotCounts(); last != 1 || owned[5] < 170 || migrated > 175 { // a sixth of the slots, each migrated once
-		t.Errorf("fraction %g, %v owned, %d migrations in all", last, owned, migrated)
+	if owned, _ := table.SlotCounts(); last != 1 || owned[5] < 170 || migrated > 175 { // about a sixth of the slots, each migrated once
+		t.Errorf("fraction %g, slots owned %v, %d migrations in total", last, owned, migrated)
 	}
 }
 
@@ -73,9 +73,9 @@
 	}
 	completed := CompletedSlowStart()
 	if got := completed.Advance(time.Hour, slowStart, time.Minute, 1); got != 1 {
-		t.Errorf("a backend at full weight is in slow start: %g", got)
+		t.Errorf("fraction of a warmed-up backend: %g, want 1", got)
 	}
 	if completed.Restart(); completed.Advance(time.Hour, slowStart, 0, 0) != 0.1 {
-		t.Error("a restarted backend has its full weight")
+		t.Error("a restarted slow start does not begin at the initial fraction")
 	}
 }
--- a/internal/decide/ring/warm_up.go
+++ b/internal/decide/ring/warm_up.go
@@ -5,28 +5,29 @@
 	"time"
 )
 
-// maxDepartedPerGrant bounds the participants that one grant removes; the rest waits for the next.
+// maxDepartedPerGrant is the largest number of participants that one grant removes; later grants remove the rest.
 const maxDepartedPerGrant = 64
 
-// WarmUpController is the leader's view of the backends that are warming up: their weights and the next grant. Its
-// progress table holds an entry for each, removed by WeightedBackends.
+// WarmUpController decides, at the leader, on the weights of the backends that are warming up and on the grants of calls to
+// them. Its progress map holds one entry per such backend, which WeightedBackends removes once the warm-up has ended.
 type WarmUpController struct {
 	slowStart SlowStart
 	budget    CallBudget
 	terms     LeaseTerms
 	progress  map[string]*SlowStartProgress // by backend
-	nextGrant time.Duration                 // when the next grant, or the pending one again, is due
-	pending   *Grant                        // proposed, and not yet applied
+	nextGrant time.Duration                 // when to propose the next grant, or the pending one again
+	pending   *Grant                        // proposed but not yet applied; nil if there is none
 }
 
-// NewWarmUpController returns the controller of a leader that has just been elected. All grants of the previous leader
-// precede its election in the log, so the first of its own is due after a whole interval.
+// NewWarmUpController returns the controller of a newly elected leader. All grants of the previous leader precede the
+// election in the log, so waiting for a whole GrantInterval from now keeps the first grant far enough from them.
 func NewWarmUpController(now time.Duration, s SlowStart, b CallBudget, terms LeaseTerms) *WarmUpController {
 	return &WarmUpController{slowStart: s, budget: b, terms: terms, progress: map[string]*SlowStartProgress{}, nextGrant: now + b.GrantInterval}
 }
 
-// WeightedBackends returns the wanted backends with the weights they may have now. A backend warms up if it is wanted so and
-// does not stand at full weight in the table; one that a previous leader started resumes from its weight there.
+// WeightedBackends returns the wanted backends with the weights that they may have now. A backend warms up if it is marked
+// WarmingUp in wanted, unless the table has it as warmed up already. A warm-up that a previous leader began resumes from
+// the weight in the table.
 func (c *WarmUpController) WeightedBackends(now time.Duration, wanted []Backend, t *Table) []Backend {
 	weighted, isWarming := make([]Backend, len(wanted)), map[string]bool{}
 	for n, backend := range wanted {
@@ -44,7 +45,7 @@
 	return weighted
 }
 
-// progressOf returns a backend's progress, started if need be; current is the backend in the table, or nil.
+// progressOf returns a backend's progress, and creates it if there is none yet. current is the backend in the table, or nil.
 func (c *WarmUpController) progressOf(now time.Duration, wanted Backend, current *Backend) *SlowStartProgress {
 	if c.progress[wanted.Name] == nil {
 		c.progress[wanted.Name] = &SlowStartProgress{}
@@ -55,13 +56,14 @@
 	return c.progress[wanted.Name]
 }
 
-// NextGrant returns the grant to propose now, if one is due. isAlive reports whether a process still acknowledges.
+// NextGrant returns the grant to propose now, or false if none is due. isAlive reports whether a process still sends
+// acknowledgements.
 func (c *WarmUpController) NextGrant(now time.Duration, state *ReplicatedState, isAlive func(process string) bool) (Grant, bool) {
 	if now < c.nextGrant || !state.Active.HasWarmingUp() {
 		return Grant{}, false
 	}
 	c.nextGrant = now + c.terms.Duration/proposalsPerLease
-	if c.pending != nil && c.pending.Sequence > state.LastGrantSequence { // lost or in flight: the sequence makes it idempotent
+	if c.pending != nil && c.pending.Sequence > state.LastGrantSequence { // lost or still in flight; the sequence prevents a duplicate
 		return *c.pending, true
 	}
 	grant := Grant{Sequence: state.LastGrantSequence + 1}
@@ -79,7 +81,7 @@
 	return grant, true
 }
 
-// GrantApplied notes that a grant is in the log.
+// GrantApplied records that the pending grant is in the log.
 func (c *WarmUpController) GrantApplied(now time.Duration) {
 	c.pending, c.nextGrant = nil, now+c.budget.GrantInterval
 }
