--- a/internal/decide/subset/metrics.go
+++ b/internal/decide/subset/metrics.go
@@ -2,8 +2,8 @@
 
 import "slices"
 
-// LoadImbalance returns the connections of the most loaded backend over the mean of all backends: 1 is even, 0 means
-// no connections. Backends that no member uses count in the mean.
+// LoadImbalance returns the number of connections of the most loaded backend divided by the mean of all backends: 1 if the
+// load is even, 0 if there are no connections. Backends that no member uses count in the mean.
 func LoadImbalance(subsets map[string][]string, backends []string) float64 {
 	load := make(map[string]int, len(backends))
 	total := 0
@@ -23,8 +23,8 @@
 	return float64(highest) * float64(len(backends)) / float64(total)
 }
 
-// OpenedConnections counts the pairs of member and backend that are in after but not in before: the connections that a
-// change of the view makes members open.
+// OpenedConnections returns the number of connections that members open when their subsets change from before to after:
+// the pairs of member and backend that are in after but not in before.
 func OpenedConnections(before, after map[string][]string) int {
 	opened := 0
 	for member, chosen := range after {
@@ -38,7 +38,7 @@
 	return opened
 }
 
-// ViewChange describes a change of the view by its counts.
+// ViewChange describes a change of the membership view or of the list of backends.
 type ViewChange struct {
 	SubsetSize      int // backends per member
 	Members         int // after the change
@@ -49,9 +49,12 @@
 	BackendsRemoved int
 }
 
-// MinOpenedConnections returns the fewest connections that the change must open if the load is to stay even: the
-// subset of each joining member; the subset of each leaving member, which others must take over or its backends fall
-// behind; the connections of each removed backend; the even part of each added backend. It is never below 1.
+// MinOpenedConnections returns the fewest connections that members must open to keep the load even after the change, at
+// least 1. It is the sum of
+//   - the subset size for each joining member;
+//   - the subset size for each leaving member, as otherwise its backends have fewer connections than the others;
+//   - the previous connections of each removed backend;
+//   - an even share of the connections for each added backend.
 func (c ViewChange) MinOpenedConnections() int {
 	opened := (c.MembersJoined + c.MembersLeft) * c.SubsetSize
 	if c.BackendsRemoved > 0 {
--- a/internal/decide/subset/ranks.go
+++ b/internal/decide/subset/ranks.go
@@ -8,16 +8,16 @@
 // Claim is the part of a member's gossiped record that its rank depends on.
 type Claim struct {
 	Name      string // unique in the fleet
-	Rank      int    // the rank that the member holds; -1 for none yet
-	JoinEpoch uint64 // when it joined, in a unit that all members share; equal epochs are ordered by name
+	Rank      int    // the rank that the member had in the last view; -1 if none
+	JoinEpoch uint64 // when the member joined, in a unit that all members share; ties are ordered by name
 }
 
-// Ranks maps the name of each member of a view to its rank, dense from 0.
+// Ranks maps the name of each member of a view to its rank. The ranks are 0 to len-1.
 type Ranks map[string]int
 
-// AssignRanks computes the ranks of a view. A member keeps the rank it claims if that rank is below the size of the
-// view and no member that joined earlier claims it too; the other members take the lowest free ranks in the order in
-// which they joined. claims may be in any order; of several claims under one name the earliest counts.
+// AssignRanks computes the ranks of a view. A member keeps the rank that it claims if that is below the number of members
+// and no member that joined earlier claims it too. The other members take the lowest free ranks, in the order in which
+// they joined. claims may be in any order; if several have the same name only the earliest counts.
 func AssignRanks(claims []Claim) Ranks {
 	ordered := byJoinOrder(claims)
 	count := len(ordered)
@@ -43,7 +43,7 @@
 	return ranks
 }
 
-// byJoinOrder returns the claims from the earliest to the latest, with only the earliest of each name.
+// byJoinOrder returns the claims ordered from the earliest to the latest join, with only the earliest of each name.
 func byJoinOrder(claims []Claim) []Claim {
 	ordered := slices.Clone(claims)
 	slices.SortStableFunc(ordered, func(a, b Claim) int {
@@ -57,7 +57,7 @@
 	})
 }
 
-// MembersByRank returns the members' names in the order of the ranks that AssignRanks gives them.
+// MembersByRank returns the members' names, ordered by the ranks that AssignRanks gives them.
 func MembersByRank(claims []Claim) []string {
 	ranks := AssignRanks(claims)
 	members := make([]string, len(ranks))
--- a/internal/decide/subset/rendezvous.go
+++ b/internal/decide/subset/rendezvous.go
@@ -7,9 +7,9 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Rendezvous returns the subset of a member by rendezvous hashing (highest random weight): the size backends whose
-// hash together with the member's name is highest. A backend that is removed affects only its own members; one that
-// is added takes about its even part. The hash is xxhash64 of "member/backend".
+// Rendezvous returns the subset of a member by rendezvous hashing (highest random weight): the size backends with the
+// highest xxhash64 of "member/backend". Removing a backend affects only the members that used it; an added backend
+// gets about an even share of the connections.
 func Rendezvous(backends []string, member string, size int) []string {
 	size = min(max(size, 0), len(backends))
 	type candidate struct {
@@ -31,9 +31,9 @@
 }
 
 // BoundedLoad returns the subsets of all members by rendezvous hashing with bounded loads (Mirrokni, Thorup and
-// Zadimoghaddam, 2016). Members choose in the order of their ranks; each takes the size backends of highest weight
-// that are below the ceiling of the mean load. The last members may find capacity only at backends that they already
-// use; they exceed the ceiling then. It costs members times backends hashes.
+// Zadimoghaddam, 2016). Members choose in the order of their ranks. Each takes the size backends of highest weight whose
+// load is still below the mean load rounded up. If too few backends are below it, which can happen to the last members,
+// they exceed it. The cost is one hash per pair of member and backend.
 func BoundedLoad(claims []Claim, backends []string, size int) map[string][]string {
 	members := MembersByRank(claims)
 	size = min(max(size, 0), len(backends))
@@ -52,8 +52,8 @@
 	return subsets
 }
 
-// chooseBounded returns the subset of one member and counts it into load. It prefers backends below the ceiling and
-// exceeds it only where too few of them are left.
+// chooseBounded returns the subset of one member and adds its connections to load. It prefers backends below the ceiling,
+// and exceeds the ceiling only if fewer than size of them are left.
 func chooseBounded(backends []string, member string, size, ceiling int, load map[string]int) []string {
 	chosen := make([]string, 0, size)
 	byWeight := Rendezvous(backends, member, len(backends))
--- a/internal/decide/subset/strategy.go
+++ b/internal/decide/subset/strategy.go
@@ -2,23 +2,23 @@
 
 import "slices"
 
-// Strategy names a way to choose subsets, for measurements that compare them. Its value is part of the names of the
-// reported figures.
+// Strategy names an algorithm that chooses subsets, for measurements that compare them. Its value is part of the names of
+// the reported figures.
 type Strategy string
 
 // The strategies.
 const (
-	StrategyDeterministic Strategy = "deterministic" // Deterministic over the stable ranks of AssignRanks
-	StrategyNameOrder     Strategy = "dense"         // Deterministic over the members' positions in the sorted list of names
+	StrategyDeterministic Strategy = "deterministic" // Deterministic by the ranks that AssignRanks gives
+	StrategyNameOrder     Strategy = "dense"         // Deterministic by the members' positions in the sorted list of names
 	StrategyRendezvous    Strategy = "rendezvous"    // Rendezvous
-	StrategyBoundedLoad   Strategy = "bounded"       // BoundedLoad, members in the order of their stable ranks
+	StrategyBoundedLoad   Strategy = "bounded"       // BoundedLoad
 	StrategyRandom        Strategy = "random"        // Random
 )
 
 // Strategies lists all strategies in the order in which measurements print them.
 var Strategies = []Strategy{StrategyBoundedLoad, StrategyDeterministic, StrategyNameOrder, StrategyRendezvous, StrategyRandom}
 
-// AssignSubsets returns the subset of every member of a view by the strategy; an unknown strategy counts as
+// AssignSubsets returns the subset of each member of a view, chosen by the strategy. An unknown strategy counts as
 // StrategyRandom.
 func AssignSubsets(strategy Strategy, claims []Claim, backends []string, size int) map[string][]string {
 	switch strategy {
@@ -35,7 +35,7 @@
 	}
 }
 
-// deterministicSubsets returns the Deterministic subset of each ranked member.
+// deterministicSubsets returns the subset that Deterministic chooses for each member.
 func deterministicSubsets(ranks Ranks, backends []string, size int) map[string][]string {
 	subsets := make(map[string][]string, len(ranks))
 	for name, rank := range ranks {
@@ -44,7 +44,7 @@
 	return subsets
 }
 
-// nameOrderRanks ranks the members by their positions in the sorted list of names.
+// nameOrderRanks ranks the members by their position in the sorted list of names.
 func nameOrderRanks(claims []Claim) Ranks {
 	names := make([]string, len(claims))
 	for i, claim := range claims {
@@ -58,7 +58,7 @@
 	return ranks
 }
 
-// subsetsByName applies a choice that depends on a member's name alone.
+// subsetsByName returns the subset of each member for a choice that depends only on the member's name.
 func subsetsByName(claims []Claim, choose func(member string) []string) map[string][]string {
 	subsets := make(map[string][]string, len(claims))
 	for _, claim := range claims {
