--- a/internal/decide/intake/controller.go
+++ b/internal/decide/intake/controller.go
@@ -12,32 +12,32 @@
 const (
 	minPause       = 100 * time.Millisecond // a pause lasts at least this long, so that consuming does not flap
 	maxPause       = 5 * time.Second        // the longest pause for one Retry-After or one failed publish
-	cancelledPause = time.Second            // after the broker cancelled a consumer
+	cancelledPause = time.Second            // pause after the broker cancelled a consumer
 
-	saturatedAbove = 0.9 // of the instance's capacity: consuming pauses
-	saturatedBelow = 0.7 // of the instance's capacity: consuming resumes
+	saturationHighWatermark = 0.9 // fraction of the instance's capacity in use at which consuming pauses
+	saturationLowWatermark  = 0.7 // fraction below which consuming resumes
 )
 
 // Host performs the actions that a Controller decides on.
 type Host interface {
-	Dial(broker int)                         // connects to a broker; answered by Connected or ConnectionFailed
-	Disconnect(reason string)                // drops the connection; no event of it follows
-	Consume(credit int)                      // starts or restarts the consumers with the credit for each queue
-	Pause()                                  // cancels the consumers; unsettled messages remain to be settled
-	ScheduleTick(at time.Duration)           // asks for a call of Tick at that time
+	Dial(broker int)                         // connects to the broker with this index; Connected or ConnectionFailed must follow
+	Disconnect(reason string)                // closes the connection; no event of it may follow
+	Consume(credit int)                      // starts the consumers with this credit per queue, or restarts them
+	Pause()                                  // cancels the consumers; unsettled messages still have to be settled
+	ScheduleTick(at time.Duration)           // arranges a call of Tick at this time
 	Log(message string, fields ...zap.Field) // writes one structured log line
 }
 
-// Config is what a Controller is created with.
+// Config configures a Controller.
 type Config struct {
 	Brokers              int           // number of brokers, at least 1
 	MinCredit, MaxCredit int           // bounds of the credit per queue
-	ResponseTimeout      time.Duration // a broker that owes a response for longer is disconnected
+	ResponseTimeout      time.Duration // if a response is pending for longer, the connection is closed
 }
 
 // InstanceState is the load of the instance that processes the messages.
 type InstanceState struct {
-	Ready    bool // whether the instance accepts requests
+	Ready    bool // whether the instance can process requests at all
 	Requests int  // in the instance, queued or running
 	Capacity int  // the most requests that the instance can hold
 }
@@ -52,7 +52,7 @@
 	consuming
 )
 
-// pauseReason says why nothing may be consumed; empty: nothing forbids it.
+// pauseReason says why nothing may be consumed. It is empty if consuming is allowed.
 type pauseReason string
 
 const (
@@ -63,7 +63,7 @@
 	pauseBackoff   pauseReason = "rejected or not published"
 )
 
-// Controller is the state of one instance's intake.
+// Controller decides when and how one instance consumes from its brokers.
 type Controller struct {
 	host   Host
 	config Config
@@ -73,27 +73,27 @@
 	ready     bool
 	saturated bool
 	draining  bool
-	blocked   bool          // the broker accepts no publishes
+	blocked   bool          // whether the broker accepts no publishes
 	pausedAt  time.Duration // start of the last pause
-	pauseEnd  time.Duration // consuming is held off until then
+	pauseEnd  time.Duration // consuming may not resume before this time
 
 	connection connection
 	credit     creditControl
 }
 
-// New returns a controller that connects once the instance is ready; seed drives the jitter of the backoff.
+// New returns a controller that connects once the instance is ready. seed determines the jitter of the backoff.
 func New(host Host, seed uint64, config Config) *Controller {
 	return &Controller{host: host, config: config, random: random.New(seed), connection: newConnection(config.Brokers),
 		credit: creditControl{target: config.MinCredit}}
 }
 
-// UpdateInstance takes in the state of the instance. Saturation has hysteresis between saturatedBelow and
-// saturatedAbove.
+// UpdateInstance records the state of the instance. The instance counts as saturated from saturationHighWatermark on, until
+// it is below saturationLowWatermark.
 func (c *Controller) UpdateInstance(now time.Duration, state InstanceState) {
-	items, capacity := float64(state.Requests), float64(state.Capacity)
-	if items >= saturatedAbove*capacity {
+	requests, capacity := float64(state.Requests), float64(state.Capacity)
+	if requests >= saturationHighWatermark*capacity {
 		c.saturated = true
-	} else if items < saturatedBelow*capacity {
+	} else if requests < saturationLowWatermark*capacity {
 		c.saturated = false
 	}
 	c.ready = state.Ready
@@ -106,15 +106,15 @@
 	c.advance(now)
 }
 
-// SetBlocked notes whether the broker accepts publishes. A blocked broker is not expected to respond.
+// SetBlocked records whether the broker has stopped accepting publishes. A blocked broker is not expected to respond.
 func (c *Controller) SetBlocked(now time.Duration, blocked bool) {
 	c.blocked = blocked
 	c.connection.pendingSince = now
 	c.advance(now)
 }
 
-// ConsumerCancelled notes that the broker has cancelled a consumer, as it does when a queue is deleted or moved.
-// Consuming starts again after a pause; if the queue is gone, the broker then ends the connection.
+// ConsumerCancelled records that the broker has cancelled a consumer, as it does when a queue is deleted or moved. All
+// consumers are restarted after a pause. If the queue no longer exists, the broker then closes the connection.
 func (c *Controller) ConsumerCancelled(now time.Duration) {
 	if c.phase != consuming {
 		return
@@ -123,11 +123,11 @@
 	c.pauseFor(now, cancelledPause)
 }
 
-// Tick re-evaluates everything that depends on time. The Host calls it at the time of the last ScheduleTick; further calls
-// are allowed.
+// Tick re-evaluates everything that depends on time. The Host must call it at the time of the last ScheduleTick, and may
+// call it more often.
 func (c *Controller) Tick(now time.Duration) {
 	if c.isResponseOverdue(now) {
-		c.disconnect(now, fmt.Sprintf("no answer for %v", c.config.ResponseTimeout))
+		c.disconnect(now, fmt.Sprintf("no response from the broker for %v", c.config.ResponseTimeout))
 	}
 	if now-c.credit.adjustedAt >= adjustInterval {
 		c.credit.adjust(now, c.config)
@@ -135,13 +135,13 @@
 	c.advance(now)
 }
 
-// pauseFor holds consuming off for a while, maxPause at most.
+// pauseFor pauses consuming for a time span, at most maxPause.
 func (c *Controller) pauseFor(now, span time.Duration) {
 	c.pauseEnd = max(c.pauseEnd, now+min(span, maxPause))
 	c.advance(now)
 }
 
-// pauseReason returns why nothing may be consumed now.
+// pauseReason returns why nothing may be consumed now, or an empty reason if consuming is allowed.
 func (c *Controller) pauseReason(now time.Duration) pauseReason {
 	switch {
 	case c.draining:
@@ -158,7 +158,7 @@
 	return ""
 }
 
-// advance takes the transitions that the present state allows, and schedules the next tick.
+// advance makes the transition that the current state and time call for, if any, and schedules the next tick.
 func (c *Controller) advance(now time.Duration) {
 	reason := c.pauseReason(now)
 	switch c.phase {
@@ -174,7 +174,7 @@
 	case consuming:
 		if reason != "" {
 			c.pause(now, reason)
-		} else if c.credit.shouldChange(now) {
+		} else if c.credit.isChangeDue(now) {
 			c.consume(now)
 		}
 	case paused:
@@ -186,7 +186,7 @@
 	c.host.ScheduleTick(c.nextTick(now))
 }
 
-// pause cancels the consumers. A backoff is not logged, as it comes and goes with each peak of load.
+// pause cancels the consumers. A backoff is not logged, as one occurs at each load peak.
 func (c *Controller) pause(now time.Duration, reason pauseReason) {
 	c.phase = paused
 	c.pausedAt = now
@@ -196,13 +196,13 @@
 	}
 }
 
-// consume starts the consumers with the target credit, or restarts them.
+// consume starts or restarts the consumers with the target credit.
 func (c *Controller) consume(now time.Duration) {
-	c.credit.apply(now)
-	c.host.Consume(c.credit.inForce)
+	c.credit.applyTarget(now)
+	c.host.Consume(c.credit.current)
 }
 
-// nextTick returns when something can change by time alone, adjustInterval from now at the latest.
+// nextTick returns the time at which the state can next change without an event, at most adjustInterval from now.
 func (c *Controller) nextTick(now time.Duration) time.Duration {
 	latest := now + adjustInterval
 	switch {
--- a/internal/decide/intake/controller_test.go
+++ b/internal/decide/intake/controller_test.go
@@ -12,10 +12,10 @@
 
 const ms = time.Millisecond
 
-// host records the actions, and fails the test if one is not allowed in the present state.
+// host is a Host that records the actions, and fails the test if one is not allowed in the current state.
 type host struct {
 	fail      func(format string, args ...any)
-	lines     []string // the actions and log lines
+	lines     []string // actions and log messages
 	dials     []int    // brokers in the order in which they were dialled
 	credit    int      // of the last Consume
 	dialling  bool
@@ -32,7 +32,7 @@
 // Dial implements Host.
 func (h *host) Dial(broker int) {
 	if h.dialling || h.connected || h.drained {
-		h.fail("dials while dialling %v, connected %v, drained %v", h.dialling, h.connected, h.drained)
+		h.fail("Dial called while dialling %v, connected %v, drained %v", h.dialling, h.connected, h.drained)
 	}
 	h.dialling = true
 	h.dials = append(h.dials, broker)
@@ -41,7 +41,7 @@
 // Disconnect implements Host.
 func (h *host) Disconnect(reason string) {
 	if !h.connected {
-		h.fail("disconnects without a connection")
+		h.fail("Disconnect called without a connection")
 	}
 	h.connected = false
 	h.consuming = false
@@ -51,7 +51,7 @@
 // Consume implements Host.
 func (h *host) Consume(credit int) {
 	if !h.connected || h.drained {
-		h.fail("consumes while connected %v, drained %v", h.connected, h.drained)
+		h.fail("Consume called while connected %v, drained %v", h.connected, h.drained)
 	}
 	h.credit = credit
 	h.consuming = true
@@ -61,7 +61,7 @@
 // Pause implements Host.
 func (h *host) Pause() {
 	if !h.consuming {
-		h.fail("pauses while not consuming")
+		h.fail("Pause called while not consuming")
 	}
 	h.consuming = false
 	h.record("pause")
@@ -78,7 +78,7 @@
 	return New(h, 7, Config{Brokers: 3, MinCredit: 4, MaxCredit: 64, ResponseTimeout: 5 * time.Second}), h
 }
 
-// newConnected returns a controller that is connected to the first broker.
+// newConnected returns a controller that is connected to the first of three brokers.
 func newConnected(t *testing.T) (*Controller, *host) {
 	controller, h := newThreeBrokers(t)
 	controller.UpdateInstance(0, InstanceState{Ready: true, Capacity: 100})
@@ -87,8 +87,8 @@
 	return controller, h
 }
 
-// settle settles count messages within two intervals, each after the processing time, while the credit is fully used.
-func settle(controller *Controller, now *time.Duration, count int, processing time.Duration, outcome Outcome) {
+// settleMessages settles count messages over two intervals, each with this processing time, with the credit fully used.
+func settleMessages(controller *Controller, now *time.Duration, count int, processing time.Duration, outcome Outcome) {
 	for range 2 {
 		controller.MessagesReceived(controller.Credit() - controller.Unsettled())
 		for range count / 2 {
@@ -104,19 +104,19 @@
 	controller, h := newConnected(t)
 	now := time.Duration(0)
 	for range 30 {
-		settle(controller, &now, 100, 10*ms, Completed)
+		settleMessages(controller, &now, 100, 10*ms, Completed)
 	}
 	if controller.Credit() != 64 || h.credit != 64 {
-		t.Errorf("credit %d", controller.Credit())
+		t.Errorf("credit %d, want 64", controller.Credit())
 	}
-	for range 3 { // processing takes 30 times the baseline, so most messages wait
-		settle(controller, &now, 100, 300*ms, Completed)
+	for range 3 { // 30 times the baseline, so most messages wait
+		settleMessages(controller, &now, 100, 300*ms, Completed)
 	}
 	for range 8 {
-		settle(controller, &now, 100, 100*ms, Completed)
+		settleMessages(controller, &now, 100, 100*ms, Completed)
 	}
 	if controller.Credit() >= 32 {
-		t.Errorf("credit %d though most messages wait", controller.Credit())
+		t.Errorf("credit %d while most messages wait, want less than 32", controller.Credit())
 	}
 }
 
@@ -128,7 +128,7 @@
 		controller.Tick(now)
 	}
 	if controller.Credit() != 4 {
-		t.Errorf("credit %d", controller.Credit())
+		t.Errorf("credit %d, want 4", controller.Credit())
 	}
 }
 
@@ -136,25 +136,25 @@
 	controller, h := newConnected(t)
 	now := time.Duration(0)
 	for range 30 {
-		settle(controller, &now, 100, 10*ms, Completed)
+		settleMessages(controller, &now, 100, 10*ms, Completed)
 	}
 	controller.MessagesReceived(10)
 	controller.MessageSettled(now, Requeued, ms, 700*ms)
 	if h.consuming {
-		t.Fatal("continues to consume")
+		t.Fatal("consuming continues after a rejection")
 	}
 	controller.Tick(now + 699*ms)
 	if h.consuming || controller.Credit() != 0 {
-		t.Error("resumes before the Retry-After is over")
+		t.Error("consuming resumed before the Retry-After is over")
 	}
 	controller.Tick(now + 700*ms)
 	if !h.consuming || h.credit != 32 {
-		t.Errorf("consuming %v, credit %d", h.consuming, h.credit)
+		t.Errorf("consuming %v, credit %d, want true, 32", h.consuming, h.credit)
 	}
 	controller.MessageSettled(now+time.Second, Requeued, ms, time.Hour) // a long Retry-After is bounded by maxPause
 	controller.Tick(now + time.Second + maxPause)
 	if !h.consuming {
-		t.Error("pauses for longer than maxPause")
+		t.Error("paused for longer than maxPause")
 	}
 }
 
@@ -171,23 +171,24 @@
 		controller, h := newConnected(t)
 		step(controller, 10*time.Second, true)
 		if h.consuming {
-			t.Errorf("%s: continues to consume", name)
+			t.Errorf("%s: consuming continues", name)
 		}
 		step(controller, 10*time.Second+minPause/2, false)
 		if h.consuming {
-			t.Errorf("%s: resumes before minPause is over", name)
+			t.Errorf("%s: consuming resumed before minPause is over", name)
 		}
 		controller.Tick(10*time.Second + minPause)
 		if !h.consuming {
-			t.Errorf("%s: does not resume", name)
+			t.Errorf("%s: consuming did not resume", name)
 		}
 	}
 	controller, h := newConnected(t)
 	controller.UpdateInstance(0, InstanceState{Ready: true, Requests: 90, Capacity: 100})
-	controller.UpdateInstance(time.Second, InstanceState{Ready: true, Requests: 80, Capacity: 100}) // between the two thresholds it stays as it is
+	// Between the two watermarks the instance remains saturated.
+	controller.UpdateInstance(time.Second, InstanceState{Ready: true, Requests: 80, Capacity: 100})
 	controller.Tick(2 * time.Second)
 	if h.consuming {
-		t.Error("resumes between the thresholds")
+		t.Error("consuming resumed between the watermarks")
 	}
 }
 
@@ -205,15 +206,15 @@
 		lastDial[broker] = now
 		h.dialling = false
 		n := len(h.dials)
-		for controller.ConnectionFailed(now, ConnectFailed, "nobody"); len(h.dials) == n; controller.Tick(now) {
+		for controller.ConnectionFailed(now, ConnectFailed, "connection refused"); len(h.dials) == n; controller.Tick(now) {
 			now = h.tickAt
 		}
 	}
 	if fmt.Sprint(h.dials[:3]) != "[0 1 2]" {
-		t.Errorf("dials %v", h.dials)
+		t.Errorf("brokers dialled in the order %v, want 0, 1, 2 first", h.dials)
 	}
 	if first, tail := gaps[0], gaps[len(gaps)-1]; first > 200*ms || tail < maxBackoff/2 || tail > 2*maxBackoff {
-		t.Errorf("gaps %v", gaps)
+		t.Errorf("time between dials of the first broker: %v", gaps)
 	}
 }
 
@@ -223,7 +224,7 @@
 	controller.UpdateInstance(0, InstanceState{Ready: true, Capacity: 1})
 	h.dialling = false
 	if controller.ConnectionFailed(0, RejectedByBroker, "login"); controller.connection.dialAt < rejectedBackoff/2 {
-		t.Errorf("dials again after %v", controller.connection.dialAt)
+		t.Errorf("dials again after %v, want at least rejectedBackoff/2", controller.connection.dialAt)
 	}
 	now := controller.connection.dialAt
 	for n := range 10 {
@@ -236,7 +237,7 @@
 		h.connected, h.consuming = false, false
 		controller.ConnectionFailed(now, ConnectionLost, "reset")
 		if wait := controller.connection.dialAt - now; n == 8 && wait < maxBackoff/4 || n == 9 && wait > 2*minBackoff {
-			t.Errorf("loss %d: dials after %v", n, wait)
+			t.Errorf("connection loss %d: dials again after %v", n, wait)
 		}
 		now = controller.connection.dialAt
 	}
@@ -249,11 +250,11 @@
 	controller.ResponseReceived(4 * time.Second)
 	controller.Tick(8 * time.Second)
 	if !h.connected {
-		t.Fatal("disconnected though it responds")
+		t.Fatal("disconnected though the broker responds")
 	}
 	controller.Tick(9*time.Second + ms)
-	if h.connected || !strings.Contains(strings.Join(h.lines, "\n"), "no answer for 5s") {
-		t.Errorf("not disconnected: %q", h.lines)
+	if h.connected || !strings.Contains(strings.Join(h.lines, "\n"), "no response from the broker for 5s") {
+		t.Errorf("not disconnected for lack of a response: %q", h.lines)
 	}
 }
 
@@ -261,10 +262,10 @@
 	controller, h := newConnected(t)
 	controller.ConsumerCancelled(0)
 	if h.consuming || !h.connected {
-		t.Errorf("consuming %v, connected %v", h.consuming, h.connected)
+		t.Errorf("consuming %v, connected %v, want false, true", h.consuming, h.connected)
 	}
 	if controller.Tick(cancelledPause); !h.consuming {
-		t.Error("not restarted")
+		t.Error("the consumers were not restarted")
 	}
 }
 
@@ -276,10 +277,10 @@
 	controller.SetBlocked(time.Minute, false)
 	controller.Tick(time.Minute + 4*time.Second)
 	if !h.connected {
-		t.Fatal("disconnected while it was blocked")
+		t.Fatal("disconnected because of the time for which the broker was blocked")
 	}
 	if controller.Tick(time.Minute + 6*time.Second); h.connected {
-		t.Error("not disconnected after that")
+		t.Error("not disconnected after ResponseTimeout without being blocked")
 	}
 }
 
@@ -288,7 +289,7 @@
 	controller.Drain(0)
 	h.drained = true
 	if h.consuming {
-		t.Error("continues to consume")
+		t.Error("consuming continues while draining")
 	}
 	h.connected = false
 	controller.ConnectionFailed(ms, ConnectionLost, "reset")
@@ -297,7 +298,7 @@
 	}
 }
 
-// eventSequence is a controller, its host and what the events so far have set.
+// eventSequence is a controller under a random sequence of events, and the state that the events have set so far.
 type eventSequence struct {
 	host       *host
 	controller *Controller
@@ -310,13 +311,13 @@
 	s := &eventSequence{host: &host{fail: t.Fatalf}}
 	s.config.Brokers = rapid.IntRange(1, 4).Draw(t, "brokers")
 	s.config.MinCredit = rapid.IntRange(1, 8).Draw(t, "min credit")
-	s.config.MaxCredit = s.config.MinCredit + rapid.IntRange(0, 100).Draw(t, "more")
+	s.config.MaxCredit = s.config.MinCredit + rapid.IntRange(0, 100).Draw(t, "credit range")
 	s.config.ResponseTimeout = time.Second
 	s.controller = New(s.host, rapid.Uint64().Draw(t, "seed"), s.config)
 	return s
 }
 
-// connect completes the dialling.
+// connect makes the pending dial succeed.
 func (s *eventSequence) connect() {
 	s.host.dialling = false
 	s.host.connected = true
@@ -331,14 +332,14 @@
 }
 
 func (s *eventSequence) advanceTime(t *rapid.T) {
-	s.now += time.Duration(rapid.Int64Range(0, int64(3*time.Second)).Draw(t, "span"))
+	s.now += time.Duration(rapid.Int64Range(0, int64(3*time.Second)).Draw(t, "time step"))
 	s.controller.Tick(s.now)
 }
 
 func (s *eventSequence) updateInstance(t *rapid.T) {
 	s.isReady = rapid.Bool().Draw(t, "ready")
-	items := rapid.IntRange(0, 100).Draw(t, "items")
-	s.controller.UpdateInstance(s.now, InstanceState{Ready: s.isReady, Requests: items, Capacity: 100})
+	requests := rapid.IntRange(0, 100).Draw(t, "requests")
+	s.controller.UpdateInstance(s.now, InstanceState{Ready: s.isReady, Requests: requests, Capacity: 100})
 }
 
 func (s *eventSequence) changeConnection(t *rapid.T) {
@@ -377,22 +378,22 @@
 	}
 }
 
-// check fails the test if the controller's state is not allowed.
+// check fails the test if the controller violates an invariant.
 func (s *eventSequence) check(t *rapid.T) {
 	credit := s.host.credit
 	isWithinBounds := credit >= s.config.MinCredit && credit <= s.config.MaxCredit
 	if s.host.consuming && (!isWithinBounds || credit != s.controller.Credit()) {
-		t.Fatalf("credit %d of %d to %d, and %d reported", credit, s.config.MinCredit, s.config.MaxCredit, s.controller.Credit())
+		t.Fatalf("credit %d, want %d to %d, and the same as the reported %d", credit, s.config.MinCredit, s.config.MaxCredit, s.controller.Credit())
 	}
 	if s.host.consuming && !s.isReady {
-		t.Fatal("consumes though the instance is not ready")
+		t.Fatal("consuming while the instance is not ready")
 	}
 	if s.controller.Unsettled() < 0 || s.host.tickAt > s.now+adjustInterval {
 		t.Fatalf("unsettled %d, tick at %v, now %v", s.controller.Unsettled(), s.host.tickAt, s.now)
 	}
 }
 
-// checkResumes fails the test if the controller does not consume within two minutes once nothing prevents it.
+// checkResumes fails the test if the controller does not consume within two minutes after all obstacles are removed.
 func (s *eventSequence) checkResumes(t *rapid.T) {
 	s.controller.SetBlocked(s.now, false)
 	s.controller.UpdateInstance(s.now, InstanceState{Ready: true, Capacity: 100})
@@ -403,11 +404,11 @@
 		}
 	}
 	if !s.host.consuming {
-		t.Fatalf("does not consume though nothing prevents it: %+v", s.controller)
+		t.Fatalf("not consuming though nothing prevents it: %+v", s.controller)
 	}
 }
 
-// After any sequence of events the host's checks hold, and the controller consumes within its bounds once nothing prevents it.
+// In any sequence of events the invariants and the host's checks hold, and consuming resumes once nothing prevents it.
 func TestAnySequenceOfEvents(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := newEventSequence(t)
--- a/internal/decide/intake/credit.go
+++ b/internal/decide/intake/credit.go
@@ -3,22 +3,22 @@
 import "time"
 
 const (
-	adjustInterval    = 500 * time.Millisecond // between two adjustments of the target
-	minChangeInterval = time.Second            // between two changes of the credit in force: each restarts the consumers
-	baselinePeriod    = 10 * time.Second       // period over which the smallest processing time is measured
-
-	// Messages that wait in the instance: the credit grows below the first bound and shrinks above the second. Each
-	// bound is at least the fixed number and otherwise a part of the credit in force.
-	fewWaiting          = 3.0
-	fewWaitingDivisor   = 3
-	manyWaiting         = 8.0
-	manyWaitingDivisor  = 2
-	growFactor          = 1.5
-	shrinkFactor        = 0.75
-	rejectedFactor      = 0.5 // if more than maxRejectedFraction of the settled messages were requeued
-	maxRejectedFraction = 0.1
-
-	minProcessingSeconds = 1e-4 // a message counts for at least this long
+	adjustInterval    = 500 * time.Millisecond // between adjustments of the target credit
+	minChangeInterval = time.Second            // between changes of the current credit, as each restarts the consumers
+	baselinePeriod    = 10 * time.Second       // over which the smallest mean processing time is measured
+
+	// The credit grows while fewer messages than a first threshold wait in the instance, and shrinks while more than a
+	// second threshold wait. Each threshold is the fixed number, or the current credit over the divisor if that is more.
+	growThreshold          = 3.0
+	growThresholdDivisor   = 3
+	shrinkThreshold        = 8.0
+	shrinkThresholdDivisor = 2
+	growFactor             = 1.5
+	shrinkFactor           = 0.75
+	requeuedFactor         = 0.5 // instead of shrinkFactor, if more than maxRequeuedFraction of the settled messages were requeued
+	maxRequeuedFraction    = 0.1
+
+	minProcessingSeconds = 1e-4 // lower bound for the processing time of a message
 )
 
 // Outcome says how a message was settled.
@@ -27,53 +27,53 @@
 // The outcomes of a message.
 const (
 	Completed     Outcome = iota // processed, or dead-lettered
-	Requeued                     // rejected by the instance, and put back into its queue
-	PublishFailed                // not settled: what had to be published for it was not accepted
+	Requeued                     // rejected by the instance and returned to its queue
+	PublishFailed                // not settled, because the broker did not accept a message that had to be published for it
 )
 
-// creditControl adapts the credit to the load, from what was settled since the last adjustment.
+// creditControl adapts the credit to the load. An interval is the time since the last adjustment.
 type creditControl struct {
-	target     int // the credit that is wanted
-	inForce    int // the credit that the consumers have
+	target     int // the credit to apply at the next change
+	current    int // the credit that the consumers were last started with
 	changedAt  time.Duration
 	adjustedAt time.Duration
 
-	unsettled int // now
-	peak      int // the most unsettled messages in the interval
+	unsettled     int // received messages that are not settled yet
+	peakUnsettled int // the largest value of unsettled in the interval
 
 	settled          int     // in the interval
 	requeued         int     // in the interval
 	completed        float64 // in the interval
-	completedSeconds float64 // their processing times together
+	completedSeconds float64 // sum of their processing times
 
-	// The smallest mean processing time of any interval in the present and the previous baselinePeriod, in seconds;
-	// 0: none yet.
-	minMean, previousMinMean float64
-	baselineSince            time.Duration
+	// The smallest mean processing time of any interval in the current and in the previous baselinePeriod; 0 if there
+	// is none yet.
+	minMeanSeconds, previousMinMeanSeconds float64
+	baselineSince                          time.Duration
 }
 
-// Credit returns the credit in force; 0 while nothing is consumed.
+// Credit returns the credit that the consumers have, or 0 while nothing is consumed.
 func (c *Controller) Credit() int {
 	if c.phase != consuming {
 		return 0
 	}
-	return c.credit.inForce
+	return c.credit.current
 }
 
-// Unsettled returns the number of received messages that are not settled.
+// Unsettled returns the number of received messages that are not settled yet.
 func (c *Controller) Unsettled() int { return c.credit.unsettled }
 
-// MessagesReceived notes that messages were received.
+// MessagesReceived records that this number of messages was received.
 func (c *Controller) MessagesReceived(count int) {
 	c.credit.unsettled += count
-	c.credit.peak = max(c.credit.peak, c.credit.unsettled)
+	c.credit.peakUnsettled = max(c.credit.peakUnsettled, c.credit.unsettled)
 }
 
-// MessageSettled notes how one message was settled and how long it was in the instance. The retryAfter of a requeued
-// message pauses the consumers of all queues.
+// MessageSettled records the outcome of one message and how long it was in the instance. A requeued message pauses the
+// consumers of all queues for retryAfter, at most maxPause.
 func (c *Controller) MessageSettled(now time.Duration, outcome Outcome, processing, retryAfter time.Duration) {
 	c.connection.settled++
-	c.credit.count(outcome, processing)
+	c.credit.recordSettled(outcome, processing)
 	switch outcome {
 	case Requeued:
 		c.pauseFor(now, retryAfter)
@@ -82,8 +82,8 @@
 	}
 }
 
-// count takes one settled message into the interval.
-func (c *creditControl) count(outcome Outcome, processing time.Duration) {
+// recordSettled adds one settled message to the counts of the interval.
+func (c *creditControl) recordSettled(outcome Outcome, processing time.Duration) {
 	c.unsettled = max(c.unsettled-1, 0)
 	c.settled++
 	switch outcome {
@@ -95,66 +95,66 @@
 	}
 }
 
-// shouldChange reports whether the consumers may be restarted with the target.
-func (c *creditControl) shouldChange(now time.Duration) bool {
-	return c.target != c.inForce && now-c.changedAt >= minChangeInterval
+// isChangeDue reports whether the target differs from the current credit and the consumers may be restarted now.
+func (c *creditControl) isChangeDue(now time.Duration) bool {
+	return c.target != c.current && now-c.changedAt >= minChangeInterval
 }
 
-// apply puts the target in force.
-func (c *creditControl) apply(now time.Duration) {
-	c.inForce = c.target
+// applyTarget makes the target the current credit.
+func (c *creditControl) applyTarget(now time.Duration) {
+	c.current = c.target
 	c.changedAt = now
 }
 
-// adjust moves the target by what happened in the interval that ends now, and begins the next interval.
+// adjust sets the target according to the interval that ends now, and begins the next interval.
 func (c *creditControl) adjust(now time.Duration, config Config) {
-	waiting := c.waiting()
-	inForce := float64(c.inForce)
+	waiting := c.estimateWaiting()
+	current := float64(c.current)
 	wanted := float64(c.target)
 	switch {
-	case c.settled > 0 && float64(c.requeued) > maxRejectedFraction*float64(c.settled):
-		wanted *= rejectedFactor
-	case c.requeued > 0 || waiting > max(manyWaiting, inForce/manyWaitingDivisor):
+	case c.settled > 0 && float64(c.requeued) > maxRequeuedFraction*float64(c.settled):
+		wanted *= requeuedFactor
+	case c.requeued > 0 || waiting > max(shrinkThreshold, current/shrinkThresholdDivisor):
 		wanted *= shrinkFactor
-	case c.isFullyUsed() && waiting < max(fewWaiting, inForce/fewWaitingDivisor):
+	case c.isFullyUsed() && waiting < max(growThreshold, current/growThresholdDivisor):
 		wanted = max(wanted*growFactor, wanted+1)
 	}
 	c.target = min(max(int(wanted), config.MinCredit), config.MaxCredit)
 	c.beginInterval(now)
 }
 
-// waiting estimates how many messages wait in the instance instead of being processed. By Little's law that is the part of
-// the unsettled messages that corresponds to the processing time beyond the baseline, the time of a message that does not
-// wait.
-func (c *creditControl) waiting() float64 {
+// estimateWaiting estimates how many messages wait in the instance instead of being processed. The baseline, the smallest
+// mean processing time measured, is taken as the time of a message that does not wait. By Little's law the fraction of
+// the unsettled messages that wait is the fraction of the mean processing time that exceeds the baseline.
+func (c *creditControl) estimateWaiting() float64 {
 	mean := c.completedSeconds / max(c.completed, 1)
-	if c.completed > 0 && (c.minMean == 0 || mean < c.minMean) {
-		c.minMean = mean
+	if c.completed > 0 && (c.minMeanSeconds == 0 || mean < c.minMeanSeconds) {
+		c.minMeanSeconds = mean
 	}
-	baseline := c.minMean
-	if c.previousMinMean > 0 && (baseline == 0 || c.previousMinMean < baseline) {
-		baseline = c.previousMinMean
+	baseline := c.minMeanSeconds
+	if c.previousMinMeanSeconds > 0 && (baseline == 0 || c.previousMinMeanSeconds < baseline) {
+		baseline = c.previousMinMeanSeconds
 	}
 	if baseline <= 0 || mean <= baseline {
 		return 0
 	}
-	return float64(c.peak) * (1 - baseline/mean)
+	return float64(c.peakUnsettled) * (1 - baseline/mean)
 }
 
-// isFullyUsed reports whether messages were settled and the credit in force was once exhausted in the interval.
+// isFullyUsed reports whether in the interval messages were settled and the current credit was exhausted at least once.
 func (c *creditControl) isFullyUsed() bool {
-	return c.settled > 0 && c.inForce > 0 && c.peak >= c.inForce
+	return c.settled > 0 && c.current > 0 && c.peakUnsettled >= c.current
 }
 
-// beginInterval resets the counts of the interval, and the baseline after baselinePeriod.
+// beginInterval resets the counts of the interval, and begins a new baseline period if baselinePeriod has passed.
 func (c *creditControl) beginInterval(now time.Duration) {
 	if now-c.baselineSince >= baselinePeriod {
 		c.baselineSince = now
-		c.previousMinMean = c.minMean
-		c.minMean = 0
+		c.previousMinMeanSeconds = c.minMeanSeconds
+		c.minMeanSeconds = 0
 	}
 	c.adjustedAt = now
-	c.peak = c.unsettled
+	c.peakUnsettled = c.unsettled
 	c.settled = 0
 	c.requeued = 0
 	c.completed = 0
