--- a/internal/decide/ring/failover.go
+++ b/internal/decide/ring/failover.go
@@ -47,8 +47,8 @@
 // slotSalt returns the value that rendezvousHash combines with a backend's hash to make it differ by slot.
 func slotSalt(slot int) uint64 { return (uint64(slot) + 1) * 0x9e3779b97f4a7c15 }
 
-// rendezvousHash mixes a backend's hash and a slot's salt into 53 bits by a step of the MurmurHash3 finalizer. The salt's
-// multiplication alone would leave the low bits too similar.
+// rendezvousHash mixes a backend's hash and a slot's salt into 53 bits by a step of the MurmurHash3 finalizer: a
+// multiplication without its shifts would leave the low bits too similar.
 func rendezvousHash(backendHash, salt uint64) uint64 {
 	h := backendHash ^ salt
 	h ^= h >> 33
@@ -91,19 +91,19 @@
 // as failoverAmong does.
 func (c *failoverCandidates) bestInOtherZone(slot int, zone int32) (best int, ok bool) {
 	salt := slotSalt(slot)
-	highest, at := uint64(0), -1
+	highest, position := uint64(0), -1
 	zones := c.zone[:len(c.hash)]
 	for n, backendHash := range c.hash {
 		h := rendezvousHash(backendHash, salt)
 		if h < highest || zones[n] == zone {
 			continue
 		}
-		if at < 0 || float64(h)+0.5 > float64(highest)+0.5 {
-			highest, at = h, n
+		if position < 0 || float64(h)+0.5 > float64(highest)+0.5 {
+			highest, position = h, n
 		}
 	}
-	if at < 0 {
+	if position < 0 {
 		return -1, false
 	}
-	return int(c.index[at]), true
+	return int(c.index[position]), true
 }
--- a/internal/decide/ring/flap_damper.go
+++ b/internal/decide/ring/flap_damper.go
@@ -22,7 +22,7 @@
 )
 
 // FlapDamper decides which backends count as present when slots are planned. It ignores short outages, and excludes a
-// backend that flaps for longer each time.
+// flapping backend for a longer time after each outage.
 type FlapDamper struct {
 	damping  FlapDamping
 	backends map[string]*backendHealth
--- a/internal/decide/ring/migrator.go
+++ b/internal/decide/ring/migrator.go
@@ -90,7 +90,7 @@
 // InProgress reports whether a plan is in progress.
 func (m *Migrator) InProgress() bool { return m.next != nil }
 
-// proposeIfDue proposes the entry of the current step (freeze or activation) if it is time to.
+// proposeIfDue proposes the entry of the current step (freeze or activation) if it is due.
 func (m *Migrator) proposeIfDue(now time.Duration) {
 	if now < m.nextProposal {
 		return
@@ -103,7 +103,8 @@
 	}
 }
 
-// ActivationApplied records that the table of this version is active. It ends the plan if its table is not newer.
+// ActivationApplied records that the table of this version is active. It ends the plan in
+// progress unless the table of that plan is newer.
 func (m *Migrator) ActivationApplied(version uint64) {
 	if m.next != nil && m.next.Version <= version {
 		m.next = nil
@@ -136,8 +137,8 @@
 // MemberLeft records that a process has ended its calls and makes no more.
 func (m *Migrator) MemberLeft(process string) { delete(m.members, process) }
 
-// Tick removes members whose lease has expired, and proposes the entry of the current step again if it is due and no
-// acknowledgement is missing. It returns the members whose acknowledgement is missing.
+// Tick removes members whose lease has expired, and proposes the entry of the current step if it is due and no
+// acknowledgement of the freeze is missing. It returns the members whose acknowledgement is missing, sorted by name.
 func (m *Migrator) Tick(now time.Duration) (waiting []string) {
 	for process, last := range m.members {
 		if now-last.at >= m.terms.expiryWait() {
--- a/internal/decide/ring/migrator_test.go
+++ b/internal/decide/ring/migrator_test.go
@@ -24,17 +24,17 @@
 	}
 }
 
-// The safeguards are that the leader waits for leases to expire and that members stop calling when theirs has. Without
-// either one the simulation must find violations.
+// The leader waits for leases to expire, and members stop calling when their lease expires. Without either of these
+// safeguards the simulation must find violations.
 func TestSlotIsCalledAtTwoBackendsWithoutLeaseWait(t *testing.T) {
 	shortWait, longLease := leaseTerms, leaseTerms
 	shortWait.Duration = 50 * time.Millisecond
 	longLease.Duration = 3 * time.Second
-	for name, m := range map[string][2]LeaseTerms{"leader waits too briefly": {shortWait, leaseTerms},
+	for name, terms := range map[string][2]LeaseTerms{"leader waits too briefly": {shortWait, leaseTerms},
 		"members call too long": {leaseTerms, longLease}} {
 		violations := 0
 		for seed := range uint64(30) {
-			violations += simulateMigrations(seed, m[0], m[1]).violations
+			violations += simulateMigrations(seed, terms[0], terms[1]).violations
 		}
 		if violations == 0 {
 			t.Errorf("%s: no slot was called at two backends at once, so the check does not detect it", name)
--- a/internal/decide/ring/rebalance.go
+++ b/internal/decide/ring/rebalance.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// minReliefFraction is the fraction of a slot's load by which its migration must relieve the more loaded backend.
-// Otherwise the migration mostly moves the overload to the other backend.
+// minReliefFraction is the fraction of a slot's load by which its migration must lower the higher load of the two
+// backends. A migration with less relief mostly moves the overload from one backend to the other.
 const minReliefFraction = 0.5
 
 // RebalancePolicy says when load justifies migrations. Ratios are the load per weight of the most loaded backend,
@@ -20,9 +20,9 @@
 }
 
 // Rebalance returns the next table, with slots migrated from the most to the least loaded backend by load per weight, and
-// the migrations. A slot migrates only if that relieves the more loaded backend by at least minReliefFraction of the
-// slot's load, and by more calls over ReliefHorizon than must wait during FreezeTime. Slot counts stay within the bound.
-// If no slot qualifies there are no migrations.
+// the migrations. A slot migrates only if that lowers the higher load of the two backends by at least minReliefFraction
+// of the slot's load, and by more calls over ReliefHorizon than must wait during FreezeTime. Slot counts stay within the
+// bound. If no slot qualifies there are no migrations.
 func (t *Table) Rebalance(slotLoad []float64, bound BalanceBound, policy RebalancePolicy) (next *Table, migrations []Migration) {
 	next = &Table{Version: t.Version + 1, backends: t.backends, slots: slices.Clone(t.slots), mask: t.mask, equalWeights: t.equalWeights}
 	r := newRebalancer(t, slotLoad, policy)
--- a/internal/decide/ring/replicated_state.go
+++ b/internal/decide/ring/replicated_state.go
@@ -10,7 +10,7 @@
 type ReplicatedState struct {
 	Active         *Table
 	Pending        *Table // the table being migrated to; nil if no migration is in progress
-	MigratingSlots []int
+	MigratingSlots []int  // frozen until the migration ends
 
 	// Participants are the processes that grants are split among, sorted by name; at most MaxMembers. It is empty unless
 	// a backend of the active table is warming up.
--- a/internal/decide/ring/slow_start.go
+++ b/internal/decide/ring/slow_start.go
@@ -24,8 +24,8 @@
 
 // SlowStartProgress is how far one backend has warmed up. The zero value is a slow start that has not begun.
 type SlowStartProgress struct {
-	fraction  float64
-	nextStep  time.Duration
+	fraction  float64       // of the full weight
+	nextStep  time.Duration // when the fraction may change next
 	isStarted bool
 }
 
--- a/internal/decide/ring/targets.go
+++ b/internal/decide/ring/targets.go
@@ -9,7 +9,7 @@
 // computeSlotTargets limits the number of slots that each backend owns to the balance bound, then adjusts the counts in
 // the fewest steps until they sum to the number of slots. Raising a count costs no extra migration while there are
 // orphaned slots, which must be assigned anyway. So backends are raised first by up to the number of orphans that they
-// are the failover target of (wanted). Counts are lowered only if the backends together are still over the total.
+// are the failover target of (wanted). Counts are lowered only if they sum to more than the number of slots.
 func (t *Table) computeSlotTargets(bound BalanceBound, owned, wanted []int) slotTargets {
 	n := len(t.backends)
 	targets := slotTargets{low: make([]int, n), high: make([]int, n), count: make([]int, n), fairShare: make([]float64, n)}
--- a/internal/decide/ring/warm_up.go
+++ b/internal/decide/ring/warm_up.go
@@ -29,7 +29,7 @@
 // WarmingUp in wanted, unless the table has it as warmed up already. A warm-up that a previous leader began resumes from
 // the weight in the table.
 func (c *WarmUpController) WeightedBackends(now time.Duration, wanted []Backend, t *Table) []Backend {
-	weighted, isWarming := make([]Backend, len(wanted)), map[string]bool{}
+	weighted, isWarmingUp := make([]Backend, len(wanted)), map[string]bool{}
 	for n, backend := range wanted {
 		weighted[n] = backend
 		current, found := t.backendNamed(backend.Name)
@@ -37,11 +37,11 @@
 			weighted[n].WarmingUp = false
 			continue
 		}
-		isWarming[backend.Name] = true
+		isWarmingUp[backend.Name] = true
 		fraction := c.progressOf(now, backend, current).Advance(now, c.slowStart, 0, 0)
 		weighted[n].Weight, weighted[n].WarmingUp = backend.Weight*fraction, fraction < 1
 	}
-	maps.DeleteFunc(c.progress, func(name string, _ *SlowStartProgress) bool { return !isWarming[name] })
+	maps.DeleteFunc(c.progress, func(name string, _ *SlowStartProgress) bool { return !isWarmingUp[name] })
 	return weighted
 }
 
