--- a/cmd/thymechute/serve.go
+++ b/cmd/thymechute/serve.go
@@ -68,7 +68,7 @@
 		descriptorPart: descriptorPart(c),
 	}
 	s.config.Settings = settings.Settings{}
-	return s.run(&reloader{settings: c.Settings, version: s.instance.Version(), log: log}, signals)
+	return s.run(&reloader{settings: c.Settings, version: s.instance.SettingsVersion(), log: log}, signals)
 }
 
 func (s *service) run(r *reloader, signals <-chan os.Signal) error {
@@ -143,7 +143,7 @@
 			return err
 		}
 	}
-	fields := append(deltaFields(delta, s.instance.Version()),
+	fields := append(deltaFields(delta, s.instance.SettingsVersion()),
 		zap.String("runtime", reloaded.Runtime),
 		zap.String("index", reloaded.Index),
 		zap.String("directory", reloaded.Catalog),
--- a/internal/catalog/catalog.go
+++ b/internal/catalog/catalog.go
@@ -27,8 +27,8 @@
 // New returns a reporter for the instance of that name; dial opens a socket for a handler.
 func New(name string, dial func(loop.Handler)) *Reporter { return &Reporter{name: name, dial: dial} }
 
-// Sweep reports the instance's health if reportInterval has passed since the last report.
-func (r *Reporter) Sweep(now time.Time, status node.HealthStatus) {
+// ReportIfDue reports the instance's health if reportInterval has passed since the last report.
+func (r *Reporter) ReportIfDue(now time.Time, status node.HealthStatus) {
 	if now.Before(r.nextReport) {
 		return
 	}
--- a/internal/catalog/catalog_test.go
+++ b/internal/catalog/catalog_test.go
@@ -16,19 +16,19 @@
 	r := New("n3", func(p loop.Handler) { dialled = append(dialled, p.(*socket)) })
 	now := time.Now()
 	w := &testutil.FakeConn{}
-	r.Sweep(now, node.Healthy)
+	r.ReportIfDue(now, node.Healthy)
 	dialled[0].Opened(w)
 	for at := now; at.Before(now.Add(3 * time.Second)); at = at.Add(20 * time.Millisecond) {
-		r.Sweep(at, node.Healthy)
+		r.ReportIfDue(at, node.Healthy)
 	}
 	if n := strings.Count(w.Out, "alive n3 passing"); n < 9 { // a quarter may be lost
 		t.Errorf("%d reports in 3 s", n)
 	}
 	r.Move()
-	r.Sweep(now.Add(4*time.Second), node.Unhealthy)
+	r.ReportIfDue(now.Add(4*time.Second), node.Unhealthy)
 	again := &testutil.FakeConn{}
 	dialled[1].Opened(again)
-	r.Sweep(now.Add(4*time.Second), node.Unhealthy)
+	r.ReportIfDue(now.Add(4*time.Second), node.Unhealthy)
 	if !w.Closed || again.Out != "alive n3 critical" {
 		t.Errorf("closed %v, wrote %q", w.Closed, again.Out)
 	}
@@ -40,13 +40,13 @@
 	r := New("n3", func(p loop.Handler) { dialled = append(dialled, p.(*socket)) })
 	now := time.Now()
 	for n := range 3 {
-		r.Sweep(now, node.Healthy)
+		r.ReportIfDue(now, node.Healthy)
 		if len(dialled) != n+1 {
 			t.Fatalf("dialled %d times after %d errors", len(dialled), n)
 		}
 		w := &testutil.FakeConn{}
 		dialled[n].Opened(w)
-		r.Sweep(now, node.Healthy)
+		r.ReportIfDue(now, node.Healthy)
 		if w.Out != "alive n3 passing" {
 			t.Errorf("wrote %q after %d errors", w.Out, n)
 		}
--- a/internal/front/amqp/outcome.go
+++ b/internal/front/amqp/outcome.go
@@ -49,9 +49,9 @@
 
 func failureReason(cause node.Cause) string {
 	switch cause {
-	case node.KeyConflict:
+	case node.CauseKeyConflict:
 		return reasonKeyConflict
-	case node.MayHaveRun:
+	case node.CauseMayHaveRun:
 		return reasonMayHaveRun
 	}
 	return reasonFailed
--- a/internal/front/amqp/session.go
+++ b/internal/front/amqp/session.go
@@ -143,5 +143,5 @@
 // Answer implements node.Responder.
 func (s *session) Answer(id node.MessageID, answer node.Answer) { s.handler.answer(s, id, answer) }
 
-// HealthChecked implements node.Responder. No health check arrives over AMQP.
-func (s *session) HealthChecked(node.MessageID, node.HealthCheckResult) {}
+// AnswerHealthCheck implements node.Responder. No health check arrives over AMQP.
+func (s *session) AnswerHealthCheck(node.MessageID, node.HealthCheckResult) {}
--- a/internal/lab/scale/instance/reports.go
+++ b/internal/lab/scale/instance/reports.go
@@ -127,7 +127,7 @@
 			due = int(float64(len(reporters)) * float64(since) / float64(reportInterval))
 		}
 		for _, reporter := range reporters[:due] {
-			reporter.Sweep(now, node.Healthy)
+			reporter.ReportIfDue(now, node.Healthy)
 		}
 		time.Sleep(sweepInterval)
 	}
--- a/internal/loop/conn.go
+++ b/internal/loop/conn.go
@@ -10,9 +10,9 @@
 )
 
 const (
-	lingerTimeout     = time.Second // for the peer to read the remaining output and to close its side
-	maxDiscarded      = 256 << 10   // bytes received after Close, over which a half-closed connection is closed
-	maxRetainedBuffer = 16 << 10    // bytes; larger output buffers are released once they are empty
+	lingerTimeout          = time.Second // for the peer to read the remaining output and to close its side
+	maxDiscardedBytes      = 256 << 10   // bytes received after Close, over which a half-closed connection is closed
+	maxRetainedBufferBytes = 16 << 10    // bytes; larger output buffers are released once they are empty
 )
 
 // connState is the state of a connection; it only moves forward.
@@ -32,17 +32,17 @@
 
 // conn is a connection on the loop. A dialled connection closes at once, as no reply is pending on it. An accepted one closes
 // through the states above. The time in stateDraining is bounded by the handler, which answers every request eventually, and
-// by the limits on unsent output; that in stateHalfClosed by lingerTimeout, maxDiscarded and Config.MaxLingering.
+// by the limits on unsent output; that in stateHalfClosed by lingerTimeout, maxDiscardedBytes and Config.MaxLingering.
 type conn struct {
-	loop          *Loop
-	socket        gnet.Conn
-	handler       Handler
-	serverHandler ServerHandler // handler, if the connection was accepted; otherwise nil
-	output        []byte        // emptied by each tick
-	dirty         bool          // in Loop.dirty
-	state         connState
-	lingerUntil   time.Time // when it is closed at the latest; zero while replies are pending
-	discarded     int       // bytes received after Close
+	loop           *Loop
+	socket         gnet.Conn
+	handler        Handler
+	serverHandler  ServerHandler // handler, if the connection was accepted; otherwise nil
+	output         []byte        // emptied by each tick
+	flushQueued    bool          // in Loop.flushQueue
+	state          connState
+	lingerUntil    time.Time // when it is closed at the latest; zero while replies are pending
+	discardedBytes int       // bytes received after Close
 }
 
 // OnOpen implements gnet.EventHandler: it calls the handler's Opened, with a new handler for an accepted connection.
@@ -100,8 +100,8 @@
 
 // discard counts input that is no longer delivered. Too much of it closes the connection, but not while replies are pending.
 func (c *conn) discard(data []byte) gnet.Action {
-	c.discarded += len(data)
-	if c.discarded > maxDiscarded && c.state == stateHalfClosed {
+	c.discardedBytes += len(data)
+	if c.discardedBytes > maxDiscardedBytes && c.state == stateHalfClosed {
 		return gnet.Close
 	}
 	return gnet.None
@@ -113,7 +113,7 @@
 	if !ok || l.phase == PhaseStopped {
 		return gnet.None
 	}
-	delete(l.blocked, c)
+	delete(l.connsWithUnsent, c)
 	delete(l.lingering, c)
 	delete(l.acceptedConns, c)
 	if err == nil {
@@ -131,7 +131,7 @@
 		return
 	}
 	c.output = append(c.output, p...)
-	c.markDirty()
+	c.queueFlush()
 }
 
 // Close implements Conn.
@@ -140,16 +140,16 @@
 		return
 	}
 	c.state = stateDraining
-	c.markDirty()
+	c.queueFlush()
 }
 
-// markDirty schedules the connection to be flushed by the next tick.
-func (c *conn) markDirty() {
-	if c.dirty {
+// queueFlush schedules the connection to be flushed by the next tick.
+func (c *conn) queueFlush() {
+	if c.flushQueued {
 		return
 	}
-	c.dirty = true
-	c.loop.dirty = append(c.loop.dirty, c)
+	c.flushQueued = true
+	c.loop.flushQueue = append(c.loop.flushQueue, c)
 	c.loop.scheduleTick()
 }
 
@@ -177,9 +177,9 @@
 
 func (c *conn) closeNow() { _ = c.loop.eventLoop.Close(c.socket) }
 
-// closeExpired closes the lingering connections whose time is over, and the oldest ones over the limit. It returns when
+// closeExpiredLingering closes the lingering connections whose time is over, and the oldest ones over the limit. It returns when
 // the next one expires, or the zero time if none lingers.
-func (l *Loop) closeExpired(now time.Time) (next time.Time) {
+func (l *Loop) closeExpiredLingering(now time.Time) (next time.Time) {
 	for {
 		oldest := l.oldestLingering()
 		if oldest == nil {
--- a/internal/loop/conn_test.go
+++ b/internal/loop/conn_test.go
@@ -31,12 +31,14 @@
 func (m *connModel) send(t *rapid.T, text string) {
 	server := m.handler.conn.(*conn)
 	before := 0
-	m.runOnLoop(func() { before = server.discarded })
+	m.runOnLoop(func() { before = server.discardedBytes })
 	if _, err := m.client.Write([]byte(text)); err != nil {
 		t.Fatalf("the client can't write: %v", err)
 	}
 	if m.closing {
-		m.await(func() bool { return server.discarded == before+len(text) || len(m.handler.received) != len(m.sent) })
+		m.await(func() bool {
+			return server.discardedBytes == before+len(text) || len(m.handler.received) != len(m.sent)
+		})
 		return
 	}
 	if at := strings.IndexByte(text, '!'); at >= 0 {
@@ -129,9 +131,9 @@
 	c, e := host.dialWithPending(0, "abc")
 	send(t, c, "!")
 	for range 8 {
-		send(t, c, strings.Repeat("x", maxDiscarded/4))
+		send(t, c, strings.Repeat("x", maxDiscardedBytes/4))
 	}
-	host.await(func() bool { return e.conn.(*conn).discarded > maxDiscarded })
+	host.await(func() bool { return e.conn.(*conn).discardedBytes > maxDiscardedBytes })
 	host.runOnLoop(e.reply)
 	if got, err := io.ReadAll(c); string(got) != "abc" {
 		t.Errorf("got %q, %v", got, err)
@@ -143,7 +145,7 @@
 	host := startHost(t, replyOnDemand)
 	host.shrinkSendBuffers()
 	c, e := host.dialWithPending(4<<10, "abc")
-	answer := bytes.Repeat([]byte("x"), maxUnsentPerConn+(64<<10))
+	answer := bytes.Repeat([]byte("x"), maxUnsentBytesPerConn+(64<<10))
 	host.runOnLoop(func() { e.conn.Write(answer) })
 	host.await(func() bool { return e.conn.(*conn).state == stateDraining })
 	send(t, c, "def") // discarded
@@ -165,7 +167,7 @@
 	for range 6 {
 		host.dial(4 << 10)
 		e := testutil.Next(t, host.opened, "a connection")
-		host.runOnLoop(func() { e.conn.Write(make([]byte, maxUnsentPerConn-1)) })
+		host.runOnLoop(func() { e.conn.Write(make([]byte, maxUnsentBytesPerConn-1)) })
 		all = append(all, e)
 	}
 	host.await(func() bool {
@@ -177,7 +179,7 @@
 				unsent += server.socket.OutboundBuffered()
 			}
 		}
-		return unsent <= host.loop.maxTotalUnsent && openConns >= 2
+		return unsent <= host.loop.maxTotalUnsentBytes && openConns >= 2
 	})
 }
 
--- a/internal/loop/loop.go
+++ b/internal/loop/loop.go
@@ -4,7 +4,7 @@
 //
 // Nothing on the loop may block. An error or a panic in a handler closes that handler's connection and nothing else.
 //
-// All tables are bounded: connections with unsent output by maxUnsentPerConn each and an eighth of the memory limit
+// All tables are bounded: connections with unsent output by maxUnsentBytesPerConn each and an eighth of the memory limit
 // in total, accepted connections by Host.Accept, and closing connections by Config.MaxLingering and lingerTimeout.
 package loop
 
@@ -79,9 +79,9 @@
 	tickTimer   *time.Timer
 	phase       Phase
 
-	dirty          []*conn            // with buffered output or to be closed; emptied by each tick
-	blocked        map[*conn]struct{} // with unsent output, as the peer does not read
-	maxTotalUnsent int                // bytes, of all connections together
+	flushQueue          []*conn            // with buffered output or to be closed; emptied by each tick
+	connsWithUnsent     map[*conn]struct{} // with unsent output, as the peer does not read
+	maxTotalUnsentBytes int                // bytes, of all connections together
 
 	acceptedConns map[*conn]struct{}
 	lingering     map[*conn]struct{} // accepted connections that are closing and have nothing pending
@@ -112,17 +112,17 @@
 
 func newLoop(config Config, listener *net.TCPListener) *Loop {
 	return &Loop{
-		host:           config.Host,
-		log:            config.Log,
-		stopped:        make(chan struct{}),
-		listener:       listener,
-		listening:      true,
-		blocked:        map[*conn]struct{}{},
-		maxTotalUnsent: int(config.MemoryLimit / unsentMemoryDivisor),
-		acceptedConns:  map[*conn]struct{}{},
-		lingering:      map[*conn]struct{}{},
-		maxLingering:   config.MaxLingering,
-		lingerTimeout:  lingerTimeout,
+		host:                config.Host,
+		log:                 config.Log,
+		stopped:             make(chan struct{}),
+		listener:            listener,
+		listening:           true,
+		connsWithUnsent:     map[*conn]struct{}{},
+		maxTotalUnsentBytes: int(config.MemoryLimit / unsentMemoryDivisor),
+		acceptedConns:       map[*conn]struct{}{},
+		lingering:           map[*conn]struct{}{},
+		maxLingering:        config.MaxLingering,
+		lingerTimeout:       lingerTimeout,
 	}
 }
 
--- a/internal/loop/shutdown_test.go
+++ b/internal/loop/shutdown_test.go
@@ -17,13 +17,13 @@
 	send(t, c, "!")
 	host.await(func() bool { return e.conn.(*conn).state == stateDraining })
 	send(t, c, "def")
-	host.await(func() bool { return e.conn.(*conn).discarded == 3 })
+	host.await(func() bool { return e.conn.(*conn).discardedBytes == 3 })
 	host.runOnLoop(e.reply)
 	if got := readAll(t, c); got != "abc" {
 		t.Errorf("got %q", got)
 	}
 	send(t, c, "ghi") // after the close
-	host.await(func() bool { return e.conn.(*conn).discarded == 6 })
+	host.await(func() bool { return e.conn.(*conn).discardedBytes == 6 })
 	c.Close()
 	testutil.Next(t, host.closed, "the close")
 	if string(e.received) != "abc!" {
--- a/internal/loop/tick.go
+++ b/internal/loop/tick.go
@@ -35,7 +35,7 @@
 	WithRecover(l.log, "tick", func() { l.nextTick, phase = l.host.Tick() })
 	l.flush()
 	l.shutDown(phase)
-	next := l.closeExpired(time.Now())
+	next := l.closeExpiredLingering(time.Now())
 	if !next.IsZero() && next.Before(l.nextTick) {
 		l.nextTick = next
 	}
--- a/internal/node/admission.go
+++ b/internal/node/admission.go
@@ -10,8 +10,8 @@
 // Admit takes a request that has been read. Its answer goes to the responder under the message id, at once or during a later
 // tick. The error is an *AdmissionError; no answer follows it.
 func (n *Instance) Admit(responder Responder, id MessageID, incoming Request) error {
-	n.lastArrival = n.now
-	class, ok := n.classes.find(incoming.Class)
+	n.lastArrivalAt = n.now
+	class, ok := n.classes.findActive(incoming.Class)
 	if !ok {
 		return &AdmissionError{Reason: ErrUnknownClass, Value: incoming.Class}
 	}
@@ -24,7 +24,7 @@
 	}
 	key := n.keyOf(class, incoming)
 	if n.controller == nil || n.isFull(class, key) {
-		responder.Answer(id, Answer{Status: Rejected, RetryAfter: n.retryAfter(), Advertised: n.advertised})
+		responder.Answer(id, Answer{Status: Rejected, RetryAfter: n.retryAfter(), AdvertisedLoad: n.advertisedLoad})
 		return nil
 	}
 	requestID := n.allocate()
@@ -47,13 +47,13 @@
 
 // HasClass reports whether requests of this class are admitted.
 func (n *Instance) HasClass(class string) bool {
-	_, ok := n.classes.find(class)
+	_, ok := n.classes.findActive(class)
 	return ok
 }
 
 // findTenant returns the tenant's index, noTenant for the empty name.
 func (n *Instance) findTenant(name string) (tenant int, ok bool) {
-	tenant, ok = n.tenants.find(name)
+	tenant, ok = n.tenants.findActive(name)
 	if !ok && name == "" {
 		return noTenant, true
 	}
@@ -62,11 +62,11 @@
 
 // isFull reports whether a table has no capacity for a request of this class and key.
 func (n *Instance) isFull(class int, key string) bool {
-	if n.inFlight*requestBytes >= n.tableBytes {
+	if n.inFlight*requestBytes >= n.maxTableBytes {
 		return true
 	}
 	needsKeyEntry := n.idempotencyOf(class) == settings.Idempotent && n.keys.entries[key] == nil
-	return needsKeyEntry && n.keys.bytes >= n.tableBytes
+	return needsKeyEntry && n.keys.bytes >= n.maxTableBytes
 }
 
 // allocate returns a free slot of the table of requests.
@@ -82,10 +82,10 @@
 
 // retryAfter returns the Retry-After of requests that the instance rejects without the controller; 0: none.
 func (n *Instance) retryAfter() time.Duration {
-	if n.server.RetryAfter.Off() {
+	if n.serverSettings.RetryAfter.Off() {
 		return 0
 	}
-	return min(fullRetryAfter, n.server.MaxRetryAfter.Seconds(0))
+	return min(tableFullRetryAfter, n.serverSettings.MaxRetryAfter.Seconds(0))
 }
 
 // submit passes an admitted request to the controller, unless its idempotency key belongs to another request.
@@ -106,7 +106,7 @@
 	}
 	original, isConflict := n.findOriginal(request, incoming, n.now-work.ReadDelay)
 	if isConflict {
-		request.cause = KeyConflict
+		request.failureCause = CauseKeyConflict
 		n.respond(id, Answer{Status: Failed})
 		n.Release(id)
 		return
--- a/internal/node/drain.go
+++ b/internal/node/drain.go
@@ -28,9 +28,9 @@
 		n.drain.started = true
 		n.drain.deadline = n.now + n.stopTimeout
 		n.drain.graceEnd = n.now
-		n.lastArrival = n.now // requests may be in transit at the drain notice
+		n.lastArrivalAt = n.now // requests may be in transit at the drain notice
 		if n.controller != nil {
-			n.drain.graceEnd += n.server.DrainGrace.Seconds(0)
+			n.drain.graceEnd += n.serverSettings.DrainGrace.Seconds(0)
 			n.controller.Drain(n.now, n.stopTimeout)
 		}
 		n.failHealthChecks(anyHealthCheck)
@@ -40,11 +40,11 @@
 	})
 }
 
-// phase returns the phase of the graceful shutdown. The listener closes when the grace period is over, no request has arrived
+// advancePhase returns the phase of the graceful shutdown. The listener closes when the grace period is over, no request has arrived
 // for quietInterval and none is pending, or listenerCloseMargin before the stop deadline. The connections close when the
 // requests that arrived up to listenerCloseLinger after that are answered. Just before the deadline everything pending is
 // answered and the loop stops.
-func (n *Instance) phase() loop.Phase {
+func (n *Instance) advancePhase() loop.Phase {
 	switch {
 	case !n.drain.started:
 		return loop.PhaseServing
@@ -70,7 +70,7 @@
 	if n.now >= n.drain.deadline-listenerCloseMargin {
 		return false
 	}
-	isQuiet := n.now >= n.drain.graceEnd && n.now-n.lastArrival > quietInterval
+	isQuiet := n.now >= n.drain.graceEnd && n.now-n.lastArrivalAt > quietInterval
 	return !isQuiet || n.hasPendingWork()
 }
 
--- a/internal/node/drain_test.go
+++ b/internal/node/drain_test.go
@@ -31,21 +31,21 @@
 	n.Tick()
 	peers.expect(t, 2, "drain")
 	n.now = n.drain.graceEnd + time.Second
-	n.lastArrival = n.drain.graceEnd
-	if n.phase() != loop.PhaseServing {
+	n.lastArrivalAt = n.drain.graceEnd
+	if n.advancePhase() != loop.PhaseServing {
 		t.Error("the listener closes though a front has pending answers")
 	}
 	peers.pending = false
-	if n.phase() != loop.PhaseClosingListener {
+	if n.advancePhase() != loop.PhaseClosingListener {
 		t.Error("the listener stays open though nothing is pending")
 	}
 	peers.pending = true
 	n.now = n.drain.deadline - lastAnswerMargin
-	if n.phase() != loop.PhaseClosingConns {
+	if n.advancePhase() != loop.PhaseClosingConns {
 		t.Error("a front that stays pending keeps the connections open")
 	}
 	n.now = n.drain.deadline - exitMargin
-	if n.phase() != loop.PhaseStopped {
+	if n.advancePhase() != loop.PhaseStopped {
 		t.Error("a front that stays pending outlasts the stop deadline")
 	}
 }
@@ -67,8 +67,8 @@
 		{exitMargin, loop.PhaseStopped},
 	} {
 		n.now = n.drain.deadline - at.left
-		n.lastArrival = n.drain.deadline - at.left
-		if got := n.phase(); got != at.want {
+		n.lastArrivalAt = n.drain.deadline - at.left
+		if got := n.advancePhase(); got != at.want {
 			t.Errorf("%v before the stop deadline: phase %v, want %v", at.left, got, at.want)
 		}
 	}
--- a/internal/node/gauges.go
+++ b/internal/node/gauges.go
@@ -32,6 +32,6 @@
 
 // parseGauges picks the controller's gauges out of the runtime's.
 func (n *Instance) parseGauges(values []float64) policy.Gauges {
-	busy, runnable := n.server.Gauges(values)
+	busy, runnable := n.serverSettings.Gauges(values)
 	return policy.Gauges{Busy: busy, Runnable: runnable}
 }
--- a/internal/node/health.go
+++ b/internal/node/health.go
@@ -24,7 +24,7 @@
 // selfTestTimeout. A deep check for which no self-test can be made is answered like a shallow one.
 func (n *Instance) CheckHealth(responder Responder, id MessageID, depth HealthCheckDepth) {
 	if depth == ShallowCheck || !n.canSelfTest() {
-		responder.HealthChecked(id, n.healthResult(HealthOf(n.controller != nil && n.health.isHealthy)))
+		responder.AnswerHealthCheck(id, n.healthResult(HealthOf(n.controller != nil && n.health.isHealthy)))
 		return
 	}
 	n.health.selfTests++
@@ -46,7 +46,7 @@
 		return
 	}
 	delete(n.health.checks, testID)
-	check.responder.HealthChecked(check.messageID, n.healthResult(HealthOf(status == Healthy && n.health.isHealthy)))
+	check.responder.AnswerHealthCheck(check.messageID, n.healthResult(HealthOf(status == Healthy && n.health.isHealthy)))
 }
 
 // failHealthChecks answers the matching deep checks as unhealthy.
@@ -54,13 +54,13 @@
 	for testID, check := range n.health.checks {
 		if matches(check) {
 			delete(n.health.checks, testID)
-			check.responder.HealthChecked(check.messageID, n.healthResult(Unhealthy))
+			check.responder.AnswerHealthCheck(check.messageID, n.healthResult(Unhealthy))
 		}
 	}
 }
 
 func (n *Instance) healthResult(status HealthStatus) HealthCheckResult {
-	return HealthCheckResult{Status: status, Advertised: n.advertised}
+	return HealthCheckResult{Status: status, AdvertisedLoad: n.advertisedLoad}
 }
 
 func anyHealthCheck(healthCheck) bool { return true }
--- a/internal/node/host.go
+++ b/internal/node/host.go
@@ -19,9 +19,9 @@
 	if request.responder == nil {
 		return
 	}
-	answer.Advertised = n.advertised
+	answer.AdvertisedLoad = n.advertisedLoad
 	if answer.Status == Failed {
-		answer.Cause = request.cause
+		answer.Cause = request.failureCause
 	}
 	request.responder.Answer(request.messageID, answer)
 }
@@ -99,7 +99,7 @@
 }
 
 // Advertise sets the load value that all answers carry.
-func (n *Instance) Advertise(value float64) { n.advertised = value }
+func (n *Instance) Advertise(value float64) { n.advertisedLoad = value }
 
 // Wake schedules the controller's next tick.
 func (n *Instance) Wake(at time.Duration) { n.nextControllerTick = at }
--- a/internal/node/idempotency.go
+++ b/internal/node/idempotency.go
@@ -24,7 +24,7 @@
 // keyTable holds the idempotency keys of requests in flight, and of completed requests with their cached results.
 type keyTable struct {
 	entries    map[string]*keyEntry
-	bytes      int          // size of the entries and their results; bounded by Instance.tableBytes
+	bytes      int          // size of the entries and their results; bounded by Instance.maxTableBytes
 	digestSeed maphash.Seed // of bodyDigest
 }
 
@@ -55,10 +55,10 @@
 		return entry.owner, false
 	}
 	mayHaveRunElsewhere := incoming.MayHaveRunElsewhere && idempotency != settings.Safe
-	if !mayHaveRunElsewhere && !n.mayHaveRunEarlier(request.class, incoming, arrivedAt) {
+	if !mayHaveRunElsewhere && !n.mayHaveRunInEarlierIncarnation(request.class, incoming, arrivedAt) {
 		return policy.NoOriginal, false
 	}
-	request.cause = MayHaveRun
+	request.failureCause = CauseMayHaveRun
 	if !hasSameBody { // an expired entry with the same body still has the result of this request
 		request.key = ""
 	}
@@ -71,14 +71,14 @@
 	return arrivedAt <= e.expiresAt || !e.completed
 }
 
-// mayHaveRunEarlier reports whether the request may retry one of an earlier incarnation of this instance, whose keys are
+// mayHaveRunInEarlierIncarnation reports whether the request may retry one of an earlier incarnation of this instance, whose keys are
 // unknown. That ends one key window after the instance's start.
-func (n *Instance) mayHaveRunEarlier(class int, incoming Request, arrivedAt time.Duration) bool {
+func (n *Instance) mayHaveRunInEarlierIncarnation(class int, incoming Request, arrivedAt time.Duration) bool {
 	if !incoming.IsRetry || n.idempotencyOf(class) != settings.Idempotent {
 		return false
 	}
-	unknownKeysUntil := n.runtimeStatus.firstReadyAt + n.keyWindowOf(class)
-	return n.runtimeStatus.servesEarlierIncarnation && arrivedAt < unknownKeysUntil
+	unknownKeysUntil := n.runtimeProcess.firstReadyAt + n.keyWindowOf(class)
+	return n.runtimeProcess.servesEarlierIncarnation && arrivedAt < unknownKeysUntil
 }
 
 func (n *Instance) digest(body []byte) uint64 { return maphash.Bytes(n.keys.digestSeed, body) }
@@ -155,7 +155,7 @@
 		n.completeCoalesced(waiter, shared)
 	}
 	entry.waiters = nil
-	if n.keys.bytes+len(result.Body) <= n.tableBytes {
+	if n.keys.bytes+len(result.Body) <= n.maxTableBytes {
 		entry.succeeded = succeeded
 		entry.result = result.Body
 		n.keys.bytes += len(result.Body)
@@ -188,7 +188,7 @@
 // sweepKeys drops expired keys without an attempt in flight.
 func (n *Instance) sweepKeys() {
 	for key, entry := range n.keys.entries {
-		if n.now > entry.expiresAt+keyLinger && entry.owner < 0 && len(entry.waiters) == 0 {
+		if n.now > entry.expiresAt+expiredKeyRetention && entry.owner < 0 && len(entry.waiters) == 0 {
 			n.dropKey(key)
 		}
 	}
--- a/internal/node/idempotency_test.go
+++ b/internal/node/idempotency_test.go
@@ -11,7 +11,7 @@
 
 func TestKeysStayWithinTableBytes(t *testing.T) {
 	n, peers := newReady(nil)
-	n.keys.bytes = n.tableBytes - keyEntryBytes - 4
+	n.keys.bytes = n.maxTableBytes - keyEntryBytes - 4
 	n.admitRequest(peers, "a", "keyed", "one", 0)
 	n.admitRequest(peers, "b", "keyed", "one", 0) // coalesces
 	n.RunEnded("a", RunResult{Outcome: policy.OK, Body: []byte("five!")})
@@ -35,7 +35,7 @@
 	if n.keys.bytes != otherBytes || len(n.keys.entries) != 0 {
 		t.Errorf("%d bytes, %d keys left", n.keys.bytes-otherBytes, len(n.keys.entries))
 	}
-	n.tableBytes = requestBytes
+	n.maxTableBytes = requestBytes
 	n.keys.bytes = 0
 	n.admitRequest(peers, "g", "safe", "", 0)
 	n.admitRequest(peers, "h", "safe", "", 0)
@@ -61,7 +61,7 @@
 	n, peers := newReady(nil)
 	n.admitRequest(peers, "a", "keyed", "key", 0)
 	n.admitRequest(peers, "b", "keyed", "key", 0)
-	n.keys.entries["keyed key"].expiresAt = n.now - 10*keyLinger
+	n.keys.entries["keyed key"].expiresAt = n.now - 10*expiredKeyRetention
 	n.nextSweep = 0
 	n.Tick()
 	n.admitRequest(peers, "c", "keyed", "key", 0)
@@ -100,7 +100,7 @@
 			s.Classes[1].KeyWindow = settings.NumberOf(window)
 			s.Server.FleetSize = settings.NumberOf(2)
 		})
-		n.advertised = 0.5
+		n.advertisedLoad = 0.5
 		for range 3 { // applied, reverted, and applied again
 			n.applySettings(t, before, after)
 			n.Tick()
@@ -109,8 +109,8 @@
 			} else if entry.expiresAt != expiresAt {
 				t.Errorf("expires at %v, at %v after the first switch", entry.expiresAt, expiresAt)
 			}
-			if n.advertised >= 0 {
-				t.Errorf("%v is still advertised, in the earlier form", n.advertised)
+			if n.advertisedLoad >= 0 {
+				t.Errorf("%v is still advertised, in the earlier form", n.advertisedLoad)
 			}
 			n.applySettings(t, after, before)
 			n.Tick()
@@ -145,7 +145,7 @@
 	n.admitRequest(peers, "a", "keyed", "key", 0)
 	n.RunEnded("a", RunResult{Outcome: policy.OK})
 	n.Tick()
-	n.keys.entries["keyed key"].expiresAt, n.nextSweep = n.now-2*keyLinger, 0
+	n.keys.entries["keyed key"].expiresAt, n.nextSweep = n.now-2*expiredKeyRetention, 0
 	n.Tick()
 	if len(n.keys.entries) != 0 {
 		t.Error("the expired key is still in the table")
@@ -181,7 +181,7 @@
 	peers.expect(t, 1, "answer e 0 cached")
 }
 
-// An expired key remains in the table for keyLinger. A message that is redelivered then gets its own result, never that of
+// An expired key remains in the table for expiredKeyRetention. A message that is redelivered then gets its own result, never that of
 // another, and does not run.
 func TestRedeliveredRequestGetsOnlyItsOwnResultAfterTheKeyWindow(t *testing.T) {
 	n, peers := newReady(nil)
--- a/internal/node/interfaces.go
+++ b/internal/node/interfaces.go
@@ -6,8 +6,8 @@
 type Responder interface {
 	// Answer delivers the final answer to a request.
 	Answer(id MessageID, answer Answer)
-	// HealthChecked delivers the answer to a health check.
-	HealthChecked(id MessageID, result HealthCheckResult)
+	// AnswerHealthCheck delivers the answer to a health check.
+	AnswerHealthCheck(id MessageID, result HealthCheckResult)
 }
 
 // Runtime executes requests. Its methods do not block, and the results come back as calls of the Instance (RunEnded and the
@@ -51,6 +51,6 @@
 
 // HealthReporter reports the instance's health to the service catalog.
 type HealthReporter interface {
-	// Sweep reports the health if a report is due. It is called at every tick.
-	Sweep(now time.Time, status HealthStatus)
+	// ReportIfDue reports the health if a report is due. It is called at every tick.
+	ReportIfDue(now time.Time, status HealthStatus)
 }
--- a/internal/node/limits.go
+++ b/internal/node/limits.go
@@ -12,13 +12,13 @@
 
 // Bounds of single values.
 const (
-	fullRetryAfter                = 500 * time.Millisecond // Retry-After while a table is full
+	tableFullRetryAfter           = 500 * time.Millisecond // Retry-After while a table is full
 	maxReadDelay                  = time.Hour              // longer read delays count as this
 	selfTestTimeout               = 5 * time.Second        // a self-test that takes longer counts as failed
 	maxGaugeAge                   = 200 * time.Millisecond // older gauges are not passed to the controller
 	runtimeAgeTolerance           = 100 * time.Millisecond // the runtime rounds its age to milliseconds
 	defaultControllerTickInterval = 20 * time.Millisecond  // between ticks if the controller requests none
-	keyLinger                     = 2 * time.Second        // an expired key remains this long, for requests that are read late
+	expiredKeyRetention           = 2 * time.Second        // an expired key remains this long, for requests that are read late
 	sweepInterval                 = 500 * time.Millisecond // between two sweeps of keys and health checks
 	stallThreshold                = 60 * time.Millisecond  // the machine counts as stalled after this long without any event
 	maxControllerTickDelay        = 105 * time.Millisecond // by which a tick is deferred at most while the machine is stalled
@@ -30,7 +30,7 @@
 )
 
 const (
-	noAdvertisedValue    = -1.0 // nothing is advertised
+	noAdvertisedLoad     = -1.0 // nothing is advertised
 	noTenant             = -1   // tenant index of a request without a tenant
 	firstSettingsVersion = 1    // version of the settings that the instance starts with
 )
--- a/internal/node/messages.go
+++ b/internal/node/messages.go
@@ -44,9 +44,9 @@
 
 // Values of Cause.
 const (
-	CauseUnknown Cause = iota
-	KeyConflict        // the idempotency key belongs to a request with another body
-	MayHaveRun         // an earlier attempt may have run, and its result is unknown here
+	CauseUnknown     Cause = iota
+	CauseKeyConflict       // the idempotency key belongs to a request with another body
+	CauseMayHaveRun        // an earlier attempt may have run, and its result is unknown here
 )
 
 // Answer is the final answer to a request.
@@ -56,7 +56,7 @@
 	Result           []byte        // of a served request
 	RetryAfter       time.Duration // 0: none
 	NoRetryElsewhere bool          // a retry at another server would not help
-	Advertised       float64       // the load value advertised to callers; negative: none
+	AdvertisedLoad   float64       // the load value advertised to callers; negative: none
 }
 
 // HealthCheckDepth selects what a health check covers.
@@ -87,8 +87,8 @@
 
 // HealthCheckResult is the answer to a health check.
 type HealthCheckResult struct {
-	Status     HealthStatus
-	Advertised float64 // the load value advertised to callers; negative: none
+	Status         HealthStatus
+	AdvertisedLoad float64 // the load value advertised to callers; negative: none
 }
 
 // RuntimeState is the state that a runtime reports when a link to it is established.
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -41,17 +41,17 @@
 	stopped        bool      // by the controller
 	callInFlight   bool
 	answered       bool
-	cause          Cause // why it fails, if it does
+	failureCause   Cause // why it fails, if it does
 }
 
 // Instance is one server.
 type Instance struct {
 	log             *zap.Logger
-	server          settings.Server
+	serverSettings  settings.Server
 	settingsVersion uint64
 	seed            uint64
 	stopTimeout     time.Duration // from the drain notice to the stop deadline
-	tableBytes      int           // bound of requests, and of keys, in bytes
+	maxTableBytes   int           // bound of requests, and of keys, in bytes
 
 	runtime        Runtime
 	dependency     Dependency
@@ -66,7 +66,7 @@
 	nextControllerTick time.Duration
 	nextSweep          time.Duration
 	lastEventAt        time.Duration // when a tick last had events
-	lastArrival        time.Duration // when a request last arrived, or the drain notice
+	lastArrivalAt      time.Duration // when a request last arrived, or the drain notice
 
 	classes  *resourceTable[settings.Class]
 	tenants  *resourceTable[settings.Tenant]
@@ -76,11 +76,11 @@
 	byTaskID map[TaskID]policy.RequestID
 	keys     keyTable
 
-	health        healthState
-	advertised    float64 // the load value advertised to callers; negative: none
-	gauges        gaugeState
-	runtimeStatus runtimeStatus
-	drain         drainState
+	health         healthState
+	advertisedLoad float64 // the load value advertised to callers; negative: none
+	gauges         gaugeState
+	runtimeProcess runtimeProcess
+	drain          drainState
 }
 
 // New returns an instance that waits for its runtime. stopTimeout is the time from the drain notice to the kill of the
@@ -92,17 +92,17 @@
 	}
 	return &Instance{
 		log:             log,
-		server:          s.Server,
+		serverSettings:  s.Server,
 		settingsVersion: firstSettingsVersion,
 		seed:            seed,
 		stopTimeout:     stopTimeout,
-		tableBytes:      int(memoryLimitBytes / tableMemoryDivisor),
+		maxTableBytes:   int(memoryLimitBytes / tableMemoryDivisor),
 		start:           time.Now(),
 		classes:         newResourceTable(classes),
 		tenants:         newResourceTable(s.Tenants),
 		byTaskID:        map[TaskID]policy.RequestID{},
 		keys:            newKeyTable(),
-		advertised:      noAdvertisedValue,
+		advertisedLoad:  noAdvertisedLoad,
 		health:          healthState{checks: map[string]healthCheck{}},
 		gauges:          gaugeState{latest: noGauges},
 	}
@@ -121,6 +121,6 @@
 	return Load{
 		Ready:    n.controller != nil && n.runtime.Up(),
 		Requests: n.inFlight,
-		Capacity: n.tableBytes / requestBytes,
+		Capacity: n.maxTableBytes / requestBytes,
 	}
 }
--- a/internal/node/recorder_test.go
+++ b/internal/node/recorder_test.go
@@ -37,7 +37,7 @@
 func (r *recorder) SetIdleTimeout(time.Duration)     {}
 func (r *recorder) Drain()                           { r.record("drain") }
 func (r *recorder) Sweep(time.Time) (next time.Time) { return }
-func (r *recorder) HealthChecked(id MessageID, result HealthCheckResult) {
+func (r *recorder) AnswerHealthCheck(id MessageID, result HealthCheckResult) {
 	r.record("checked %s %v", id, result.Status == Healthy)
 }
 func (r *recorder) Answer(id MessageID, answer Answer) {
@@ -60,7 +60,7 @@
 
 type discardReporter struct{}
 
-func (discardReporter) Sweep(time.Time, HealthStatus) {}
+func (discardReporter) ReportIfDue(time.Time, HealthStatus) {}
 
 // newReady returns an instance with a ready runtime and the classes safe, keyed and unsafe.
 func newReady(change func(*settings.Settings)) (*Instance, *recorder) {
@@ -75,7 +75,7 @@
 // applySettings applies the delta between two settings.
 func (n *Instance) applySettings(t *testing.T, before, after settings.Settings) {
 	t.Helper()
-	delta, err := settings.Compare(n.Version(), before, after, func() {})
+	delta, err := settings.Compare(n.SettingsVersion(), before, after, func() {})
 	if err == nil {
 		err = n.Apply(delta)
 	}
--- a/internal/node/resource_table.go
+++ b/internal/node/resource_table.go
@@ -37,8 +37,8 @@
 	return t
 }
 
-// find returns the index of the resource in force under the name.
-func (t *resourceTable[T]) find(name string) (int, bool) {
+// findActive returns the index of the resource in force under the name.
+func (t *resourceTable[T]) findActive(name string) (int, bool) {
 	index, ok := t.active[name]
 	return int(index), ok
 }
@@ -46,8 +46,8 @@
 // at returns the resource of an index, in force or retired.
 func (t *resourceTable[T]) at(index int) *T { return &t.rows[index].value }
 
-// lookup returns the resource of that name, in force or retired; nil: none.
-func (t *resourceTable[T]) lookup(name string) *T {
+// findAny returns the resource of that name, in force or retired; nil: none.
+func (t *resourceTable[T]) findAny(name string) *T {
 	index, ok := t.active[name]
 	if !ok {
 		index, ok = t.retired[name]
--- a/internal/node/runs.go
+++ b/internal/node/runs.go
@@ -8,8 +8,8 @@
 	"thymechute/policy"
 )
 
-// runtimeStatus is what is known of the runtime's process.
-type runtimeStatus struct {
+// runtimeProcess is what is known of the runtime's process.
+type runtimeProcess struct {
 	startedAt                time.Time     // latest possible time of its start
 	firstReadyAt             time.Duration // when the first link to it was established
 	isReused                 bool          // it had executed requests before the first link
@@ -34,21 +34,21 @@
 func (n *Instance) startController(state RuntimeState, runtimeStart time.Time) {
 	n.log.Info("runtime ready", zap.Bool("reused", state.Reused), zap.Duration("age", state.Age))
 	n.start = runtimeStart // the controller's slow start counts from the runtime's start
-	n.runtimeStatus.startedAt = runtimeStart
-	n.runtimeStatus.isReused = state.Reused
+	n.runtimeProcess.startedAt = runtimeStart
+	n.runtimeProcess.isReused = state.Reused
 	n.now = time.Since(n.start)
-	n.runtimeStatus.firstReadyAt = n.now
+	n.runtimeProcess.firstReadyAt = n.now
 	n.lastEventAt = n.now
 	n.controller = n.newController()
 }
 
 // checkRestart ends all runs if the runtime has restarted: its start is later than that of the runtime known so far.
 func (n *Instance) checkRestart(earliestStart, latestStart time.Time) {
-	if !earliestStart.After(n.runtimeStatus.startedAt.Add(runtimeAgeTolerance)) {
+	if !earliestStart.After(n.runtimeProcess.startedAt.Add(runtimeAgeTolerance)) {
 		return
 	}
 	n.log.Warn("runtime restarted, its runs are lost")
-	n.runtimeStatus.startedAt = latestStart
+	n.runtimeProcess.startedAt = latestStart
 	for index := range n.requests {
 		request := &n.requests[index]
 		if request.inFlight && request.startSent {
@@ -101,8 +101,8 @@
 // an earlier incarnation of this instance.
 func (n *Instance) findRun(taskID TaskID) (policy.RequestID, bool) {
 	id, ok := n.byTaskID[taskID]
-	if !ok && n.runtimeStatus.isReused && !n.runtimeStatus.servesEarlierIncarnation {
-		n.runtimeStatus.servesEarlierIncarnation = true
+	if !ok && n.runtimeProcess.isReused && !n.runtimeProcess.servesEarlierIncarnation {
+		n.runtimeProcess.servesEarlierIncarnation = true
 		n.log.Warn("runtime still executes requests of an earlier incarnation, keyed retries fail for one key window",
 			zap.String("task", string(taskID)))
 	}
--- a/internal/node/runs_test.go
+++ b/internal/node/runs_test.go
@@ -12,10 +12,10 @@
 func TestRuntimeOfSlightlyLowerAgeIsNoRestart(t *testing.T) {
 	n, peers := newReady(nil)
 	n.admitRequest(peers, "a", "safe", "", 0)
-	n.RuntimeReady(RuntimeState{Reused: true, Age: time.Since(n.runtimeStatus.startedAt) - 2*time.Millisecond, RequestedAt: time.Now()})
+	n.RuntimeReady(RuntimeState{Reused: true, Age: time.Since(n.runtimeProcess.startedAt) - 2*time.Millisecond, RequestedAt: time.Now()})
 	n.Tick()
 	peers.expect(t, 0, "answer")
-	n.runtimeStatus.startedAt = n.runtimeStatus.startedAt.Add(-time.Second)
+	n.runtimeProcess.startedAt = n.runtimeProcess.startedAt.Add(-time.Second)
 	n.RuntimeReady(RuntimeState{Reused: true, RequestedAt: time.Now()})
 	n.Tick()
 	peers.expect(t, 1, "answer a 2")
@@ -51,7 +51,7 @@
 func TestRuntimeStateReadLateIsNoRestart(t *testing.T) {
 	n, peers := newReady(nil)
 	n.admitRequest(peers, "a", "safe", "", 0)
-	n.runtimeStatus.startedAt = n.runtimeStatus.startedAt.Add(-5 * time.Second)
+	n.runtimeProcess.startedAt = n.runtimeProcess.startedAt.Add(-5 * time.Second)
 	n.RuntimeReady(RuntimeState{Age: 3 * time.Second, RequestedAt: time.Now().Add(-3 * time.Second)})
 	n.Tick()
 	peers.expect(t, 0, "answer a")
--- a/internal/node/settings.go
+++ b/internal/node/settings.go
@@ -7,13 +7,13 @@
 	"thymechute/policy/settings"
 )
 
-// Version returns the version of the settings in force.
-func (n *Instance) Version() uint64 { return n.settingsVersion }
+// SettingsVersion returns the version of the settings in force.
+func (n *Instance) SettingsVersion() uint64 { return n.settingsVersion }
 
 // Idempotency returns the idempotency of the class in force with this name. It is empty if there is no such class, or if its
 // settings give none.
 func (n *Instance) Idempotency(class string) settings.Idempotency {
-	index, ok := n.classes.find(class)
+	index, ok := n.classes.findActive(class)
 	if !ok {
 		return ""
 	}
@@ -51,7 +51,7 @@
 		return &BoundError{Kind: "tenants", Found: found, Bound: settings.MaxTenants}
 	}
 	for _, class := range delta.Classes.Set {
-		current := n.classes.lookup(class.Name) // also a removed class that still has requests or keys
+		current := n.classes.findAny(class.Name) // also a removed class that still has requests or keys
 		if current == nil {
 			continue
 		}
@@ -63,8 +63,8 @@
 }
 
 func (n *Instance) applyServer(server settings.Server) {
-	n.server = server
-	n.advertised = noAdvertisedValue // its form may have changed; the controller advertises again
+	n.serverSettings = server
+	n.advertisedLoad = noAdvertisedLoad // its form may have changed; the controller advertises again
 	if n.controller != nil {
 		n.controller.SetServer(server)
 	}
@@ -78,7 +78,7 @@
 	}
 	windowExtended := false
 	for _, class := range changes.Set {
-		current := n.classes.lookup(class.Name)
+		current := n.classes.findAny(class.Name)
 		if current != nil && class.KeyWindow.Seconds(0) > current.KeyWindow.Seconds(0) {
 			windowExtended = true
 		}
@@ -117,7 +117,7 @@
 // newController returns a controller for the settings in force.
 func (n *Instance) newController() *policy.Instance {
 	controller := policy.New(n, n.seed, settings.Settings{
-		Server:  n.server,
+		Server:  n.serverSettings,
 		Classes: n.classes.values(),
 		Tenants: n.tenants.values(),
 	})
--- a/internal/node/settings_model_test.go
+++ b/internal/node/settings_model_test.go
@@ -48,7 +48,7 @@
 
 func (m *model) applyDelta(t *rapid.T) {
 	later := m.drawSettings(t)
-	d, err := settings.Compare(m.instance.Version(), m.active, later, func() {})
+	d, err := settings.Compare(m.instance.SettingsVersion(), m.active, later, func() {})
 	if err == nil {
 		err = m.instance.Apply(d)
 	}
@@ -60,7 +60,7 @@
 
 // applyStaleDelta checks that a delta to an earlier version is rejected.
 func (m *model) applyStaleDelta(t *rapid.T) {
-	d, _ := settings.Compare(m.instance.Version()-1, m.active, m.drawSettings(t), func() {})
+	d, _ := settings.Compare(m.instance.SettingsVersion()-1, m.active, m.drawSettings(t), func() {})
 	if m.instance.Apply(d) == nil {
 		t.Fatal("a stale delta was applied")
 	}
@@ -115,7 +115,7 @@
 // expireKeys lets all keys expire, so that those of ended runs are dropped.
 func (m *model) expireKeys(*rapid.T) {
 	for _, r := range m.instance.keys.entries {
-		r.expiresAt = m.instance.now - 2*keyLinger
+		r.expiresAt = m.instance.now - 2*expiredKeyRetention
 	}
 	m.instance.nextSweep = 0
 	m.instance.Tick()
@@ -160,7 +160,7 @@
 		owner[at] = name
 	}
 	for name, count := range references {
-		if table.lookup(name) == nil {
+		if table.findAny(name) == nil {
 			t.Fatalf("%s has %d references and no row", name, count)
 		}
 	}
--- a/internal/node/settings_test.go
+++ b/internal/node/settings_test.go
@@ -47,26 +47,26 @@
 	after := settingsWithClasses("issue", "by_key", "excursion", "by_key", "lookup", "repeatable")
 	n, peers := newReadyWith(before)
 	n.admitRequest(peers, "a", "trace", "", 0)
-	trace, _ := n.classes.find("trace")
-	excursion, _ := n.classes.find("excursion")
+	trace, _ := n.classes.findActive("trace")
+	excursion, _ := n.classes.findActive("excursion")
 	n.applySettings(t, before, after)
-	if n.HasClass("trace") || !n.HasClass("issue") || !n.HasClass("lookup") || n.Version() != firstSettingsVersion+1 {
+	if n.HasClass("trace") || !n.HasClass("issue") || !n.HasClass("lookup") || n.SettingsVersion() != firstSettingsVersion+1 {
 		t.Errorf("%v", n.classes.active)
 	}
-	if at, _ := n.classes.find("excursion"); at != excursion || n.classes.at(at).Weight != settings.NumberOf(2) {
+	if at, _ := n.classes.findActive("excursion"); at != excursion || n.classes.at(at).Weight != settings.NumberOf(2) {
 		t.Errorf("excursion at %d, was at %d: %+v", at, excursion, n.classes.at(at))
 	}
-	if issue, _ := n.classes.find("issue"); issue == trace || n.idempotencyOf(issue) != settings.Idempotent || n.idempotencyOf(trace) != settings.Safe {
+	if issue, _ := n.classes.findActive("issue"); issue == trace || n.idempotencyOf(issue) != settings.Idempotent || n.idempotencyOf(trace) != settings.Safe {
 		t.Error("a class that is referred to lost its index or its idempotency")
 	}
 	n.applySettings(t, after, before)
-	if at, ok := n.classes.find("trace"); !ok || at != trace || n.classes.at(at).Weight != settings.NumberOf(1) || n.HasClass("issue") {
+	if at, ok := n.classes.findActive("trace"); !ok || at != trace || n.classes.at(at).Weight != settings.NumberOf(1) || n.HasClass("issue") {
 		t.Errorf("trace at %d, was at %d", at, trace)
 	}
 	n.RunEnded("a", RunResult{Outcome: policy.OK})
 	n.Tick()
 	peers.expect(t, 1, "answer a 0")
-	d, err := settings.Compare(n.Version(), before, settingsWithClasses("excursion", "repeatable"), func() {})
+	d, err := settings.Compare(n.SettingsVersion(), before, settingsWithClasses("excursion", "repeatable"), func() {})
 	var kind *settings.IdempotencyChangedError
 	if !errors.As(err, &kind) {
 		t.Errorf("a class changed its idempotency: %v", err)
@@ -83,7 +83,7 @@
 	n, peers := newReadyWith(before)
 	n.admitRequest(peers, "a", "seal", "k", 0)
 	n.applySettings(t, before, without)
-	other, err := settings.Compare(n.Version(), without, settingsWithClasses("trace", "repeatable", "seal", "once"), func() {})
+	other, err := settings.Compare(n.SettingsVersion(), without, settingsWithClasses("trace", "repeatable", "seal", "once"), func() {})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -96,7 +96,7 @@
 	if err := n.Apply(other); !errors.As(err, &kind) {
 		t.Errorf("with a key in the table: %v", err)
 	}
-	n.keys.entries["seal k"].expiresAt, n.nextSweep = n.now-2*keyLinger, 0
+	n.keys.entries["seal k"].expiresAt, n.nextSweep = n.now-2*expiredKeyRetention, 0
 	n.Tick()
 	if err := n.Apply(other); err != nil {
 		t.Errorf("unreferenced: %v", err)
@@ -116,16 +116,16 @@
 	server := settings.Server{FleetSize: settings.NumberOf(99)}
 	fits := settings.Changes[settings.Class]{Set: many.Set, Removed: []string{"trace", "nobody"}}
 	for what, d := range map[string]settings.Delta{
-		"version": {From: n.Version() + 1, To: n.Version() + 2, Server: &server, Tenants: long},
-		"classes": {From: n.Version(), To: n.Version() + 1, Server: &server, Classes: many},
-		"tenants": {From: n.Version(), To: n.Version() + 1, Server: &server, Classes: fits, Tenants: long},
-		"kind": {From: n.Version(), To: n.Version() + 1, Server: &server, Tenants: settings.Changes[settings.Tenant]{Removed: []string{"acme"}},
+		"version": {From: n.SettingsVersion() + 1, To: n.SettingsVersion() + 2, Server: &server, Tenants: long},
+		"classes": {From: n.SettingsVersion(), To: n.SettingsVersion() + 1, Server: &server, Classes: many},
+		"tenants": {From: n.SettingsVersion(), To: n.SettingsVersion() + 1, Server: &server, Classes: fits, Tenants: long},
+		"kind": {From: n.SettingsVersion(), To: n.SettingsVersion() + 1, Server: &server, Tenants: settings.Changes[settings.Tenant]{Removed: []string{"acme"}},
 			Classes: settings.Changes[settings.Class]{Set: []settings.Class{{Name: "new"}, {Name: "trace", Idempotency: settings.NonIdempotent}}}},
 	} {
 		if err := n.Apply(d); err == nil {
 			t.Errorf("%s: applied", what)
 		}
-		if n.Version() != firstSettingsVersion || len(n.classes.active) != 1 || len(n.tenants.active) != 1 || n.server.FleetSize == server.FleetSize {
+		if n.SettingsVersion() != firstSettingsVersion || len(n.classes.active) != 1 || len(n.tenants.active) != 1 || n.serverSettings.FleetSize == server.FleetSize {
 			t.Fatalf("%s: a part of it is in force", what)
 		}
 	}
@@ -188,9 +188,9 @@
 		admit(id, "safe", "a")
 		end(id)
 	}
-	freed, _ := n.tenants.find("a")
+	freed, _ := n.tenants.findActive("a")
 	n.applySettings(t, before, after)
-	if reused, ok := n.tenants.find("b"); !ok || reused != freed {
+	if reused, ok := n.tenants.findActive("b"); !ok || reused != freed {
 		t.Fatalf("b at %d, want %d", reused, freed)
 	}
 	if err := n.Admit(peers, "z", Request{ID: "z", Class: "safe", Tenant: "a"}); !errors.Is(err, ErrUnknownTenant) {
@@ -209,10 +209,10 @@
 	n, _ := newReadyWith(testutil.TypedSettings(func(s *settings.Settings) { s.Tenants = tenantsOf(60_000) }))
 	name := fmt.Sprint("tenant-", 59_999)
 	if got := testing.AllocsPerRun(100, func() {
-		if _, ok := n.tenants.find(name); !ok {
+		if _, ok := n.tenants.findActive(name); !ok {
 			t.Error("not found")
 		}
-		if _, ok := n.classes.find("keyed"); !ok {
+		if _, ok := n.classes.findActive("keyed"); !ok {
 			t.Error("not found")
 		}
 	}); got != 0 {
@@ -235,8 +235,8 @@
 			n, _ := newReadyWith(testutil.TypedSettings(func(s *settings.Settings) { s.Tenants = tenantsOf(size) }))
 			for at := 0; b.Loop(); at++ {
 				d := settings.Delta{
-					From: n.Version(),
-					To:   n.Version() + 1,
+					From: n.SettingsVersion(),
+					To:   n.SettingsVersion() + 1,
 					Tenants: settings.Changes[settings.Tenant]{
 						Set: []settings.Tenant{{Name: "tenant-7", Quota: settings.NumberOf(float64(at))}, {Name: []string{"x", "y"}[at%2]}}, Removed: []string{[]string{"y", "x"}[at%2]}},
 				}
@@ -259,7 +259,7 @@
 			}
 			b.ReportAllocs()
 			for at := 0; b.Loop(); at++ {
-				if _, ok := n.tenants.find(names[at%len(names)]); !ok {
+				if _, ok := n.tenants.findActive(names[at%len(names)]); !ok {
 					b.Fatal("not found")
 				}
 			}
--- a/internal/node/tick.go
+++ b/internal/node/tick.go
@@ -17,9 +17,9 @@
 	nextTimeout := n.dependency.Sweep(clock)
 	n.handleEvents()
 	if n.controller == nil {
-		n.healthReporter.Sweep(clock, Unhealthy)
+		n.healthReporter.ReportIfDue(clock, Unhealthy)
 		n.sweepFronts(clock)
-		return clock.Add(defaultControllerTickInterval), n.phase()
+		return clock.Add(defaultControllerTickInterval), n.advancePhase()
 	}
 	nextTick := n.tickControllerIfDue()
 	n.controller.Dispatch(n.now)
@@ -27,9 +27,9 @@
 	if n.now >= n.nextSweep {
 		n.sweep()
 	}
-	n.healthReporter.Sweep(clock, HealthOf(n.health.isHealthy && !n.drain.started))
+	n.healthReporter.ReportIfDue(clock, HealthOf(n.health.isHealthy && !n.drain.started))
 	n.sweepFronts(clock)
-	return earliest(nextTimeout, n.start.Add(nextTick)), n.phase()
+	return earliest(nextTimeout, n.start.Add(nextTick)), n.advancePhase()
 }
 
 // handleEvents runs the queued events. A panic in one is logged, and the next ones still run.
--- a/internal/rpc/conn.go
+++ b/internal/rpc/conn.go
@@ -195,8 +195,8 @@
 	c.transport.Write(AppendResponse(nil, string(id), answer))
 }
 
-// HealthChecked implements node.Responder.
-func (c *conn) HealthChecked(id node.MessageID, result node.HealthCheckResult) {
+// AnswerHealthCheck implements node.Responder.
+func (c *conn) AnswerHealthCheck(id node.MessageID, result node.HealthCheckResult) {
 	c.complete(id)
 	c.transport.Write(AppendHealthStatus(nil, string(id), result))
 }
--- a/internal/rpc/encode.go
+++ b/internal/rpc/encode.go
@@ -28,14 +28,14 @@
 		out = appendResultHead(out, id)
 		out = append(out, `"doc":`...)
 		out = jsonline.AppendBase64(out, answer.Result)
-		out = appendHint(out, answer.Advertised)
+		out = appendHint(out, answer.AdvertisedLoad)
 		return append(out, "}}\n"...)
 	case node.Rejected:
 		out = appendErrorHead(out, id, codeOverloaded, messageOverloaded)
 		return appendErrorData(out, rejectionData(answer))
 	}
 	out = appendErrorHead(out, id, codeFailed, messageFailed)
-	return appendErrorData(out, appendHint(nil, answer.Advertised))
+	return appendErrorData(out, appendHint(nil, answer.AdvertisedLoad))
 }
 
 // rejectionData returns the members of a rejection's data, each after a comma.
@@ -48,7 +48,7 @@
 	if answer.NoRetryElsewhere {
 		data = append(data, `,"final":1`...)
 	}
-	return appendHint(data, answer.Advertised)
+	return appendHint(data, answer.AdvertisedLoad)
 }
 
 // appendErrorData appends the members, each after a comma, as the data of an error, and ends the line.
@@ -75,7 +75,7 @@
 	out = appendResultHead(out, id)
 	out = append(out, `"serving":`...)
 	out = strconv.AppendBool(out, result.Status == node.Healthy)
-	out = appendHint(out, result.Advertised)
+	out = appendHint(out, result.AdvertisedLoad)
 	return append(out, "}}\n"...)
 }
 
--- a/internal/rpc/encode_test.go
+++ b/internal/rpc/encode_test.go
@@ -11,12 +11,12 @@
 
 func TestAppendResponseEncodesStatus(t *testing.T) {
 	for want, a := range map[string]node.Answer{
-		`{"jsonrpc":"2.0","id":7,"result":{"doc":"AP8=","hint":0.25}}`: {Status: node.Served, Result: []byte{0, 255}, Advertised: 0.25},
-		`{"jsonrpc":"2.0","id":7,"result":{"doc":""}}`:                 {Status: node.Served, Advertised: -1},
+		`{"jsonrpc":"2.0","id":7,"result":{"doc":"AP8=","hint":0.25}}`: {Status: node.Served, Result: []byte{0, 255}, AdvertisedLoad: 0.25},
+		`{"jsonrpc":"2.0","id":7,"result":{"doc":""}}`:                 {Status: node.Served, AdvertisedLoad: -1},
 		`{"jsonrpc":"2.0","id":7,"error":{"code":-32001,"message":"overloaded","data":{"backoff":251,"final":1,"hint":0}}}`: {
 			Status: node.Rejected, RetryAfter: 250*time.Millisecond + 1, NoRetryElsewhere: true},
 		`{"jsonrpc":"2.0","id":7,"error":{"code":-32000,"message":"failed"}}`: {
-			Status: node.Failed, RetryAfter: time.Second, NoRetryElsewhere: true, Advertised: -1},
+			Status: node.Failed, RetryAfter: time.Second, NoRetryElsewhere: true, AdvertisedLoad: -1},
 	} {
 		got := string(AppendResponse(nil, "7", a))
 		if got != want+"\n" || !json.Valid([]byte(got)) {
