--- a/internal/node/admission.go
+++ b/internal/node/admission.go
@@ -7,8 +7,8 @@
 	"thymechute/policy/settings"
 )
 
-// Admit takes a request that has been read. Its answer goes to the responder under the message id, at once or during a later
-// tick. The error is an *AdmissionError; no answer follows it.
+// Admit accepts a decoded request. The responder gets the answer under the message id, at once or during a later tick. If the
+// request is invalid, Admit returns an *AdmissionError and no answer follows.
 func (n *Instance) Admit(responder Responder, id MessageID, incoming Request) error {
 	n.lastArrivalAt = n.now
 	class, ok := n.classes.findActive(incoming.Class)
@@ -51,7 +51,7 @@
 	return ok
 }
 
-// findTenant returns the tenant's index, noTenant for the empty name.
+// findTenant returns the index of the tenant in force under the name, or noTenant for the empty name.
 func (n *Instance) findTenant(name string) (tenant int, ok bool) {
 	tenant, ok = n.tenants.findActive(name)
 	if !ok && name == "" {
@@ -60,7 +60,7 @@
 	return tenant, ok
 }
 
-// isFull reports whether a table has no capacity for a request of this class and key.
+// isFull reports whether the table of requests or that of keys has no capacity for a request of this class and key.
 func (n *Instance) isFull(class int, key string) bool {
 	if n.inFlight*requestBytes >= n.maxTableBytes {
 		return true
@@ -80,7 +80,7 @@
 	return policy.RequestID(len(n.requests) - 1)
 }
 
-// retryAfter returns the Retry-After of requests that the instance rejects without the controller; 0: none.
+// retryAfter returns the Retry-After of requests that the instance rejects without the controller; 0 means none.
 func (n *Instance) retryAfter() time.Duration {
 	if n.serverSettings.RetryAfter.Off() {
 		return 0
@@ -88,10 +88,10 @@
 	return min(tableFullRetryAfter, n.serverSettings.MaxRetryAfter.Seconds(0))
 }
 
-// submit passes an admitted request to the controller, unless its idempotency key belongs to another request.
+// submit passes an admitted request to the controller. It fails the request if another one owns its idempotency key.
 func (n *Instance) submit(id policy.RequestID, incoming Request) {
 	request := &n.requests[id]
-	work := policy.Request{
+	policyRequest := policy.Request{
 		Class:     request.class,
 		Tenant:    request.tenant,
 		Caller:    incoming.Caller,
@@ -102,20 +102,20 @@
 	}
 	if incoming.CallerTimeout > 0 {
 		// At least 1 ns, as 0 means unknown: the controller rejects a request whose caller has timed out.
-		work.CallerTimeout = max(incoming.CallerTimeout-work.ReadDelay, 1)
+		policyRequest.CallerTimeout = max(incoming.CallerTimeout-policyRequest.ReadDelay, 1)
 	}
-	original, isConflict := n.findOriginal(request, incoming, n.now-work.ReadDelay)
+	original, isConflict := n.findOriginal(request, incoming, n.now-policyRequest.ReadDelay)
 	if isConflict {
 		request.failureCause = CauseKeyConflict
 		n.respond(id, Answer{Status: Failed})
 		n.Release(id)
 		return
 	}
-	work.Original = original
-	n.controller.Admit(n.now, id, work)
+	policyRequest.Original = original
+	n.controller.Admit(n.now, id, policyRequest)
 }
 
-// CallerGone marks all requests of this responder as abandoned by their caller.
+// CallerGone marks all requests of this responder as abandoned by their caller: they are not answered any more.
 func (n *Instance) CallerGone(responder Responder) {
 	for index := range n.requests {
 		id := policy.RequestID(index)
--- a/internal/node/drain.go
+++ b/internal/node/drain.go
@@ -13,13 +13,13 @@
 // drainState is the progress of the graceful shutdown.
 type drainState struct {
 	started          bool
-	deadline         time.Duration // when the process is killed
-	graceEnd         time.Duration // when new requests are no longer served
-	listenerClosedAt time.Duration // 0: still listening
+	deadline         time.Duration // the stop deadline, when the process is killed
+	graceEnd         time.Duration // end of the grace period, in which new requests are served
+	listenerClosedAt time.Duration // 0 while the instance still listens
 }
 
-// Drain starts the graceful shutdown with the next tick: the process will be killed after the stop timeout. Later calls have
-// no effect.
+// Drain starts the graceful shutdown at the next tick; the stop deadline is one stop timeout after that. Later calls have no
+// effect.
 func (n *Instance) Drain() {
 	n.enqueue(func() {
 		if n.drain.started {
@@ -40,10 +40,11 @@
 	})
 }
 
-// advancePhase returns the phase of the graceful shutdown. The listener closes when the grace period is over, no request has arrived
-// for quietInterval and none is pending, or listenerCloseMargin before the stop deadline. The connections close when the
-// requests that arrived up to listenerCloseLinger after that are answered. Just before the deadline everything pending is
-// answered and the loop stops.
+// advancePhase moves the graceful shutdown forward and returns its phase:
+//   - The listener closes listenerCloseMargin before the stop deadline, or earlier, once the grace period is over, no request
+//     has arrived for quietInterval and nothing is pending.
+//   - The connections close more than listenerCloseLinger after the listener, once nothing is pending.
+//   - Everything still pending is answered lastAnswerMargin before the deadline, and the loop stops exitMargin before it.
 func (n *Instance) advancePhase() loop.Phase {
 	switch {
 	case !n.drain.started:
@@ -65,7 +66,7 @@
 	return loop.PhaseClosingListener
 }
 
-// keepsListening reports whether a draining instance still accepts connections.
+// keepsListening reports whether a draining instance has to accept connections for some more time.
 func (n *Instance) keepsListening() bool {
 	if n.now >= n.drain.deadline-listenerCloseMargin {
 		return false
@@ -77,8 +78,8 @@
 // awaitsAnswer reports whether a caller waits for the request's answer.
 func (r *requestState) awaitsAnswer() bool { return r.inFlight && !r.answered && r.responder != nil }
 
-// hasPendingWork reports whether a draining instance has to wait: for requests and health checks without an answer, for
-// unhandled events, or for answers that a front has not delivered. The event loop itself waits for unsent output.
+// hasPendingWork reports whether a draining instance has to wait: for unanswered requests and health checks, for queued events
+// or for answers that a front has not delivered. The event loop itself waits for unsent output.
 func (n *Instance) hasPendingWork() bool {
 	if len(n.events) > 0 || len(n.completions) > 0 || len(n.health.checks) > 0 {
 		return true
@@ -87,7 +88,7 @@
 		slices.ContainsFunc(n.fronts, Front.HasPending)
 }
 
-// answerRemaining answers all requests and health checks. Requests that never ran are rejected, the others fail.
+// answerRemaining answers all open requests and health checks: requests that never ran are rejected, the others fail.
 func (n *Instance) answerRemaining() {
 	rejected := n.answerAll(Answer{Status: Rejected, RetryAfter: n.retryAfter()}, func(r *requestState) bool {
 		return !r.started && r.coalescedOn == nil
--- a/internal/node/errors.go
+++ b/internal/node/errors.go
@@ -5,18 +5,18 @@
 	"fmt"
 )
 
-// Reasons of an AdmissionError, for errors.Is.
+// Reasons of an AdmissionError, to be tested with errors.Is.
 var (
-	// ErrUnknownClass means that no class of the name is in force.
+	// ErrUnknownClass means that no class with the request's class name is in force.
 	ErrUnknownClass = errors.New("unknown class")
-	// ErrUnknownTenant means that no tenant of the name is in force.
+	// ErrUnknownTenant means that no tenant with the request's tenant name is in force.
 	ErrUnknownTenant = errors.New("unknown tenant")
 	// ErrDuplicateID means that a request in flight has the same task id.
 	ErrDuplicateID = errors.New("id is in use")
 )
 
-// AdmissionError is the error of an invalid request. Its text is sent to the caller, so it contains the reason only and not
-// the value.
+// AdmissionError is the error of an invalid request. Its text is sent to the caller, so it contains only the reason and not the
+// value.
 type AdmissionError struct {
 	Reason error  // ErrUnknownClass, ErrUnknownTenant or ErrDuplicateID
 	Value  string // the class, tenant or task id of the request
@@ -30,12 +30,12 @@
 
 // VersionError is the error of a settings delta that does not apply to the version in force.
 type VersionError struct {
-	From    uint64 // version to which the delta applies
+	From    uint64 // version that the delta starts from
 	InForce uint64
 }
 
 func (e *VersionError) Error() string {
-	return fmt.Sprintf("settings: found a change of version %d, expected one of %d, which is in force", e.From, e.InForce)
+	return fmt.Sprintf("settings delta: starts from version %d, expected %d, the version in force", e.From, e.InForce)
 }
 
 // BoundError is the error of a settings delta that would leave too many resources of one kind.
@@ -46,5 +46,5 @@
 }
 
 func (e *BoundError) Error() string {
-	return fmt.Sprintf("settings.%s: found %d, expected at most %d", e.Kind, e.Found, e.Bound)
+	return fmt.Sprintf("settings.%s: found %d after the delta, expected at most %d", e.Kind, e.Found, e.Bound)
 }
--- a/internal/node/gauges.go
+++ b/internal/node/gauges.go
@@ -10,13 +10,13 @@
 type gaugeState struct {
 	latest      policy.Gauges
 	readAt      time.Duration // when latest was received
-	requestedAt time.Duration // of the earliest unanswered request, if later than readAt
+	requestedAt time.Duration // when the earliest outstanding reading was requested; none is outstanding if not after readAt
 }
 
-// noGauges are gauges of which none is available.
+// noGauges marks all gauges as unavailable.
 var noGauges = policy.Gauges{Busy: -1, Runnable: -1}
 
-// requestGauges requests the gauges for the next tick, as no tick waits for an answer.
+// requestGauges requests a reading of the gauges, to be used by a later tick: no tick waits for it.
 func (n *Instance) requestGauges() {
 	if n.gauges.requestedAt <= n.gauges.readAt {
 		n.gauges.requestedAt = n.now
@@ -24,13 +24,13 @@
 	n.runtime.RequestGauges()
 }
 
-// GaugesRead is called with the runtime's gauges, in the order that the settings give (settings.Server.BusyGauge).
+// GaugesRead is called with the values of the runtime's gauges, in the runtime's order (see settings.Server.BusyGauge).
 func (n *Instance) GaugesRead(values []float64) {
 	n.gauges.latest = n.parseGauges(values)
 	n.gauges.readAt = time.Since(n.start)
 }
 
-// parseGauges picks the controller's gauges out of the runtime's.
+// parseGauges selects the gauges that the controller uses from those of the runtime.
 func (n *Instance) parseGauges(values []float64) policy.Gauges {
 	busy, runnable := n.serverSettings.Gauges(values)
 	return policy.Gauges{Busy: busy, Runnable: runnable}
--- a/internal/node/health.go
+++ b/internal/node/health.go
@@ -12,16 +12,16 @@
 	expiresAt time.Duration
 }
 
-// healthState is the controller's verdict on the health, and the deep checks in progress.
+// healthState holds the controller's verdict on the instance's health and the deep checks in progress.
 type healthState struct {
 	isHealthy bool
 	isCached  bool                   // deep checks are answered without a self-test
 	checks    map[string]healthCheck // by the id of their self-test; at most maxHealthChecks
-	selfTests int                    // number of self-tests requested so far, for their ids
+	selfTests int                    // self-tests requested so far; numbers their ids
 }
 
 // CheckHealth answers a health check: a shallow one at once, a deep one when the runtime's self-test has ended or after
-// selfTestTimeout. A deep check for which no self-test can be made is answered like a shallow one.
+// selfTestTimeout. A deep check for which no self-test is possible is answered like a shallow one.
 func (n *Instance) CheckHealth(responder Responder, id MessageID, depth HealthCheckDepth) {
 	if depth == ShallowCheck || !n.canSelfTest() {
 		responder.AnswerHealthCheck(id, n.healthResult(HealthOf(n.controller != nil && n.health.isHealthy)))
@@ -33,13 +33,13 @@
 	n.runtime.SelfTest(testID)
 }
 
-// canSelfTest reports whether a deep check requests a self-test: the verdict is not cached, the runtime can be reached, and
-// fewer than maxHealthChecks are in progress.
+// canSelfTest reports whether a deep check requests a self-test: the controller does not ask for cached verdicts, the runtime
+// is connected, and fewer than maxHealthChecks deep checks are in progress.
 func (n *Instance) canSelfTest() bool {
 	return !n.health.isCached && n.controller != nil && n.runtime.Up() && len(n.health.checks) < maxHealthChecks
 }
 
-// SelfTestEnded is called when the runtime's self-test of this id has ended.
+// SelfTestEnded is called when the runtime's self-test with this id has ended.
 func (n *Instance) SelfTestEnded(testID string, status HealthStatus) {
 	check, ok := n.health.checks[testID]
 	if !ok {
--- a/internal/node/host.go
+++ b/internal/node/host.go
@@ -34,7 +34,7 @@
 	}
 }
 
-// Start starts the request's run at the runtime, or once the link is up again.
+// Start starts the request's run at the runtime; while the link is down, the command waits until it is up again.
 func (n *Instance) Start(id policy.RequestID) {
 	request := &n.requests[id]
 	request.started = true
@@ -48,7 +48,7 @@
 	n.runtime.Start(request.taskID, n.classes.at(request.class).Name, request.body)
 }
 
-// Stop stops the request's run at the runtime, or once the link is up again.
+// Stop stops the request's run at the runtime; while the link is down, the command waits until it is up again.
 func (n *Instance) Stop(id policy.RequestID) {
 	request := &n.requests[id]
 	request.stopped = true
@@ -72,7 +72,7 @@
 	n.abandonCall(&n.requests[id])
 }
 
-// Call issues the call that the request's run waits for.
+// Call issues the dependency call that the request's run waits for.
 func (n *Instance) Call(id policy.RequestID, timeout time.Duration) {
 	request := &n.requests[id]
 	request.callInFlight = true
@@ -98,13 +98,13 @@
 	}
 }
 
-// Advertise sets the load value that all answers carry.
+// Advertise sets the load value that all answers and health check results carry.
 func (n *Instance) Advertise(value float64) { n.advertisedLoad = value }
 
-// Wake schedules the controller's next tick.
+// Wake sets the time of the controller's next tick.
 func (n *Instance) Wake(at time.Duration) { n.nextControllerTick = at }
 
-// Release removes a request to which the controller no longer refers; its slot may be reused.
+// Release removes a request to which the controller no longer refers. Its slot can be reused.
 func (n *Instance) Release(id policy.RequestID) {
 	request := &n.requests[id]
 	n.releaseKey(id)
--- a/internal/node/idempotency.go
+++ b/internal/node/idempotency.go
@@ -10,13 +10,13 @@
 
 // keyEntry is an entry of the idempotency key table. It remains until it expires, even after its request was released.
 type keyEntry struct {
-	owner      policy.RequestID // the attempt that runs; policy.OriginalGone once that is released
+	owner      policy.RequestID // attempt whose run gives the result; policy.OriginalGone once it is released
 	class      int
 	expiresAt  time.Duration
 	window     time.Duration // key window of the class from which expiresAt was calculated
 	completed  bool          // the run has ended, or will never start
 	succeeded  bool
-	bodyDigest uint64 // hash of the body, which is the same for all attempts of one request
+	bodyDigest uint64 // hash of the body; equal for all attempts of one request
 	result     []byte
 	waiters    []policy.RequestID // coalesced requests that wait for the result
 }
@@ -32,7 +32,7 @@
 	return keyTable{entries: map[string]*keyEntry{}, digestSeed: maphash.MakeSeed()}
 }
 
-// keyOf returns the request's key in the table, which is specific to its class; empty: none.
+// keyOf returns the request's key in the table, which includes its class; empty if it has none.
 func (n *Instance) keyOf(class int, incoming Request) string {
 	if n.idempotencyOf(class) == settings.Idempotent && incoming.Key != "" {
 		return incoming.Class + " " + incoming.Key
@@ -41,7 +41,7 @@
 }
 
 // findOriginal returns the earlier attempt that the request retries, as a value of policy.Request.Original. isConflict reports
-// that its key belongs to a request with another body, whose result it must not get.
+// that its key belongs to a request with another body, whose result this request must not get.
 func (n *Instance) findOriginal(request *requestState, incoming Request, arrivedAt time.Duration) (
 	original policy.RequestID, isConflict bool,
 ) {
@@ -65,14 +65,14 @@
 	return policy.OriginalGone, false
 }
 
-// isInForce reports whether the entry counts for a request that arrived at this time: until it expires, and while its run has
-// not ended.
+// isInForce reports whether the entry applies to a request that arrived at this time: it has not expired, or its run has not
+// ended.
 func (e *keyEntry) isInForce(arrivedAt time.Duration) bool {
 	return arrivedAt <= e.expiresAt || !e.completed
 }
 
-// mayHaveRunInEarlierIncarnation reports whether the request may retry one of an earlier incarnation of this instance, whose keys are
-// unknown. That ends one key window after the instance's start.
+// mayHaveRunInEarlierIncarnation reports whether the request may retry one that an earlier incarnation of this instance ran.
+// The keys of that are unknown, but they have expired one key window after this incarnation first reached the runtime.
 func (n *Instance) mayHaveRunInEarlierIncarnation(class int, incoming Request, arrivedAt time.Duration) bool {
 	if !incoming.IsRetry || n.idempotencyOf(class) != settings.Idempotent {
 		return false
@@ -91,7 +91,7 @@
 	}
 	entry := n.keys.entries[request.key]
 	if entry == nil || entry.completed {
-		// A completed entry has expired, and its result must not answer requests of the next window.
+		// A completed entry has expired here, and its result must not answer requests of the next window.
 		entry = n.replaceKey(request.key, request.class)
 	}
 	entry.owner = id
@@ -142,8 +142,8 @@
 	return RunResult{Outcome: policy.OK, Body: e.result}
 }
 
-// completeKey passes the end of the owner's run to the requests that coalesced on it, and caches the result. Without the
-// capacity for that, later attempts fail.
+// completeKey passes the end of the owner's run to the requests that coalesced on it and caches the result. If the table has no
+// capacity for the result, later attempts fail.
 func (n *Instance) completeKey(entry *keyEntry, result RunResult) {
 	entry.completed = true
 	succeeded := result.Outcome == policy.OK
@@ -185,7 +185,7 @@
 	n.dropReferences(entry.class, noTenant)
 }
 
-// sweepKeys drops expired keys without an attempt in flight.
+// sweepKeys drops keys that expired more than expiredKeyRetention ago and have no attempt in flight.
 func (n *Instance) sweepKeys() {
 	for key, entry := range n.keys.entries {
 		if n.now > entry.expiresAt+expiredKeyRetention && entry.owner < 0 && len(entry.waiters) == 0 {
--- a/internal/node/interfaces.go
+++ b/internal/node/interfaces.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Responder receives the answers to the messages of one connection. All calls are made on the event loop.
+// Responder delivers answers to the messages of one connection. All calls are made on the event loop.
 type Responder interface {
 	// Answer delivers the final answer to a request.
 	Answer(id MessageID, answer Answer)
@@ -10,8 +10,8 @@
 	AnswerHealthCheck(id MessageID, result HealthCheckResult)
 }
 
-// Runtime executes requests. Its methods do not block, and the results come back as calls of the Instance (RunEnded and the
-// like). Commands are lost while it is not Up; the instance repeats starts, stops and replies once it is.
+// Runtime executes requests. Its methods do not block; results come back as calls of Instance methods such as RunEnded.
+// Commands are lost while the runtime is not Up; the instance repeats starts, stops and replies once it is.
 type Runtime interface {
 	// Up reports whether the link to the runtime is established.
 	Up() bool
@@ -21,15 +21,15 @@
 	Stop(id TaskID)
 	// DeliverReply continues a run with the reply to its call.
 	DeliverReply(id TaskID, reply []byte)
-	// RequestGauges requests a reading of the gauges.
+	// RequestGauges requests a reading of the gauges. Instance.GaugesRead follows.
 	RequestGauges()
-	// SelfTest requests a self-test under an id that the caller chooses.
+	// SelfTest requests a self-test under this id. Instance.SelfTestEnded follows with the same id.
 	SelfTest(id string)
 }
 
 // Dependency is the service that running requests call. Its methods do not block.
 type Dependency interface {
-	// Call issues a call of the request with this id; Instance.CallReturned follows, unless the call is abandoned.
+	// Call issues a call for the request with this id. Instance.CallReturned follows, unless the call is abandoned.
 	Call(id TaskID, timeout time.Duration, body []byte)
 	// Abandon ends a call without a result. It has no effect on one that has returned.
 	Abandon(id TaskID)
@@ -39,7 +39,7 @@
 
 // Front is a protocol through which callers send requests. Several may share one instance.
 type Front interface {
-	// SetIdleTimeout sets after which time idle connections close.
+	// SetIdleTimeout sets the time after which idle connections close.
 	SetIdleTimeout(timeout time.Duration)
 	// Drain starts the graceful shutdown of the callers' connections.
 	Drain()
--- a/internal/node/messages.go
+++ b/internal/node/messages.go
@@ -16,15 +16,15 @@
 type Request struct {
 	ID                  TaskID
 	Class               string // name of a class of the settings
-	Tenant              string // empty: none
-	Key                 string // idempotency key; empty: none
+	Tenant              string // empty if it has none
+	Key                 string // idempotency key; empty if it has none
 	Subject             string
 	ReceivedAt          time.Time     // when it reached this machine
-	CallerTimeout       time.Duration // how long the caller waits from ReceivedAt; 0: unknown
+	CallerTimeout       time.Duration // how long the caller waits from ReceivedAt; 0 if unknown
 	Caller              int           // number of the caller
 	IsRetry             bool
 	MayHaveRunElsewhere bool    // an earlier attempt may have run at an instance that shares no keys with this one
-	MemoryKB            float64 // that it takes while it is queued
+	MemoryKB            float64 // memory that it takes while it is queued
 	Priority            float64 // rank among all requests by value, 0 to below 1
 	Body                []byte
 }
@@ -39,7 +39,7 @@
 	Failed                 // the request may have run
 )
 
-// Cause says why a request failed, if that was decided by the instance and not by the controller.
+// Cause is the reason why the instance failed a request. It is CauseUnknown for all other failures.
 type Cause int
 
 // Values of Cause.
@@ -54,9 +54,9 @@
 	Status           Status
 	Cause            Cause
 	Result           []byte        // of a served request
-	RetryAfter       time.Duration // 0: none
+	RetryAfter       time.Duration // 0 if there is none
 	NoRetryElsewhere bool          // a retry at another server would not help
-	AdvertisedLoad   float64       // the load value advertised to callers; negative: none
+	AdvertisedLoad   float64       // load value advertised to callers; negative if there is none
 }
 
 // HealthCheckDepth selects what a health check covers.
@@ -64,8 +64,8 @@
 
 // Values of HealthCheckDepth.
 const (
-	ShallowCheck HealthCheckDepth = iota // the instance's own verdict, at once
-	DeepCheck                            // also a self-test of the runtime
+	ShallowCheck HealthCheckDepth = iota // the controller's verdict, without asking the runtime
+	DeepCheck                            // in addition a self-test of the runtime
 )
 
 // HealthStatus is the verdict of a health check or a self-test.
@@ -77,7 +77,7 @@
 	Healthy
 )
 
-// HealthOf returns Healthy where the condition holds, else Unhealthy.
+// HealthOf returns Healthy if the condition holds, and Unhealthy otherwise.
 func HealthOf(condition bool) HealthStatus {
 	if condition {
 		return Healthy
@@ -88,7 +88,7 @@
 // HealthCheckResult is the answer to a health check.
 type HealthCheckResult struct {
 	Status         HealthStatus
-	AdvertisedLoad float64 // the load value advertised to callers; negative: none
+	AdvertisedLoad float64 // load value advertised to callers; negative if there is none
 }
 
 // RuntimeState is the state that a runtime reports when a link to it is established.
@@ -101,7 +101,7 @@
 // RunResult is the end of a run.
 type RunResult struct {
 	Outcome  policy.Outcome
-	Duration time.Duration // 0: unknown
+	Duration time.Duration // 0 if unknown
 	Body     []byte
 }
 
@@ -112,7 +112,7 @@
 	Reply    []byte
 }
 
-// Load is the used part of an instance's capacity. A front that fetches its requests can limit how many it fetches by it.
+// Load is the used part of an instance's capacity. A front that fetches requests itself limits the number that it fetches by it.
 type Load struct {
 	Ready    bool // the controller exists and the link to the runtime is up
 	Requests int  // number of requests in flight
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -8,9 +8,11 @@
 // Concurrency: an Instance belongs to the event loop. All methods must be called on the loop's goroutine, and none blocks.
 // Events are queued, and Tick passes them to the controller in order.
 //
-// Tables and bounds: requests in flight (a quarter of the memory limit; an entry ends with the controller's Release),
-// idempotency keys with their results (a quarter; an entry ends with the controller's ForgetKey or expires), classes and
-// tenants (the bounds of package settings), deep health checks (maxHealthChecks).
+// All tables are bounded:
+//   - requests in flight by a quarter of the memory limit; the controller's Release removes an entry;
+//   - idempotency keys and their results by another quarter; the controller's ForgetKey or the expiry removes an entry;
+//   - classes and tenants by settings.MaxClasses and settings.MaxTenants;
+//   - deep health checks by maxHealthChecks.
 package node
 
 import (
@@ -22,47 +24,47 @@
 	"thymechute/policy/settings"
 )
 
-// requestState is a request in flight. Its index in Instance.requests is its policy.RequestID.
+// requestState is the state of a request in flight, or a free slot. Its index in Instance.requests is its policy.RequestID.
 type requestState struct {
-	responder      Responder // nil: the caller is gone
+	responder      Responder // nil if the caller is gone
 	messageID      MessageID
 	taskID         TaskID
 	class          int
-	tenant         int // noTenant: none
+	tenant         int // noTenant if it has none
 	body           []byte
-	key            string    // of its entry in the key table; empty: none
-	coalescedOn    *keyEntry // entry whose result it waits for; nil: none
-	callBody       []byte    // body of the call that the run waits for
-	pendingReply   []byte    // reply to that call, not delivered yet as the link is down; nil: none
-	inFlight       bool      // false: the slot is free
-	started        bool      // by the controller
+	key            string    // of its entry in Instance.keys; empty if it has none
+	coalescedOn    *keyEntry // entry whose result it waits for, or nil
+	callBody       []byte    // body of the dependency call that the run waits for
+	pendingReply   []byte    // reply to that call, to be delivered once the link is up; else nil
+	inFlight       bool      // false if the slot is free
+	started        bool      // the controller has started its run
 	startSent      bool      // the start command was written to a link
 	startConfirmed bool      // the runtime has sent a notice about it
-	stopped        bool      // by the controller
+	stopped        bool      // the controller has stopped its run
 	callInFlight   bool
 	answered       bool
-	failureCause   Cause // why it fails, if it does
+	failureCause   Cause // reported if the request fails
 }
 
-// Instance is one server.
+// Instance is one server: its settings, requests in flight and idempotency keys, and its connections to other programs.
 type Instance struct {
 	log             *zap.Logger
 	serverSettings  settings.Server
 	settingsVersion uint64
 	seed            uint64
 	stopTimeout     time.Duration // from the drain notice to the stop deadline
-	maxTableBytes   int           // bound of requests, and of keys, in bytes
+	maxTableBytes   int           // bounds requests and keys, each on its own
 
 	runtime        Runtime
 	dependency     Dependency
 	fronts         []Front
 	healthReporter HealthReporter
-	controller     *policy.Instance // nil until the runtime was ready once
+	controller     *policy.Instance // nil until the runtime is first ready
 
-	start              time.Time     // from which all times of type time.Duration count
-	now                time.Duration // time of the current tick of the loop
+	start              time.Time     // origin of all times of type time.Duration
+	now                time.Duration // time of the loop's current tick
 	events             []func()      // received since the last tick, in order
-	completions        []func()      // ends of coalesced requests, for after the controller's current call
+	completions        []func()      // ends of coalesced requests; run after the controller's current call
 	nextControllerTick time.Duration
 	nextSweep          time.Duration
 	lastEventAt        time.Duration // when a tick last had events
@@ -77,7 +79,7 @@
 	keys     keyTable
 
 	health         healthState
-	advertisedLoad float64 // the load value advertised to callers; negative: none
+	advertisedLoad float64 // load value that all answers carry; negative if none
 	gauges         gaugeState
 	runtimeProcess runtimeProcess
 	drain          drainState
@@ -108,7 +110,7 @@
 	}
 }
 
-// Connect sets the services that the instance uses. It must be called once, before the first Tick.
+// Connect sets the programs and protocols that the instance uses. It must be called once, before the first Tick.
 func (n *Instance) Connect(runtime Runtime, dependency Dependency, reporter HealthReporter, fronts ...Front) {
 	n.runtime = runtime
 	n.dependency = dependency
--- a/internal/node/recorder_test.go
+++ b/internal/node/recorder_test.go
@@ -12,11 +12,11 @@
 	"thymechute/policy/settings"
 )
 
-// recorder is the Runtime, Dependency, Responder and, by recordingFront, Front of an instance. It records the calls.
+// recorder records the calls of an instance as its Runtime, Dependency and Responder, and as its Front by recordingFront.
 type recorder struct {
 	down    bool     // the link to the runtime is down
 	pending bool     // the front has undelivered answers
-	lines   []string // one for each call
+	lines   []string // one per call; an answer has its Status as a number
 }
 
 func (r *recorder) record(format string, args ...any) {
@@ -27,18 +27,18 @@
 	r.record("start %s %s %s", id, class, body)
 }
 func (r *recorder) Stop(id TaskID)                       { r.record("stop %s", id) }
-func (r *recorder) DeliverReply(id TaskID, reply []byte) { r.record("give %s %s", id, reply) }
+func (r *recorder) DeliverReply(id TaskID, reply []byte) { r.record("deliver %s %s", id, reply) }
 func (r *recorder) RequestGauges()                       { r.record("gauges") }
-func (r *recorder) SelfTest(string)                      { r.record("test") }
+func (r *recorder) SelfTest(string)                      { r.record("self-test") }
 func (r *recorder) Call(id TaskID, _ time.Duration, body []byte) {
 	r.record("call %s %s", id, body)
 }
-func (r *recorder) Abandon(id TaskID)                { r.record("give up %s", id) }
+func (r *recorder) Abandon(id TaskID)                { r.record("abandon %s", id) }
 func (r *recorder) SetIdleTimeout(time.Duration)     {}
 func (r *recorder) Drain()                           { r.record("drain") }
 func (r *recorder) Sweep(time.Time) (next time.Time) { return }
 func (r *recorder) AnswerHealthCheck(id MessageID, result HealthCheckResult) {
-	r.record("checked %s %v", id, result.Status == Healthy)
+	r.record("health %s %v", id, result.Status == Healthy)
 }
 func (r *recorder) Answer(id MessageID, answer Answer) {
 	r.record("answer %s %d %s", id, answer.Status, answer.Result)
@@ -49,7 +49,7 @@
 	t.Helper()
 	got := strings.Count("\n"+strings.Join(r.lines, "\n")+"\n", "\n"+text)
 	if got != n {
-		t.Errorf("%q: %d times, want %d, in %q", text, got, n, r.lines)
+		t.Errorf("calls that start with %q: %d, want %d, in %q", text, got, n, r.lines)
 	}
 }
 
@@ -62,17 +62,17 @@
 
 func (discardReporter) ReportIfDue(time.Time, HealthStatus) {}
 
-// newReady returns an instance with a ready runtime and the classes safe, keyed and unsafe.
-func newReady(change func(*settings.Settings)) (*Instance, *recorder) {
-	peers := &recorder{}
+// newReadyInstance returns an instance with a ready runtime and the classes safe, keyed and unsafe.
+func newReadyInstance(change func(*settings.Settings)) (*Instance, *recorder) {
+	rec := &recorder{}
 	n := New(testutil.TypedSettings(change), 7, 3*time.Second, 192<<20, zap.NewNop())
-	n.Connect(peers, peers, discardReporter{}, recordingFront{peers}, recordingFront{peers})
+	n.Connect(rec, rec, discardReporter{}, recordingFront{rec}, recordingFront{rec})
 	n.RuntimeReady(RuntimeState{RequestedAt: time.Now()})
 	n.Tick()
-	return n, peers
+	return n, rec
 }
 
-// applySettings applies the delta between two settings.
+// applySettings applies the delta from before to after.
 func (n *Instance) applySettings(t *testing.T, before, after settings.Settings) {
 	t.Helper()
 	delta, err := settings.Compare(n.SettingsVersion(), before, after, func() {})
@@ -84,7 +84,7 @@
 	}
 }
 
-// admitRequest admits a request that reached the machine that long ago, and ticks.
+// admitRequest admits a request that reached the machine some time ago, and ticks.
 func (n *Instance) admitRequest(responder Responder, id TaskID, class, key string, ago time.Duration) {
 	n.mustAdmit(responder, Request{
 		ID:         id,
--- a/internal/node/resource_table.go
+++ b/internal/node/resource_table.go
@@ -5,12 +5,12 @@
 // resource is a class or a tenant.
 type resource interface{ ResourceName() string }
 
-// resourceTable assigns stable indices to the resources of one kind. A resource has the same index while it is in force, and
-// after its removal while requests or keys refer to it. Then the index can be reused, so the number of rows is at most that of
-// the resources that were in force or referred to at one time.
+// resourceTable assigns stable indices to the resources of one kind. A resource keeps its index while it is in force and, after
+// its removal, while requests or keys refer to it. After that the index is reused, so the table has at most as many rows as
+// there were resources in force or referred to at any one time.
 type resourceTable[T resource] struct {
-	active   map[string]int32 // indices of those in force; at most settings.MaxClasses or settings.MaxTenants
-	retired  map[string]int32 // indices of removed ones with references left
+	active   map[string]int32 // indices of resources in force, by name; at most settings.MaxClasses or settings.MaxTenants
+	retired  map[string]int32 // indices of removed resources with references left, by name
 	rows     []resourceRow[T]
 	freeRows []int32
 }
@@ -21,8 +21,8 @@
 	retired    bool
 }
 
-// newResourceTable returns a table of the resources, with indices in their order. A resource without a name gets no index,
-// as no request can refer to it.
+// newResourceTable returns a table of the resources, with indices in their order. It leaves out resources without a name, as no
+// request can refer to them.
 func newResourceTable[T resource](resources []T) *resourceTable[T] {
 	t := &resourceTable[T]{
 		active:  make(map[string]int32, len(resources)),
@@ -46,7 +46,7 @@
 // at returns the resource of an index, in force or retired.
 func (t *resourceTable[T]) at(index int) *T { return &t.rows[index].value }
 
-// findAny returns the resource of that name, in force or retired; nil: none.
+// findAny returns the resource of that name, in force or retired, or nil if there is none.
 func (t *resourceTable[T]) findAny(name string) *T {
 	index, ok := t.active[name]
 	if !ok {
@@ -58,7 +58,7 @@
 	return t.at(int(index))
 }
 
-// set puts a resource in force and returns its index, which is the present one if the name has one.
+// set puts a resource in force and returns its index, which is the existing one if the name has one.
 func (t *resourceTable[T]) set(value T) int {
 	index := t.activate(value.ResourceName())
 	row := &t.rows[index]
@@ -94,7 +94,7 @@
 	return int32(len(t.rows) - 1)
 }
 
-// remove takes a resource out of force. isFreed reports that nothing refers to it, so that its index is free.
+// remove takes a resource out of force. isFreed reports that nothing refers to it, so that its index was freed.
 func (t *resourceTable[T]) remove(name string) (index int, isFreed bool) {
 	active, ok := t.active[name]
 	if !ok {
@@ -114,8 +114,8 @@
 // addReference counts a request or key that refers to the resource.
 func (t *resourceTable[T]) addReference(index int) { t.rows[index].references++ }
 
-// dropReference undoes addReference. isFreed reports that it was the last reference to a retired resource, whose index is free
-// now.
+// dropReference undoes addReference. isFreed reports that it was the last reference to a retired resource, whose index was
+// freed.
 func (t *resourceTable[T]) dropReference(index int) (isFreed bool) {
 	row := &t.rows[index]
 	row.references--
@@ -141,7 +141,7 @@
 	return values
 }
 
-// growth returns the difference that the changes make to the number of resources in force.
+// growth returns by how much the changes increase the number of resources in force. It is negative if they decrease it.
 func (t *resourceTable[T]) growth(changes settings.Changes[T]) int {
 	added := 0
 	for _, value := range changes.Set {
--- a/internal/node/runs.go
+++ b/internal/node/runs.go
@@ -8,7 +8,7 @@
 	"thymechute/policy"
 )
 
-// runtimeProcess is what is known of the runtime's process.
+// runtimeProcess is what is known about the process of the runtime.
 type runtimeProcess struct {
 	startedAt                time.Time     // latest possible time of its start
 	firstReadyAt             time.Duration // when the first link to it was established
@@ -17,7 +17,7 @@
 }
 
 // RuntimeReady is called with the runtime's state when a link to it is established. The first call creates the controller. A
-// later one of a runtime that has restarted ends all runs, as they are lost.
+// later call that shows a restart of the runtime ends all runs, as they are lost.
 func (n *Instance) RuntimeReady(state RuntimeState) {
 	earliestStart := state.RequestedAt.Add(-state.Age)
 	latestStart := time.Now().Add(-state.Age)
@@ -25,7 +25,7 @@
 		switch {
 		case n.controller != nil:
 			n.checkRestart(earliestStart, latestStart)
-		case !n.drain.started: // a draining instance without a controller rejects all requests until it ends
+		case !n.drain.started: // a draining instance without a controller rejects all requests until it stops
 			n.startController(state, latestStart)
 		}
 	})
@@ -42,12 +42,12 @@
 	n.controller = n.newController()
 }
 
-// checkRestart ends all runs if the runtime has restarted: its start is later than that of the runtime known so far.
+// checkRestart ends all runs if the runtime has restarted, that is, its start is later than the known one.
 func (n *Instance) checkRestart(earliestStart, latestStart time.Time) {
 	if !earliestStart.After(n.runtimeProcess.startedAt.Add(runtimeAgeTolerance)) {
 		return
 	}
-	n.log.Warn("runtime restarted, its runs are lost")
+	n.log.Warn("runtime restarted, runs in progress are lost")
 	n.runtimeProcess.startedAt = latestStart
 	for index := range n.requests {
 		request := &n.requests[index]
@@ -57,9 +57,9 @@
 	}
 }
 
-// RuntimeResynced is called when a new link has delivered all missed notices. Commands that may not have reached the runtime
-// are repeated: a second start or stop has no effect. A reply that was written to a link is not repeated, as the run may
-// already wait for its next call.
+// RuntimeResynced is called when a new link has delivered all missed notices. It repeats the commands that may not have reached
+// the runtime: a second start or stop has no effect. A reply that was written to a link is not repeated, as the run may already
+// wait for its next call.
 func (n *Instance) RuntimeResynced() {
 	n.enqueue(func() {
 		for index := range n.requests {
@@ -97,19 +97,19 @@
 	})
 }
 
-// findRun returns the started request with this task id. A reused runtime that sends an unknown id still executes requests of
-// an earlier incarnation of this instance.
+// findRun returns the started request with this task id. An unknown id from a reused runtime shows that the runtime still
+// executes requests of an earlier incarnation of this instance.
 func (n *Instance) findRun(taskID TaskID) (policy.RequestID, bool) {
 	id, ok := n.byTaskID[taskID]
 	if !ok && n.runtimeProcess.isReused && !n.runtimeProcess.servesEarlierIncarnation {
 		n.runtimeProcess.servesEarlierIncarnation = true
-		n.log.Warn("runtime still executes requests of an earlier incarnation, keyed retries fail for one key window",
+		n.log.Warn("runtime still executes requests of an earlier incarnation, retries with unknown keys fail for one key window",
 			zap.String("task", string(taskID)))
 	}
 	return id, ok && n.requests[id].started
 }
 
-// endRun answers the request, completes its key and notifies the controller.
+// endRun answers the request, completes its idempotency key and notifies the controller.
 func (n *Instance) endRun(id policy.RequestID, result RunResult) {
 	request := &n.requests[id]
 	n.abandonCall(request)
@@ -126,7 +126,7 @@
 	n.controller.RunEnded(n.now, id, result.Outcome, result.Duration)
 }
 
-// CallRequested is called when a run has come to a call with this body and waits for the reply.
+// CallRequested is called when a run makes a call to the dependency with this body and waits for the reply.
 func (n *Instance) CallRequested(taskID TaskID, body []byte) {
 	n.enqueue(func() {
 		id, ok := n.findRun(taskID)
--- a/internal/node/runs_test.go
+++ b/internal/node/runs_test.go
@@ -10,58 +10,58 @@
 
 // The runtime rounds its age to milliseconds, so a difference of that size is not taken for a restart.
 func TestRuntimeOfSlightlyLowerAgeIsNoRestart(t *testing.T) {
-	n, peers := newReady(nil)
-	n.admitRequest(peers, "a", "safe", "", 0)
+	n, rec := newReadyInstance(nil)
+	n.admitRequest(rec, "a", "safe", "", 0)
 	n.RuntimeReady(RuntimeState{Reused: true, Age: time.Since(n.runtimeProcess.startedAt) - 2*time.Millisecond, RequestedAt: time.Now()})
 	n.Tick()
-	peers.expect(t, 0, "answer")
+	rec.expect(t, 0, "answer")
 	n.runtimeProcess.startedAt = n.runtimeProcess.startedAt.Add(-time.Second)
 	n.RuntimeReady(RuntimeState{Reused: true, RequestedAt: time.Now()})
 	n.Tick()
-	peers.expect(t, 1, "answer a 2")
+	rec.expect(t, 1, "answer a 2")
 }
 
 func TestCommandsAreRepeatedOnceTheLinkIsUp(t *testing.T) {
-	n, peers := newReady(nil)
-	peers.down = true
-	n.admitRequest(peers, "a", "unsafe", "", 0)
-	n.admitRequest(peers, "b", "unsafe", "", 0)
-	peers.expect(t, 0, "start")
-	n.Fail(n.byTaskID["b"]) // answered before its start, so it need not run
-	peers.down = false
+	n, rec := newReadyInstance(nil)
+	rec.down = true
+	n.admitRequest(rec, "a", "unsafe", "", 0)
+	n.admitRequest(rec, "b", "unsafe", "", 0)
+	rec.expect(t, 0, "start")
+	n.Fail(n.byTaskID["b"]) // answered before its start, so that it does not have to run
+	rec.down = false
 	n.RuntimeResynced()
 	n.Tick()
-	peers.expect(t, 1, "start a unsafe x")
-	peers.expect(t, 0, "start b")
+	rec.expect(t, 1, "start a unsafe x")
+	rec.expect(t, 0, "start b")
 	n.CallRequested("a", []byte("call"))
 	n.Tick()
-	peers.expect(t, 1, "call a call")
-	peers.down = true
+	rec.expect(t, 1, "call a call")
+	rec.down = true
 	n.CallReturned("a", CallResult{Outcome: policy.OK, Reply: []byte("reply")})
 	n.Tick()
-	peers.down = false
+	rec.down = false
 	n.RuntimeResynced()
 	n.RuntimeResynced()
 	n.Tick()
-	peers.expect(t, 1, "start a")
-	peers.expect(t, 1, "give a reply")
+	rec.expect(t, 1, "start a")
+	rec.expect(t, 1, "deliver a reply")
 }
 
 // A delay between the runtime's answer and its reading must not be taken for a later start of the runtime.
 func TestRuntimeStateReadLateIsNoRestart(t *testing.T) {
-	n, peers := newReady(nil)
-	n.admitRequest(peers, "a", "safe", "", 0)
+	n, rec := newReadyInstance(nil)
+	n.admitRequest(rec, "a", "safe", "", 0)
 	n.runtimeProcess.startedAt = n.runtimeProcess.startedAt.Add(-5 * time.Second)
 	n.RuntimeReady(RuntimeState{Age: 3 * time.Second, RequestedAt: time.Now().Add(-3 * time.Second)})
 	n.Tick()
-	peers.expect(t, 0, "answer a")
+	rec.expect(t, 0, "answer a")
 	n.RuntimeReady(RuntimeState{Age: 3 * time.Second, RequestedAt: time.Now()})
 	n.Tick()
-	peers.expect(t, 1, "answer a 2")
+	rec.expect(t, 1, "answer a 2")
 }
 
 func TestGoneCallersAreNotAnswered(t *testing.T) {
-	n, peers := newReady(nil)
+	n, rec := newReadyInstance(nil)
 	other := &recorder{}
 	for _, id := range []TaskID{"a", "b", "c"} {
 		n.admitRequest(other, id, "unsafe", "", 0)
@@ -69,18 +69,18 @@
 	n.CallerGone(other)
 	n.Tick()
 	n.RunEnded("a", RunResult{Outcome: policy.OK})
-	n.admitRequest(peers, "d", "unsafe", "", 0)
-	peers.expect(t, 1, "start d") // instead of c, which was still queued
-	peers.expect(t, 0, "start c")
+	n.admitRequest(rec, "d", "unsafe", "", 0)
+	rec.expect(t, 1, "start d") // instead of c, which was still queued
+	rec.expect(t, 0, "start c")
 	if len(other.lines) != 0 {
-		t.Errorf("recorded %q", other.lines)
+		t.Errorf("the gone caller got %q", other.lines)
 	}
 }
 
 func TestExpiredCallerTimeoutIsNotTakenForNone(t *testing.T) {
-	n, peers := newReady(nil)
+	n, rec := newReadyInstance(nil)
 	for id, timeout := range map[TaskID]time.Duration{"a": time.Millisecond, "b": time.Minute} {
-		if err := n.Admit(peers, MessageID(id), Request{
+		if err := n.Admit(rec, MessageID(id), Request{
 			ID:            id,
 			Class:         "safe",
 			MemoryKB:      1,
@@ -91,16 +91,16 @@
 		}
 	}
 	n.Tick()
-	peers.expect(t, 1, "answer a 1")
-	peers.expect(t, 1, "start b")
+	rec.expect(t, 1, "answer a 1")
+	rec.expect(t, 1, "start b")
 }
 
 // The text of an admission error goes to the caller, so it must not contain more than the reason.
 func TestAdmissionErrorHasTheTextOfItsReason(t *testing.T) {
-	n, peers := newReady(nil)
-	err := n.Admit(peers, "a", Request{ID: "a", Class: "missing"})
+	n, rec := newReadyInstance(nil)
+	err := n.Admit(rec, "a", Request{ID: "a", Class: "missing"})
 	var invalid *AdmissionError
 	if !errors.As(err, &invalid) || !errors.Is(err, ErrUnknownClass) || invalid.Value != "missing" || err.Error() != "unknown class" {
-		t.Errorf("%v: %+v", err, invalid)
+		t.Errorf("got %v, %+v; want an AdmissionError of ErrUnknownClass with the value missing", err, invalid)
 	}
 }
--- a/internal/node/settings.go
+++ b/internal/node/settings.go
@@ -22,10 +22,10 @@
 
 // Apply puts a delta into force. Resources that it does not name retain their index and the controller's estimates. Requests of
 // a removed class or tenant are no longer admitted, and its index is freed with its last request and key. An idempotency key
-// expires after the longest window that was in force during its lifetime. The time is linear in the length of the delta, and
-// does not depend on that of the settings; a longer key window also takes a pass over the key table.
+// expires after the longest window that was in force during its lifetime. The cost is linear in the size of the delta, not of
+// the settings; a longer key window adds a pass over the key table.
 //
-// The error is a *VersionError, a *BoundError or a *settings.IdempotencyChangedError; the settings are unchanged then.
+// The error is a *VersionError, a *BoundError or a *settings.IdempotencyChangedError. It leaves the settings unchanged.
 func (n *Instance) Apply(delta settings.Delta) error {
 	if err := n.validate(&delta); err != nil {
 		return err
@@ -39,7 +39,7 @@
 	return nil
 }
 
-// validate returns the error of Apply.
+// validate returns the error that Apply returns for the delta.
 func (n *Instance) validate(delta *settings.Delta) error {
 	if delta.From != n.settingsVersion {
 		return &VersionError{From: delta.From, InForce: n.settingsVersion}
@@ -64,7 +64,7 @@
 
 func (n *Instance) applyServer(server settings.Server) {
 	n.serverSettings = server
-	n.advertisedLoad = noAdvertisedLoad // its form may have changed; the controller advertises again
+	n.advertisedLoad = noAdvertisedLoad // the kind of load value may have changed; the controller advertises a new one
 	if n.controller != nil {
 		n.controller.SetServer(server)
 	}
@@ -107,8 +107,8 @@
 	}
 }
 
-// withoutDegradedAnswers removes the weight of answers without their call, so that the controller never skips a call: the
-// runtime's protocol has no command to continue a run without it.
+// withoutDegradedAnswers removes the degraded weight, so that the controller never skips a call: the runtime's protocol has no
+// command to continue a run without the reply.
 func withoutDegradedAnswers(class settings.Class) settings.Class {
 	class.DegradedWeight = settings.Number{}
 	return class
@@ -130,7 +130,7 @@
 	return controller
 }
 
-// addReferences counts a request or key that refers to the class and to the tenant, if that is not noTenant.
+// addReferences counts a request or key that refers to the class and, unless it is noTenant, the tenant.
 func (n *Instance) addReferences(class, tenant int) {
 	n.classes.addReference(class)
 	if tenant != noTenant {
@@ -138,7 +138,7 @@
 	}
 }
 
-// dropReferences undoes addReferences, and frees the indices of a removed class and tenant with their last reference.
+// dropReferences undoes addReferences. The last reference to a removed class or tenant frees its index.
 func (n *Instance) dropReferences(class, tenant int) {
 	if n.classes.dropReference(class) && n.controller != nil {
 		n.controller.FreeClass(class)
@@ -152,7 +152,7 @@
 	return n.classes.at(class).Idempotency
 }
 
-// keyWindowOf returns the time for which an idempotency key of the class is known.
+// keyWindowOf returns how long an idempotency key of the class is valid.
 func (n *Instance) keyWindowOf(class int) time.Duration {
 	return n.classes.at(class).KeyWindow.Seconds(0)
 }
--- a/internal/node/settings_model_test.go
+++ b/internal/node/settings_model_test.go
@@ -18,7 +18,7 @@
 // model drives an instance, and holds the expected settings in force and requests in flight.
 type model struct {
 	instance *Instance
-	peers    *recorder
+	rec      *recorder
 	active   settings.Settings
 	requests map[TaskID]modelRequest
 	lastID   int
@@ -47,21 +47,21 @@
 }
 
 func (m *model) applyDelta(t *rapid.T) {
-	later := m.drawSettings(t)
-	d, err := settings.Compare(m.instance.SettingsVersion(), m.active, later, func() {})
+	next := m.drawSettings(t)
+	delta, err := settings.Compare(m.instance.SettingsVersion(), m.active, next, func() {})
 	if err == nil {
-		err = m.instance.Apply(d)
+		err = m.instance.Apply(delta)
 	}
 	if err != nil {
 		t.Fatal(err)
 	}
-	m.active = later
+	m.active = next
 }
 
 // applyStaleDelta checks that a delta to an earlier version is rejected.
 func (m *model) applyStaleDelta(t *rapid.T) {
-	d, _ := settings.Compare(m.instance.SettingsVersion()-1, m.active, m.drawSettings(t), func() {})
-	if m.instance.Apply(d) == nil {
+	delta, _ := settings.Compare(m.instance.SettingsVersion()-1, m.active, m.drawSettings(t), func() {})
+	if m.instance.Apply(delta) == nil {
 		t.Fatal("a stale delta was applied")
 	}
 }
@@ -74,7 +74,7 @@
 	}
 	m.lastID++
 	id := TaskID(fmt.Sprint("i", m.lastID))
-	err := m.instance.Admit(m.peers, MessageID(id), Request{
+	err := m.instance.Admit(m.rec, MessageID(id), Request{
 		ID:         id,
 		Class:      r.class,
 		Tenant:     r.tenant,
@@ -83,8 +83,8 @@
 		ReceivedAt: time.Now(),
 		Body:       []byte("x"),
 	})
-	isClassKnown := slices.ContainsFunc(m.active.Classes, func(c settings.Class) bool { return c.Name == r.class })
-	isTenantKnown := r.tenant == "" || slices.ContainsFunc(m.active.Tenants, func(c settings.Tenant) bool { return c.Name == r.tenant })
+	isClassKnown := slices.ContainsFunc(m.active.Classes, func(class settings.Class) bool { return class.Name == r.class })
+	isTenantKnown := r.tenant == "" || slices.ContainsFunc(m.active.Tenants, func(tenant settings.Tenant) bool { return tenant.Name == r.tenant })
 	var want error
 	switch {
 	case !isClassKnown:
@@ -93,7 +93,7 @@
 		want = ErrUnknownTenant
 	}
 	if !errors.Is(err, want) {
-		t.Fatalf("%+v: %v, want %v", r, err, want)
+		t.Fatalf("admitting %+v: got %v, want %v", r, err, want)
 	}
 	if err == nil {
 		m.requests[id] = r
@@ -112,10 +112,10 @@
 	}
 }
 
-// expireKeys lets all keys expire, so that those of ended runs are dropped.
+// expireKeys makes all keys expire, which drops those of ended runs.
 func (m *model) expireKeys(*rapid.T) {
-	for _, r := range m.instance.keys.entries {
-		r.expiresAt = m.instance.now - 2*expiredKeyRetention
+	for _, entry := range m.instance.keys.entries {
+		entry.expiresAt = m.instance.now - 2*expiredKeyRetention
 	}
 	m.instance.nextSweep = 0
 	m.instance.Tick()
@@ -144,47 +144,47 @@
 }](t *rapid.T, table *resourceTable[T], active []T, references map[string]int) {
 	owner := map[int32]string{}
 	if len(table.active) != len(active) {
-		t.Fatalf("%v in force, want %v", table.active, active)
+		t.Fatalf("in force: %v, want %v", table.active, active)
 	}
 	for _, value := range active {
-		at, ok := table.active[value.ResourceName()]
-		if !ok || table.rows[at].value != value || table.rows[at].retired {
-			t.Fatalf("%v: %+v", value, table.rows)
+		index, ok := table.active[value.ResourceName()]
+		if !ok || table.rows[index].value != value || table.rows[index].retired {
+			t.Fatalf("%v is not in force in its row: %+v", value, table.rows)
 		}
-		owner[at] = value.ResourceName()
+		owner[index] = value.ResourceName()
 	}
-	for name, at := range table.retired {
-		if owner[at] != "" || references[name] == 0 || table.rows[at].value.ResourceName() != name {
-			t.Fatalf("%s at %d, which is %q's; %d references", name, at, owner[at], references[name])
+	for name, index := range table.retired {
+		if owner[index] != "" || references[name] == 0 || table.rows[index].value.ResourceName() != name {
+			t.Fatalf("retired %s has row %d, which belongs to %q or to another name, and %d references", name, index, owner[index], references[name])
 		}
-		owner[at] = name
+		owner[index] = name
 	}
 	for name, count := range references {
 		if table.findAny(name) == nil {
-			t.Fatalf("%s has %d references and no row", name, count)
+			t.Fatalf("%s has %d references but no row", name, count)
 		}
 	}
-	for at, name := range owner {
-		if int(table.rows[at].references) != references[name] {
-			t.Fatalf("%s: %d references counted, want %d", name, table.rows[at].references, references[name])
+	for index, name := range owner {
+		if int(table.rows[index].references) != references[name] {
+			t.Fatalf("%s: %d references counted, want %d", name, table.rows[index].references, references[name])
 		}
 	}
 	if len(owner)+len(table.freeRows) != len(table.rows) {
 		t.Fatalf("%d rows, %d in use, %d free", len(table.rows), len(owner), len(table.freeRows))
 	}
-	for _, at := range table.freeRows {
-		if owner[at] != "" || table.rows[at] != (resourceRow[T]{}) {
-			t.Fatalf("row %d is free and %q's: %+v", at, owner[at], table.rows[at])
+	for _, index := range table.freeRows {
+		if owner[index] != "" || table.rows[index] != (resourceRow[T]{}) {
+			t.Fatalf("row %d is free but belongs to %q or is not empty: %+v", index, owner[index], table.rows[index])
 		}
 	}
 }
 
-// In any order of events, an index belongs to one name while that is in force or referred to, and is free afterwards.
+// In any order of events, an index belongs to a single name as long as that is in force or referred to, and is free afterwards.
 func TestDeltasWithRequestsInFlight(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := &model{requests: map[TaskID]modelRequest{}}
 		m.active = m.drawSettings(t)
-		m.instance, m.peers = newReadyWith(m.active)
+		m.instance, m.rec = newReadyInstanceWith(m.active)
 		t.Repeat(map[string]func(*rapid.T){
 			"apply delta":       m.applyDelta,
 			"apply stale delta": m.applyStaleDelta,
@@ -202,7 +202,7 @@
 		m.expireKeys(t)
 		m.check(t)
 		if len(m.instance.classes.retired)+len(m.instance.tenants.retired) > 0 {
-			t.Fatalf("still retired: %v, %v", m.instance.classes.retired, m.instance.tenants.retired)
+			t.Fatalf("retired without references: classes %v, tenants %v", m.instance.classes.retired, m.instance.tenants.retired)
 		}
 	})
 }
--- a/internal/node/settings_test.go
+++ b/internal/node/settings_test.go
@@ -32,46 +32,46 @@
 	})
 }
 
-// newReadyWith returns an instance of these settings with a ready runtime.
-func newReadyWith(s settings.Settings) (*Instance, *recorder) {
-	peers := &recorder{}
+// newReadyInstanceWith returns an instance of these settings with a ready runtime.
+func newReadyInstanceWith(s settings.Settings) (*Instance, *recorder) {
+	rec := &recorder{}
 	n := New(s, 7, 3*time.Second, 192<<20, zap.NewNop())
-	n.Connect(peers, peers, discardReporter{}, recordingFront{peers})
+	n.Connect(rec, rec, discardReporter{}, recordingFront{rec})
 	n.RuntimeReady(RuntimeState{RequestedAt: time.Now()})
 	n.Tick()
-	return n, peers
+	return n, rec
 }
 
 func TestDeltaRetainsIndicesAndCanBeReverted(t *testing.T) {
 	before := settingsWithClasses("trace", "repeatable", "excursion", "by_key")
 	after := settingsWithClasses("issue", "by_key", "excursion", "by_key", "lookup", "repeatable")
-	n, peers := newReadyWith(before)
-	n.admitRequest(peers, "a", "trace", "", 0)
+	n, rec := newReadyInstanceWith(before)
+	n.admitRequest(rec, "a", "trace", "", 0)
 	trace, _ := n.classes.findActive("trace")
 	excursion, _ := n.classes.findActive("excursion")
 	n.applySettings(t, before, after)
 	if n.HasClass("trace") || !n.HasClass("issue") || !n.HasClass("lookup") || n.SettingsVersion() != firstSettingsVersion+1 {
-		t.Errorf("%v", n.classes.active)
+		t.Errorf("classes in force: %v, want those of the next version", n.classes.active)
 	}
-	if at, _ := n.classes.findActive("excursion"); at != excursion || n.classes.at(at).Weight != settings.NumberOf(2) {
-		t.Errorf("excursion at %d, was at %d: %+v", at, excursion, n.classes.at(at))
+	if index, _ := n.classes.findActive("excursion"); index != excursion || n.classes.at(index).Weight != settings.NumberOf(2) {
+		t.Errorf("excursion has index %d, want %d: %+v", index, excursion, n.classes.at(index))
 	}
 	if issue, _ := n.classes.findActive("issue"); issue == trace || n.idempotencyOf(issue) != settings.Idempotent || n.idempotencyOf(trace) != settings.Safe {
-		t.Error("a class that is referred to lost its index or its idempotency")
+		t.Error("a removed class that a request refers to lost its index or its idempotency")
 	}
 	n.applySettings(t, after, before)
-	if at, ok := n.classes.findActive("trace"); !ok || at != trace || n.classes.at(at).Weight != settings.NumberOf(1) || n.HasClass("issue") {
-		t.Errorf("trace at %d, was at %d", at, trace)
+	if index, ok := n.classes.findActive("trace"); !ok || index != trace || n.classes.at(index).Weight != settings.NumberOf(1) || n.HasClass("issue") {
+		t.Errorf("trace has index %d, want %d, or the former settings are not in force", index, trace)
 	}
 	n.RunEnded("a", RunResult{Outcome: policy.OK})
 	n.Tick()
-	peers.expect(t, 1, "answer a 0")
-	d, err := settings.Compare(n.SettingsVersion(), before, settingsWithClasses("excursion", "repeatable"), func() {})
-	var kind *settings.IdempotencyChangedError
-	if !errors.As(err, &kind) {
+	rec.expect(t, 1, "answer a 0")
+	delta, err := settings.Compare(n.SettingsVersion(), before, settingsWithClasses("excursion", "repeatable"), func() {})
+	var changed *settings.IdempotencyChangedError
+	if !errors.As(err, &changed) {
 		t.Errorf("a class changed its idempotency: %v", err)
 	}
-	if err := n.Apply(d); !errors.As(err, &kind) || kind.Class != "excursion" || !n.HasClass("trace") {
+	if err := n.Apply(delta); !errors.As(err, &changed) || changed.Class != "excursion" || !n.HasClass("trace") {
 		t.Errorf("a class changed its idempotency: %v", err)
 	}
 }
@@ -80,80 +80,82 @@
 func TestRemovedClassCanChangeIdempotencyOnceUnreferenced(t *testing.T) {
 	before := settingsWithClasses("trace", "repeatable", "seal", "by_key")
 	without := settingsWithClasses("trace", "repeatable")
-	n, peers := newReadyWith(before)
-	n.admitRequest(peers, "a", "seal", "k", 0)
+	n, rec := newReadyInstanceWith(before)
+	n.admitRequest(rec, "a", "seal", "k", 0)
 	n.applySettings(t, before, without)
 	other, err := settings.Compare(n.SettingsVersion(), without, settingsWithClasses("trace", "repeatable", "seal", "once"), func() {})
 	if err != nil {
 		t.Fatal(err)
 	}
-	var kind *settings.IdempotencyChangedError
-	if err := n.Apply(other); !errors.As(err, &kind) {
-		t.Errorf("with a run in flight: %v", err)
+	var changed *settings.IdempotencyChangedError
+	if err := n.Apply(other); !errors.As(err, &changed) {
+		t.Errorf("with a run in flight: got %v, want an IdempotencyChangedError", err)
 	}
 	n.RunEnded("a", RunResult{Outcome: policy.OK})
 	n.Tick()
-	if err := n.Apply(other); !errors.As(err, &kind) {
-		t.Errorf("with a key in the table: %v", err)
+	if err := n.Apply(other); !errors.As(err, &changed) {
+		t.Errorf("with a key in the table: got %v, want an IdempotencyChangedError", err)
 	}
 	n.keys.entries["seal k"].expiresAt, n.nextSweep = n.now-2*expiredKeyRetention, 0
 	n.Tick()
 	if err := n.Apply(other); err != nil {
-		t.Errorf("unreferenced: %v", err)
+		t.Errorf("without references: %v", err)
 	}
 }
 
 func TestInvalidDeltaChangesNothing(t *testing.T) {
-	n, _ := newReadyWith(settingsWithClasses("trace", "repeatable"))
+	n, _ := newReadyInstanceWith(settingsWithClasses("trace", "repeatable"))
 	many := settings.Changes[settings.Class]{}
-	for at := range settings.MaxClasses {
-		many.Set = append(many.Set, settings.Class{Name: fmt.Sprint("c", at)})
+	for i := range settings.MaxClasses {
+		many.Set = append(many.Set, settings.Class{Name: fmt.Sprint("c", i)})
 	}
 	long := settings.Changes[settings.Tenant]{}
-	for at := range settings.MaxTenants {
-		long.Set = append(long.Set, settings.Tenant{Name: fmt.Sprint("t", at)})
+	for i := range settings.MaxTenants {
+		long.Set = append(long.Set, settings.Tenant{Name: fmt.Sprint("t", i)})
 	}
 	server := settings.Server{FleetSize: settings.NumberOf(99)}
 	fits := settings.Changes[settings.Class]{Set: many.Set, Removed: []string{"trace", "nobody"}}
-	for what, d := range map[string]settings.Delta{
+	for name, delta := range map[string]settings.Delta{
 		"version": {From: n.SettingsVersion() + 1, To: n.SettingsVersion() + 2, Server: &server, Tenants: long},
 		"classes": {From: n.SettingsVersion(), To: n.SettingsVersion() + 1, Server: &server, Classes: many},
 		"tenants": {From: n.SettingsVersion(), To: n.SettingsVersion() + 1, Server: &server, Classes: fits, Tenants: long},
-		"kind": {From: n.SettingsVersion(), To: n.SettingsVersion() + 1, Server: &server, Tenants: settings.Changes[settings.Tenant]{Removed: []string{"acme"}},
+		"idempotency": {From: n.SettingsVersion(), To: n.SettingsVersion() + 1, Server: &server,
+			Tenants: settings.Changes[settings.Tenant]{Removed: []string{"acme"}},
 			Classes: settings.Changes[settings.Class]{Set: []settings.Class{{Name: "new"}, {Name: "trace", Idempotency: settings.NonIdempotent}}}},
 	} {
-		if err := n.Apply(d); err == nil {
-			t.Errorf("%s: applied", what)
+		if err := n.Apply(delta); err == nil {
+			t.Errorf("%s: an invalid delta was applied", name)
 		}
-		if n.SettingsVersion() != firstSettingsVersion || len(n.classes.active) != 1 || len(n.tenants.active) != 1 || n.serverSettings.FleetSize == server.FleetSize {
-			t.Fatalf("%s: a part of it is in force", what)
+		if n.SettingsVersion() != firstSettingsVersion || len(n.classes.active) != 1 || len(n.tenants.active) != 1 ||
+			n.serverSettings.FleetSize == server.FleetSize {
+			t.Fatalf("%s: a part of an invalid delta is in force", name)
 		}
 	}
 	long.Removed = []string{"acme"}
 	if err := n.Apply(settings.Delta{From: 1, To: 2, Classes: fits, Tenants: long}); err != nil {
-		t.Errorf("as many as the bounds allow: %v", err)
+		t.Errorf("a delta up to the bounds: %v", err)
 	}
 }
 
-// A delta that is applied before the runtime is ready is in force in the controller that is created then.
+// The controller, which is created when the runtime is ready, starts with the deltas that were applied before.
 func TestDeltaBeforeTheRuntimeIsReady(t *testing.T) {
 	before := settingsWithClasses("trace", "repeatable", "seal", "once")
 	after := settingsWithClasses("seal", "once")
 	after.Tenants = nil
-	peers := &recorder{}
+	rec := &recorder{}
 	n := New(before, 7, 3*time.Second, 192<<20, zap.NewNop())
-	n.Connect(peers, peers, discardReporter{}, recordingFront{peers})
+	n.Connect(rec, rec, discardReporter{}, recordingFront{rec})
 	n.applySettings(t, before, after)
 	n.RuntimeReady(RuntimeState{RequestedAt: time.Now()})
 	n.Tick()
-	n.admitRequest(peers, "a", "seal", "", 0)
-	peers.expect(t, 1, "start a seal x")
-	if err := n.Admit(peers, "b", Request{ID: "b", Class: "trace"}); !errors.Is(err, ErrUnknownClass) {
-		t.Errorf("%v", err)
+	n.admitRequest(rec, "a", "seal", "", 0)
+	rec.expect(t, 1, "start a seal x")
+	if err := n.Admit(rec, "b", Request{ID: "b", Class: "trace"}); !errors.Is(err, ErrUnknownClass) {
+		t.Errorf("a class that the delta removed: got %v, want ErrUnknownClass", err)
 	}
 	n.applySettings(t, after, before)
-	n.admitRequest(peers, "c", "trace", "", 0)
-	peers.expect(t, 1, "start c trace x")
+	n.admitRequest(rec, "c", "trace", "", 0)
+	rec.expect(t, 1, "start c trace x")
 }
 
 // A tenant that reuses an index does not inherit the empty token bucket of the previous one.
@@ -164,10 +166,10 @@
 	})
 	after := before
 	after.Tenants = []settings.Tenant{{Name: "b", Quota: settings.NumberOf(0.001)}, {Name: "other"}}
-	n, peers := newReadyWith(before)
+	n, rec := newReadyInstanceWith(before)
 	admit := func(id TaskID, class, tenant string) {
 		t.Helper()
-		if err := n.Admit(peers, MessageID(id), Request{
+		if err := n.Admit(rec, MessageID(id), Request{
 			ID:         id,
 			Class:      class,
 			Tenant:     tenant,
@@ -183,30 +185,30 @@
 		n.RunEnded(id, RunResult{Outcome: policy.OK, Duration: time.Millisecond})
 		n.Tick()
 	}
-	for at := range 10 { // more than the burst
-		id := TaskID(fmt.Sprint("a", at))
+	for i := range 10 { // more than the burst
+		id := TaskID(fmt.Sprint("a", i))
 		admit(id, "safe", "a")
 		end(id)
 	}
 	freed, _ := n.tenants.findActive("a")
 	n.applySettings(t, before, after)
 	if reused, ok := n.tenants.findActive("b"); !ok || reused != freed {
-		t.Fatalf("b at %d, want %d", reused, freed)
+		t.Fatalf("b has index %d, want the freed index %d", reused, freed)
 	}
-	if err := n.Admit(peers, "z", Request{ID: "z", Class: "safe", Tenant: "a"}); !errors.Is(err, ErrUnknownTenant) {
-		t.Errorf("a removed tenant: %v", err)
+	if err := n.Admit(rec, "z", Request{ID: "z", Class: "safe", Tenant: "a"}); !errors.Is(err, ErrUnknownTenant) {
+		t.Errorf("a removed tenant: got %v, want ErrUnknownTenant", err)
 	}
 	admit("x1", "safe", "other")
-	admit("x2", "safe", "other") // on both cores
-	admit("b1", "safe", "b")     // first, unless it is over its quota
+	admit("x2", "safe", "other") // occupy both cores
+	admit("b1", "safe", "b")     // starts next, unless it is over its quota
 	admit("x3", "safe", "other")
 	end("x1")
-	peers.expect(t, 1, "start b1")
-	peers.expect(t, 0, "start x3")
+	rec.expect(t, 1, "start b1")
+	rec.expect(t, 0, "start x3")
 }
 
 func TestFindAllocatesNothing(t *testing.T) {
-	n, _ := newReadyWith(testutil.TypedSettings(func(s *settings.Settings) { s.Tenants = tenantsOf(60_000) }))
+	n, _ := newReadyInstanceWith(testutil.TypedSettings(func(s *settings.Settings) { s.Tenants = tenantsOf(60_000) }))
 	name := fmt.Sprint("tenant-", 59_999)
 	if got := testing.AllocsPerRun(100, func() {
 		if _, ok := n.tenants.findActive(name); !ok {
@@ -216,14 +218,14 @@
 			t.Error("not found")
 		}
 	}); got != 0 {
-		t.Errorf("%v allocations", got)
+		t.Errorf("%v allocations, want none", got)
 	}
 }
 
 func tenantsOf(n int) []settings.Tenant {
 	list := make([]settings.Tenant, n)
-	for at := range list {
-		list[at] = settings.Tenant{Name: fmt.Sprint("tenant-", at), Quota: settings.NumberOf(1000)}
+	for i := range list {
+		list[i] = settings.Tenant{Name: fmt.Sprint("tenant-", i), Quota: settings.NumberOf(1000)}
 	}
 	return list
 }
@@ -232,15 +234,15 @@
 func BenchmarkApply(b *testing.B) {
 	for _, size := range []int{1000, 60_000} {
 		b.Run(fmt.Sprint(size), func(b *testing.B) {
-			n, _ := newReadyWith(testutil.TypedSettings(func(s *settings.Settings) { s.Tenants = tenantsOf(size) }))
-			for at := 0; b.Loop(); at++ {
-				d := settings.Delta{
+			n, _ := newReadyInstanceWith(testutil.TypedSettings(func(s *settings.Settings) { s.Tenants = tenantsOf(size) }))
+			for i := 0; b.Loop(); i++ {
+				delta := settings.Delta{
 					From: n.SettingsVersion(),
 					To:   n.SettingsVersion() + 1,
 					Tenants: settings.Changes[settings.Tenant]{
-						Set: []settings.Tenant{{Name: "tenant-7", Quota: settings.NumberOf(float64(at))}, {Name: []string{"x", "y"}[at%2]}}, Removed: []string{[]string{"y", "x"}[at%2]}},
+						Set: []settings.Tenant{{Name: "tenant-7", Quota: settings.NumberOf(float64(i))}, {Name: []string{"x", "y"}[i%2]}}, Removed: []string{[]string{"y", "x"}[i%2]}},
 				}
-				if err := n.Apply(d); err != nil {
+				if err := n.Apply(delta); err != nil {
 					b.Fatal(err)
 				}
 			}
@@ -252,14 +254,14 @@
 func BenchmarkFind(b *testing.B) {
 	for _, size := range []int{1000, 60_000} {
 		b.Run(fmt.Sprint(size), func(b *testing.B) {
-			n, _ := newReadyWith(testutil.TypedSettings(func(s *settings.Settings) { s.Tenants = tenantsOf(size) }))
+			n, _ := newReadyInstanceWith(testutil.TypedSettings(func(s *settings.Settings) { s.Tenants = tenantsOf(size) }))
 			names := make([]string, 1024)
-			for at := range names {
-				names[at] = fmt.Sprint("tenant-", at*size/len(names))
+			for i := range names {
+				names[i] = fmt.Sprint("tenant-", i*size/len(names))
 			}
 			b.ReportAllocs()
-			for at := 0; b.Loop(); at++ {
-				if _, ok := n.tenants.findActive(names[at%len(names)]); !ok {
+			for i := 0; b.Loop(); i++ {
+				if _, ok := n.tenants.findActive(names[i%len(names)]); !ok {
 					b.Fatal("not found")
 				}
 			}
@@ -277,29 +279,29 @@
 	}
 	without := testutil.TypedSettings(nil)
 	for name, start := range map[string]func() (*Instance, *recorder){
-		"from the start": func() (*Instance, *recorder) { return newReady(degraded) },
-		"by a later change": func() (*Instance, *recorder) {
-			n, peers := newReady(nil)
+		"from the start": func() (*Instance, *recorder) { return newReadyInstance(degraded) },
+		"by a later delta": func() (*Instance, *recorder) {
+			n, rec := newReadyInstance(nil)
 			n.applySettings(t, without, testutil.TypedSettings(degraded))
-			return n, peers
+			return n, rec
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			n, peers := start()
-			n.admitRequest(peers, "a", "safe", "", 0)
+			n, rec := start()
+			n.admitRequest(rec, "a", "safe", "", 0)
 			n.CallRequested("a", []byte("below"))
 			n.Tick()
-			peers.expect(t, 1, "call a below")
+			rec.expect(t, 1, "call a below")
 			// With a weight for degraded answers the controller would skip the call now.
 			n.CallReturned("a", CallResult{Outcome: policy.Failed, Duration: 10 * time.Millisecond})
 			n.Tick()
-			peers.expect(t, 2, "call a below")
+			rec.expect(t, 2, "call a below")
 			n.CallReturned("a", CallResult{Outcome: policy.OK, Duration: 10 * time.Millisecond, Reply: []byte("reply")})
 			n.Tick()
-			peers.expect(t, 1, "give a reply")
+			rec.expect(t, 1, "deliver a reply")
 			n.RunEnded("a", RunResult{Outcome: policy.OK, Duration: 20 * time.Millisecond, Body: []byte("done")})
 			n.Tick()
-			peers.expect(t, 1, "answer a 0 done")
+			rec.expect(t, 1, "answer a 0 done")
 		})
 	}
 }
--- a/internal/node/tick.go
+++ b/internal/node/tick.go
@@ -9,8 +9,8 @@
 // enqueue queues an event for the next tick of the loop.
 func (n *Instance) enqueue(event func()) { n.events = append(n.events, event) }
 
-// Tick implements loop.Host: it passes all queued events to the controller and lets it decide. It returns when the next tick
-// of the loop is due and the phase of the graceful shutdown.
+// Tick implements loop.Host: it passes all queued events to the controller and carries out its decisions. It returns when the
+// next tick of the loop is due, and the phase of the graceful shutdown.
 func (n *Instance) Tick() (time.Time, loop.Phase) {
 	clock := time.Now()
 	n.now = clock.Sub(n.start)
@@ -44,7 +44,7 @@
 	}
 }
 
-// handleCompletions ends coalesced requests until none is left, as the controller's reaction may complete more of them.
+// handleCompletions ends coalesced requests until none is left, as the controller may complete more of them in Dispatch.
 func (n *Instance) handleCompletions() {
 	for len(n.completions) > 0 {
 		completions := n.completions
@@ -56,7 +56,7 @@
 	}
 }
 
-// earliest returns the earlier of an optional time (zero: none) and another.
+// earliest returns the earlier of the two times. A zero optional time is ignored.
 func earliest(optional, other time.Time) time.Time {
 	if optional.IsZero() || other.Before(optional) {
 		return other
@@ -95,9 +95,9 @@
 }
 
 // controllerTickDue returns when the controller's pending tick is due. The tick is deferred while the machine is stalled, so
-// that the controller does not mistake the stall for load; the sign of a stall is an outstanding reading of the gauges without
-// any other event. The deferral is shorter than the margin before each deadline, and long enough for the controller to detect
-// the stall.
+// that the controller does not mistake the stall for load. A stall shows in a reading of the gauges that is outstanding while
+// no other event arrives. The deferral is shorter than the margin before each deadline, and long enough for the controller to
+// detect the stall.
 func (n *Instance) controllerTickDue() time.Duration {
 	areGaugesOutstanding := n.runtime.Up() && n.gauges.requestedAt > n.gauges.readAt
 	silence := n.now - max(n.gauges.requestedAt, n.lastEventAt)
--- a/internal/node/tick_test.go
+++ b/internal/node/tick_test.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// A stalled machine delivers neither gauges nor events. The late tick lets the controller detect the stall.
+// A stalled machine delivers neither gauges nor events. The controller detects the stall by the deferred tick.
 func TestStalledMachineDefersTick(t *testing.T) {
-	n, peers := newReady(nil)
+	n, rec := newReadyInstance(nil)
 	for _, stalled := range []bool{false, true} {
 		n.now = time.Since(n.start)
 		n.nextControllerTick = n.now
@@ -22,18 +22,18 @@
 			want = maxControllerTickDelay
 		}
 		if late := n.controllerTickDue() - n.nextControllerTick; late != want {
-			t.Errorf("stalled %v: %v late, want %v", stalled, late, want)
+			t.Errorf("stalled %v: tick deferred by %v, want %v", stalled, late, want)
 		}
 	}
-	peers.down = true
+	rec.down = true
 	if n.controllerTickDue() != n.nextControllerTick {
-		t.Error("a link that is down defers ticks")
+		t.Error("a tick was deferred while the link was down")
 	}
 }
 
 func TestPanicOfOneEventDoesNotStopTheNext(t *testing.T) {
-	n, peers := newReady(nil)
+	n, rec := newReadyInstance(nil)
 	n.enqueue(func() { panic("no") })
-	n.admitRequest(peers, "a", "safe", "", 0)
-	peers.expect(t, 1, "start a")
+	n.admitRequest(rec, "a", "safe", "", 0)
+	rec.expect(t, 1, "start a")
 }
