--- a/internal/node/limits.go
+++ b/internal/node/limits.go
@@ -4,7 +4,7 @@
 
 // Bounds of the tables.
 const (
-	tableMemoryDivisor = 4       // requests and keys may each take this part of the memory limit
+	tableMemoryDivisor = 4       // memory limit divided by this bounds the table of requests, and that of keys
 	requestBytes       = 8 << 10 // bytes counted for a request in flight, with its body and that of its call
 	keyEntryBytes      = 512     // bytes counted for an idempotency key, without its result
 	maxHealthChecks    = 64      // deep health checks in progress at a time
--- a/internal/node/settings_test.go
+++ b/internal/node/settings_test.go
@@ -69,10 +69,10 @@
 	delta, err := settings.Compare(n.SettingsVersion(), before, settingsWithClasses("excursion", "repeatable"), func() {})
 	var changed *settings.IdempotencyChangedError
 	if !errors.As(err, &changed) {
-		t.Errorf("a class changed its idempotency: %v", err)
+		t.Errorf("Compare: got %v, want an IdempotencyChangedError", err)
 	}
 	if err := n.Apply(delta); !errors.As(err, &changed) || changed.Class != "excursion" || !n.HasClass("trace") {
-		t.Errorf("a class changed its idempotency: %v", err)
+		t.Errorf("Apply: got %v, want an IdempotencyChangedError of excursion and unchanged settings", err)
 	}
 }
 
@@ -83,42 +83,42 @@
 	n, rec := newReadyInstanceWith(before)
 	n.admitRequest(rec, "a", "seal", "k", 0)
 	n.applySettings(t, before, without)
-	other, err := settings.Compare(n.SettingsVersion(), without, settingsWithClasses("trace", "repeatable", "seal", "once"), func() {})
+	delta, err := settings.Compare(n.SettingsVersion(), without, settingsWithClasses("trace", "repeatable", "seal", "once"), func() {})
 	if err != nil {
 		t.Fatal(err)
 	}
 	var changed *settings.IdempotencyChangedError
-	if err := n.Apply(other); !errors.As(err, &changed) {
+	if err := n.Apply(delta); !errors.As(err, &changed) {
 		t.Errorf("with a run in flight: got %v, want an IdempotencyChangedError", err)
 	}
 	n.RunEnded("a", RunResult{Outcome: policy.OK})
 	n.Tick()
-	if err := n.Apply(other); !errors.As(err, &changed) {
+	if err := n.Apply(delta); !errors.As(err, &changed) {
 		t.Errorf("with a key in the table: got %v, want an IdempotencyChangedError", err)
 	}
 	n.keys.entries["seal k"].expiresAt, n.nextSweep = n.now-2*expiredKeyRetention, 0
 	n.Tick()
-	if err := n.Apply(other); err != nil {
+	if err := n.Apply(delta); err != nil {
 		t.Errorf("without references: %v", err)
 	}
 }
 
 func TestInvalidDeltaChangesNothing(t *testing.T) {
 	n, _ := newReadyInstanceWith(settingsWithClasses("trace", "repeatable"))
-	many := settings.Changes[settings.Class]{}
+	maxClasses := settings.Changes[settings.Class]{}
 	for i := range settings.MaxClasses {
-		many.Set = append(many.Set, settings.Class{Name: fmt.Sprint("c", i)})
+		maxClasses.Set = append(maxClasses.Set, settings.Class{Name: fmt.Sprint("c", i)})
 	}
-	long := settings.Changes[settings.Tenant]{}
+	maxTenants := settings.Changes[settings.Tenant]{}
 	for i := range settings.MaxTenants {
-		long.Set = append(long.Set, settings.Tenant{Name: fmt.Sprint("t", i)})
+		maxTenants.Set = append(maxTenants.Set, settings.Tenant{Name: fmt.Sprint("t", i)})
 	}
 	server := settings.Server{FleetSize: settings.NumberOf(99)}
-	fits := settings.Changes[settings.Class]{Set: many.Set, Removed: []string{"trace", "nobody"}}
+	boundedClasses := settings.Changes[settings.Class]{Set: maxClasses.Set, Removed: []string{"trace", "nobody"}}
 	for name, delta := range map[string]settings.Delta{
-		"version": {From: n.SettingsVersion() + 1, To: n.SettingsVersion() + 2, Server: &server, Tenants: long},
-		"classes": {From: n.SettingsVersion(), To: n.SettingsVersion() + 1, Server: &server, Classes: many},
-		"tenants": {From: n.SettingsVersion(), To: n.SettingsVersion() + 1, Server: &server, Classes: fits, Tenants: long},
+		"version": {From: n.SettingsVersion() + 1, To: n.SettingsVersion() + 2, Server: &server, Tenants: maxTenants},
+		"classes": {From: n.SettingsVersion(), To: n.SettingsVersion() + 1, Server: &server, Classes: maxClasses},
+		"tenants": {From: n.SettingsVersion(), To: n.SettingsVersion() + 1, Server: &server, Classes: boundedClasses, Tenants: maxTenants},
 		"idempotency": {From: n.SettingsVersion(), To: n.SettingsVersion() + 1, Server: &server,
 			Tenants: settings.Changes[settings.Tenant]{Removed: []string{"acme"}},
 			Classes: settings.Changes[settings.Class]{Set: []settings.Class{{Name: "new"}, {Name: "trace", Idempotency: settings.NonIdempotent}}}},
@@ -131,8 +131,8 @@
 			t.Fatalf("%s: a part of an invalid delta is in force", name)
 		}
 	}
-	long.Removed = []string{"acme"}
-	if err := n.Apply(settings.Delta{From: 1, To: 2, Classes: fits, Tenants: long}); err != nil {
+	maxTenants.Removed = []string{"acme"}
+	if err := n.Apply(settings.Delta{From: 1, To: 2, Classes: boundedClasses, Tenants: maxTenants}); err != nil {
 		t.Errorf("a delta up to the bounds: %v", err)
 	}
 }
