--- a/internal/loop/accept.go
+++ b/internal/loop/accept.go
@@ -12,16 +12,16 @@
 	"golang.org/x/sys/unix"
 )
 
-// acceptRetryDelay is the pause after a failed accept, which is mostly caused by a lack of file descriptors.
+// acceptRetryDelay is the pause after a failed accept. The usual cause is a lack of file descriptors.
 const acceptRetryDelay = 5 * time.Millisecond
 
-// pastDeadline is a deadline that unblocks a pending accept.
+// pastDeadline is a listener deadline that unblocks a pending accept.
 var pastDeadline = time.Unix(1, 0)
 
-// acceptedMarker is the gnet context that marks a connection as accepted, not dialled.
+// acceptedMarker is the gnet context of a connection that was accepted and not dialled.
 type acceptedMarker struct{}
 
-// listen listens on the address with SO_REUSEPORT, as a supervisor may have it bound between two incarnations.
+// listen listens on the address with SO_REUSEPORT, as a supervisor may hold the address between two incarnations.
 func listen(address string) (*net.TCPListener, error) {
 	config := net.ListenConfig{Control: func(_, _ string, raw syscall.RawConn) error {
 		return setReusePort(raw)
@@ -41,9 +41,9 @@
 	return errors.Join(optionErr, controlErr)
 }
 
-// acceptConns passes accepted connections to the loop until closeListener sets a deadline in the past. It runs on a goroutine
-// of its own and closes the listener at its end. Connections in the kernel's accept queue are still passed on, as closing the
-// listener would reset them although they may have sent requests.
+// acceptConns passes accepted connections to the loop until closeListener sets a deadline in the past. It runs on a separate
+// goroutine. Before it closes the listener it drains the kernel's accept queue: the close would reset the connections in it,
+// which may have sent requests.
 func (l *Loop) acceptConns() {
 	for {
 		c, err := l.listener.Accept()
@@ -63,8 +63,7 @@
 	}
 }
 
-// drainAcceptQueue accepts until the listener's queue is empty. A connection that was aborted in the queue does not stop
-// it.
+// drainAcceptQueue accepts connections until the listener's queue is empty. It skips connections that were aborted in the queue.
 func (l *Loop) drainAcceptQueue() {
 	raw, err := l.listener.SyscallConn()
 	for err == nil || errors.Is(err, unix.ECONNABORTED) || errors.Is(err, unix.EINTR) {
@@ -94,7 +93,7 @@
 	return net.FileConn(file)
 }
 
-// closeListener starts closing the listener; it is closed once l.listening is false.
+// closeListener makes acceptConns close the listener, which is closed once l.listening is false.
 func (l *Loop) closeListener() {
 	if l.listenerClosing {
 		return
--- a/internal/loop/conn.go
+++ b/internal/loop/conn.go
@@ -10,12 +10,12 @@
 )
 
 const (
-	lingerTimeout          = time.Second // for the peer to read the remaining output and to close its side
-	maxDiscardedBytes      = 256 << 10   // bytes received after Close, over which a half-closed connection is closed
-	maxRetainedBufferBytes = 16 << 10    // bytes; larger output buffers are released once they are empty
+	lingerTimeout          = time.Second // within which the peer has to read the remaining output and close its side
+	maxDiscardedBytes      = 256 << 10   // bytes received after Close; above this, a half-closed connection is closed
+	maxRetainedBufferBytes = 16 << 10    // capacity in bytes above which empty output buffers are released
 )
 
-// connState is the state of a connection; it only moves forward.
+// connState is the state of a connection. It only advances.
 type connState int
 
 const (
@@ -23,29 +23,29 @@
 	stateOpen connState = iota
 	// stateDraining discards input; pending replies are still sent.
 	stateDraining
-	// stateHalfClosed has sent everything and shut down its side. Input is discarded until the peer closes, as closing
-	// over unread input would reset the connection and lose replies.
+	// stateHalfClosed has sent everything and shut down its sending side. Input is read and discarded until the peer
+	// closes, as a close with unread input would reset the connection and lose replies.
 	stateHalfClosed
-	// stateClosed is the end.
+	// stateClosed is the final state.
 	stateClosed
 )
 
-// conn is a connection on the loop. A dialled connection closes at once, as no reply is pending on it. An accepted one closes
-// through the states above. The time in stateDraining is bounded by the handler, which answers every request eventually, and
-// by the limits on unsent output; that in stateHalfClosed by lingerTimeout, maxDiscardedBytes and Config.MaxLingering.
+// conn is a connection on the loop. A dialled connection closes at once, as no reply is pending on it. An accepted one goes
+// through all states. The time in stateDraining is bounded by the handler, which answers every request eventually, and by the
+// limits on unsent output; that in stateHalfClosed is bounded by lingerTimeout, maxDiscardedBytes and Config.MaxLingering.
 type conn struct {
 	loop           *Loop
 	socket         gnet.Conn
 	handler        Handler
-	serverHandler  ServerHandler // handler, if the connection was accepted; otherwise nil
-	output         []byte        // emptied by each tick
+	serverHandler  ServerHandler // same as handler if the connection was accepted, else nil
+	output         []byte        // written by the handler; emptied by each tick
 	flushQueued    bool          // in Loop.flushQueue
 	state          connState
-	lingerUntil    time.Time // when it is closed at the latest; zero while replies are pending
+	lingerUntil    time.Time // when a closing connection is closed at the latest; zero while replies are pending
 	discardedBytes int       // bytes received after Close
 }
 
-// OnOpen implements gnet.EventHandler: it calls the handler's Opened, with a new handler for an accepted connection.
+// OnOpen implements gnet.EventHandler: it calls Opened of the handler, which is a new one for an accepted connection.
 func (l *Loop) OnOpen(socket gnet.Conn) (out []byte, action gnet.Action) {
 	c := &conn{loop: l, socket: socket}
 	switch origin := socket.Context().(type) {
@@ -54,7 +54,7 @@
 	case acceptedMarker:
 		c.assignServerHandler()
 	default:
-		return nil, gnet.None // the socket of attachEventLoop
+		return nil, gnet.None // the UDP socket of attachEventLoop
 	}
 	socket.SetContext(c)
 	WithRecover(l.log, "open", func() { c.handler.Opened(c) })
@@ -92,13 +92,14 @@
 	}
 	l.log.Warn("connection closed", zap.Error(err), zap.Stringer("remote_addr", socket.RemoteAddr()))
 	c.Close()
-	if c.serverHandler == nil { // its handler may reconnect at once
+	if c.serverHandler == nil { // flush now, as its handler may reconnect at once
 		c.flush()
 	}
 	return gnet.None
 }
 
-// discard counts input that is no longer delivered. Too much of it closes the connection, but not while replies are pending.
+// discard counts input that is no longer delivered. More than maxDiscardedBytes of it closes the connection, but only once all
+// replies are sent.
 func (c *conn) discard(data []byte) gnet.Action {
 	c.discardedBytes += len(data)
 	if c.discardedBytes > maxDiscardedBytes && c.state == stateHalfClosed {
@@ -153,7 +154,7 @@
 	c.loop.scheduleTick()
 }
 
-// advanceClose moves a draining connection to its next state if no reply is pending and all output is sent.
+// advanceClose moves a draining connection to its next state once no reply is pending and all output is sent.
 func (c *conn) advanceClose() {
 	if c.serverHandler == nil {
 		c.closeNow()
@@ -177,8 +178,8 @@
 
 func (c *conn) closeNow() { _ = c.loop.eventLoop.Close(c.socket) }
 
-// closeExpiredLingering closes the lingering connections whose time is over, and the oldest ones over the limit. It returns when
-// the next one expires, or the zero time if none lingers.
+// closeExpiredLingering closes the lingering connections that are past lingerUntil, and the oldest ones above maxLingering. It
+// returns when the next one expires, or the zero time if none lingers.
 func (l *Loop) closeExpiredLingering(now time.Time) (next time.Time) {
 	for {
 		oldest := l.oldestLingering()
--- a/internal/loop/conn_test.go
+++ b/internal/loop/conn_test.go
@@ -22,7 +22,7 @@
 	client   net.Conn
 	handler  *echoHandler
 	sent     []byte // by the client, and delivered to the handler
-	closing  bool   // the server closes the connection
+	closing  bool   // the server is closing the connection
 	pending  []byte // replies to all delivered input, in order
 	received []byte // replies that the client has received
 	state    connState
@@ -33,7 +33,7 @@
 	before := 0
 	m.runOnLoop(func() { before = server.discardedBytes })
 	if _, err := m.client.Write([]byte(text)); err != nil {
-		t.Fatalf("the client can't write: %v", err)
+		t.Fatalf("client write failed: %v", err)
 	}
 	if m.closing {
 		m.await(func() bool {
@@ -52,8 +52,8 @@
 	m.await(func() bool { return len(m.handler.received) >= len(m.sent) })
 }
 
-// In any order of sends, replies, reads and closes: the handler receives nothing after the close, the client gets all replies to
-// delivered input, complete and in order, then the end of the stream and no reset; and the state only moves forward.
+// In any order of sends, replies, reads and closes, the handler receives nothing after the close, the client gets all replies to
+// delivered input, complete and in order, then the end of the stream and no reset, and the state only advances.
 func TestConnectionStateMachine(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		host := newTestHost(t, replyOnDemand, 64<<20)
@@ -63,10 +63,10 @@
 		defer m.client.Close()
 		m.handler = testutil.Next(host.t, host.opened, "a connection")
 		server := m.handler.conn.(*conn)
-		m.runOnLoop(func() { host.loop.lingerTimeout = testTimeout }) // the client is as slow as the test
+		m.runOnLoop(func() { host.loop.lingerTimeout = testTimeout }) // the connection must not expire while the test runs
 		t.Repeat(map[string]func(*rapid.T){
 			"send": func(t *rapid.T) {
-				if len(m.pending) < 100<<10 { // over it the connection would close by itself
+				if len(m.pending) < 100<<10 { // more would close the connection by the limit on unsent output
 					m.send(t, rapid.StringMatching("[a-z]{1,3}").Draw(t, "text"))
 				}
 			},
@@ -92,18 +92,18 @@
 			},
 			"": func(t *rapid.T) {
 				if !bytes.HasPrefix(m.pending, m.received) {
-					t.Fatalf("got %d bytes that are not the replies", len(m.received))
+					t.Fatalf("the client got %d bytes that are no prefix of the replies", len(m.received))
 				}
 				m.runOnLoop(func() {
 					if !bytes.Equal(m.handler.received, m.sent) {
-						t.Fatalf("the handler received %q of %q", m.handler.received, m.sent)
+						t.Fatalf("the handler received %q, want %q", m.handler.received, m.sent)
 					}
 					if server.state < m.state || server.state == stateOpen && m.closing {
-						t.Fatalf("state %d after %d, closing %v", server.state, m.state, m.closing)
+						t.Fatalf("state %d after state %d, closing %v", server.state, m.state, m.closing)
 					}
 					m.state = server.state
 					if server.state == stateHalfClosed && (m.handler.HasPending() || server.socket.OutboundBuffered() > 0) {
-						t.Fatal("half-closed over pending replies")
+						t.Fatal("half-closed while replies are pending or unsent")
 					}
 				})
 			},
@@ -116,7 +116,7 @@
 		rest, err := io.ReadAll(m.client)
 		m.received = append(m.received, rest...)
 		if err != nil || !bytes.Equal(m.received, m.pending) {
-			t.Fatalf("received %d bytes of %d, %v", len(m.received), len(m.pending), err)
+			t.Fatalf("received %d bytes, want the %d bytes of all replies; error %v", len(m.received), len(m.pending), err)
 		}
 		m.client.Close()
 		if testutil.Next(host.t, host.closed, "its close") != m.handler {
@@ -125,7 +125,7 @@
 	})
 }
 
-// No amount of input after a protocol error prevents pending replies.
+// Pending replies are sent however much input follows a protocol error.
 func TestFloodAfterProtocolErrorLosesNoPendingReply(t *testing.T) {
 	host := startHost(t, replyOnDemand)
 	c, e := host.dialWithPending(0, "abc")
@@ -158,9 +158,9 @@
 	}
 }
 
-// Total unsent output stays within its bound: memory takes precedence over the replies of clients that do not read.
+// Total unsent output stays within its bound. The bound takes precedence over the replies to clients that do not read.
 func TestTotalUnsentBytesAreBounded(t *testing.T) {
-	host := newTestHost(t, replyOnDemand, 4<<20) // an eighth is 512 KiB
+	host := newTestHost(t, replyOnDemand, 4<<20) // the bound is an eighth, 512 KiB
 	defer host.stop()
 	host.shrinkSendBuffers()
 	var all []*echoHandler
@@ -183,7 +183,7 @@
 	})
 }
 
-// After Run no goroutine and no descriptor is left, independent of how the connections were closed.
+// After Run has returned, no goroutine and no descriptor is left, however the connections were closed.
 func TestNoGoroutineOrDescriptorLeaks(t *testing.T) {
 	count := func() (int, int) {
 		fds, err := os.ReadDir("/proc/self/fd")
@@ -214,7 +214,7 @@
 		}
 		host.stop()
 	}
-	run() // gnet keeps some goroutines and descriptors of the first run
+	run() // gnet retains some goroutines and descriptors of the first run
 	goroutines, fds := count()
 	run()
 	for end := time.Now().Add(testTimeout); ; time.Sleep(time.Millisecond) {
@@ -224,18 +224,19 @@
 		}
 		if time.Now().After(end) {
 			buf := make([]byte, 1<<16)
-			t.Fatalf("%d goroutines, %d before; %d descriptors, %d before: %s", g, goroutines, f, fds, buf[:runtime.Stack(buf, true)])
+			t.Fatalf("%d goroutines, %d after the first run; %d descriptors, %d after the first run: %s",
+				g, goroutines, f, fds, buf[:runtime.Stack(buf, true)])
 		}
 	}
 }
 
-// A connection that has just joined is read from once before shutdown: the poll after it joined delivers its input.
+// A connection that has just joined is read from once before the shutdown: the poll after it joined delivers its input.
 func TestNewConnectionsAreReadBeforeShutdown(t *testing.T) {
 	l := &Loop{hasUnreadConns: true, tickQueued: true}
 	if l.allAcceptedRead() {
-		t.Error("reported before a new connection was read from")
+		t.Error("reported true before a new connection was read from")
 	}
 	if !l.allAcceptedRead() {
-		t.Error("never reported")
+		t.Error("reported false after all connections were read from")
 	}
 }
--- a/internal/loop/dial.go
+++ b/internal/loop/dial.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// Dial connects to the address on a goroutine of its own, and returns at once. The handler's Opened, or Closed after the
-// timeout or another error, follows on the loop.
+// Dial connects to the address on a separate goroutine and returns at once. The loop then calls the handler's Opened, or its
+// Closed if the connection fails or the timeout expires.
 func (l *Loop) Dial(network, address string, timeout time.Duration, handler Handler) {
 	go func() {
 		if err := l.connect(network, address, timeout, handler); err != nil {
--- a/internal/loop/handler.go
+++ b/internal/loop/handler.go
@@ -6,7 +6,7 @@
 type Conn interface {
 	// Write copies p and sends it at the end of the current tick.
 	Write(p []byte)
-	// Close stops delivering input. A dialled connection closes at once, an accepted one after its handler has nothing
+	// Close stops delivering input. A dialled connection closes at once, an accepted one once its handler has nothing
 	// pending and all output is sent.
 	Close()
 }
@@ -25,30 +25,30 @@
 // ServerHandler is the handler of an accepted connection.
 type ServerHandler interface {
 	Handler
-	// HasPending reports whether a reply is still to be written, for which the connection stays open.
+	// HasPending reports whether a reply is still to be written. The connection stays open for it.
 	HasPending() bool
 }
 
-// ConnError is the reason why a connection ended.
+// ConnError is the reason why a connection ended or was not established.
 type ConnError struct {
-	Connected bool // it had been established
+	Connected bool // the connection had been established
 	Err       error
 }
 
 func (e *ConnError) Error() string {
 	if e.Connected {
-		return "connection broken: " + e.Err.Error()
+		return "connection ended: " + e.Err.Error()
 	}
-	return "no connection: " + e.Err.Error()
+	return "connect failed: " + e.Err.Error()
 }
 
 // Unwrap returns the underlying error of the network or the handler.
 func (e *ConnError) Unwrap() error { return e.Err }
 
-// errHandlerPanicked closes a connection whose handler did not return from Received.
+// errHandlerPanicked is the reason for closing a connection whose handler panicked in Received.
 var errHandlerPanicked = errors.New("handler panicked")
 
-// discardHandler handles a connection for which the host has no capacity: it ignores all input.
+// discardHandler ignores the input of a connection for which the host has no capacity.
 type discardHandler struct{}
 
 func (discardHandler) Opened(Conn)           {}
--- a/internal/loop/host_test.go
+++ b/internal/loop/host_test.go
@@ -25,7 +25,7 @@
 	Fatalf(format string, args ...any)
 }
 
-const testTimeout = 20 * time.Second // of each wait; passing tests take far less
+const testTimeout = 20 * time.Second // of each wait; far more than passing tests need
 
 // echoHandler echoes each byte it receives: at once, or when reply is called. A "!" is a protocol error.
 type echoHandler struct {
@@ -78,7 +78,7 @@
 	replyAtOnce
 )
 
-// testHost is a host of echo handlers whose phase the test sets.
+// testHost is a Host with echo handlers, whose phase the test sets.
 type testHost struct {
 	t          testingT
 	loop       *Loop
@@ -86,7 +86,7 @@
 	phase      atomic.Int32
 	atCapacity atomic.Bool
 	replyMode  replyMode
-	replyWidth int // copies of each byte in its reply; 0 is one
+	replyWidth int // copies of each byte in a reply; 0 means one
 	opened     chan *echoHandler
 	closed     chan *echoHandler
 	runResult  chan error
@@ -119,7 +119,7 @@
 		closed:    make(chan *echoHandler, 1000),
 		runResult: make(chan error, 1),
 	}
-	up := make(chan *Loop, 1)
+	started := make(chan *Loop, 1)
 	go func() {
 		h.runResult <- Run(Config{
 			Address:      "127.0.0.1:0",
@@ -127,10 +127,10 @@
 			MemoryLimit:  memoryLimit,
 			MaxLingering: 20,
 			Log:          zap.NewNop(),
-			OnStart:      func(l *Loop) { up <- l },
+			OnStart:      func(l *Loop) { started <- l },
 		})
 	}()
-	h.loop = testutil.Next(t, up, "the loop's start")
+	h.loop = testutil.Next(t, started, "the loop's start")
 	h.address = h.loop.listener.Addr().String()
 	return h
 }
@@ -168,7 +168,7 @@
 	testutil.Next(h.t, done, "a posted task")
 }
 
-// dial connects with a receive buffer of that many bytes; 0 is the default of the system.
+// dial connects with a receive buffer of that many bytes; 0 means the system's default.
 func (h *testHost) dial(buffer int) net.Conn {
 	h.t.Helper()
 	d := net.Dialer{Control: func(_, _ string, c syscall.RawConn) (err error) {
@@ -186,7 +186,7 @@
 	return c
 }
 
-// dialWithPending connects and sends the text, to which all replies are pending.
+// dialWithPending connects and sends the text, and returns once the replies to all of it are pending.
 func (h *testHost) dialWithPending(buffer int, text string) (net.Conn, *echoHandler) {
 	h.t.Helper()
 	c := h.dial(buffer)
@@ -203,7 +203,7 @@
 	}
 }
 
-// readAll reads up to the end of the connection, which must not be reset.
+// readAll reads up to the end of the stream. It fails the test if the connection is reset.
 func readAll(t testingT, c net.Conn) string {
 	t.Helper()
 	text, err := io.ReadAll(c)
@@ -214,22 +214,22 @@
 }
 
 // await waits until the condition holds on the loop.
-func (h *testHost) await(holds func() bool) {
+func (h *testHost) await(condition func() bool) {
 	h.t.Helper()
 	end := time.Now().Add(testTimeout)
 	for ; ; time.Sleep(time.Millisecond) {
 		isTrue := false
-		h.runOnLoop(func() { isTrue = holds() })
+		h.runOnLoop(func() { isTrue = condition() })
 		if isTrue {
 			return
 		}
 		if time.Now().After(end) {
-			h.t.Fatal("the condition never held")
+			h.t.Fatal("timed out waiting for a condition on the loop")
 		}
 	}
 }
 
-// shrinkSendBuffers gives all connections that are accepted later a small send buffer, which they inherit from the listener.
+// shrinkSendBuffers gives all connections accepted from now on a small send buffer, which they inherit from the listener.
 func (h *testHost) shrinkSendBuffers() {
 	raw, _ := h.loop.listener.SyscallConn()
 	_ = raw.Control(func(fd uintptr) { _ = unix.SetsockoptInt(int(fd), unix.SOL_SOCKET, unix.SO_SNDBUF, 4<<10) })
--- a/internal/loop/loop.go
+++ b/internal/loop/loop.go
@@ -1,11 +1,11 @@
 // Package loop runs one gnet event loop, whose goroutine owns all state of a service instance. After each poll it delivers
-// received bytes to the Handler of each connection, calls Host.Tick once, and then writes the output that the handlers have
-// buffered. Connections are accepted and dialled on goroutines of their own and join the loop once they are established.
+// received bytes to the Handler of each connection, calls Host.Tick once, and then sends the output that the handlers have
+// written. Connections are accepted and dialled on separate goroutines and join the loop once they are established.
 //
-// Nothing on the loop may block. An error or a panic in a handler closes that handler's connection and nothing else.
+// Nothing on the loop may block. An error or a panic in a handler while it receives closes only the connection of that handler.
 //
-// All tables are bounded: connections with unsent output by maxUnsentBytesPerConn each and an eighth of the memory limit
-// in total, accepted connections by Host.Accept, and closing connections by Config.MaxLingering and lingerTimeout.
+// All tables are bounded: unsent output by maxUnsentBytesPerConn for each connection and an eighth of the memory limit in
+// total, accepted connections by Host.Accept, and closing connections by Config.MaxLingering and lingerTimeout.
 package loop
 
 import (
@@ -21,17 +21,17 @@
 
 const (
 	readBufferSize      = 64 << 10  // bytes read from one connection at a time
-	unsentMemoryDivisor = 8         // of the memory limit, for the unsent output of all connections
-	initialTickDelay    = time.Hour // until the first tick has set a time of its own
+	unsentMemoryDivisor = 8         // memory limit divided by this bounds the unsent output of all connections
+	initialTickDelay    = time.Hour // placeholder until the first tick sets the timer
 )
 
-// Phase is how far the shutdown of a host has come. Phases are ordered; a host only moves forward.
+// Phase is the progress of a host's shutdown. Phases are ordered, and a host never returns to an earlier one.
 type Phase int
 
 const (
 	// PhaseServing accepts and serves connections.
 	PhaseServing Phase = iota
-	// PhaseClosingListener serves connections established so far and accepts none after them.
+	// PhaseClosingListener serves the connections established so far and closes the listener.
 	PhaseClosingListener
 	// PhaseClosingConns closes the accepted connections once their handlers have nothing pending; Run then returns.
 	PhaseClosingConns
@@ -43,19 +43,19 @@
 type Host interface {
 	// Accept returns the handler of a new connection, or nil if there is no capacity for it.
 	Accept() ServerHandler
-	// Tick runs after everything that was ready has been received. It returns the latest time of the next tick and
-	// the current phase.
+	// Tick is called after all input that was ready has been received. It returns the time by which it must be called
+	// again and the current phase.
 	Tick() (next time.Time, phase Phase)
 }
 
-// Config is what Run needs.
+// Config configures Run.
 type Config struct {
 	Address      string      // to listen on, host:port
 	Host         Host        // the application
-	MemoryLimit  int64       // bytes of the whole instance; bounds the unsent output
-	MaxLingering int         // accepted connections that may be closing at a time
+	MemoryLimit  int64       // memory limit of the instance, in bytes; bounds the unsent output
+	MaxLingering int         // bounds the accepted connections that wait for their peers to close
 	Log          *zap.Logger // for connection errors and panics
-	OnStart      func(*Loop) // called once on the loop, before anything else
+	OnStart      func(*Loop) // called once on the loop, before any other callback
 }
 
 // Loop is a running event loop. Its fields belong to the loop's goroutine.
@@ -63,13 +63,13 @@
 	gnet.BuiltinEventEngine
 	host      Host
 	log       *zap.Logger
-	client    *gnet.Client // a gnet engine without a listener, as that must close before the engine
+	client    *gnet.Client // a gnet engine without a listener, as the listener has to close before the engine stops
 	eventLoop gnet.EventLoop
 	stopped   chan struct{} // closed at PhaseStopped
 
 	listener        *net.TCPListener
 	listenerClosing bool
-	listening       bool // the goroutine of acceptConns has not ended
+	listening       bool // the goroutine of acceptConns is running
 	hasUnreadConns  bool // a connection was accepted since the last call of allAcceptedRead
 
 	tickQueued  bool
@@ -79,9 +79,9 @@
 	tickTimer   *time.Timer
 	phase       Phase
 
-	flushQueue          []*conn            // with buffered output or to be closed; emptied by each tick
-	connsWithUnsent     map[*conn]struct{} // with unsent output, as the peer does not read
-	maxTotalUnsentBytes int                // bytes, of all connections together
+	flushQueue          []*conn            // connections with output to send, or to be closed; emptied by each tick
+	connsWithUnsent     map[*conn]struct{} // connections with unsent output, as their peers do not read
+	maxTotalUnsentBytes int                // of all connections together
 
 	acceptedConns map[*conn]struct{}
 	lingering     map[*conn]struct{} // accepted connections that are closing and have nothing pending
@@ -89,8 +89,8 @@
 	lingerTimeout time.Duration
 }
 
-// Run listens on the configured address and drives the host until its phase is PhaseStopped, or PhaseClosingConns with
-// all connections closed. It returns an error if the address can't be listened on or the engine does not start or stop.
+// Run listens on the configured address and drives the host until its phase is PhaseStopped, or PhaseClosingConns with all
+// accepted connections closed. It returns an error if it cannot listen, or if the engine fails to start or stop.
 func Run(config Config) error {
 	listener, err := listen(config.Address)
 	if err != nil {
@@ -142,8 +142,8 @@
 	return l.attachEventLoop()
 }
 
-// attachEventLoop obtains gnet's event loop, which gnet exposes only through a connection on it. The datagram socket
-// for this sends nothing and is closed at once.
+// attachEventLoop sets l.eventLoop, which gnet exposes only through a connection on it. The UDP socket enrolled for this
+// purpose sends nothing and is closed at once.
 func (l *Loop) attachEventLoop() error {
 	c, err := net.Dial("udp", l.listener.Addr().String())
 	if err != nil {
@@ -157,8 +157,8 @@
 	return socket.Close()
 }
 
-// Post runs task on the loop, followed by a tick; a nil task runs the tick alone. It may be called from any goroutine
-// and does not wait.
+// Post runs task on the loop, followed by a tick. If task is nil, it runs only the tick. It may be called from any goroutine and
+// does not wait.
 func (l *Loop) Post(task func()) {
 	l.execute(func() {
 		if task != nil {
@@ -180,8 +180,8 @@
 	}))
 }
 
-// WithRecover calls f and recovers from a panic in it, which is logged with the name of the operation. It is used so that a
-// panic affects only the operation in which it occurs.
+// WithRecover calls f, recovers from a panic in it and logs the panic with the name of the operation. A panic thus affects only
+// the operation in which it occurs.
 func WithRecover(log *zap.Logger, operation string, f func()) {
 	defer func() {
 		cause := recover()
--- a/internal/loop/output.go
+++ b/internal/loop/output.go
@@ -6,18 +6,18 @@
 	"go.uber.org/zap"
 )
 
-// maxUnsentBytesPerConn bounds, in bytes, the output that one peer may leave unread before its connection closes.
+// maxUnsentBytesPerConn is the amount of unsent output above which a connection drains, as its peer does not read.
 const maxUnsentBytesPerConn = 256 << 10
 
-// Reasons for which a connection with unsent output is closed, as they are logged.
+// Logged reasons for closing a connection with unsent output.
 var (
-	errConnUnsentLimit  = errors.New("peer does not read")
-	errTotalUnsentLimit = errors.New("peers do not read")
+	errConnUnsentLimit  = errors.New("peer does not read: unsent output of the connection exceeds its limit")
+	errTotalUnsentLimit = errors.New("unsent output of all connections exceeds its limit")
 )
 
-// flush sends the buffered output of all connections and closes those that are to be closed.
+// flush sends the output of all connections in flushQueue and closes those that are to be closed.
 func (l *Loop) flush() {
-	for n := 0; n < len(l.flushQueue); n++ { // flushQueue may grow: a flush may close a connection, whose handler may write to others
+	for n := 0; n < len(l.flushQueue); n++ { // may grow: a flush may close a connection, whose handler may write to others
 		l.flushQueue[n].flush()
 	}
 	l.flushQueue = l.flushQueue[:0]
@@ -29,7 +29,7 @@
 func (c *conn) flush() {
 	c.flushQueued = false
 	if c.state < stateHalfClosed && len(c.output) > 0 {
-		_, _ = c.socket.Write(c.output) // closes the connection itself if it fails
+		_, _ = c.socket.Write(c.output) // gnet closes the connection if it fails
 	}
 	c.output = c.output[:0]
 	if cap(c.output) > maxRetainedBufferBytes {
@@ -46,9 +46,9 @@
 	}
 }
 
-// enforceUnsentLimits closes connections whose peers leave too much output unread. A connection over maxUnsentBytesPerConn
-// drains, and its pending replies are still sent. While the total is over its limit, the connection with most unsent output
-// closes at once, as bounding the memory takes precedence over its replies.
+// enforceUnsentLimits closes connections whose peers leave too much output unread. A connection above maxUnsentBytesPerConn
+// drains, and its pending replies are still sent. While the total is above maxTotalUnsentBytes, the connection with the most
+// unsent output closes at once, as the memory bound takes precedence over its replies.
 func (l *Loop) enforceUnsentLimits() {
 	for {
 		unsent := l.measureUnsent()
@@ -64,15 +64,15 @@
 	}
 }
 
-// unsentOutput is the output of all connections that is not sent yet.
+// unsentOutput sums up the unsent output of all connections.
 type unsentOutput struct {
 	totalBytes   int
-	largest      *conn // connection with most of it; nil: none
+	largest      *conn // connection with the most unsent output, or nil
 	largestBytes int
 }
 
-// measureUnsent adds up the unsent output. It also removes connections that have sent everything from connsWithUnsent, and drains
-// those over maxUnsentBytesPerConn.
+// measureUnsent adds up the unsent output. It also removes connections that have sent everything from connsWithUnsent and drains
+// those above maxUnsentBytesPerConn.
 func (l *Loop) measureUnsent() (unsent unsentOutput) {
 	for c := range l.connsWithUnsent {
 		bytes := c.socket.OutboundBuffered()
--- a/internal/loop/shutdown_test.go
+++ b/internal/loop/shutdown_test.go
@@ -9,8 +9,8 @@
 	"thymechute/internal/testutil"
 )
 
-// The bytes after a protocol error are unread when the connection closes. An immediate close would reset it, and the pending
-// replies would be lost.
+// Bytes that follow a protocol error are unread when the connection closes. An immediate close would reset the connection, and
+// the pending replies would be lost.
 func TestProtocolErrorClosesAfterPendingRepliesWithoutReset(t *testing.T) {
 	host := startHost(t, replyOnDemand)
 	c, e := host.dialWithPending(0, "abc")
@@ -31,7 +31,7 @@
 	}
 }
 
-// Output that the kernel did not take is sent before the close, however slowly the client reads.
+// Output that the kernel did not accept at once is sent before the close, however slowly the client reads.
 func TestCloseWaitsForUnsentOutput(t *testing.T) {
 	host := startHost(t, replyOnDemand)
 	host.shrinkSendBuffers()
@@ -45,15 +45,16 @@
 	})
 	host.runOnLoop(func() { unsent = e.conn.(*conn).socket.OutboundBuffered() })
 	if unsent == 0 {
-		t.Fatal("the kernel accepted all output, so that the test checks nothing")
+		t.Fatal("the kernel accepted all output, so this test checks nothing")
 	}
-	send(t, c, "unread") // still in our receive buffer at the close
+	send(t, c, "unread") // still in the server's receive buffer at the close
 	if got := readAll(t, c); got != string(reply) {
-		t.Errorf("received %d bytes of %d", len(got), len(reply))
+		t.Errorf("received %d bytes, or other ones than the %d bytes of the reply", len(got), len(reply))
 	}
 }
 
-// A client that neither reads nor closes is closed after the linger timeout, and the oldest over the limit before it.
+// A connection whose client neither reads nor closes is closed after the linger timeout; the oldest above the limit are closed
+// earlier.
 func TestLingeringConnectionsAreBounded(t *testing.T) {
 	host := startHost(t, replyAtOnce)
 	var first *conn
@@ -74,7 +75,7 @@
 	flood := host.dial(0)
 	e := testutil.Next(t, host.opened, "a connection")
 	host.runOnLoop(e.conn.Close)
-	for err := error(nil); err == nil; { // until it is closed over the input
+	for err := error(nil); err == nil; { // until the flood of input closes the connection
 		_, err = flood.Write(make([]byte, 64<<10))
 	}
 	for range 21 { // by the linger timeout
@@ -83,8 +84,8 @@
 	host.await(func() bool { return len(host.loop.lingering) == 0 && len(host.loop.acceptedConns) == 0 })
 }
 
-// Connections that the kernel accepted before the listener closed get their replies, whether or not the program had
-// accepted them: here the loop is blocked, the accept goroutine has one connection and the others are in the kernel's queue.
+// Connections that the kernel accepted before the listener closed get their replies, whether or not the program had accepted
+// them. In this test the loop is blocked, the accept goroutine has one connection and the others are in the kernel's queue.
 func TestListenerCloseServesAcceptedConnections(t *testing.T) {
 	host := startHost(t, replyAtOnce)
 	release := host.blockLoop()
@@ -108,7 +109,7 @@
 	host.runResult <- nil // for stop
 	if c, err := net.Dial("tcp", host.address); err == nil {
 		c.Close()
-		t.Error("still listening")
+		t.Error("the listener accepts connections after Run has returned")
 	}
 }
 
@@ -120,7 +121,7 @@
 	host.await(func() bool { return e.conn.(*conn).state == stateDraining })
 	select {
 	case <-host.runResult:
-		t.Fatal("stopped before a pending reply was sent")
+		t.Fatal("Run returned before a pending reply was sent")
 	default:
 	}
 	host.runOnLoop(e.reply)
--- a/internal/loop/tick.go
+++ b/internal/loop/tick.go
@@ -7,11 +7,11 @@
 )
 
 const (
-	stallThreshold = 50 * time.Millisecond // a tick that is later than this means that the process or the machine was stalled
-	maxDeferrals   = 64                    // ticks deferred in a row after a stall, while input still arrives
+	stallThreshold = 50 * time.Millisecond // a tick later than this shows that the process or the machine was stalled
+	maxDeferrals   = 64                    // bounds the ticks deferred in a row after a stall while input still arrives
 )
 
-// scheduleTick queues a tick behind everything that is ready now: gnet runs tasks after the events of their poll.
+// scheduleTick queues a tick after all input that is ready now: gnet runs tasks after the events of the same poll.
 func (l *Loop) scheduleTick() {
 	if l.tickQueued {
 		return
@@ -65,8 +65,8 @@
 	l.flush()
 }
 
-// allAcceptedRead reports whether the listener is closed and each accepted connection has been read from once: the first poll
-// after a connection has joined delivers the input that it had received before.
+// allAcceptedRead reports whether the listener is closed and each accepted connection has been read from once. The first poll
+// after a connection has joined the loop delivers the input that had arrived before it joined.
 func (l *Loop) allAcceptedRead() bool {
 	if l.hasUnreadConns {
 		l.hasUnreadConns = false
@@ -76,11 +76,11 @@
 	return !l.listening
 }
 
-// hasAcceptedConns reports whether an accepted connection is open or may still join.
+// hasAcceptedConns reports whether an accepted connection is open or may still join the loop.
 func (l *Loop) hasAcceptedConns() bool { return l.listening || len(l.acceptedConns) > 0 }
 
-// deferTick reports whether the tick has to wait for more input. After a stall, all input that arrived meanwhile is received
-// before the tick, so that the stall is not mistaken for load.
+// deferTick reports whether the tick has to wait for more input. After a stall, all input that arrived during it is received
+// before the tick, so that the host does not mistake the stall for load.
 func (l *Loop) deferTick(now time.Time) bool {
 	stalled := !l.nextTick.IsZero() && now.Sub(l.nextTick) > stallThreshold
 	deferred := stalled && l.hasReceived && l.deferrals < maxDeferrals
--- a/internal/loop/tick_test.go
+++ b/internal/loop/tick_test.go
@@ -9,7 +9,7 @@
 	at := time.Now()
 	l := &Loop{nextTick: at, hasReceived: true}
 	if l.deferTick(at.Add(stallThreshold / 2)) {
-		t.Error("a tick in time was deferred")
+		t.Error("a tick on time was deferred")
 	}
 	for n := range maxDeferrals {
 		l.hasReceived = true
@@ -19,9 +19,9 @@
 	}
 	l.hasReceived = true
 	if l.deferTick(at.Add(time.Second)) {
-		t.Error("deferred without bound")
+		t.Error("deferred more than maxDeferrals times")
 	}
 	if l.deferTick(at.Add(time.Second)) {
-		t.Error("deferred though nothing arrived")
+		t.Error("deferred although no input had arrived")
 	}
 }
