--- a/internal/node/errors.go
+++ b/internal/node/errors.go
@@ -7,9 +7,9 @@
 
 // Reasons of an AdmissionError, to be tested with errors.Is.
 var (
-	// ErrUnknownClass means that no class with the request's class name is in force.
+	// ErrUnknownClass means that the request's class is not in force.
 	ErrUnknownClass = errors.New("unknown class")
-	// ErrUnknownTenant means that no tenant with the request's tenant name is in force.
+	// ErrUnknownTenant means that the request's tenant is not in force.
 	ErrUnknownTenant = errors.New("unknown tenant")
 	// ErrDuplicateID means that a request in flight has the same task id.
 	ErrDuplicateID = errors.New("id is in use")
--- a/internal/node/host.go
+++ b/internal/node/host.go
@@ -79,8 +79,7 @@
 	n.dependency.Call(request.taskID, timeout, request.callBody)
 }
 
-// SkipCall panics. The controller never calls it, as withoutDegradedAnswers removes the weight of answers without their call
-// from all classes.
+// SkipCall panics. The controller never calls it, as withoutDegradedAnswers removes the degraded weight from all classes.
 func (n *Instance) SkipCall(policy.RequestID) {
 	panic("node: the runtime's protocol has no command to continue a run without its call")
 }
