--- a/internal/node/host.go
+++ b/internal/node/host.go
@@ -88,7 +88,7 @@
 // SetHealth sets the verdict for health checks.
 func (n *Instance) SetHealth(health policy.Health) {
 	n.health.isHealthy = health.Healthy
-	n.health.isCached = health.Cached
+	n.health.isCached = health.SkipSelfTest
 }
 
 // SetIdleTimeout sets the time after which the fronts close idle connections.
--- a/internal/simhost/actions.go
+++ b/internal/simhost/actions.go
@@ -55,7 +55,7 @@
 
 // SetHealth writes FITNESS.
 func (h *host) SetHealth(health policy.Health) {
-	line := wire.NewLine(h.out, "FITNESS").Bool("stored", health.Cached)
+	line := wire.NewLine(h.out, "FITNESS").Bool("stored", health.SkipSelfTest)
 	h.out = line.Bool("on", health.Healthy).End()
 }
 
--- a/internal/simhost/actions_test.go
+++ b/internal/simhost/actions_test.go
@@ -28,7 +28,7 @@
 			h.Reject(id, policy.Rejection{RetryAfter: 1999, NoRetryElsewhere: true})
 		},
 		"NOT_NOW ticket=4000000000 pause_s=0 final=0": func() { h.Reject(id, policy.Rejection{}) },
-		"FITNESS stored=1 on=0":                       func() { h.SetHealth(policy.Health{Cached: true}) },
+		"FITNESS stored=1 on=0":                       func() { h.SetHealth(policy.Health{SkipSelfTest: true}) },
 		"IDLE for_time_s=3.1":                         func() { h.SetIdleTimeout(3100 * time.Millisecond) },
 		"SIGNAL value=0.125":                          func() { h.Advertise(0.125) },
 		"NOTIFY_ME alarm_time_s=1.52 ref=1":           func() { h.Wake(20 * time.Millisecond) },
--- a/policy/admission.go
+++ b/policy/admission.go
@@ -12,11 +12,11 @@
 	// fleetOverloadRejectedShare is the share of rejected requests, 0 to 1, above which the other servers are
 	// assumed to be overloaded as well.
 	fleetOverloadRejectedShare = 0.05
-	// requestSizeSamples is the number of past samples that the average size of requests stands for.
-	requestSizeSamples = 15
-	// readDelaySamples is the number of past samples that the average read delay stands for; it is small, so
+	// requestSizePastSamples is the number of past samples that the average size of requests stands for.
+	requestSizePastSamples = 15
+	// readDelayPastSamples is the number of past samples that the average read delay stands for; it is small, so
 	// that the average follows congestion quickly.
-	readDelaySamples = 3
+	readDelayPastSamples = 3
 )
 
 // Admit takes a request that has been read. It rejects the request, coalesces it with the earlier request
@@ -32,8 +32,8 @@
 	if req.Tenant >= 0 && req.Tenant < len(inst.tenants) {
 		req.isOverQuota = !inst.tenants[req.Tenant].Allow(now, inst.server.FleetSize.Or(1))
 	}
-	updateAverage(&inst.memory.averageRequestKB, req.MemoryKB, requestSizeSamples)
-	updateAverage(&inst.readDelay, req.ReadDelay.Seconds(), readDelaySamples)
+	updateAverage(&inst.memory.averageRequestKB, req.MemoryKB, requestSizePastSamples)
+	updateAverage(&inst.readDelay, req.ReadDelay.Seconds(), readDelayPastSamples)
 	if req.Original != NoOriginal && !inst.replaceOriginal(now, id) {
 		return
 	}
@@ -45,7 +45,7 @@
 		inst.reject(now, id, retryOnSameServer)
 		return
 	}
-	if !inst.shedFor(now, id) {
+	if !inst.shedToAdmit(now, id) {
 		return
 	}
 	inst.queue = append(inst.queue, id)
@@ -101,17 +101,17 @@
 	return req.state == queued && !req.hasStarted
 }
 
-// shedFor makes capacity for the newcomer by rejecting the requests of least value density, and reports
+// shedToAdmit makes capacity for the newcomer by rejecting the requests of least value density, and reports
 // whether the newcomer itself was spared. Load shedding and read congestion reject one request; a shortage of
 // memory rejects as many as needed.
-func (inst *Instance) shedFor(now time.Duration, newcomer RequestID) (isAdmitted bool) {
-	neededKB := inst.memoryForAdmission(&inst.requests[newcomer])
+func (inst *Instance) shedToAdmit(now time.Duration, newRequest RequestID) (isAdmitted bool) {
+	neededKB := inst.memoryForAdmission(&inst.requests[newRequest])
 	mustShed := inst.mustShed()
 	for mustShed || !inst.memory.fits(neededKB) {
-		candidates := append([]RequestID{newcomer}, inst.queue...)
-		least := slices.MinFunc(candidates, inst.byValueDensity(now, newerIsLess))
-		inst.reject(now, least, inst.retryTargetAfterShedding(least))
-		if least == newcomer {
+		candidates := append([]RequestID{newRequest}, inst.queue...)
+		lowest := slices.MinFunc(candidates, inst.byValueDensity(now, newerRanksLower))
+		inst.reject(now, lowest, inst.retryTargetAfterShedding(lowest))
+		if lowest == newRequest {
 			return false
 		}
 		mustShed = false
--- a/policy/advertise.go
+++ b/policy/advertise.go
@@ -10,11 +10,11 @@
 const (
 	// shedThresholdGain is the part of the rejected share that is added to the threshold in a period.
 	shedThresholdGain = 0.3
-	// shedThresholdFallCalm is how far the threshold falls in a period without a backlog.
-	shedThresholdFallCalm = 0.1
-	// shedThresholdFallLight is how far the threshold falls in a period with a backlog, while lag is within
+	// shedThresholdFallWithoutBacklog is how far the threshold falls in a period without a backlog.
+	shedThresholdFallWithoutBacklog = 0.1
+	// shedThresholdFallWithBacklog is how far the threshold falls in a period with a backlog, while lag is within
 	// its own threshold.
-	shedThresholdFallLight = 0.03
+	shedThresholdFallWithBacklog = 0.03
 	// maxShedThreshold bounds the threshold. It is below 1, since without any requests the server could not
 	// see that the overload has ended.
 	maxShedThreshold = 0.95
@@ -32,7 +32,7 @@
 // that would be rejected.
 type advertisedLoad struct {
 	shedThreshold float64 // the priority below which callers should not send requests, 0 to 1
-	last          float64 // the load advertised last
+	lastLoad      float64 // the load advertised last
 }
 
 // updateShedThreshold raises the threshold by the period's rejections of requests above it, which callers
@@ -45,9 +45,9 @@
 		rise := shedThresholdGain * (1 - threshold)
 		threshold += rise * float64(counts.rejectedOverThreshold) / float64(max(counts.read, counts.rejected))
 	case counts.backlogTicks == 0:
-		threshold -= shedThresholdFallCalm // no backlog: callers hold back more than needed
+		threshold -= shedThresholdFallWithoutBacklog // no backlog: callers hold back more than needed
 	case inst.lag.current <= inst.lag.threshold:
-		threshold -= shedThresholdFallLight
+		threshold -= shedThresholdFallWithBacklog
 	}
 	inst.advertised.shedThreshold = min(max(threshold, 0), maxShedThreshold)
 }
@@ -58,10 +58,10 @@
 	if inst.isDrainGraceEnding(now) {
 		load = 1 // requests are accepted until the grace period ends
 	}
-	if math.Abs(load-inst.advertised.last) < minAdvertisedChange {
+	if math.Abs(load-inst.advertised.lastLoad) < minAdvertisedChange {
 		return
 	}
-	inst.advertised.last = load
+	inst.advertised.lastLoad = load
 	switch inst.server.AdvertiseMode {
 	case settings.AdvertiseThreshold:
 		inst.host.Advertise(load)
--- a/policy/advertise_test.go
+++ b/policy/advertise_test.go
@@ -56,7 +56,7 @@
 	inst.advertised.shedThreshold = 0
 	inst.advertise(0)
 	host.expectCalls(t, 1, "advertise 4.000") // without load, all of it for each
-	inst.endPeriod(period)
+	inst.endPeriod(periodLength)
 	if len(inst.period.callers) != 0 {
 		t.Error("callers of the previous period were not removed")
 	}
--- a/policy/class.go
+++ b/policy/class.go
@@ -8,14 +8,14 @@
 )
 
 const (
-	// firstEstimatePart is the part of the latency objective that a run is expected to take before any run of
+	// initialRunFraction is the part of the latency objective that a run is expected to take before any run of
 	// the class has ended.
-	firstEstimatePart = 0.25
-	// minFirstEstimate bounds the first estimate, in seconds.
-	minFirstEstimate = 1e-3
-	// baseLearningRuns is the number of first runs that raise or lower the base latency; later runs only lower
+	initialRunFraction = 0.25
+	// minInitialRunSeconds bounds the first estimate, in seconds.
+	minInitialRunSeconds = 1e-3
+	// baseLatencyLearningRuns is the number of first runs that raise or lower the base latency; later runs only lower
 	// it.
-	baseLearningRuns = 8
+	baseLatencyLearningRuns = 8
 )
 
 // class is a class of requests: its settings, and the estimates from its past runs.
@@ -31,16 +31,16 @@
 	isSafe           bool
 	isIdempotent     bool // through idempotency keys
 
-	runLatencies
+	runEstimates
 }
 
-// runLatencies are the estimates of a class, in seconds.
-type runLatencies struct {
-	baseLatency   float64 // the least run time seen, drifting to the recent one
-	runTime       float64 // recent run time less calls
-	responseTime  float64 // recent run time with calls
-	workPerHint   float64 // run time over the cost hint; 0: unknown
-	completedRuns float64 // runs seen
+// runEstimates are the estimates of a class, in seconds.
+type runEstimates struct {
+	baseLatency    float64 // the least run time seen, drifting to the recent one
+	runTime        float64 // recent run time less calls
+	responseTime   float64 // recent run time with calls
+	runTimePerHint float64 // run time over the cost hint; 0: unknown
+	completedRuns  float64 // runs seen
 }
 
 // configure puts the settings in force; the estimates stay.
@@ -55,10 +55,10 @@
 	c.keyWindow = s.KeyWindow.Seconds(10)
 }
 
-// initialLatencies are the estimates of a class of which no run has ended.
-func initialLatencies(latencyObjective time.Duration) runLatencies {
-	first := max(latencyObjective.Seconds()*firstEstimatePart, minFirstEstimate)
-	return runLatencies{baseLatency: first, runTime: first, responseTime: first}
+// initialEstimates are the estimates of a class of which no run has ended.
+func initialEstimates(latencyObjective time.Duration) runEstimates {
+	initialRun := max(latencyObjective.Seconds()*initialRunFraction, minInitialRunSeconds)
+	return runEstimates{baseLatency: initialRun, runTime: initialRun, responseTime: initialRun}
 }
 
 // canDegrade reports whether an answer without its call has any value.
@@ -67,8 +67,8 @@
 // expectedRunSeconds returns the expected run time in seconds, without calls. With a cost hint it is the
 // geometric mean of the class's run time and the hint's estimate.
 func (c *class) expectedRunSeconds(costHint time.Duration) float64 {
-	if costHint > 0 && c.workPerHint > 0 {
-		return math.Sqrt(costHint.Seconds() * c.workPerHint * c.runTime)
+	if costHint > 0 && c.runTimePerHint > 0 {
+		return math.Sqrt(costHint.Seconds() * c.runTimePerHint * c.runTime)
 	}
 	return c.runTime
 }
@@ -78,10 +78,10 @@
 	updateAverage(&c.runTime, runSeconds, c.completedRuns+3)
 	updateAverage(&c.responseTime, responseTime.Seconds(), c.completedRuns+3)
 	if costHint > 0 {
-		updateAverage(&c.workPerHint, runSeconds/costHint.Seconds(), c.completedRuns)
+		updateAverage(&c.runTimePerHint, runSeconds/costHint.Seconds(), c.completedRuns)
 	}
 	c.completedRuns++
-	if c.completedRuns <= baseLearningRuns || c.runTime < c.baseLatency {
+	if c.completedRuns <= baseLatencyLearningRuns || c.runTime < c.baseLatency {
 		c.baseLatency = c.runTime
 	}
 }
@@ -92,6 +92,6 @@
 	if elapsedSeconds <= c.responseTime {
 		return
 	}
-	updateAverage(&c.runTime, max(elapsedSeconds-callSeconds, c.runTime), maxAverageWindow)
-	updateAverage(&c.responseTime, elapsedSeconds, maxAverageWindow)
+	updateAverage(&c.runTime, max(elapsedSeconds-callSeconds, c.runTime), maxAverageSamples)
+	updateAverage(&c.responseTime, elapsedSeconds, maxAverageSamples)
 }
--- a/policy/concurrency_test.go
+++ b/policy/concurrency_test.go
@@ -7,7 +7,7 @@
 	"thymechute/policy/settings"
 )
 
-func TestSlowStartLowersTheConcurrencyCeiling(t *testing.T) {
+func TestSlowStartLowersMaxConcurrency(t *testing.T) {
 	warmingUp, _ := newTestInstance(func(s *settings.Settings) {
 		s.Server.SlowStart = settings.True
 		s.Server.SlowStartFraction = settings.NumberOf(0.2)
@@ -38,7 +38,7 @@
 			gauges := Gauges{Busy: 0.5, Runnable: c.runnable} // half idle, as bursts are
 			inst.Tick(time.Duration(n+1)*tickInterval, gauges)
 		}
-		inst.endPeriod(period)
+		inst.endPeriod(periodLength)
 		if inst.concurrency.limit != c.limit {
 			t.Errorf("%v runnable, %d queued: limit %v, want %v",
 				c.runnable, c.queued, inst.concurrency.limit, c.limit)
--- a/policy/congestion_test.go
+++ b/policy/congestion_test.go
@@ -24,7 +24,7 @@
 	inst.updateHealth()
 }
 
-func TestCongestedServerLeavesTheEndpointListThatFollowsHealth(t *testing.T) {
+func TestCongestedServerIsReportedUnhealthy(t *testing.T) {
 	inst, host := newTestInstance(func(s *settings.Settings) { s.Server.EndpointsFollowHealth = settings.True })
 	for _, readDelay := range []float64{1, 0, 1, 0} { // no flapping
 		updateHealthWith(inst, readDelay, 0)
--- a/policy/deadlines.go
+++ b/policy/deadlines.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// answerExpired answers all requests that have expired.
-func (inst *Instance) answerExpired(now time.Duration) {
+// answerExpiredRequests answers all requests that have expired.
+func (inst *Instance) answerExpiredRequests(now time.Duration) {
 	for index := range inst.requests {
 		req := &inst.requests[index]
 		if req.state != untracked && !req.isAnswered {
@@ -17,19 +17,19 @@
 // that can't be may still answer until the deadline.
 func (inst *Instance) answerIfExpired(now time.Duration, id RequestID) {
 	req := &inst.requests[id]
-	isDue := now >= req.deadline-answerMargin
+	isAnswerDue := now >= req.deadline-answerMargin
 	missesObjective := now >= req.usefulUntil
 	switch {
 	case req.state == queued:
-		if isDue || inst.valueDensity(now, id) <= 0 {
+		if isAnswerDue || inst.valueDensity(now, id) <= 0 {
 			inst.reject(now, id, retryOnSameServer)
 		}
 	case req.state == coalesced:
-		if isDue {
+		if isAnswerDue {
 			inst.host.Fail(id)
 			inst.release(id)
 		}
-	case isDue || missesObjective && inst.canStopRuns:
+	case isAnswerDue || missesObjective && inst.canStopRuns:
 		inst.failRun(now, id)
 	}
 }
--- a/policy/dependency_calls.go
+++ b/policy/dependency_calls.go
@@ -10,19 +10,19 @@
 )
 
 const (
-	// maxCallFailures is the number of consecutive failures after which calls are suspended.
-	maxCallFailures = 5
+	// maxConsecutiveCallFailures is the number of consecutive failures after which calls are suspended.
+	maxConsecutiveCallFailures = 5
 	// callProbeInterval is the time between two probes while calls are suspended.
 	callProbeInterval = 500 * time.Millisecond
-	// slowCallPart is the average call time above which calls are slow, as a part of the latency objective.
-	slowCallPart = 0.1
-	// maxOptionalCallWait is how long a request waits for an optional call, as a part of the latency
+	// slowCallFraction is the average call time above which calls are slow, as a part of the latency objective.
+	slowCallFraction = 0.1
+	// maxOptionalCallWaitFraction is how long a request waits for an optional call, as a part of the latency
 	// objective.
-	maxOptionalCallWait = 0.15
+	maxOptionalCallWaitFraction = 0.15
 	// minCallTimeout is the least timeout of a call.
 	minCallTimeout = 10 * time.Millisecond
-	// callTimeSamples is the number of past samples that the average call time stands for.
-	callTimeSamples = 7
+	// callTimePastSamples is the number of past samples that the average call time stands for.
+	callTimePastSamples = 7
 )
 
 // dependencyCalls are the calls of running requests to the dependency.
@@ -32,12 +32,14 @@
 	abandoned           []time.Duration // until when abandoned calls count as in flight
 	averageTime         float64         // moving average, in seconds
 	consecutiveFailures int
-	nextProbe           time.Duration
+	nextProbeAt         time.Duration
 	callQuota
 }
 
 // isSuspended reports whether calls are suspended after consecutive failures; only probes are made then.
-func (c *dependencyCalls) isSuspended() bool { return c.consecutiveFailures >= maxCallFailures }
+func (c *dependencyCalls) isSuspended() bool {
+	return c.consecutiveFailures >= maxConsecutiveCallFailures
+}
 
 // CallRequested is called when a run has come to a call to the dependency and waits for its reply. Dispatch
 // issues the call.
@@ -58,7 +60,7 @@
 	for len(inst.calls.waiting) > 0 {
 		usage := inst.meterCalls(now)
 		// Of equal requests the newest comes first, since it has most time left for its call.
-		id := slices.MaxFunc(inst.calls.waiting, inst.byValueDensity(now, newerIsMore))
+		id := slices.MaxFunc(inst.calls.waiting, inst.byValueDensity(now, newerRanksHigher))
 		if !inst.mayIssueCall(now, id, usage) {
 			return
 		}
@@ -70,15 +72,15 @@
 // ones. All optional calls are skipped while calls are suspended or slow, except when a probe is due;
 // otherwise those that have waited too long or would miss the latency objective.
 func (inst *Instance) skipOptionalCalls(now time.Duration) {
-	isProbeDue := inst.calls.inFlight == 0 && now >= inst.calls.nextProbe
+	isProbeDue := inst.calls.inFlight == 0 && now >= inst.calls.nextProbeAt
 	isOverloaded := inst.server.Dependency == settings.DependencyShared && inst.areCallsSlow()
 	skipAll := (inst.calls.isSuspended() || isOverloaded) && !isProbeDue
 	for _, id := range slices.Clone(inst.calls.waiting) {
 		req := &inst.requests[id]
 		class := &inst.classes[req.Class]
 		waited := (now - req.callRequestedAt).Seconds()
-		hasWaitedLong := waited > maxOptionalCallWait*class.latencyObjective.Seconds()
-		if class.canDegrade() && (skipAll || hasWaitedLong || inst.wouldBeLate(now, req)) {
+		hasWaitedTooLong := waited > maxOptionalCallWaitFraction*class.latencyObjective.Seconds()
+		if class.canDegrade() && (skipAll || hasWaitedTooLong || inst.wouldBeLate(now, req)) {
 			inst.resumeRun(now, id)
 			inst.host.SkipCall(id)
 		}
@@ -94,8 +96,8 @@
 // suspended (a probe aside), and it must be likely to return in time, as an abandoned call wastes the
 // dependency's work. With no other call in flight a late one is made too, to measure the call time.
 func (inst *Instance) mayIssueCall(now time.Duration, id RequestID, usage callUsage) bool {
-	hasOthers := inst.calls.inFlight > 0
-	if hasOthers && inst.wouldBeLate(now, &inst.requests[id]) {
+	hasCallsInFlight := inst.calls.inFlight > 0
+	if hasCallsInFlight && inst.wouldBeLate(now, &inst.requests[id]) {
 		return false
 	}
 	isPartialCallBlocked := usage.nextCallExceedsLimit() && inst.calls.overuse > 0
@@ -105,7 +107,7 @@
 	if !inst.calls.isSuspended() {
 		return true
 	}
-	return !hasOthers && now >= inst.calls.nextProbe
+	return !hasCallsInFlight && now >= inst.calls.nextProbeAt
 }
 
 func (inst *Instance) issueCall(now time.Duration, id RequestID, usage callUsage) {
@@ -131,7 +133,7 @@
 
 // areCallsSlow reports whether the average call takes so long that the dependency is probably overloaded.
 func (inst *Instance) areCallsSlow() bool {
-	return inst.calls.averageTime > slowCallPart*inst.referenceClass().latencyObjective.Seconds()
+	return inst.calls.averageTime > slowCallFraction*inst.referenceClass().latencyObjective.Seconds()
 }
 
 // CallReturned is called when a call has ended with the outcome after the time it took. After a failure an
@@ -162,7 +164,7 @@
 		return
 	}
 	if outcome == OK || outcome == TimedOut {
-		updateAverage(&inst.calls.averageTime, took.Seconds(), callTimeSamples)
+		updateAverage(&inst.calls.averageTime, took.Seconds(), callTimePastSamples)
 	}
 	if outcome == OK {
 		if inst.calls.isSuspended() {
@@ -171,9 +173,9 @@
 		inst.calls.consecutiveFailures = 0
 		return
 	}
-	inst.calls.nextProbe = now + callProbeInterval
+	inst.calls.nextProbeAt = now + callProbeInterval
 	inst.calls.consecutiveFailures++
-	if inst.calls.consecutiveFailures == maxCallFailures {
+	if inst.calls.consecutiveFailures == maxConsecutiveCallFailures {
 		inst.host.Log("dependency calls suspended",
 			zap.Int("consecutive_failures", inst.calls.consecutiveFailures))
 	}
--- a/policy/dependency_calls_test.go
+++ b/policy/dependency_calls_test.go
@@ -59,7 +59,7 @@
 
 // All servers of a fleet may have such a call in flight when the dependency slows down, and it must sustain
 // all of them.
-func TestCallWithQuotaBelowOneTimesOutWithinItsPart(t *testing.T) {
+func TestQuotaBelowOneBoundsCallTimeout(t *testing.T) {
 	inst, _ := newTestInstance(func(s *settings.Settings) {
 		s.Server.CallQuota = settings.NumberOf(0.5)
 		s.Server.CallQuotaWindow = settings.NumberOf(5)
@@ -73,7 +73,7 @@
 	if host.timeout != 800*ms {
 		t.Errorf("timeout %v", host.timeout)
 	}
-	used := 0.0
+	callSeconds := 0.0
 	end := 5 * time.Second
 	for now := time.Duration(0); now < end; now += tickInterval { // every call times out
 		if inst.requests[0].state == calling && now >= host.at+host.timeout {
@@ -86,10 +86,10 @@
 		inst.requests[0].usefulUntil = now + time.Second
 		inst.requests[0].deadline = now + time.Second
 		inst.Dispatch(now)
-		used += float64(inst.calls.inFlight+len(inst.calls.abandoned)) * tickInterval.Seconds()
+		callSeconds += float64(inst.calls.inFlight+len(inst.calls.abandoned)) * tickInterval.Seconds()
 	}
-	if used > 2.5 {
-		t.Errorf("%.2f call-seconds in a window of 5 s, want at most 2.5", used)
+	if callSeconds > 2.5 {
+		t.Errorf("%.2f call-seconds in a window of 5 s, want at most 2.5", callSeconds)
 	}
 }
 
@@ -125,8 +125,8 @@
 
 func TestCallsAreSuspendedAfterFailuresAndResumeByOneProbe(t *testing.T) {
 	inst, host := newTestInstance(nil)
-	inst.calls.consecutiveFailures = maxCallFailures
-	inst.calls.nextProbe = 300 * ms
+	inst.calls.consecutiveFailures = maxConsecutiveCallFailures
+	inst.calls.nextProbeAt = 300 * ms
 	fillCores(inst, 0, 0)
 	inst.CallRequested(0, 0)
 	inst.CallRequested(0, 1)
@@ -156,19 +156,19 @@
 }
 
 func TestLongCallsToTierAreIssuedWithinLatencyObjective(t *testing.T) {
-	for took, skips := range map[time.Duration]int{300 * ms: 0, 1200 * ms: 1} {
+	for averageTime, wantSkips := range map[time.Duration]int{300 * ms: 0, 1200 * ms: 1} {
 		inst, host := newTestInstance(func(s *settings.Settings) {
 			s.Classes[0].DegradedWeight = settings.NumberOf(0.6)
 			s.Server.Dependency = settings.DependencyTier
 		}) // a tier has its own overload control, so slow calls are not taken as overload
-		inst.calls.averageTime = took.Seconds()
+		inst.calls.averageTime = averageTime.Seconds()
 		inst.calls.inFlight = 1
 		inst.Admit(0, 0, requestOf(0))
 		inst.Dispatch(0)
 		inst.CallRequested(0, 0)
 		inst.Dispatch(0)
-		host.expectCalls(t, skips, "skip call 0") // the objective is 1 s
-		host.expectCalls(t, 1-skips, "call 0")
+		host.expectCalls(t, wantSkips, "skip call 0") // the objective is 1 s
+		host.expectCalls(t, 1-wantSkips, "call 0")
 	}
 }
 
@@ -191,21 +191,21 @@
 	host.expectCalls(t, 0, "fail 0")
 }
 
-func TestSlowCallsUseLessOfTheQuota(t *testing.T) {
+func TestSlowCallsReduceUsedQuota(t *testing.T) {
 	inst, _ := newTestInstance(nil)
 	inst.calls.averageTime = 0.2
-	inst.endPeriod(period)
-	if inst.calls.quotaFraction < 0.79 || inst.calls.quotaFraction > 0.81 {
-		t.Errorf("%v of the quota in use, want 0.8", inst.calls.quotaFraction)
+	inst.endPeriod(periodLength)
+	if inst.calls.quotaScale < 0.79 || inst.calls.quotaScale > 0.81 {
+		t.Errorf("%v of the quota in use, want 0.8", inst.calls.quotaScale)
 	}
 	inst.calls.averageTime = 0.01
-	inst.endPeriod(2 * period)
-	if inst.calls.quotaFraction < 0.89 || inst.calls.quotaFraction > 0.91 {
-		t.Errorf("%v of the quota in use, want 0.9", inst.calls.quotaFraction)
+	inst.endPeriod(2 * periodLength)
+	if inst.calls.quotaScale < 0.89 || inst.calls.quotaScale > 0.91 {
+		t.Errorf("%v of the quota in use, want 0.9", inst.calls.quotaScale)
 	}
 }
 
-func TestHalfIdleServerStartsCallingRequestsWhileCallsWait(t *testing.T) {
+func TestHalfIdleServerStartsRequestsWithCallWhileCallsWait(t *testing.T) {
 	inst, host := newTestInstance(func(s *settings.Settings) {
 		s.Server.CallQuota = settings.NumberOf(1)
 		s.Server.MaxConcurrencyPerCore = settings.NumberOf(20)
@@ -220,7 +220,7 @@
 	host.expectCalls(t, 2, "start") // as many wait as there are cores
 }
 
-func TestCallingRequestDoesNotStartWhileCallsWait(t *testing.T) {
+func TestRequestWithRequiredCallDoesNotStartWhileCallsWait(t *testing.T) {
 	inst, host := newTestInstance(func(s *settings.Settings) { s.Server.CallQuota = settings.NumberOf(1) })
 	inst.calls.inFlight = 1
 	inst.running = 1
@@ -262,22 +262,23 @@
 	for id := range RequestID(3) {
 		inst.CallRequested(time.Duration(id)*ms, id)
 	}
-	inst.calls.consecutiveFailures = maxCallFailures
+	inst.calls.consecutiveFailures = maxConsecutiveCallFailures
 	inst.requests[2].usefulUntil = 990 * ms
 	inst.requests[2].arrivedAt = 10 * ms
 	inst.Dispatch(700 * ms)
 	host.expectCalls(t, 1, "call 2") // the newest, though the others have waited longer
 	inst.CallReturned(710*ms, 2, TimedOut, 10*ms)
 	calls := &inst.calls
-	if calls.consecutiveFailures != maxCallFailures || calls.nextProbe != 0 || calls.averageTime != 0.2 {
+	if calls.consecutiveFailures != maxConsecutiveCallFailures ||
+		calls.nextProbeAt != 0 || calls.averageTime != 0.2 {
 		t.Errorf("%d failures, next probe at %v, calls take %v",
-			calls.consecutiveFailures, calls.nextProbe, calls.averageTime)
+			calls.consecutiveFailures, calls.nextProbeAt, calls.averageTime)
 	}
 	inst.CallRequested(710*ms, 2)
 	inst.Dispatch(711 * ms)
 	host.expectCalls(t, 2, "call")
 	inst.CallReturned(960*ms, 2, TimedOut, 250*ms)
-	if calls.consecutiveFailures != maxCallFailures+1 || calls.averageTime <= 0.2 {
+	if calls.consecutiveFailures != maxConsecutiveCallFailures+1 || calls.averageTime <= 0.2 {
 		t.Errorf("%d failures, calls take %v", calls.consecutiveFailures, calls.averageTime)
 	}
 }
--- a/policy/dispatch.go
+++ b/policy/dispatch.go
@@ -18,8 +18,8 @@
 // nextToStart returns the queued request of most value density that may start; of equal ones the one whose
 // latency objective ends first. It rejects queued requests that have no value any more.
 func (inst *Instance) nextToStart(now time.Duration) (best RequestID, found bool) {
-	mayStartCalling := inst.mayStartCallingRequests()
-	mostDensity := 0.0
+	mayStartCalling := inst.mayStartRequestsWithCall()
+	maxDensity := 0.0
 	for index := len(inst.queue) - 1; index >= 0; index-- { // backwards, as reject removes entries
 		id := inst.queue[index]
 		density := inst.valueDensity(now, id)
@@ -34,20 +34,20 @@
 		if isBlockedByCalls || !inst.memory.fits(inst.runMemoryKB(req.MemoryKB)) {
 			continue
 		}
-		isMoreUrgent := density == mostDensity && req.usefulUntil <= inst.requests[best].usefulUntil
-		if density > mostDensity || isMoreUrgent {
+		isMoreUrgent := density == maxDensity && req.usefulUntil <= inst.requests[best].usefulUntil
+		if density > maxDensity || isMoreUrgent {
 			best = id
-			mostDensity = density
+			maxDensity = density
 			found = true
 		}
 	}
 	return best, found
 }
 
-// mayStartCallingRequests reports whether requests with a required call may start: not while others wait for
+// mayStartRequestsWithCall reports whether requests with a required call may start: not while others wait for
 // their calls, nor while a probe of suspended calls is in flight. On a half idle server they may start as
 // long as few wait, since not every run comes to its call.
-func (inst *Instance) mayStartCallingRequests() bool {
+func (inst *Instance) mayStartRequestsWithCall() bool {
 	if inst.isHalfIdle() && len(inst.calls.waiting) < inst.cores {
 		return true
 	}
--- a/policy/dispatch_test.go
+++ b/policy/dispatch_test.go
@@ -39,16 +39,16 @@
 func TestTimedOutRunRaisesRunTimeEstimate(t *testing.T) {
 	inst, _ := newTestInstance(nil)
 	fillCores(inst, 0, 0)
-	before := inst.classes[0].runTime
+	previousRunTime := inst.classes[0].runTime
 	inst.failRun(900*ms, 0)
-	if inst.classes[0].runTime <= before {
-		t.Errorf("expected run still %v s", before)
+	if inst.classes[0].runTime <= previousRunTime {
+		t.Errorf("expected run still %v s", previousRunTime)
 	}
 }
 
 func TestHalfIdleServerStartsRequestWithLongCostHint(t *testing.T) {
 	inst, host := newTestInstance(nil)
-	inst.classes[0].workPerHint = 1
+	inst.classes[0].runTimePerHint = 1
 	long := requestOf(0)
 	long.CostHint = 20 * time.Second
 	inst.Admit(0, 0, long)
@@ -63,9 +63,9 @@
 }
 
 func TestIdleCoreStartsLongCostHintButNotLongRunTime(t *testing.T) {
-	for hint, words := range map[time.Duration]string{20 * time.Second: "start 1", 0: "reject 1"} {
+	for hint, wantCall := range map[time.Duration]string{20 * time.Second: "start 1", 0: "reject 1"} {
 		inst, host := newTestInstance(nil)
-		inst.classes[0].workPerHint = 1
+		inst.classes[0].runTimePerHint = 1
 		// By its estimates a run of this class can't end in time.
 		inst.classes[1].responseTime = 5
 		inst.classes[1].runTime = 5
@@ -77,13 +77,13 @@
 		}
 		inst.Admit(0, 1, req)
 		inst.Dispatch(0)
-		host.expectCalls(t, 1, words)
+		host.expectCalls(t, 1, wantCall)
 	}
 }
 
 func TestCostHintIsAveragedWithRunTime(t *testing.T) {
 	inst, _ := newTestInstance(func(s *settings.Settings) { s.Server.WeightPerWork = settings.False })
-	inst.classes[0].workPerHint = 1
+	inst.classes[0].runTimePerHint = 1
 	inst.classes[0].runTime = 0.1
 	inst.classes[0].responseTime = 0.1
 	long := requestOf(0)
--- a/policy/drain.go
+++ b/policy/drain.go
@@ -10,8 +10,8 @@
 // never is a time later than any event.
 const never time.Duration = math.MaxInt64
 
-// drainTicks is how many tick intervals before the stop the last answer is due, since ticks may be late.
-const drainTicks = 3
+// drainMarginTicks is how many tick intervals before the stop the last answer is due, since ticks may be late.
+const drainMarginTicks = 3
 
 // drainDeadlines are the times of a graceful shutdown; both are never until it begins.
 type drainDeadlines struct {
@@ -23,14 +23,14 @@
 // DrainGrace of the settings, until callers have learned of the shutdown. All accepted requests are answered
 // before the stop.
 func (inst *Instance) Drain(now, timeLeft time.Duration) {
-	inst.drain.stopAt = now + timeLeft - drainTicks*tickInterval - answerMargin
+	inst.drain.stopAt = now + timeLeft - drainMarginTicks*tickInterval - answerMargin
 	inst.drain.acceptUntil = now + inst.server.DrainGrace.Seconds(0) - answerMargin
 	for id := range inst.requests {
 		req := &inst.requests[id]
 		req.deadline = min(req.deadline, inst.drain.stopAt)
 		req.usefulUntil = min(req.usefulUntil, inst.drain.stopAt)
 	}
-	inst.host.SetHealth(Health{Healthy: false, Cached: true})
+	inst.host.SetHealth(Health{Healthy: false, SkipSelfTest: true})
 	inst.host.Log("draining", zap.Int("queued", len(inst.queue)), zap.Int("running", inst.running),
 		zap.Duration("time_left", timeLeft))
 }
@@ -39,5 +39,5 @@
 
 // isDrainGraceEnding reports whether the grace time of a graceful shutdown ends within a period or is over.
 func (inst *Instance) isDrainGraceEnding(now time.Duration) bool {
-	return now > inst.drain.acceptUntil-period
+	return now > inst.drain.acceptUntil-periodLength
 }
--- a/policy/health.go
+++ b/policy/health.go
@@ -8,8 +8,8 @@
 
 // healthState is the health reported to the host.
 type healthState struct {
-	isUnhealthy     bool
-	changingPeriods int // consecutive periods whose verdict differs from the reported health
+	isUnhealthy      bool
+	differingPeriods int // consecutive periods whose verdict differs from the reported health
 }
 
 // updateHealth reports a congested server as unhealthy if the endpoint list follows health, so that callers
@@ -17,16 +17,16 @@
 // periods. A draining server stays unhealthy.
 func (inst *Instance) updateHealth() {
 	if inst.isTooCongested() == inst.health.isUnhealthy {
-		inst.health.changingPeriods = 0
+		inst.health.differingPeriods = 0
 		return
 	}
-	inst.health.changingPeriods++
-	if inst.health.changingPeriods < dampeningPeriods || inst.isDraining() {
+	inst.health.differingPeriods++
+	if inst.health.differingPeriods < dampeningPeriods || inst.isDraining() {
 		return
 	}
-	inst.health.changingPeriods = 0
+	inst.health.differingPeriods = 0
 	inst.health.isUnhealthy = !inst.health.isUnhealthy
-	inst.host.SetHealth(Health{Healthy: !inst.health.isUnhealthy, Cached: true})
+	inst.host.SetHealth(Health{Healthy: !inst.health.isUnhealthy, SkipSelfTest: true})
 	inst.host.Log("health changed", zap.Bool("healthy", !inst.health.isUnhealthy),
 		zap.Float64("read_delay_s", inst.readDelay), zap.Float64("retry_share", inst.retryShare))
 }
--- a/policy/host.go
+++ b/policy/host.go
@@ -18,8 +18,8 @@
 
 // Health is how the host answers health checks.
 type Health struct {
-	Healthy bool
-	Cached  bool // deep checks are answered from this verdict, without a self-test of the runtime
+	Healthy      bool
+	SkipSelfTest bool // deep checks are answered from this verdict, without a self-test of the runtime
 }
 
 // Host carries out the decisions of an Instance. Its methods must not call the instance.
--- a/policy/host_test.go
+++ b/policy/host_test.go
@@ -27,20 +27,20 @@
 func (h *hostRecorder) Reject(id RequestID, r Rejection) {
 	h.record("reject %d no=%v after=%v", id, r.NoRetryElsewhere, r.RetryAfter)
 }
-func (h *hostRecorder) Fail(id RequestID)                  { h.record("fail %d", id) }
-func (h *hostRecorder) Call(id RequestID, p time.Duration) { h.record("call %d", id) }
-func (h *hostRecorder) SkipCall(id RequestID)              { h.record("skip call %d", id) }
+func (h *hostRecorder) Fail(id RequestID)                        { h.record("fail %d", id) }
+func (h *hostRecorder) Call(id RequestID, timeout time.Duration) { h.record("call %d", id) }
+func (h *hostRecorder) SkipCall(id RequestID)                    { h.record("skip call %d", id) }
 func (h *hostRecorder) RecordKey(id RequestID, lifetime time.Duration) {
 	h.record("record key %d for %v", id, lifetime)
 }
-func (h *hostRecorder) ForgetKey(id RequestID)             { h.record("forget key %d", id) }
-func (h *hostRecorder) Coalesce(id RequestID)              { h.record("coalesce %d", id) }
-func (h *hostRecorder) SetHealth(health Health)            { h.record("health %v", health.Healthy) }
-func (h *hostRecorder) SetIdleTimeout(after time.Duration) { h.record("idle timeout %v", after) }
-func (h *hostRecorder) Advertise(v float64)                { h.record("advertise %.3f", v) }
-func (h *hostRecorder) Wake(at time.Duration)              {}
-func (h *hostRecorder) Release(id RequestID)               { h.record("release %d", id) }
-func (h *hostRecorder) Log(message string, _ ...zap.Field) { h.record("log %s", message) }
+func (h *hostRecorder) ForgetKey(id RequestID)               { h.record("forget key %d", id) }
+func (h *hostRecorder) Coalesce(id RequestID)                { h.record("coalesce %d", id) }
+func (h *hostRecorder) SetHealth(health Health)              { h.record("health %v", health.Healthy) }
+func (h *hostRecorder) SetIdleTimeout(timeout time.Duration) { h.record("idle timeout %v", timeout) }
+func (h *hostRecorder) Advertise(value float64)              { h.record("advertise %.3f", value) }
+func (h *hostRecorder) Wake(at time.Duration)                {}
+func (h *hostRecorder) Release(id RequestID)                 { h.record("release %d", id) }
+func (h *hostRecorder) Log(message string, _ ...zap.Field)   { h.record("log %s", message) }
 
 // expectCalls fails the test unless exactly n recorded calls start with the text.
 func (h *hostRecorder) expectCalls(t *testing.T, n int, text string) {
--- a/policy/idle_timeout.go
+++ b/policy/idle_timeout.go
@@ -11,17 +11,17 @@
 	idleTimeoutGain = 0.1
 	// idleTimeoutStep is the unit to which the timeout is rounded.
 	idleTimeoutStep = 100 * time.Millisecond
-	// readsSamples is the number of past samples that the average of requests read per period stands for.
-	readsSamples = 15
+	// requestsReadPastSamples is the number of past samples that the average of requests read per period stands for.
+	requestsReadPastSamples = 15
 )
 
 // idleTimeoutControl adapts the time after which idle connections are closed.
 type idleTimeoutControl struct {
-	fraction       float64       // of the callers' own idle timeout, 0 to 1
-	current        time.Duration // set last; 0: none
-	connectionLoad float64       // sum of the runnable threads besides the runs, over this period's samples
-	samples        float64       // ticks of this period at which the gauge was available
-	readsPerPeriod float64       // moving average
+	fraction          float64       // of the callers' own idle timeout, 0 to 1
+	current           time.Duration // set last; 0: none
+	connectionLoadSum float64       // sum of the runnable threads besides the runs, over this period's samples
+	gaugeSamples      float64       // ticks of this period at which the gauge was available
+	requestsPerPeriod float64       // moving average
 }
 
 // updateIdleTimeout adapts the idle timeout. A long one fills the connection table, which locks out new
@@ -32,15 +32,15 @@
 func (inst *Instance) updateIdleTimeout() {
 	control := &inst.idleTimeout
 	callerTimeout := inst.server.CallerIdleTimeout.Seconds(0)
-	if control.samples == 0 || callerTimeout <= 0 {
+	if control.gaugeSamples == 0 || callerTimeout <= 0 {
 		return
 	}
-	load := control.connectionLoad / control.samples
-	spare := min(max(1-load/(targetConnectionLoadPerCore*float64(inst.cores)), -1), 1)
-	control.fraction = min(max(control.fraction*(1-idleTimeoutGain*spare), minIdleTimeoutFraction), 1)
-	control.connectionLoad = 0
-	control.samples = 0
-	updateAverage(&control.readsPerPeriod, float64(inst.period.read), readsSamples)
+	connectionLoad := control.connectionLoadSum / control.gaugeSamples
+	spareCapacity := min(max(1-connectionLoad/(targetConnectionLoadPerCore*float64(inst.cores)), -1), 1)
+	control.fraction = min(max(control.fraction*(1-idleTimeoutGain*spareCapacity), minIdleTimeoutFraction), 1)
+	control.connectionLoadSum = 0
+	control.gaugeSamples = 0
+	updateAverage(&control.requestsPerPeriod, float64(inst.period.read), requestsReadPastSamples)
 	fraction := control.fraction
 	if inst.callersReturnWithin(callerTimeout) {
 		fraction = 1
@@ -55,5 +55,6 @@
 // callersReturnWithin reports whether the average caller sends its next request within the timeout. Closing
 // its connection earlier only makes it reconnect.
 func (inst *Instance) callersReturnWithin(timeout time.Duration) bool {
-	return inst.idleTimeout.readsPerPeriod*timeout.Seconds() > inst.server.CallerCount.Or(0)*period.Seconds()
+	return inst.idleTimeout.requestsPerPeriod*timeout.Seconds() >
+		inst.server.CallerCount.Or(0)*periodLength.Seconds()
 }
--- a/policy/idle_timeout_test.go
+++ b/policy/idle_timeout_test.go
@@ -13,19 +13,19 @@
 	})
 	inst.updateIdleTimeout() // no gauge, no change
 	host.expectCalls(t, 0, "idle timeout")
-	inst.idleTimeout.samples = 25
-	inst.idleTimeout.connectionLoad = 0
+	inst.idleTimeout.gaugeSamples = 25
+	inst.idleTimeout.connectionLoadSum = 0
 	inst.updateIdleTimeout()
 	host.expectCalls(t, 1, "idle timeout 3s")
-	inst.idleTimeout.samples, inst.idleTimeout.connectionLoad = 25, 25*2 // twice the target on two cores
+	inst.idleTimeout.gaugeSamples, inst.idleTimeout.connectionLoadSum = 25, 25*2 // twice the target on two cores
 	inst.updateIdleTimeout()
 	host.expectCalls(t, 1, "idle timeout 3.3s")
-	inst.idleTimeout.samples, inst.idleTimeout.connectionLoad = 25, 25/2 // half the target
+	inst.idleTimeout.gaugeSamples, inst.idleTimeout.connectionLoadSum = 25, 25/2 // half the target
 	inst.updateIdleTimeout()
 	host.expectCalls(t, 1, "idle timeout 3.1s")
 	// Callers send again before their connections would close.
-	inst.idleTimeout.samples = 25
-	inst.idleTimeout.readsPerPeriod = 100
+	inst.idleTimeout.gaugeSamples = 25
+	inst.idleTimeout.requestsPerPeriod = 100
 	inst.updateIdleTimeout()
 	host.expectCalls(t, 1, "idle timeout 30s")
 }
--- a/policy/instance.go
+++ b/policy/instance.go
@@ -38,7 +38,7 @@
 	running     int             // requests on the cores
 	keyExpiries []time.Duration // ends of the key entries
 
-	memory      memoryAccount
+	memory      memoryUsage
 	concurrency concurrencyControl
 	calls       dependencyCalls
 	lag         lagSampler
@@ -55,7 +55,7 @@
 	rejectedShare float64 // of the requests read
 	retryShare    float64 // of the requests read, as marked by the callers
 
-	isCongestionLogged bool
+	lastLoggedCongested bool
 }
 
 // New returns the instance of a server that has just started. The seed determines its random decisions.
@@ -64,9 +64,9 @@
 func New(host Host, seed uint64, s settings.Settings) *Instance {
 	inst := &Instance{host: host, random: newRandomSource(seed), nextTickAt: tickInterval}
 	inst.drain = drainDeadlines{acceptUntil: never, stopAt: never}
-	inst.calls.quotaFraction = 1
+	inst.calls.quotaScale = 1
 	inst.idleTimeout.fraction = minIdleTimeoutFraction
-	inst.lag.nextSampleAt = period
+	inst.lag.nextSampleAt = periodLength
 	inst.period.callers = map[int]bool{}
 	inst.configureServer(s.Server)
 	for index, class := range s.Classes {
@@ -80,7 +80,7 @@
 		inst.SetTenant(index, tenant)
 	}
 	inst.concurrency.limit = float64(inst.cores)
-	host.SetHealth(Health{Healthy: true, Cached: true})
+	host.SetHealth(Health{Healthy: true, SkipSelfTest: true})
 	host.Wake(inst.nextTickAt)
 	return inst
 }
--- a/policy/lag.go
+++ b/policy/lag.go
@@ -10,9 +10,9 @@
 	// dampeningPeriods is the number of consecutive periods after which load shedding starts or the health
 	// changes, so that a single burst does neither.
 	dampeningPeriods = 2
-	// lagObjectivePart is the part of the latency objective that a request may take before its latency counts
+	// lagObjectiveFraction is the part of the latency objective that a request may take before its latency counts
 	// as lag.
-	lagObjectivePart = 0.4
+	lagObjectiveFraction = 0.4
 	// minLagThreshold is the least lag threshold, so that under short objectives not every wait leads to load
 	// shedding.
 	minLagThreshold = 0.5
@@ -26,12 +26,12 @@
 type lagSampler struct {
 	// ratioSums and ratioCounts cover the runs that have ended. Index 0 is for those started in the current
 	// period, index 1 for those of the previous one.
-	ratioSums    [2]float64
-	ratioCounts  [2]float64
-	current      float64 // latest lag; 0: no delay
-	threshold    float64 // lag above which load is shed
-	crossings    int     // consecutive samples over the threshold
-	nextSampleAt time.Duration
+	ratioSums            [2]float64
+	ratioCounts          [2]float64
+	current              float64 // latest lag; 0: no delay
+	threshold            float64 // lag above which load is shed
+	samplesOverThreshold int     // consecutive samples over the threshold
+	nextSampleAt         time.Duration
 }
 
 // discard removes all samples.
@@ -49,7 +49,7 @@
 // sampleLatency adds the latency of a run that ends to the period of its start. Runs started before the
 // previous period are left out.
 func (inst *Instance) sampleLatency(now time.Duration, req *request) {
-	age := int((inst.lag.nextSampleAt - req.startedAt - 1) / period)
+	age := int((inst.lag.nextSampleAt - req.startedAt - 1) / periodLength)
 	if age < len(inst.lag.ratioSums) {
 		inst.lag.ratioSums[age] += inst.latencyRatio(now, req)
 		inst.lag.ratioCounts[age]++
@@ -75,11 +75,11 @@
 	count := inst.lag.ratioCounts[0] + inst.lag.ratioCounts[1]
 	for id := range inst.requests {
 		req := &inst.requests[id]
-		if req.isExecuting() && !req.isAnswered && req.startedAt >= now-2*period {
+		if req.isExecuting() && !req.isAnswered && req.startedAt >= now-2*periodLength {
 			sum += inst.latencyRatio(now, req)
 			count++
 		}
-		if req.state == queued && now-req.arrivedAt > period {
+		if req.state == queued && now-req.arrivedAt > periodLength {
 			sum += 1 + (now-req.arrivedAt).Seconds()/inst.classes[req.Class].baseLatency
 			count++
 		}
@@ -97,7 +97,7 @@
 		if class.isFree {
 			continue
 		}
-		allowedRatio := lagObjectivePart * class.latencyObjective.Seconds() / class.baseLatency
+		allowedRatio := lagObjectiveFraction * class.latencyObjective.Seconds() / class.baseLatency
 		threshold += allowedRatio / float64(inst.usedClasses)
 		class.baseLatency += (class.runTime - class.baseLatency) * baseLatencyDrift
 	}
@@ -107,12 +107,12 @@
 // updateLoadShedding starts load shedding after dampeningPeriods consecutive samples over the threshold, and
 // ends it after one sample that is not.
 func (inst *Instance) updateLoadShedding() {
-	inst.lag.crossings++
+	inst.lag.samplesOverThreshold++
 	if inst.lag.current <= inst.lag.threshold {
-		inst.lag.crossings = 0
+		inst.lag.samplesOverThreshold = 0
 	}
 	wasShedding := inst.isShedding
-	inst.isShedding = inst.lag.crossings >= dampeningPeriods
+	inst.isShedding = inst.lag.samplesOverThreshold >= dampeningPeriods
 	if inst.isShedding == wasShedding {
 		return
 	}
--- a/policy/lag_test.go
+++ b/policy/lag_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-func TestLoadSheddingNeedsSeveralCrossings(t *testing.T) {
+func TestLoadSheddingNeedsConsecutiveSamplesOverThreshold(t *testing.T) {
 	inst, _ := newTestInstance(nil)
 	for n := range dampeningPeriods {
 		if inst.isShedding {
@@ -13,7 +13,7 @@
 		}
 		inst.lag.ratioSums[0] = 140
 		inst.lag.ratioCounts[0] = 10
-		inst.endPeriod(time.Duration(n+1) * period)
+		inst.endPeriod(time.Duration(n+1) * periodLength)
 		inst.lag.ratioSums = [2]float64{}
 		inst.lag.ratioCounts = [2]float64{}
 	}
@@ -32,7 +32,7 @@
 	}
 }
 
-func TestStallDiscardsTheSample(t *testing.T) {
+func TestStallDiscardsLagSamples(t *testing.T) {
 	inst, _ := newTestInstance(nil)
 	inst.lag.ratioSums[0] = 100
 	inst.lag.ratioCounts[0] = 2
--- a/policy/lists.go
+++ b/policy/lists.go
@@ -15,5 +15,5 @@
 
 // removeExpired removes the times up to now. It changes the list in place and returns it.
 func removeExpired(times []time.Duration, now time.Duration) []time.Duration {
-	return slices.DeleteFunc(times, func(end time.Duration) bool { return end <= now })
+	return slices.DeleteFunc(times, func(expiresAt time.Duration) bool { return expiresAt <= now })
 }
--- a/policy/period.go
+++ b/policy/period.go
@@ -2,11 +2,11 @@
 
 import "time"
 
-// period is the time between two samples of lag. Controls that change slowly are updated at its end.
-const period = 500 * time.Millisecond
+// periodLength is the time between two samples of lag. Controls that change slowly are updated at its end.
+const periodLength = 500 * time.Millisecond
 
-// sharesSamples is the number of past samples that the averages of the rejected and the retry share stand for.
-const sharesSamples = 3
+// sharePastSamples is the number of past samples that the averages of the rejected and the retry share stand for.
+const sharePastSamples = 3
 
 // periodCounters count the events of a period.
 type periodCounters struct {
@@ -34,7 +34,7 @@
 	inst.updateShedThreshold()
 	inst.updateHealth()
 	inst.updateIdleTimeout()
-	inst.updateQuotaFraction()
+	inst.updateQuotaScale()
 	inst.updateConcurrencyLimit(now)
 	inst.updateShares()
 	inst.period.reset()
@@ -48,7 +48,7 @@
 		return
 	}
 	retryShare := float64(counts.retries) / float64(counts.read)
-	updateAverage(&inst.retryShare, retryShare, sharesSamples)
+	updateAverage(&inst.retryShare, retryShare, sharePastSamples)
 	rejectedShare := float64(counts.rejected) / float64(max(counts.read, counts.rejected))
-	updateAverage(&inst.rejectedShare, rejectedShare, sharesSamples)
+	updateAverage(&inst.rejectedShare, rejectedShare, sharePastSamples)
 }
--- a/policy/priority.go
+++ b/policy/priority.go
@@ -7,15 +7,15 @@
 )
 
 const (
-	// retryWeight is the factor on the weight of a request marked as a retry: its first attempt may still be
+	// retryWeightFactor is the factor on the weight of a request marked as a retry: its first attempt may still be
 	// answered.
-	retryWeight = 0.25
-	// minFittingPart is the part of the expected run time that must be left before the latency objective ends;
+	retryWeightFactor = 0.25
+	// minTimeLeftRatio is the part of the expected run time that must be left before the latency objective ends;
 	// with less the chance of success is 0.
-	minFittingPart = 0.8
-	// minChanceOnIdleServer is the least chance of success on a server with idle cores, where a run that comes
+	minTimeLeftRatio = 0.8
+	// minProbabilityWithIdleCores is the least chance of success on a server with idle cores, where a run that comes
 	// too late displaces no other.
-	minChanceOnIdleServer = 0.01
+	minProbabilityWithIdleCores = 0.01
 	// minRunSeconds is the least run time by which a weight is divided.
 	minRunSeconds = 1e-4
 )
@@ -28,13 +28,13 @@
 	runSeconds := class.expectedRunSeconds(req.CostHint)
 	value := class.weight
 	if req.IsRetry {
-		value *= retryWeight
+		value *= retryWeightFactor
 	}
 	if req.isOverQuota {
 		value *= inst.server.OverQuotaWeight.Or(1)
 	}
 	if req.state == queued {
-		value *= inst.successChance(now, req, runSeconds)
+		value *= inst.successProbability(now, req, runSeconds)
 	}
 	if !inst.server.WeightPerWork.On() {
 		value /= max(runSeconds, minRunSeconds)
@@ -44,19 +44,19 @@
 	return math.Exp2(math.Round(math.Log2(max(value, 0))))
 }
 
-// successChance estimates the chance, 0 to 1, that a queued request meets its latency objective if it starts
+// successProbability estimates the chance, 0 to 1, that a queued request meets its latency objective if it starts
 // now, from the part of its expected run time that is left before then. runSeconds is without calls.
-func (inst *Instance) successChance(now time.Duration, req *request, runSeconds float64) float64 {
+func (inst *Instance) successProbability(now time.Duration, req *request, runSeconds float64) float64 {
 	class := &inst.classes[req.Class]
 	runWithCalls := runSeconds + max(class.responseTime-class.runTime, 0)
-	fittingPart := (req.usefulUntil - now).Seconds() / runWithCalls
-	chance := min((fittingPart-minFittingPart)/(1-minFittingPart), 1)
+	timeLeftRatio := (req.usefulUntil - now).Seconds() / runWithCalls
+	probability := min((timeLeftRatio-minTimeLeftRatio)/(1-minTimeLeftRatio), 1)
 	hasIdleCore := inst.running < inst.cores && !inst.isShedding
 	displacesNoOther := inst.isHalfIdle() || hasIdleCore && req.CostHint > 0
 	if displacesNoOther && req.usefulUntil > now {
-		chance = max(chance, minChanceOnIdleServer) // the estimate of the run time may be too high
+		probability = max(probability, minProbabilityWithIdleCores) // the estimate of the run time may be too high
 	}
-	return chance
+	return probability
 }
 
 // isHalfIdle reports whether fewer than half of the cores are in use.
@@ -66,8 +66,8 @@
 type tieBreak int
 
 const (
-	newerIsLess tieBreak = 1
-	newerIsMore tieBreak = -1
+	newerRanksLower  tieBreak = 1
+	newerRanksHigher tieBreak = -1
 )
 
 // byValueDensity returns a comparison of requests by value density, and by arrival where that is equal.
--- a/policy/quota/token_bucket_test.go
+++ b/policy/quota/token_bucket_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-func TestLowRateIsReached(t *testing.T) {
+func TestRequestsAtLowRateAreAllowed(t *testing.T) {
 	b := NewTokenBucket()
 	const fleetSize = 100
 	b.FleetRate = 10 // of the fleet: 0.1 of this server
--- a/policy/rejection.go
+++ b/policy/rejection.go
@@ -10,8 +10,8 @@
 	minRetryJitter = 0.75
 	// retryJitterRange is the width of the range of factors above minRetryJitter.
 	retryJitterRange = 0.5
-	// retryAfterDrain is the Retry-After of a draining server, before the bound of the settings.
-	retryAfterDrain = time.Hour
+	// retryAfterWhileDraining is the Retry-After of a draining server, before the bound of the settings.
+	retryAfterWhileDraining = time.Hour
 )
 
 // retryTarget says at which servers a retry of a rejected request may succeed.
@@ -44,7 +44,7 @@
 	congestedSeconds := inst.readCongestion() * inst.server.MaxRetryAfter.Or(0)
 	wait := time.Duration(max(minRetryAfterSeconds+queueSeconds, congestedSeconds) * float64(time.Second))
 	if inst.isDrainGraceEnding(now) {
-		wait = retryAfterDrain
+		wait = retryAfterWhileDraining
 	}
 	jitter := minRetryJitter + retryJitterRange*inst.random.next()
 	wait = time.Duration(float64(wait) * jitter)
--- a/policy/scenario_host_test.go
+++ b/policy/scenario_host_test.go
@@ -15,7 +15,7 @@
 	s.record("start", int(id))
 	r := s.requests[id]
 	r.running = true
-	r.began = s.now
+	r.startedAt = s.now
 	s.running++
 	if s.chance(0.02) {
 		s.afterUnlessReleased(id, 0, func(r *request) { s.endRun(id, r, policy.NotStarted) })
@@ -79,7 +79,7 @@
 }
 
 func (s *scenario) SetHealth(health policy.Health) {
-	s.record("health", health.Healthy, health.Cached)
+	s.record("health", health.Healthy, health.SkipSelfTest)
 }
 
 func (s *scenario) SetIdleTimeout(timeout time.Duration) { s.record("idle timeout", timeout) }
@@ -115,5 +115,5 @@
 		s.running--
 	}
 	delete(s.requests, id)
-	s.free = append(s.free, id)
+	s.freeIDs = append(s.freeIDs, id)
 }
--- a/policy/scenario_test.go
+++ b/policy/scenario_test.go
@@ -39,8 +39,8 @@
 	events            eventQueue
 	sequence          int
 	requests          map[policy.RequestID]*request
-	free              []policy.RequestID
-	next              policy.RequestID
+	freeIDs           []policy.RequestID
+	nextID            policy.RequestID
 	settings          settings.Settings
 	load              float64 // approximate, relative to the capacity of the cores
 	slowdown          float64 // factor on the time of runs and calls
@@ -54,7 +54,7 @@
 	generation int // distinguishes it from earlier requests of the same id
 	running    bool
 	atCall     bool
-	began      time.Duration
+	startedAt  time.Duration
 	callsLeft  int
 }
 
@@ -79,19 +79,19 @@
 		if s.now > scenarioDuration {
 			break
 		}
-		first.act()
+		first.action()
 		for len(s.events) > 0 && s.events[0].at == s.now {
-			heap.Pop(&s.events).(event).act()
+			heap.Pop(&s.events).(event).action()
 		}
 		s.instance.Dispatch(s.now)
 	}
 	return s.transcript.String()
 }
 
-func (s *scenario) chance(part float64) bool { return s.random.Float64() < part }
+func (s *scenario) chance(probability float64) bool { return s.random.Float64() < probability }
 
-func (s *scenario) duration(most time.Duration) time.Duration {
-	return time.Duration(s.random.Float64() * float64(most))
+func (s *scenario) duration(limit time.Duration) time.Duration {
+	return time.Duration(s.random.Float64() * float64(limit))
 }
 
 func (s *scenario) number(values ...float64) settings.Number {
@@ -173,7 +173,7 @@
 // admitRandomRequest admits a request under a free id. Some callers give up later.
 func (s *scenario) admitRandomRequest() {
 	arrived := s.randomRequest()
-	id := s.allocate()
+	id := s.allocateID()
 	s.sequence++
 	s.requests[id] = &request{arrived: arrived, generation: s.sequence, callsLeft: s.random.IntN(3)}
 	if s.chance(0.05) {
@@ -210,8 +210,8 @@
 	switch {
 	case s.chance(0.03):
 		arrived.Original = policy.OriginalGone
-	case s.chance(0.08) && s.next > 0:
-		s.makeRetryOf(&arrived, policy.RequestID(s.random.IntN(int(s.next))))
+	case s.chance(0.08) && s.nextID > 0:
+		s.makeRetryOf(&arrived, policy.RequestID(s.random.IntN(int(s.nextID))))
 	}
 	return arrived
 }
@@ -225,15 +225,15 @@
 	}
 }
 
-// allocate returns a free id.
-func (s *scenario) allocate() policy.RequestID {
-	if last := len(s.free) - 1; last >= 0 {
-		id := s.free[last]
-		s.free = s.free[:last]
+// allocateID returns a free id.
+func (s *scenario) allocateID() policy.RequestID {
+	if last := len(s.freeIDs) - 1; last >= 0 {
+		id := s.freeIDs[last]
+		s.freeIDs = s.freeIDs[:last]
 		return id
 	}
-	s.next++
-	return s.next - 1
+	s.nextID++
+	return s.nextID - 1
 }
 
 // changeConditions changes the load, the failures of calls, or the settings.
@@ -261,8 +261,8 @@
 	case 5:
 		s.load = pick(s, 0.1, 0.3, 0.7, 1, 2, 4)
 	case 6:
-		if s.next > 0 { // late events of any request, also of one that has been released
-			id := policy.RequestID(s.random.IntN(int(s.next)))
+		if s.nextID > 0 { // late events of any request, also of one that has been released
+			id := policy.RequestID(s.random.IntN(int(s.nextID)))
 			s.instance.CallReturned(s.now, id, policy.OK, 0)
 			s.instance.RunEnded(s.now, id, policy.OK, 0)
 		}
@@ -279,11 +279,11 @@
 
 // continueRun schedules the run's next call or its end.
 func (s *scenario) continueRun(id policy.RequestID) {
-	span := time.Duration(s.slowdown * float64(s.duration(80*time.Millisecond)))
+	delay := time.Duration(s.slowdown * float64(s.duration(80*time.Millisecond)))
 	if s.chance(0.03) {
-		span += time.Second
+		delay += time.Second
 	}
-	s.afterUnlessReleased(id, span, func(r *request) {
+	s.afterUnlessReleased(id, delay, func(r *request) {
 		if !r.running || r.atCall {
 			return
 		}
@@ -300,7 +300,7 @@
 func (s *scenario) endRun(id policy.RequestID, r *request, outcome policy.Outcome) {
 	r.running = false
 	s.running--
-	s.instance.RunEnded(s.now, id, outcome, s.now-r.began)
+	s.instance.RunEnded(s.now, id, outcome, s.now-r.startedAt)
 }
 
 func (s *scenario) record(name string, arguments ...any) {
@@ -312,10 +312,10 @@
 	heap.Push(&s.events, event{max(when, s.now), s.sequence, act})
 }
 
-// afterUnlessReleased calls act after the span, unless the request has been released by then.
-func (s *scenario) afterUnlessReleased(id policy.RequestID, span time.Duration, act func(r *request)) {
+// afterUnlessReleased calls act after the delay, unless the request has been released by then.
+func (s *scenario) afterUnlessReleased(id policy.RequestID, delay time.Duration, act func(r *request)) {
 	generation := s.requests[id].generation
-	s.at(s.now+span, func() {
+	s.at(s.now+delay, func() {
 		if r := s.requests[id]; r != nil && r.generation == generation {
 			act(r)
 		}
@@ -326,7 +326,7 @@
 type event struct {
 	at       time.Duration
 	sequence int
-	act      func()
+	action   func()
 }
 
 type eventQueue []event
--- a/policy/settings.go
+++ b/policy/settings.go
@@ -18,9 +18,9 @@
 // memory is recalculated.
 func (inst *Instance) SetServer(s settings.Server) {
 	inst.configureServer(s)
-	inst.recountMemory()
+	inst.recalculateUsedMemory()
 	// The form of both values may have changed, so both are sent to the host again.
-	inst.advertised.last = math.Inf(1)
+	inst.advertised.lastLoad = math.Inf(1)
 	inst.idleTimeout.current = 0
 }
 
@@ -44,7 +44,7 @@
 		return
 	}
 	class.isFree = false
-	class.runLatencies = initialLatencies(class.latencyObjective)
+	class.runEstimates = initialEstimates(class.latencyObjective)
 	inst.usedClasses++
 	if inst.usedClasses == 1 || index < inst.firstUsedClass {
 		inst.firstUsedClass = index
--- a/policy/settings/delta.go
+++ b/policy/settings/delta.go
@@ -44,12 +44,12 @@
 	return nil
 }
 
-// pauseInterval is the number of entries compared between two calls of pause; it takes a few hundred
+// entriesPerPause is the number of entries compared between two calls of pause; it takes a few hundred
 // microseconds.
-const pauseInterval = 4096
+const entriesPerPause = 4096
 
 // Compare returns the delta from version from, which is previous, to the next one. It calls pause after every
-// pauseInterval entries, so that the goroutine can yield the processor to latency-sensitive work. Entries
+// entriesPerPause entries, so that the goroutine can yield the processor to latency-sensitive work. Entries
 // without a name are left out. The error is the first *IdempotencyChangedError, if any.
 func Compare(from uint64, previous, next Settings, pause func()) (Delta, error) {
 	delta := Delta{From: from, To: from + 1}
@@ -73,16 +73,16 @@
 	ResourceName() string
 }
 
-// pacer counts the compared entries and calls pause after each pauseInterval.
-type pacer struct {
+// pauseCounter counts the compared entries and calls pause after each entriesPerPause.
+type pauseCounter struct {
 	compared int
 	pause    func()
 }
 
-func (p *pacer) countEntry() {
-	p.compared++
-	if p.compared%pauseInterval == 0 {
-		p.pause()
+func (c *pauseCounter) countEntry() {
+	c.compared++
+	if c.compared%entriesPerPause == 0 {
+		c.pause()
 	}
 }
 
@@ -90,11 +90,11 @@
 // with different settings. The time is linear in the length of the lists; memory is needed only for the
 // entries between the equal ones at both ends.
 func compareLists[T resource](previous, next []T, pause func(), onChange func(previous, next T)) (changes Changes[T]) {
-	pacer := &pacer{pause: pause}
-	previous, next = trimEqualEnds(previous, next, pacer)
-	remaining := indexByName(previous, pacer) // those of previous that have not been found in next
+	counter := &pauseCounter{pause: pause}
+	previous, next = trimEqualEnds(previous, next, counter)
+	remaining := indexByName(previous, counter) // those of previous that have not been found in next
 	for _, entry := range next {
-		pacer.countEntry()
+		counter.countEntry()
 		name := entry.ResourceName()
 		if name == "" {
 			continue
@@ -110,7 +110,7 @@
 		changes.Set = append(changes.Set, entry)
 	}
 	for _, entry := range previous { // in the list's order, not the map's
-		pacer.countEntry()
+		counter.countEntry()
 		if _, isRemoved := remaining[entry.ResourceName()]; isRemoved {
 			changes.Removed = append(changes.Removed, entry.ResourceName())
 		}
@@ -119,28 +119,28 @@
 }
 
 // trimEqualEnds removes equal entries from both ends of two lists.
-func trimEqualEnds[T resource](previous, next []T, pacer *pacer) (previousRest, nextRest []T) {
+func trimEqualEnds[T resource](previous, next []T, counter *pauseCounter) (previousRest, nextRest []T) {
 	for len(previous) > 0 && len(next) > 0 && previous[0] == next[0] {
 		previous = previous[1:]
 		next = next[1:]
-		pacer.countEntry()
+		counter.countEntry()
 	}
 	for len(previous) > 0 && len(next) > 0 && previous[len(previous)-1] == next[len(next)-1] {
 		previous = previous[:len(previous)-1]
 		next = next[:len(next)-1]
-		pacer.countEntry()
+		counter.countEntry()
 	}
 	return previous, next
 }
 
 // indexByName maps names to indices. Entries without a name are left out; of equal names the last one counts.
-func indexByName[T resource](list []T, pacer *pacer) map[string]int {
+func indexByName[T resource](list []T, counter *pauseCounter) map[string]int {
 	byName := make(map[string]int, len(list))
 	for index, entry := range list {
 		if name := entry.ResourceName(); name != "" {
 			byName[name] = index
 		}
-		pacer.countEntry()
+		counter.countEntry()
 	}
 	return byName
 }
--- a/policy/settings/delta_test.go
+++ b/policy/settings/delta_test.go
@@ -59,7 +59,7 @@
 	})
 }
 
-func TestDeltaHasTheServerOnlyWhereItDiffers(t *testing.T) {
+func TestDeltaIncludesServerOnlyIfChanged(t *testing.T) {
 	a := Settings{Server: Server{Cores: NumberOf(1)}}
 	b := Settings{Server: Server{Cores: NumberOf(2)}}
 	if d, err := Compare(1, a, a, func() {}); err != nil || !d.IsEmpty() {
@@ -70,7 +70,7 @@
 	}
 }
 
-func TestClassKeepsItsIdempotency(t *testing.T) {
+func TestIdempotencyOfClassCannotChange(t *testing.T) {
 	of := func(kind Idempotency) Settings {
 		return Settings{Classes: []Class{{Name: "a"}, {Name: "seal", Idempotency: kind}}}
 	}
@@ -94,7 +94,7 @@
 	next[30_000].Quota = NumberOf(1)
 	pauses := 0
 	d, err := Compare(1, Settings{Tenants: previous}, Settings{Tenants: next}, func() { pauses++ })
-	if err != nil || len(d.Tenants.Set) != 1 || pauses < len(previous)/pauseInterval {
+	if err != nil || len(d.Tenants.Set) != 1 || pauses < len(previous)/entriesPerPause {
 		t.Errorf("%d changes, %d pauses, %v", len(d.Tenants.Set), pauses, err)
 	}
 	allocations := testing.AllocsPerRun(5, func() {
--- a/policy/settings_test.go
+++ b/policy/settings_test.go
@@ -26,15 +26,15 @@
 
 func TestChangedSettingsRetainRequestsInFlight(t *testing.T) {
 	inst, host := newTestInstance(func(s *settings.Settings) { s.Server.EndpointsFollowHealth = settings.True })
-	here := inst.server
+	original := inst.server
 	inst.Admit(0, 0, requestOf(1))
 	inst.Dispatch(0)
 	inst.Admit(0, 1, requestOf(0))
 	inst.Tick(20*ms, Gauges{Busy: -1})
 	updateHealthWith(inst, 1, 0)
 	updateHealthWith(inst, 1, 0)
-	learned := inst.classes[1]
-	later := testutil.TypedSettings(func(s *settings.Settings) {
+	previousClass := inst.classes[1]
+	changed := testutil.TypedSettings(func(s *settings.Settings) {
 		s.Server.RunMemoryFactor = settings.NumberOf(8)
 		s.Server.KeyEntryKB = settings.NumberOf(30)
 		s.Server.AdvertiseMode = settings.AdvertiseShare
@@ -42,16 +42,17 @@
 		s.Classes[1].Weight = settings.NumberOf(7)
 		s.Classes = append(s.Classes, settings.Class{Idempotency: settings.Idempotent})
 	})
-	inst.SetServer(later.Server)
-	for n, class := range later.Classes {
+	inst.SetServer(changed.Server)
+	for n, class := range changed.Classes {
 		inst.SetClass(n, class)
 	}
 	if inst.memory.usedKB != 8*10+10+30 || inst.calls.quota != 0.5 ||
 		len(inst.classes) != 4 || !inst.classes[3].isIdempotent {
 		t.Errorf("memory %v, quota %v, %d classes", inst.memory.usedKB, inst.calls.quota, len(inst.classes))
 	}
-	if now := inst.classes[1]; now.weight != 7 || now.baseLatency != learned.baseLatency || !now.isIdempotent {
-		t.Errorf("%+v, was %+v", now, learned)
+	if class := inst.classes[1]; class.weight != 7 || class.baseLatency != previousClass.baseLatency ||
+		!class.isIdempotent {
+		t.Errorf("%+v, was %+v", class, previousClass)
 	}
 	updateHealthWith(inst, 1, 0) // EndpointsFollowHealth is off now, so it becomes healthy
 	updateHealthWith(inst, 1, 0)
@@ -62,7 +63,7 @@
 	inst.Dispatch(50 * ms)
 	inst.RunEnded(90*ms, 1, OK, 40*ms)
 	inst.Tick(11*time.Second, Gauges{Busy: -1})
-	inst.SetServer(here)
+	inst.SetServer(original)
 	if inst.memory.usedKB != 0 || len(inst.keyExpiries) != 0 {
 		t.Errorf("memory %v, %d key entries left", inst.memory.usedKB, len(inst.keyExpiries))
 	}
@@ -132,17 +133,17 @@
 			s.Tenants[last].Quota = settings.NumberOf(0.001)
 			s.Server.OverQuotaWeight = settings.NumberOf(0.05)
 		})
-		beyond := 0
+		overQuota := 0
 		for id := range RequestID(10) { // the bucket holds eight tokens
 			req := requestOf(0)
 			req.Tenant = last
 			inst.Admit(0, id, req)
 			if inst.requests[id].isOverQuota {
-				beyond++
+				overQuota++
 			}
 		}
-		if beyond != 2 {
-			t.Errorf("tenant %d: %d of 10 beyond its quota, want 2: %q", last, beyond, host.calls)
+		if overQuota != 2 {
+			t.Errorf("tenant %d: %d of 10 beyond its quota, want 2: %q", last, overQuota, host.calls)
 		}
 	}
 }
@@ -172,16 +173,17 @@
 		Weight:           settings.NumberOf(3),
 	}
 	first := &inst.classes[0]
-	initial := first.runLatencies
-	learned := runLatencies{runTime: 7, baseLatency: 6, responseTime: 5, workPerHint: 4, completedRuns: 3}
-	first.runLatencies = learned
+	initial := first.runEstimates
+	updated := runEstimates{runTime: 7, baseLatency: 6, responseTime: 5, runTimePerHint: 4, completedRuns: 3}
+	first.runEstimates = updated
 	inst.SetClass(0, settings.Class{Idempotency: settings.Safe, LatencyObjective: settings.NumberOf(2)})
-	if first.runLatencies != learned {
+	if first.runEstimates != updated {
 		t.Errorf("a changed class lost what was learned: %+v", first)
 	}
 	inst.FreeClass(0)
 	inst.SetClass(0, class)
-	if first.runLatencies != initial || first.workPerHint != 0 || first.completedRuns != 0 || first.weight != 3 {
+	if first.runEstimates != initial || first.runTimePerHint != 0 ||
+		first.completedRuns != 0 || first.weight != 3 {
 		t.Errorf("%+v, want as new", first)
 	}
 }
@@ -189,24 +191,24 @@
 // A freed class does not count in the lag threshold and is not the reference class.
 func TestFreedClassIsIgnored(t *testing.T) {
 	inst, _ := newTestInstance(func(s *settings.Settings) {
-		for n, deadline := range []float64{1, 2, 8} {
-			s.Classes[n].LatencyObjective = settings.NumberOf(deadline)
+		for n, objective := range []float64{1, 2, 8} {
+			s.Classes[n].LatencyObjective = settings.NumberOf(objective)
 		}
 	})
 	withObjective := func(seconds float64) settings.Class {
 		return settings.Class{LatencyObjective: settings.NumberOf(seconds)}
 	}
-	limit := func() float64 {
+	lagThreshold := func() float64 {
 		for n := range inst.classes {
 			inst.classes[n].baseLatency = 0.1
 		}
-		inst.endPeriod(period)
+		inst.endPeriod(periodLength)
 		return inst.lag.threshold
 	}
 	for _, step := range []struct {
-		change    func()
-		reference float64 // latency objective of the reference class, in seconds
-		limit     float64 // 0.4 of the mean latency objective in base latencies, minus 1
+		change       func()
+		reference    float64 // latency objective of the reference class, in seconds
+		lagThreshold float64 // 0.4 of the mean latency objective in base latencies, minus 1
 	}{
 		{func() {}, 1, 0.4*(10+20+80)/3 - 1},
 		{func() { inst.FreeClass(0) }, 2, 0.4*(20+80)/2 - 1},
@@ -217,11 +219,11 @@
 		{func() { inst.SetClass(1, withObjective(3)) }, 3, 0.4*30 - 1},
 	} {
 		step.change()
-		got := limit()
+		got := lagThreshold()
 		reference := inst.referenceClass().latencyObjective
-		isNear := got >= step.limit-1e-6 && got <= step.limit+1e-6
-		if !isNear || reference != time.Duration(step.reference*1e9) {
-			t.Errorf("limit %v, want %v; reference %v, want %v s", got, step.limit, reference, step.reference)
+		isClose := got >= step.lagThreshold-1e-6 && got <= step.lagThreshold+1e-6
+		if !isClose || reference != time.Duration(step.reference*1e9) {
+			t.Errorf("limit %v, want %v; reference %v, want %v s", got, step.lagThreshold, reference, step.reference)
 		}
 	}
 }
--- a/policy/tick.go
+++ b/policy/tick.go
@@ -18,8 +18,8 @@
 	inst.meterCalls(now)
 	inst.expireKeys(now)
 	inst.calls.abandoned = removeExpired(inst.calls.abandoned, now)
-	inst.answerExpired(now)
-	inst.observeCores(gauges.Runnable)
+	inst.answerExpiredRequests(now)
+	inst.observeRunnableThreads(gauges.Runnable)
 	inst.logReadCongestion()
 	inst.advertise(now)
 	if inst.backlog() > 0 {
@@ -27,7 +27,7 @@
 	}
 	if now >= inst.lag.nextSampleAt {
 		inst.endPeriod(now)
-		inst.lag.nextSampleAt = now + period
+		inst.lag.nextSampleAt = now + periodLength
 	}
 }
 
@@ -36,6 +36,6 @@
 func (inst *Instance) discardLagAfterStall(now time.Duration) {
 	if now-inst.nextTickAt > minStall {
 		inst.lag.discard()
-		inst.lag.nextSampleAt = now + period
+		inst.lag.nextSampleAt = now + periodLength
 	}
 }
