--- a/cmd/thymechute/reload_settings_test.go
+++ b/cmd/thymechute/reload_settings_test.go
@@ -75,7 +75,7 @@
 		string(other[:len(other)/2]): "GW_CONFIG: found",
 		string(otherSettings(t, env, func(s map[string]any) { s["domain"].(map[string]any)["halt"] = "suspnd" })):                   `settings.domain.halt: found \"suspnd\", expected one of off, abort, suspend`,
 		string(otherSettings(t, env, func(s map[string]any) { s["classes"].([]any)[0].(map[string]any)["aim_s"] = 31 })):            "settings.classes.0.aim_s: found 31, expected at most its deadline_s, 30",
-		string(otherSettings(t, env, func(s map[string]any) { s["classes"].([]any)[2].(map[string]any)["repeat"] = "repeatable" })): "settings.classes: found seal as \\\"repeatable\\\"",
+		string(otherSettings(t, env, func(s map[string]any) { s["classes"].([]any)[2].(map[string]any)["repeat"] = "repeatable" })): "settings.classes: class \\\"seal\\\": found repeat \\\"repeatable\\\", expected",
 	} {
 		env.Program.Reload([]byte(text), "configuration rejected")
 		if !strings.Contains(env.Program.Log(), words) {
--- a/policy/admission.go
+++ b/policy/admission.go
@@ -6,22 +6,22 @@
 )
 
 const (
-	// answerMargin is how long before its deadline a request is answered at the latest, so that the answer
-	// still reaches the caller in time.
+	// answerMargin is the minimum time between the answer to a request and its deadline, so that the answer
+	// reaches the caller in time.
 	answerMargin = 40 * time.Millisecond
 	// fleetOverloadRejectedShare is the share of rejected requests, 0 to 1, above which the other servers are
-	// assumed to be overloaded as well.
+	// assumed to be overloaded too.
 	fleetOverloadRejectedShare = 0.05
-	// requestSizePastSamples is the number of past samples that the average size of requests stands for.
+	// requestSizePastSamples is the pastSamples argument of updateAverage for the average request size.
 	requestSizePastSamples = 15
-	// readDelayPastSamples is the number of past samples that the average read delay stands for; it is small, so
-	// that the average follows congestion quickly.
+	// readDelayPastSamples is the pastSamples argument of updateAverage for the average read delay. It is
+	// small so that the average follows congestion quickly.
 	readDelayPastSamples = 3
 )
 
-// Admit takes a request that has been read. It rejects the request, coalesces it with the earlier request
-// that it retries, or queues it. Queued requests are started by Dispatch, once all requests that were read
-// at the same time are in the queue. now is the time since the server's start.
+// Admit handles a request that has been read: it rejects the request, coalesces it with the original that
+// it retries, or queues it. Dispatch starts queued requests, after all requests that were read at the same
+// time are in the queue. now is the time since the server's start.
 func (inst *Instance) Admit(now time.Duration, id RequestID, arrived Request) {
 	req := inst.track(now, id, arrived)
 	if req.Class < 0 || req.Class >= len(inst.classes) {
@@ -66,10 +66,10 @@
 	req.usefulUntil = min(req.arrivedAt+class.latencyObjective-answerMargin, req.deadline)
 }
 
-// replaceOriginal handles a retry of a request that this server has seen before, and reports whether the
-// retry is to be queued. If the original is still in the queue, its caller has given up on it, so the retry
-// takes over its key entry and the original is rejected. If the original may have run, the retry must not
-// run too: it is coalesced with the original, or fails if no memory is left.
+// replaceOriginal handles a retry of a request that this server has seen before, and reports whether to
+// queue the retry. If the original is still queued, its caller has given up on it: the retry takes over its
+// key entry and the original is rejected. If the original may have run, the retry must not run: it is
+// coalesced with the original, or fails if no memory is left.
 func (inst *Instance) replaceOriginal(now time.Duration, id RequestID) bool {
 	req := &inst.requests[id]
 	if inst.isQueued(req.Original) {
@@ -91,8 +91,8 @@
 	return false
 }
 
-// isQueued reports whether id is a request in the queue that has never started. It accepts OriginalGone and
-// ids that were never used.
+// isQueued reports whether id is a queued request that has never started. It is false for OriginalGone and
+// for ids that were never used.
 func (inst *Instance) isQueued(id RequestID) bool {
 	if id < 0 || int(id) >= len(inst.requests) {
 		return false
@@ -101,9 +101,9 @@
 	return req.state == queued && !req.hasStarted
 }
 
-// shedToAdmit makes capacity for the newcomer by rejecting the requests of least value density, and reports
-// whether the newcomer itself was spared. Load shedding and read congestion reject one request; a shortage of
-// memory rejects as many as needed.
+// shedToAdmit makes room for a new request by rejecting the requests with the lowest value density. It
+// returns false if the new request itself was rejected. Load shedding and read congestion reject one request;
+// a shortage of memory rejects as many as needed.
 func (inst *Instance) shedToAdmit(now time.Duration, newRequest RequestID) (isAdmitted bool) {
 	neededKB := inst.memoryForAdmission(&inst.requests[newRequest])
 	mustShed := inst.mustShed()
@@ -119,8 +119,8 @@
 	return true
 }
 
-// mustShed reports whether a request must be rejected for each new one: always under load shedding while
-// there is a backlog, and otherwise with a probability that equals the read congestion.
+// mustShed reports whether a request must be rejected in exchange for a new one: always during load shedding
+// with a backlog, otherwise with a probability equal to the read congestion.
 func (inst *Instance) mustShed() bool {
 	if inst.isShedding && inst.backlog() > 0 {
 		return true
@@ -128,16 +128,16 @@
 	return inst.random.next() < inst.readCongestion()
 }
 
-// memoryForAdmission returns the memory in kB that must be free to queue the request: its key entry, and a
+// memoryForAdmission returns the memory in kB that must be free to queue the request: its key entry, plus a
 // reserve for all starts that the concurrency limit still allows. Without the reserve, queued requests could
-// use up the memory that is needed to start any of them.
+// use up the memory needed to start any of them.
 func (inst *Instance) memoryForAdmission(req *request) float64 {
 	possibleStarts := max(int(inst.concurrency.limit)-inst.running, 1)
 	return inst.keyEntryKB(req) + float64(possibleStarts)*inst.runMemoryKB(inst.memory.averageRequestKB)
 }
 
-// retryTargetAfterShedding advises against a retry at another server for a request that is a retry already,
-// and while so many requests are rejected that the other servers are likely overloaded too.
+// retryTargetAfterShedding advises against a retry at another server if the request is already a retry, or
+// if so many requests are rejected that the other servers are probably overloaded too.
 func (inst *Instance) retryTargetAfterShedding(id RequestID) retryTarget {
 	if inst.requests[id].IsRetry || inst.rejectedShare > fleetOverloadRejectedShare {
 		return retryOnSameServer
@@ -145,8 +145,8 @@
 	return retryOnAnyServer
 }
 
-// backlog returns the number of queued requests beyond those that may start now; it is negative while more
-// could start than are queued.
+// backlog returns the number of queued requests in excess of those that the concurrency limit allows to
+// start now. It is negative if more could start than are queued.
 func (inst *Instance) backlog() int {
 	return len(inst.queue) - max(int(inst.concurrency.limit)-inst.running, 0)
 }
--- a/policy/advertise.go
+++ b/policy/advertise.go
@@ -8,35 +8,37 @@
 )
 
 const (
-	// shedThresholdGain is the part of the rejected share that is added to the threshold in a period.
+	// shedThresholdGain is the largest rise of the threshold in a period, as a fraction of its distance from 1.
+	// The rise is proportional to the share of requests rejected at or above the threshold.
 	shedThresholdGain = 0.3
-	// shedThresholdFallWithoutBacklog is how far the threshold falls in a period without a backlog.
+	// shedThresholdFallWithoutBacklog is the decrease of the threshold in a period without a backlog.
 	shedThresholdFallWithoutBacklog = 0.1
-	// shedThresholdFallWithBacklog is how far the threshold falls in a period with a backlog, while lag is within
-	// its own threshold.
+	// shedThresholdFallWithBacklog is the decrease of the threshold in a period with a backlog in which lag
+	// does not exceed the lag threshold.
 	shedThresholdFallWithBacklog = 0.03
-	// maxShedThreshold bounds the threshold. It is below 1, since without any requests the server could not
-	// see that the overload has ended.
+	// maxShedThreshold is the maximum threshold. It is below 1 because without any requests the server could
+	// not detect the end of the overload.
 	maxShedThreshold = 0.95
-	// minAdvertisedChange is the least change of the load that is advertised anew, and the least load that
-	// reduces callers' windows.
+	// minAdvertisedChange is the smallest change of the load that is advertised, and the smallest load that
+	// reduces the callers' windows.
 	minAdvertisedChange = 0.01
-	// minAdvertisedWindow is the least number of open requests advertised to a caller; a value below 1 makes
+	// minAdvertisedWindow is the minimum number of open requests advertised to a caller. A value below 1 makes
 	// the caller pause between requests.
 	minAdvertisedWindow = 0.1
-	// windowPerConcurrency is the ratio of the window to the concurrency limit on a server without load.
+	// windowPerConcurrency is the ratio of the window to the concurrency limit on an unloaded server.
 	windowPerConcurrency = 2
 )
 
-// advertisedLoad is the load, 0 to 1, that callers get with each answer, so that they do not send requests
-// that would be rejected.
+// advertisedLoad is the state behind the load, 0 to 1, that callers receive with each answer so that they do
+// not send requests that would be rejected.
 type advertisedLoad struct {
 	shedThreshold float64 // the priority below which callers should not send requests, 0 to 1
-	lastLoad      float64 // the load advertised last
+	lastLoad      float64 // most recently advertised load
 }
 
-// updateShedThreshold raises the threshold by the period's rejections of requests above it, which callers
-// that follow the threshold would have sent, and lowers it otherwise.
+// updateShedThreshold raises the threshold if load shedding or read congestion rejected requests at or above
+// it in this period, since callers that respect the threshold still send such requests. Otherwise it lowers
+// the threshold if there was no backlog or lag does not exceed the lag threshold.
 func (inst *Instance) updateShedThreshold() {
 	threshold := inst.advertised.shedThreshold
 	counts := &inst.period
@@ -45,18 +47,18 @@
 		rise := shedThresholdGain * (1 - threshold)
 		threshold += rise * float64(counts.rejectedOverThreshold) / float64(max(counts.read, counts.rejected))
 	case counts.backlogTicks == 0:
-		threshold -= shedThresholdFallWithoutBacklog // no backlog: callers hold back more than needed
+		threshold -= shedThresholdFallWithoutBacklog // callers hold back more than needed
 	case inst.lag.current <= inst.lag.threshold:
 		threshold -= shedThresholdFallWithBacklog
 	}
 	inst.advertised.shedThreshold = min(max(threshold, 0), maxShedThreshold)
 }
 
-// advertise passes a changed load to the host, in the form selected by the settings.
+// advertise passes the load to the host if it has changed, in the form selected by the settings.
 func (inst *Instance) advertise(now time.Duration) {
 	load := max(inst.advertised.shedThreshold, inst.readCongestion())
 	if inst.isDrainGraceEnding(now) {
-		load = 1 // requests are accepted until the grace period ends
+		load = 1 // requests that arrive after the grace period are rejected
 	}
 	if math.Abs(load-inst.advertised.lastLoad) < minAdvertisedChange {
 		return
@@ -72,8 +74,8 @@
 	}
 }
 
-// callerWindow returns how many requests one caller may have open. Under load the free part is divided among
-// the callers seen in this period; without load each caller gets the whole window.
+// callerWindow returns how many requests one caller may have open. Under load, the unused part of the window
+// is divided among the callers seen in this period; without load, each caller gets the whole window.
 func (inst *Instance) callerWindow(load float64) float64 {
 	window := windowPerConcurrency * inst.concurrency.limit
 	if load < minAdvertisedChange {
--- a/policy/advertise_test.go
+++ b/policy/advertise_test.go
@@ -36,7 +36,7 @@
 	inst.reject(0, 0, retryOnAnyServer)
 	inst.reject(0, 1, retryOnAnyServer)
 	if rejected, over := inst.period.rejected, inst.period.rejectedOverThreshold; rejected != 2 || over != 1 {
-		t.Errorf("%d rejected, %d over the threshold, want 2 and 1", rejected, over)
+		t.Errorf("%d rejected, %d of them over the threshold, want 2 and 1", rejected, over)
 	}
 }
 
@@ -52,10 +52,10 @@
 	}
 	inst.advertised.shedThreshold = 0.5
 	inst.advertise(0)
-	host.expectCalls(t, 1, "advertise 1.000") // half of a window of 4, for two callers
+	host.expectCalls(t, 1, "advertise 1.000") // half of a window of 4, divided among two callers
 	inst.advertised.shedThreshold = 0
 	inst.advertise(0)
-	host.expectCalls(t, 1, "advertise 4.000") // without load, all of it for each
+	host.expectCalls(t, 1, "advertise 4.000") // without load, the whole window for each caller
 	inst.endPeriod(periodLength)
 	if len(inst.period.callers) != 0 {
 		t.Error("callers of the previous period were not removed")
--- a/policy/class.go
+++ b/policy/class.go
@@ -8,42 +8,42 @@
 )
 
 const (
-	// initialRunFraction is the part of the latency objective that a run is expected to take before any run of
-	// the class has ended.
+	// initialRunFraction is the estimated run time of a class of which no run has ended yet, as a fraction of
+	// the latency objective.
 	initialRunFraction = 0.25
-	// minInitialRunSeconds bounds the first estimate, in seconds.
+	// minInitialRunSeconds is the minimum of this first estimate, in seconds.
 	minInitialRunSeconds = 1e-3
-	// baseLatencyLearningRuns is the number of first runs that raise or lower the base latency; later runs only lower
-	// it.
+	// baseLatencyLearningRuns is the number of first runs that may raise or lower the base latency. Later runs
+	// only lower it.
 	baseLatencyLearningRuns = 8
 )
 
-// class is a class of requests: its settings, and the estimates from its past runs.
+// class is a class of requests: its settings and the estimates from its past runs.
 type class struct {
-	isFree bool // no class uses the index at present
+	isFree bool // the index is not in use by any class
 
 	weight           float64
-	degradedWeight   float64 // part of the weight that an answer without its call is worth; 0: the call is required
+	degradedWeight   float64 // weight of an answer without its call, as a fraction of weight; 0: call required
 	latencyObjective time.Duration
 	callerTimeout    time.Duration
 	keyWindow        time.Duration
 	makesCalls       bool
 	isSafe           bool
-	isIdempotent     bool // through idempotency keys
+	isIdempotent     bool // idempotency keys prevent a second run
 
 	runEstimates
 }
 
-// runEstimates are the estimates of a class, in seconds.
+// runEstimates are the run time estimates of a class; times are in seconds.
 type runEstimates struct {
-	baseLatency    float64 // the least run time seen, drifting to the recent one
-	runTime        float64 // recent run time less calls
-	responseTime   float64 // recent run time with calls
-	runTimePerHint float64 // run time over the cost hint; 0: unknown
-	completedRuns  float64 // runs seen
+	baseLatency    float64 // shortest average run time so far, drifting toward the current one
+	runTime        float64 // moving average of run time without calls
+	responseTime   float64 // moving average of run time with calls
+	runTimePerHint float64 // ratio of run time to cost hint; 0: unknown
+	completedRuns  float64 // number of completed runs
 }
 
-// configure puts the settings in force; the estimates stay.
+// configure applies the settings; the estimates are retained.
 func (c *class) configure(s settings.Class) {
 	c.isSafe = s.Idempotency == settings.Safe
 	c.isIdempotent = s.Idempotency == settings.Idempotent
@@ -55,7 +55,7 @@
 	c.keyWindow = s.KeyWindow.Seconds(10)
 }
 
-// initialEstimates are the estimates of a class of which no run has ended.
+// initialEstimates returns the estimates of a class of which no run has ended yet.
 func initialEstimates(latencyObjective time.Duration) runEstimates {
 	initialRun := max(latencyObjective.Seconds()*initialRunFraction, minInitialRunSeconds)
 	return runEstimates{baseLatency: initialRun, runTime: initialRun, responseTime: initialRun}
@@ -65,7 +65,7 @@
 func (c *class) canDegrade() bool { return c.degradedWeight > 0 }
 
 // expectedRunSeconds returns the expected run time in seconds, without calls. With a cost hint it is the
-// geometric mean of the class's run time and the hint's estimate.
+// geometric mean of the average run time of the class and the estimate from the hint.
 func (c *class) expectedRunSeconds(costHint time.Duration) float64 {
 	if costHint > 0 && c.runTimePerHint > 0 {
 		return math.Sqrt(costHint.Seconds() * c.runTimePerHint * c.runTime)
@@ -73,7 +73,8 @@
 	return c.runTime
 }
 
-// recordCompletedRun updates the estimates with a run that has ended; runSeconds is without calls.
+// recordCompletedRun updates the estimates with a completed run. runSeconds excludes calls, responseTime
+// includes them.
 func (c *class) recordCompletedRun(runSeconds float64, responseTime, costHint time.Duration) {
 	updateAverage(&c.runTime, runSeconds, c.completedRuns+3)
 	updateAverage(&c.responseTime, responseTime.Seconds(), c.completedRuns+3)
@@ -86,8 +87,8 @@
 	}
 }
 
-// recordTimedOutRun updates the estimates with a run that was answered by an error before its end. The
-// complete run would have taken at least elapsedSeconds, so a time below the estimate says nothing.
+// recordTimedOutRun updates the estimates with a run that was answered with an error before its end. The
+// complete run would have taken at least elapsedSeconds, so a time below the estimate gives no information.
 func (c *class) recordTimedOutRun(elapsedSeconds, callSeconds float64) {
 	if elapsedSeconds <= c.responseTime {
 		return
--- a/policy/concurrency_test.go
+++ b/policy/concurrency_test.go
@@ -20,22 +20,23 @@
 	ceilingAtStart := warmingUp.maxConcurrency(0)
 	ceiling := warmedUp.maxConcurrency(0)
 	if ceilingAtStart != 3 || ceiling != 12 {
-		t.Errorf("ceilings %d and %d, want 3 and 12", ceilingAtStart, ceiling)
+		t.Errorf("maximum concurrency %d at the start, %d after warming up, want 3 and 12", ceilingAtStart, ceiling)
 	}
 }
 
 func TestConcurrencyLimitRisesOnlyWhereRunsLeaveCoresIdle(t *testing.T) {
 	for _, c := range []struct {
-		runnable float64 // of two cores
+		runnable float64 // threads, on two cores
 		queued   int
-		limit    float64 // after a period that began with a limit of 3 and ran 3
+		limit    float64 // after a period that began with a limit of 3 and 3 running requests
 	}{{1, 1, 4}, {2, 1, 2}, {1.9, 1, 3}, {0, 0, 3}} {
 		inst, _ := newTestInstance(nil)
 		inst.concurrency.limit = 3
 		fillCores(inst, 0, 1+c.queued)
 		inst.period.completed = 1
 		for n := range 5 {
-			gauges := Gauges{Busy: 0.5, Runnable: c.runnable} // half idle, as bursts are
+			// Bursts leave the cores half idle on average, which must not raise the limit.
+			gauges := Gauges{Busy: 0.5, Runnable: c.runnable}
 			inst.Tick(time.Duration(n+1)*tickInterval, gauges)
 		}
 		inst.endPeriod(periodLength)
--- a/policy/congestion.go
+++ b/policy/congestion.go
@@ -3,26 +3,27 @@
 import "go.uber.org/zap"
 
 const (
-	// congestionStartFraction is the read delay above which there is congestion, as a part of the latency
+	// congestionStartFraction is the read delay above which there is congestion, as a fraction of the latency
 	// objective.
 	congestionStartFraction = 0.15
-	// congestionFullFraction is the read delay at which congestion is full, as a part of the latency objective:
-	// too little time is left for the run.
+	// congestionFullFraction is the read delay at which congestion is full, as a fraction of the latency
+	// objective: too little time is left for the run.
 	congestionFullFraction = 0.5
-	// minLoggedCongestion is the read congestion above which it is logged.
+	// minLoggedCongestion is the read congestion above which the server is logged as congested.
 	minLoggedCongestion = 0.5
-	// readDelayDecay is the factor on the average read delay at a tick that finds a core free for reading.
+	// readDelayDecay multiplies the average read delay at each tick at which a core is free to read requests.
 	readDelayDecay = 0.9
 )
 
-// readCongestion rates the average read delay from 0 (no congestion) to 1 (all answers would be late).
+// readCongestion returns the read congestion, from 0 (none) to 1 (all answers would be late). It is derived
+// from the average read delay.
 func (inst *Instance) readCongestion() float64 {
 	delayFraction := inst.readDelay / inst.referenceClass().latencyObjective.Seconds()
 	return min(max((delayFraction-congestionStartFraction)/
 		(congestionFullFraction-congestionStartFraction), 0), 1)
 }
 
-// logReadCongestion logs the start and the end of read congestion.
+// logReadCongestion logs the start and the end of read congestion above minLoggedCongestion.
 func (inst *Instance) logReadCongestion() {
 	isCongested := inst.readCongestion() > minLoggedCongestion
 	if isCongested == inst.lastLoggedCongested {
@@ -33,8 +34,8 @@
 		zap.Float64("read_delay_s", inst.readDelay))
 }
 
-// observeRunnableThreads updates the controls that depend on the number of runnable threads; a negative one is
-// unknown. Runnable threads beyond the runs read requests and serve connections.
+// observeRunnableThreads updates the controls that depend on the number of runnable threads; a negative
+// number is unknown. Runnable threads in excess of the running requests read requests and handle connections.
 func (inst *Instance) observeRunnableThreads(runnable float64) {
 	if runnable < 0 {
 		return
--- a/policy/congestion_test.go
+++ b/policy/congestion_test.go
@@ -13,7 +13,7 @@
 	inst.Tick(tickInterval, Gauges{Busy: -1, Runnable: -1})
 	host.expectCalls(t, 1, "advertise 1.000")
 	if got := inst.startCapacity(0); got != 1 {
-		t.Errorf("%d may start under full read congestion, want half of two", got)
+		t.Errorf("%d requests may start under full read congestion, want 1, half of the limit", got)
 	}
 }
 
@@ -26,11 +26,11 @@
 
 func TestCongestedServerIsReportedUnhealthy(t *testing.T) {
 	inst, host := newTestInstance(func(s *settings.Settings) { s.Server.EndpointsFollowHealth = settings.True })
-	for _, readDelay := range []float64{1, 0, 1, 0} { // no flapping
+	for _, readDelay := range []float64{1, 0, 1, 0} { // single periods do not change the health
 		updateHealthWith(inst, readDelay, 0)
 	}
 	host.expectCalls(t, 0, "health false")
-	updateHealthWith(inst, 0.3, 0.5) // partial congestion and many retries: other servers are no less loaded
+	updateHealthWith(inst, 0.3, 0.5) // partial congestion and many retries: the other servers are loaded too
 	updateHealthWith(inst, 0.3, 0.5)
 	host.expectCalls(t, 0, "health false")
 	updateHealthWith(inst, 1, 0.5) // full congestion: all answers are late
--- a/policy/deadlines.go
+++ b/policy/deadlines.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// answerExpiredRequests answers all requests that have expired.
+// answerExpiredRequests answers all requests that answerIfExpired considers expired.
 func (inst *Instance) answerExpiredRequests(now time.Duration) {
 	for index := range inst.requests {
 		req := &inst.requests[index]
@@ -12,9 +12,9 @@
 	}
 }
 
-// answerIfExpired answers a request shortly before its deadline. A queued request is rejected as soon as it
-// has no value any more. A run that can be stopped fails as soon as it misses its latency objective; one
-// that can't be may still answer until the deadline.
+// answerIfExpired answers a request shortly before its deadline, and in two cases earlier: a queued request
+// is rejected as soon as its value density is 0, and a run that can be stopped fails as soon as it misses its
+// latency objective. A run that can't be stopped may still be answered until the deadline.
 func (inst *Instance) answerIfExpired(now time.Duration, id RequestID) {
 	req := &inst.requests[id]
 	isAnswerDue := now >= req.deadline-answerMargin
@@ -44,8 +44,8 @@
 	inst.stopRun(id)
 }
 
-// stopRun ends the work on a request that needs no answer any more: a call that waits is not issued, and a
-// run on the cores is stopped if runs can be stopped.
+// stopRun ends the work on a request that no longer needs an answer: a waiting call is not issued, and a run
+// on the cores is stopped if runs can be stopped.
 func (inst *Instance) stopRun(id RequestID) {
 	inst.calls.waiting = removeValue(inst.calls.waiting, id)
 	if inst.requests[id].state == running && inst.canStopRuns {
@@ -53,8 +53,8 @@
 	}
 }
 
-// CallerGone is called when the caller no longer waits for the request. No answer follows; a run that is
-// safe to repeat, or that waits for its call, is stopped.
+// CallerGone is called when the caller no longer waits for the request. No answer follows. A run is stopped
+// if its class is safe or if it waits for a call to be issued.
 func (inst *Instance) CallerGone(_ time.Duration, id RequestID) {
 	req := &inst.requests[id]
 	if req.state == queued || req.state == coalesced {
--- a/policy/decisions_test.go
+++ b/policy/decisions_test.go
@@ -13,7 +13,7 @@
 
 var (
 	updateDecisions = flag.Bool("update-decisions", false, "rewrite testdata/decisions.golden")
-	decisionsDir    = flag.String("decisions-dir", "", "write the whole transcripts to this directory")
+	decisionsDir    = flag.String("decisions-dir", "", "write the complete transcripts to this directory")
 )
 
 const (
@@ -21,12 +21,12 @@
 	decisionsGolden = "testdata/decisions.golden"
 )
 
-// TestDecisionsStayAsRecorded plays random load from fixed seeds and compares a hash of all host calls,
-// with all their arguments, with the recorded one: a refactoring changes no decision, no random draw and no
-// rounding.
+// TestDecisionsStayAsRecorded runs scenarios of random load from fixed seeds, and compares a hash of all host
+// calls and their arguments with the recorded one. It guards against refactorings that change a decision, a
+// random draw or rounding.
 func TestDecisionsStayAsRecorded(t *testing.T) {
 	if runtime.GOARCH != "amd64" {
-		t.Skip("other architectures may fuse multiplications and additions, which rounds otherwise")
+		t.Skip("other architectures may fuse multiplications and additions, which rounds differently")
 	}
 	var got strings.Builder
 	for seed := range uint64(scenarioCount) {
@@ -51,7 +51,7 @@
 	wantLines := strings.Split(string(want), "\n")
 	for n, line := range strings.Split(got.String(), "\n") {
 		if n >= len(wantLines) || line != wantLines[n] {
-			t.Errorf("scenario %d: other decisions than recorded: %q", n, line)
+			t.Errorf("scenario %d: decisions differ from the recorded ones: %q", n, line)
 		}
 	}
 }
--- a/policy/dependency_calls.go
+++ b/policy/dependency_calls.go
@@ -12,36 +12,37 @@
 const (
 	// maxConsecutiveCallFailures is the number of consecutive failures after which calls are suspended.
 	maxConsecutiveCallFailures = 5
-	// callProbeInterval is the time between two probes while calls are suspended.
+	// callProbeInterval is the time from a failed call to the next probe while calls are suspended.
 	callProbeInterval = 500 * time.Millisecond
-	// slowCallFraction is the average call time above which calls are slow, as a part of the latency objective.
-	slowCallFraction = 0.1
-	// maxOptionalCallWaitFraction is how long a request waits for an optional call, as a part of the latency
+	// slowCallFraction is the average call time above which calls are slow, as a fraction of the latency
 	// objective.
+	slowCallFraction = 0.1
+	// maxOptionalCallWaitFraction is the maximum time that a request waits for an optional call to be issued,
+	// as a fraction of the latency objective.
 	maxOptionalCallWaitFraction = 0.15
-	// minCallTimeout is the least timeout of a call.
+	// minCallTimeout is the minimum timeout of a call.
 	minCallTimeout = 10 * time.Millisecond
-	// callTimePastSamples is the number of past samples that the average call time stands for.
+	// callTimePastSamples is the pastSamples argument of updateAverage for the average call time.
 	callTimePastSamples = 7
 )
 
-// dependencyCalls are the calls of running requests to the dependency.
+// dependencyCalls tracks the calls of running requests to the dependency.
 type dependencyCalls struct {
 	waiting             []RequestID     // requests that wait for their call to be issued
-	inFlight            int             // issued and not returned
-	abandoned           []time.Duration // until when abandoned calls count as in flight
+	inFlight            int             // calls issued and not yet returned
+	abandoned           []time.Duration // times until which abandoned calls count as in flight
 	averageTime         float64         // moving average, in seconds
 	consecutiveFailures int
 	nextProbeAt         time.Duration
 	callQuota
 }
 
-// isSuspended reports whether calls are suspended after consecutive failures; only probes are made then.
+// isSuspended reports whether calls are suspended after consecutive failures. Only probes are issued then.
 func (c *dependencyCalls) isSuspended() bool {
 	return c.consecutiveFailures >= maxConsecutiveCallFailures
 }
 
-// CallRequested is called when a run has come to a call to the dependency and waits for its reply. Dispatch
+// CallRequested is called when a run has reached a call to the dependency and waits for the result. Dispatch
 // issues the call.
 func (inst *Instance) CallRequested(now time.Duration, id RequestID) {
 	req := &inst.requests[id]
@@ -54,12 +55,12 @@
 	inst.calls.waiting = append(inst.calls.waiting, id)
 }
 
-// issueCalls issues waiting calls as far as the quota allows, in the order of value density.
+// issueCalls issues waiting calls as far as the quota allows, those with the highest value density first.
 func (inst *Instance) issueCalls(now time.Duration) {
 	inst.skipOptionalCalls(now)
 	for len(inst.calls.waiting) > 0 {
 		usage := inst.meterCalls(now)
-		// Of equal requests the newest comes first, since it has most time left for its call.
+		// Among requests of equal value density, the newest has the most time left for its call.
 		id := slices.MaxFunc(inst.calls.waiting, inst.byValueDensity(now, newerRanksHigher))
 		if !inst.mayIssueCall(now, id, usage) {
 			return
@@ -68,9 +69,10 @@
 	}
 }
 
-// skipOptionalCalls continues requests without their optional calls, which leaves the quota to the required
-// ones. All optional calls are skipped while calls are suspended or slow, except when a probe is due;
-// otherwise those that have waited too long or would miss the latency objective.
+// skipOptionalCalls resumes requests without their optional calls, which leaves the quota to required calls.
+// While calls are suspended, or slow calls show that a shared dependency is overloaded, it skips all optional
+// calls unless a probe is due. Otherwise it skips those that have waited too long or would miss the latency
+// objective.
 func (inst *Instance) skipOptionalCalls(now time.Duration) {
 	isProbeDue := inst.calls.inFlight == 0 && now >= inst.calls.nextProbeAt
 	isOverloaded := inst.server.Dependency == settings.DependencyShared && inst.areCallsSlow()
@@ -92,9 +94,10 @@
 	return (req.usefulUntil - now).Seconds() < inst.calls.averageTime
 }
 
-// mayIssueCall reports whether a call may be issued: it must be within the quota, calls must not be
-// suspended (a probe aside), and it must be likely to return in time, as an abandoned call wastes the
-// dependency's work. With no other call in flight a late one is made too, to measure the call time.
+// mayIssueCall reports whether a call may be issued: it must be within the quota, it must be a probe if calls
+// are suspended, and it must be likely to return in time, since an abandoned call wastes the dependency's
+// work. If no other call is in flight, a call that is likely to be late is issued too, to measure the call
+// time.
 func (inst *Instance) mayIssueCall(now time.Duration, id RequestID, usage callUsage) bool {
 	hasCallsInFlight := inst.calls.inFlight > 0
 	if hasCallsInFlight && inst.wouldBeLate(now, &inst.requests[id]) {
@@ -122,7 +125,7 @@
 	inst.host.Call(id, max(timeout, minCallTimeout))
 }
 
-// resumeRun returns a request from its call to the running state.
+// resumeRun sets a request whose call has ended or is skipped to the running state.
 func (inst *Instance) resumeRun(now time.Duration, id RequestID) {
 	req := &inst.requests[id]
 	inst.calls.waiting = removeValue(inst.calls.waiting, id)
@@ -131,14 +134,14 @@
 	inst.running++
 }
 
-// areCallsSlow reports whether the average call takes so long that the dependency is probably overloaded.
+// areCallsSlow reports whether the average call time is so long that the dependency is probably overloaded.
 func (inst *Instance) areCallsSlow() bool {
 	return inst.calls.averageTime > slowCallFraction*inst.referenceClass().latencyObjective.Seconds()
 }
 
-// CallReturned is called when a call has ended with the outcome after the time it took. After a failure an
-// optional call is skipped; a call that is safe to repeat, or that never ran, is made again; otherwise the
-// request fails.
+// CallReturned is called when a call has ended; took is its duration. After a failure, an optional call is
+// skipped; a required call is issued again if the class is safe or the call never ran; otherwise the request
+// fails.
 func (inst *Instance) CallReturned(now time.Duration, id RequestID, outcome Outcome, took time.Duration) {
 	req := &inst.requests[id]
 	if req.state != calling {
@@ -155,9 +158,9 @@
 	}
 }
 
-// recordCallOutcome updates the average call time and the consecutive failures. Only calls that completed or
-// timed out say how long calls take. A call whose timeout was shorter than the average call says nothing
-// about the dependency: it neither suspends calls nor counts as a failed probe.
+// recordCallOutcome updates the average call time and the number of consecutive failures. Only calls that
+// completed or timed out are samples of the call time. A call that timed out in less than the average call
+// time gives no information about the dependency: it counts neither as a failure nor as a failed probe.
 func (inst *Instance) recordCallOutcome(now time.Duration, outcome Outcome, took time.Duration) {
 	wasCutShort := outcome == TimedOut && took.Seconds() < inst.calls.averageTime
 	if wasCutShort {
--- a/policy/dependency_calls_test.go
+++ b/policy/dependency_calls_test.go
@@ -52,13 +52,13 @@
 
 func TestCallsToATierStayWithinItsConcurrency(t *testing.T) {
 	inst, _ := newTestInstance(func(s *settings.Settings) { s.Server.Dependency = settings.DependencyTier })
-	if inst.calls.quota != 6 { // three quarters of a concurrency of four a core, on two cores
-		t.Errorf("%v calls in flight", inst.calls.quota)
+	if inst.calls.quota != 6 { // three quarters of a concurrency of four per core, on two cores
+		t.Errorf("quota of %v concurrent calls, want 6", inst.calls.quota)
 	}
 }
 
-// All servers of a fleet may have such a call in flight when the dependency slows down, and it must sustain
-// all of them.
+// A call that is only partly within the quota has a short timeout: when the dependency slows down, every
+// server of the fleet may have such a call in flight, and the dependency must sustain all of them.
 func TestQuotaBelowOneBoundsCallTimeout(t *testing.T) {
 	inst, _ := newTestInstance(func(s *settings.Settings) {
 		s.Server.CallQuota = settings.NumberOf(0.5)
@@ -69,9 +69,9 @@
 	host := &timeoutRecorder{hostRecorder: &hostRecorder{}}
 	inst.host = host
 	inst.Dispatch(0)
-	// 0.4 of half a call over five seconds, minus the linger of 0.2 s
+	// 0.4 of half a call over five seconds, minus CallLinger of 0.2 s
 	if host.timeout != 800*ms {
-		t.Errorf("timeout %v", host.timeout)
+		t.Errorf("call timeout %v, want 800ms", host.timeout)
 	}
 	callSeconds := 0.0
 	end := 5 * time.Second
@@ -160,14 +160,14 @@
 		inst, host := newTestInstance(func(s *settings.Settings) {
 			s.Classes[0].DegradedWeight = settings.NumberOf(0.6)
 			s.Server.Dependency = settings.DependencyTier
-		}) // a tier has its own overload control, so slow calls are not taken as overload
+		}) // a tier has its own overload control, so slow calls do not indicate overload
 		inst.calls.averageTime = averageTime.Seconds()
 		inst.calls.inFlight = 1
 		inst.Admit(0, 0, requestOf(0))
 		inst.Dispatch(0)
 		inst.CallRequested(0, 0)
 		inst.Dispatch(0)
-		host.expectCalls(t, wantSkips, "skip call 0") // the objective is 1 s
+		host.expectCalls(t, wantSkips, "skip call 0") // the latency objective is 1 s
 		host.expectCalls(t, 1-wantSkips, "call 0")
 	}
 }
@@ -187,7 +187,7 @@
 	inst.Dispatch(160 * ms)
 	host.expectCalls(t, 1, "skip call 1")
 	inst.CallReturned(170*ms, 0, TimedOut, 170*ms)
-	host.expectCalls(t, 1, "skip call 0") // the call may have run, but is not made again
+	host.expectCalls(t, 1, "skip call 0") // the call may have run, and is not issued again
 	host.expectCalls(t, 0, "fail 0")
 }
 
@@ -196,12 +196,12 @@
 	inst.calls.averageTime = 0.2
 	inst.endPeriod(periodLength)
 	if inst.calls.quotaScale < 0.79 || inst.calls.quotaScale > 0.81 {
-		t.Errorf("%v of the quota in use, want 0.8", inst.calls.quotaScale)
+		t.Errorf("quota scale %v, want 0.8", inst.calls.quotaScale)
 	}
 	inst.calls.averageTime = 0.01
 	inst.endPeriod(2 * periodLength)
 	if inst.calls.quotaScale < 0.89 || inst.calls.quotaScale > 0.91 {
-		t.Errorf("%v of the quota in use, want 0.9", inst.calls.quotaScale)
+		t.Errorf("quota scale %v, want 0.9", inst.calls.quotaScale)
 	}
 }
 
@@ -217,7 +217,7 @@
 		inst.Dispatch(0)
 		inst.CallRequested(0, id)
 	}
-	host.expectCalls(t, 2, "start") // as many wait as there are cores
+	host.expectCalls(t, 2, "start") // as many requests wait for calls as there are cores
 }
 
 func TestRequestWithRequiredCallDoesNotStartWhileCallsWait(t *testing.T) {
@@ -248,8 +248,8 @@
 	}
 }
 
-// A call with a timeout below the average call time says nothing about the dependency. Counted as failed
-// probes, such calls would keep calls suspended for ever.
+// A call with a timeout below the average call time gives no information about the dependency. If such calls
+// counted as failed probes, calls would stay suspended forever.
 func TestCallWithShortTimeoutIsNeitherFailureNorProbe(t *testing.T) {
 	inst, host := newTestInstance(func(s *settings.Settings) {
 		s.Server.CallQuota = settings.NumberOf(9)
@@ -271,7 +271,7 @@
 	calls := &inst.calls
 	if calls.consecutiveFailures != maxConsecutiveCallFailures ||
 		calls.nextProbeAt != 0 || calls.averageTime != 0.2 {
-		t.Errorf("%d failures, next probe at %v, calls take %v",
+		t.Errorf("%d consecutive failures, next probe at %v, average call time %v s",
 			calls.consecutiveFailures, calls.nextProbeAt, calls.averageTime)
 	}
 	inst.CallRequested(710*ms, 2)
@@ -279,7 +279,7 @@
 	host.expectCalls(t, 2, "call")
 	inst.CallReturned(960*ms, 2, TimedOut, 250*ms)
 	if calls.consecutiveFailures != maxConsecutiveCallFailures+1 || calls.averageTime <= 0.2 {
-		t.Errorf("%d failures, calls take %v", calls.consecutiveFailures, calls.averageTime)
+		t.Errorf("%d consecutive failures, average call time %v s", calls.consecutiveFailures, calls.averageTime)
 	}
 }
 
@@ -294,7 +294,7 @@
 	inst.CallRequested(800*ms, 0)
 	inst.CallRequested(800*ms, 1)
 	inst.Dispatch(800 * ms)
-	host.expectCalls(t, 1, "call") // one, as none is in flight; the other has 160 ms
+	host.expectCalls(t, 1, "call") // one, as none is in flight; 160 ms are left for the other
 	inst.calls.averageTime = 0.1
 	inst.Dispatch(801 * ms)
 	host.expectCalls(t, 2, "call")
--- a/policy/dispatch.go
+++ b/policy/dispatch.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// Dispatch issues calls and starts requests as far as the limits allow. The host calls it after it has passed
-// on all events that it received together.
+// Dispatch issues calls and starts requests as far as the limits allow. The host calls it after it has
+// passed on all events that it received at the same time.
 func (inst *Instance) Dispatch(now time.Duration) {
 	inst.issueCalls(now)
 	for inst.startCapacity(now) > 0 && len(inst.queue) > 0 {
@@ -15,12 +15,12 @@
 	}
 }
 
-// nextToStart returns the queued request of most value density that may start; of equal ones the one whose
-// latency objective ends first. It rejects queued requests that have no value any more.
+// nextToStart returns the queued request with the highest value density that may start; among equal ones, the
+// one that reaches its latency objective first. It rejects queued requests with a value density of 0.
 func (inst *Instance) nextToStart(now time.Duration) (best RequestID, found bool) {
 	mayStartCalling := inst.mayStartRequestsWithCall()
 	maxDensity := 0.0
-	for index := len(inst.queue) - 1; index >= 0; index-- { // backwards, as reject removes entries
+	for index := len(inst.queue) - 1; index >= 0; index-- { // backwards, because reject removes entries
 		id := inst.queue[index]
 		density := inst.valueDensity(now, id)
 		if density <= 0 {
@@ -44,9 +44,9 @@
 	return best, found
 }
 
-// mayStartRequestsWithCall reports whether requests with a required call may start: not while others wait for
-// their calls, nor while a probe of suspended calls is in flight. On a half idle server they may start as
-// long as few wait, since not every run comes to its call.
+// mayStartRequestsWithCall reports whether requests with a required call may start: not while other requests
+// wait for their calls to be issued, nor while a probe of suspended calls is in flight. On a half idle server
+// they may start as long as fewer requests wait than there are cores, since not every run reaches its call.
 func (inst *Instance) mayStartRequestsWithCall() bool {
 	if inst.isHalfIdle() && len(inst.calls.waiting) < inst.cores {
 		return true
@@ -67,8 +67,8 @@
 	inst.host.Start(id)
 }
 
-// RunEnded is called when a run has ended with the outcome after the time it took, or when a coalesced retry
-// was answered. It releases the request.
+// RunEnded is called when a run has ended, or when a coalesced retry was answered; took is the duration of
+// the run. It releases the request.
 func (inst *Instance) RunEnded(now time.Duration, id RequestID, outcome Outcome, took time.Duration) {
 	req := &inst.requests[id]
 	switch req.state {
@@ -83,12 +83,13 @@
 	if !req.isAnswered && req.state != coalesced && outcome != NotStarted {
 		inst.finishRun(now, id, outcome, took)
 	}
-	// release forgets the key of a request that was never started, so that a retry can run.
+	// release removes the key entry of a request that was never started, so that a retry can run.
 	req.hasStarted = req.hasStarted && outcome != NotStarted
 	inst.release(id)
 }
 
-// finishRun updates the estimates with a run that had no answer before its end, and fails a cancelled one.
+// finishRun samples the latency of a run that was not answered before its end. It updates the estimates of
+// the class if the run completed, and answers a cancelled run with an error.
 func (inst *Instance) finishRun(now time.Duration, id RequestID, outcome Outcome, took time.Duration) {
 	req := &inst.requests[id]
 	inst.sampleLatency(now, req)
--- a/policy/dispatch_test.go
+++ b/policy/dispatch_test.go
@@ -42,7 +42,7 @@
 	previousRunTime := inst.classes[0].runTime
 	inst.failRun(900*ms, 0)
 	if inst.classes[0].runTime <= previousRunTime {
-		t.Errorf("expected run still %v s", previousRunTime)
+		t.Errorf("run time estimate is still %v s after a longer run", previousRunTime)
 	}
 }
 
@@ -66,7 +66,7 @@
 	for hint, wantCall := range map[time.Duration]string{20 * time.Second: "start 1", 0: "reject 1"} {
 		inst, host := newTestInstance(nil)
 		inst.classes[0].runTimePerHint = 1
-		// By its estimates a run of this class can't end in time.
+		// By its estimates, a run of this class can't end in time.
 		inst.classes[1].responseTime = 5
 		inst.classes[1].runTime = 5
 		fillCores(inst, 0, -1)
@@ -87,11 +87,11 @@
 	inst.classes[0].runTime = 0.1
 	inst.classes[0].responseTime = 0.1
 	long := requestOf(0)
-	long.CostHint = 1600 * ms // 16 times the mean run time: expected are 4 times
+	long.CostHint = 1600 * ms // 16 times the average run time, so 4 times the average is expected
 	inst.Admit(0, 0, long)
-	// Weight 1 over 0.4 s, rounded to a power of two; with the hint alone the run could not end in time.
+	// Weight 1 over 0.4 s, rounded to a power of two. By the hint alone, the run could not end in time.
 	if d := inst.valueDensity(0, 0); d != 2 {
-		t.Errorf("density %v", d)
+		t.Errorf("value density %v, want 2", d)
 	}
 }
 
@@ -103,6 +103,6 @@
 	inst.Admit(0, 0, requestOf(0))
 	inst.Admit(0, 1, requestOf(1))
 	if a, b := inst.valueDensity(0, 0), inst.valueDensity(0, 1); a != b {
-		t.Errorf("densities %v and %v", a, b)
+		t.Errorf("value densities %v and %v, want equal ones", a, b)
 	}
 }
--- a/policy/drain.go
+++ b/policy/drain.go
@@ -10,18 +10,19 @@
 // never is a time later than any event.
 const never time.Duration = math.MaxInt64
 
-// drainMarginTicks is how many tick intervals before the stop the last answer is due, since ticks may be late.
+// drainMarginTicks is the margin between the last answer and the stop, in tick intervals, since ticks may be
+// late.
 const drainMarginTicks = 3
 
-// drainDeadlines are the times of a graceful shutdown; both are never until it begins.
+// drainDeadlines are the deadlines of a graceful shutdown. Both are never until it begins.
 type drainDeadlines struct {
 	acceptUntil time.Duration // requests that arrive later are rejected
 	stopAt      time.Duration // all requests must be answered by then
 }
 
 // Drain begins a graceful shutdown; the server stops after timeLeft. Requests are still accepted for the
-// DrainGrace of the settings, until callers have learned of the shutdown. All accepted requests are answered
-// before the stop.
+// DrainGrace of the settings, which gives callers time to learn of the shutdown. All accepted requests are
+// answered before the stop.
 func (inst *Instance) Drain(now, timeLeft time.Duration) {
 	inst.drain.stopAt = now + timeLeft - drainMarginTicks*tickInterval - answerMargin
 	inst.drain.acceptUntil = now + inst.server.DrainGrace.Seconds(0) - answerMargin
@@ -37,7 +38,8 @@
 
 func (inst *Instance) isDraining() bool { return inst.drain.acceptUntil != never }
 
-// isDrainGraceEnding reports whether the grace time of a graceful shutdown ends within a period or is over.
+// isDrainGraceEnding reports whether the grace period of a graceful shutdown ends within one period or is
+// over.
 func (inst *Instance) isDrainGraceEnding(now time.Duration) bool {
 	return now > inst.drain.acceptUntil-periodLength
 }
--- a/policy/host.go
+++ b/policy/host.go
@@ -7,7 +7,7 @@
 )
 
 // RequestID identifies a request between an Instance and its Host: an index from 0 that the host assigns
-// before Admit and may reuse after Release. The instance's table is as long as the largest id.
+// before Admit and may reuse after Release. The instance's request table extends to the largest id.
 type RequestID int
 
 // Rejection tells a rejected caller when and where to retry.
@@ -19,13 +19,13 @@
 // Health is how the host answers health checks.
 type Health struct {
 	Healthy      bool
-	SkipSelfTest bool // deep checks are answered from this verdict, without a self-test of the runtime
+	SkipSelfTest bool // deep health checks are answered with Healthy, without a self-test of the runtime
 }
 
-// Host carries out the decisions of an Instance. Its methods must not call the instance.
+// Host carries out the decisions of an Instance. Its methods must not call the Instance.
 type Host interface {
 	Start(id RequestID)                             // start the run of a queued request
-	Stop(id RequestID)                              // stop a running request
+	Stop(id RequestID)                              // stop the run of a request
 	Reject(id RequestID, rejection Rejection)       // final answer to a request that has not run
 	Fail(id RequestID)                              // final answer: an error
 	Call(id RequestID, timeout time.Duration)       // issue the call that the request waits for
@@ -37,7 +37,7 @@
 	SetIdleTimeout(timeout time.Duration)           // close connections that are idle for longer
 	Advertise(value float64)                        // the load value to send with all answers
 	Wake(at time.Duration)                          // call Tick once at this time
-	Release(id RequestID)                           // the instance no longer refers to this id
+	Release(id RequestID)                           // the Instance no longer refers to this id
 	Log(message string, fields ...zap.Field)        // write one structured log line
 }
 
@@ -47,17 +47,17 @@
 	OriginalGone RequestID = -2 // a retry of a request that is no longer here
 )
 
-// Request is what is known of a request when it has been read.
+// Request describes a request that has been read.
 type Request struct {
 	Class         int           // index of its class; a request of an unknown class is rejected
 	Tenant        int           // index of its tenant; a request of an unknown tenant has no quota
-	Caller        int           // number of its caller, to count distinct callers
-	ReadDelay     time.Duration // from its arrival at the machine to its reading
+	Caller        int           // identifies its caller, to count distinct callers
+	ReadDelay     time.Duration // from its arrival at the machine until it was read
 	CallerTimeout time.Duration // how long its caller still waits; 0: unknown
 	IsRetry       bool          // marked as a retry by its caller
 	CostHint      time.Duration // estimate of its work; 0: none
 	Original      RequestID     // the request that it retries, NoOriginal or OriginalGone
-	Priority      float64       // rank among all requests by value, 0 to below 1
+	Priority      float64       // rank among all requests by value, from 0 (lowest) to below 1
 	MemoryKB      float64       // memory that it takes while it is queued
 }
 
@@ -70,18 +70,18 @@
 	OK                           // completed
 	Failed                       // failed; it may have had its effect
 	Rejected                     // rejected before any work
-	TimedOut                     // abandoned; it may have run
+	TimedOut                     // abandoned at its timeout; it may have run
 	ConnectFailed                // never reached the dependency
 	Reset                        // the connection broke; it may have run
-	Cancelled                    // stopped, or ended at a call
+	Cancelled                    // stopped, or ended while waiting for a call
 	NotStarted                   // nothing was started
 )
 
-// NeverRan reports whether the outcome proves that nothing was done.
+// NeverRan reports whether the outcome proves that no work was done.
 func (o Outcome) NeverRan() bool { return o == Rejected || o == ConnectFailed || o == NotStarted }
 
-// Gauges are readings of the machine; a negative one is not available.
+// Gauges are measurements of the machine; a negative value is not available.
 type Gauges struct {
-	Busy     float64 // part of the cores that is busy, 0 to 1
+	Busy     float64 // busy fraction of the cores, 0 to 1
 	Runnable float64 // number of threads that run or wait for a core
 }
--- a/policy/host_test.go
+++ b/policy/host_test.go
@@ -12,10 +12,10 @@
 	"thymechute/policy/settings"
 )
 
-// ms shortens the times in the tests.
+// ms is one millisecond, short for the times in the tests.
 const ms = time.Millisecond
 
-// hostRecorder is a Host that records its calls, one line each.
+// hostRecorder is a Host that records the calls of its methods, one line each.
 type hostRecorder struct{ calls []string }
 
 func (h *hostRecorder) record(format string, args ...any) {
@@ -42,7 +42,7 @@
 func (h *hostRecorder) Release(id RequestID)                 { h.record("release %d", id) }
 func (h *hostRecorder) Log(message string, _ ...zap.Field)   { h.record("log %s", message) }
 
-// expectCalls fails the test unless exactly n recorded calls start with the text.
+// expectCalls fails the test unless exactly n recorded calls equal text or start with text and a space.
 func (h *hostRecorder) expectCalls(t *testing.T, n int, text string) {
 	t.Helper()
 	got := 0
@@ -52,7 +52,7 @@
 		}
 	}
 	if got != n {
-		t.Errorf("%q: %d times, want %d, in %q", text, got, n, h.calls)
+		t.Errorf("call %q recorded %d times, want %d, in %q", text, got, n, h.calls)
 	}
 }
 
@@ -63,7 +63,8 @@
 
 func requestOf(class int) Request { return Request{Class: class, MemoryKB: 10, Original: NoOriginal} }
 
-// fillCores starts a request of the class on each of the two cores, and queues that many more.
+// fillCores starts a request of the class on each of the two cores, and queues the given number of further
+// requests.
 func fillCores(inst *Instance, class, queued int) {
 	for id := range RequestID(2 + queued) {
 		inst.Admit(0, id, requestOf(class))
--- a/policy/idempotency_keys.go
+++ b/policy/idempotency_keys.go
@@ -5,12 +5,12 @@
 	"time"
 )
 
-// minKeyEntryKB is the size of a key entry if the settings give none. It is not 0, which means a class
+// minKeyEntryKB is the minimum size of a key entry. It is above 0 because keyEntryKB returns 0 for a class
 // without keys.
 const minKeyEntryKB = 0.001
 
-// recordKey records the idempotency key when the request is queued, before its start, so that retries of
-// queued requests are recognised as well.
+// recordKey records the idempotency key of a request. It is called when the request is queued, before its
+// start, so that retries of queued requests are recognized too.
 func (inst *Instance) recordKey(now time.Duration, id RequestID) {
 	req := &inst.requests[id]
 	lifetime := req.arrivedAt + inst.classes[req.Class].keyWindow + 2*answerMargin - now
@@ -24,7 +24,7 @@
 	inst.host.RecordKey(id, lifetime)
 }
 
-// keyEntryKB returns the memory of the request's key entry; 0 if its class has no keys.
+// keyEntryKB returns the memory of the request's key entry in kB; 0 if its class has no keys.
 func (inst *Instance) keyEntryKB(req *request) float64 {
 	if inst.classes[req.Class].isIdempotent {
 		return max(inst.server.KeyEntryKB.Or(0), minKeyEntryKB)
--- a/policy/idempotency_keys_test.go
+++ b/policy/idempotency_keys_test.go
@@ -11,7 +11,7 @@
 	inst.Admit(0, 0, requestOf(1))
 	inst.Dispatch(0)
 	if len(host.calls) < 3 || host.calls[1] != "record key 0 for 10.08s" || host.calls[2] != "start 0" {
-		t.Errorf("%q", host.calls)
+		t.Errorf("host calls %q, want the key to be recorded before the start", host.calls)
 	}
 }
 
@@ -36,9 +36,10 @@
 		inst.RunEnded(0, 0, outcome, 0)
 		host.expectCalls(t, forgotten, "forget key 0")
 		if len(inst.keyExpiries) != 1-forgotten {
-			t.Errorf("outcome %d leaves %d key entries", outcome, len(inst.keyExpiries))
+			t.Errorf("outcome %d left %d key entries", outcome, len(inst.keyExpiries))
 		}
-		if counted := inst.lag.ratioCounts[0] > 0; counted != (outcome != NotStarted) { // nor may it count in lag
+		// A request that was never started is not a sample of lag.
+		if counted := inst.lag.ratioCounts[0] > 0; counted != (outcome != NotStarted) {
 			t.Errorf("outcome %d counts in lag: %v", outcome, counted)
 		}
 	}
--- a/policy/idle_timeout.go
+++ b/policy/idle_timeout.go
@@ -3,32 +3,35 @@
 import "time"
 
 const (
-	// minIdleTimeoutFraction is the least fraction of the callers' own idle timeout, and the first one.
+	// minIdleTimeoutFraction is the minimum and initial idle timeout, as a fraction of the callers' own idle
+	// timeout.
 	minIdleTimeoutFraction = 0.1
-	// targetConnectionLoadPerCore is the target of the runnable threads per core besides the runs.
+	// targetConnectionLoadPerCore is the target number of runnable threads per core in excess of the running
+	// requests.
 	targetConnectionLoadPerCore = 0.5
-	// idleTimeoutGain is the largest relative change of the fraction in a period.
+	// idleTimeoutGain is the maximum relative change of the fraction per period.
 	idleTimeoutGain = 0.1
-	// idleTimeoutStep is the unit to which the timeout is rounded.
+	// idleTimeoutStep is the granularity to which the timeout is rounded.
 	idleTimeoutStep = 100 * time.Millisecond
-	// requestsReadPastSamples is the number of past samples that the average of requests read per period stands for.
+	// requestsReadPastSamples is the pastSamples argument of updateAverage for the average number of requests
+	// read per period.
 	requestsReadPastSamples = 15
 )
 
 // idleTimeoutControl adapts the time after which idle connections are closed.
 type idleTimeoutControl struct {
 	fraction          float64       // of the callers' own idle timeout, 0 to 1
-	current           time.Duration // set last; 0: none
-	connectionLoadSum float64       // sum of the runnable threads besides the runs, over this period's samples
+	current           time.Duration // most recently set; 0: none
+	connectionLoadSum float64       // runnable threads in excess of the runs, summed over gaugeSamples
 	gaugeSamples      float64       // ticks of this period at which the gauge was available
-	requestsPerPeriod float64       // moving average
+	requestsPerPeriod float64       // moving average of the requests read per period
 }
 
-// updateIdleTimeout adapts the idle timeout. A long one fills the connection table, which locks out new
-// callers; a short one makes callers reconnect, which takes cores from the runs. The runnable threads besides
-// the runs show how much reconnecting the server can afford. The change is slow, since a connection keeps the
-// timeout under which it became idle, and since closing many connections at once makes as many callers
-// reconnect at once.
+// updateIdleTimeout adapts the idle timeout. A long timeout fills the connection table, which locks out new
+// callers; a short one makes callers reconnect, which takes cores from the runs. The runnable threads in
+// excess of the runs show how much reconnecting the server can afford. The timeout changes slowly, because a
+// connection keeps the timeout under which it became idle, and because closing many connections at the same
+// time makes as many callers reconnect at the same time.
 func (inst *Instance) updateIdleTimeout() {
 	control := &inst.idleTimeout
 	callerTimeout := inst.server.CallerIdleTimeout.Seconds(0)
@@ -53,7 +56,7 @@
 }
 
 // callersReturnWithin reports whether the average caller sends its next request within the timeout. Closing
-// its connection earlier only makes it reconnect.
+// its connection earlier would only make it reconnect.
 func (inst *Instance) callersReturnWithin(timeout time.Duration) bool {
 	return inst.idleTimeout.requestsPerPeriod*timeout.Seconds() >
 		inst.server.CallerCount.Or(0)*periodLength.Seconds()
--- a/policy/idle_timeout_test.go
+++ b/policy/idle_timeout_test.go
@@ -23,7 +23,7 @@
 	inst.idleTimeout.gaugeSamples, inst.idleTimeout.connectionLoadSum = 25, 25/2 // half the target
 	inst.updateIdleTimeout()
 	host.expectCalls(t, 1, "idle timeout 3.1s")
-	// Callers send again before their connections would close.
+	// Callers send their next request before their own idle timeout.
 	inst.idleTimeout.gaugeSamples = 25
 	inst.idleTimeout.requestsPerPeriod = 100
 	inst.updateIdleTimeout()
--- a/policy/instance.go
+++ b/policy/instance.go
@@ -2,13 +2,13 @@
 // rejected.
 //
 // The host creates one Instance with New and calls a method for each event (Admit, RunEnded, CallRequested,
-// CallReturned, CallerGone, Drain, Tick; SetServer, SetClass and the like for changed settings). After all
-// events that it received together it calls Dispatch. An Instance carries out its decisions through the Host.
-// Times are durations since the server's start.
+// CallReturned, CallerGone, Drain, Tick; SetServer, SetClass, FreeClass, SetTenant and FreeTenant for changed
+// settings). After all events that it received at the same time, it calls Dispatch. The Instance carries out
+// its decisions through the Host interface. Times are durations since the server's start.
 //
 // The package does no I/O, reads no clock and starts no goroutine: the same events lead to the same
-// decisions. An Instance is not safe for concurrent use, and the Host's methods must not call it. Its tables
-// are bounded by the memory of the settings and by the ids that the host has in use.
+// decisions. An Instance is not safe for concurrent use, and the methods of the Host must not call it. The
+// size of its tables is bounded by the memory limit of the settings and by the ids that the host has in use.
 // Design: docs/design.md.
 package policy
 
@@ -19,7 +19,7 @@
 	"thymechute/policy/settings"
 )
 
-// Instance makes the decisions of one server.
+// Instance is the overload controller of one server.
 type Instance struct {
 	host    Host
 	random  randomSource
@@ -28,21 +28,21 @@
 
 	classes        []class
 	usedClasses    int // classes that are not free
-	firstUsedClass int
+	firstUsedClass int // lowest index in use; if none is, the index freed last
 
 	cores       int
-	canStopRuns bool // runs can be stopped
+	canStopRuns bool // the runtime can stop runs
 
 	requests    []request       // by RequestID
 	queue       []RequestID     // requests that wait for their start
 	running     int             // requests on the cores
-	keyExpiries []time.Duration // ends of the key entries
+	keyExpiries []time.Duration // expiry times of the key entries
 
 	memory      memoryUsage
 	concurrency concurrencyControl
 	calls       dependencyCalls
 	lag         lagSampler
-	isShedding  bool // lag has been over its threshold: each new request makes one be rejected
+	isShedding  bool // load shedding is on: with a backlog, each new request causes a rejection
 	advertised  advertisedLoad
 	idleTimeout idleTimeoutControl
 	health      healthState
@@ -51,16 +51,16 @@
 	nextTickAt  time.Duration
 
 	// Moving averages.
-	readDelay     float64 // seconds from a request's arrival to its reading
-	rejectedShare float64 // of the requests read
-	retryShare    float64 // of the requests read, as marked by the callers
+	readDelay     float64 // seconds from the arrival of a request until it is read
+	rejectedShare float64 // share of rejected requests, 0 to 1
+	retryShare    float64 // share of requests marked as retries by their callers, 0 to 1
 
-	lastLoggedCongested bool
+	lastLoggedCongested bool // read congestion state in the last log line
 }
 
-// New returns the instance of a server that has just started. The seed determines its random decisions.
-// Classes and tenants are identified by their index in the settings; without any class there is one with all
-// settings missing.
+// New returns the Instance of a server that has just started. The seed determines its random decisions.
+// Classes and tenants are identified by their index in the settings. If the settings have no classes, there
+// is one class with default settings.
 func New(host Host, seed uint64, s settings.Settings) *Instance {
 	inst := &Instance{host: host, random: newRandomSource(seed), nextTickAt: tickInterval}
 	inst.drain = drainDeadlines{acceptUntil: never, stopAt: never}
--- a/policy/lag.go
+++ b/policy/lag.go
@@ -8,29 +8,28 @@
 
 const (
 	// dampeningPeriods is the number of consecutive periods after which load shedding starts or the health
-	// changes, so that a single burst does neither.
+	// changes, so that a single burst causes neither.
 	dampeningPeriods = 2
-	// lagObjectiveFraction is the part of the latency objective that a request may take before its latency counts
-	// as lag.
+	// lagObjectiveFraction is the latency that the lag threshold allows, as a fraction of the latency objective.
 	lagObjectiveFraction = 0.4
-	// minLagThreshold is the least lag threshold, so that under short objectives not every wait leads to load
-	// shedding.
+	// minLagThreshold is the minimum lag threshold. It prevents short latency objectives from making every wait
+	// trigger load shedding.
 	minLagThreshold = 0.5
-	// baseLatencyDrift is the part of the difference to the recent run time by which a base latency moves in a
-	// period.
+	// baseLatencyDrift is the fraction of the difference to the average run time by which a base latency moves
+	// per period.
 	baseLatencyDrift = 0.003
 )
 
 // lagSampler measures lag: the mean ratio of latency to base latency, minus 1, of the requests started in the
-// last two periods. Latency is the time in the queue and of the run, without calls.
+// last two periods. Latency is the queue time plus the run time without calls.
 type lagSampler struct {
-	// ratioSums and ratioCounts cover the runs that have ended. Index 0 is for those started in the current
-	// period, index 1 for those of the previous one.
+	// ratioSums and ratioCounts cover the runs that have ended: those started in the current period at index
+	// 0, those started in the previous period at index 1.
 	ratioSums            [2]float64
 	ratioCounts          [2]float64
-	current              float64 // latest lag; 0: no delay
+	current              float64 // most recent lag; 0: no delay
 	threshold            float64 // lag above which load is shed
-	samplesOverThreshold int     // consecutive samples over the threshold
+	samplesOverThreshold int     // number of consecutive samples over the threshold
 	nextSampleAt         time.Duration
 }
 
@@ -40,14 +39,14 @@
 	s.ratioCounts = [2]float64{}
 }
 
-// beginPeriod starts a period: the samples of the current one become those of the previous one.
+// beginPeriod starts a period: the samples of the current period become those of the previous one.
 func (s *lagSampler) beginPeriod() {
 	s.ratioSums = [2]float64{0, s.ratioSums[0]}
 	s.ratioCounts = [2]float64{0, s.ratioCounts[0]}
 }
 
-// sampleLatency adds the latency of a run that ends to the period of its start. Runs started before the
-// previous period are left out.
+// sampleLatency adds the latency of a run that ends to the samples of the period in which it started. Runs
+// started before the previous period are ignored.
 func (inst *Instance) sampleLatency(now time.Duration, req *request) {
 	age := int((inst.lag.nextSampleAt - req.startedAt - 1) / periodLength)
 	if age < len(inst.lag.ratioSums) {
@@ -56,8 +55,8 @@
 	}
 }
 
-// latencyRatio returns the ratio of the request's latency so far to the base latency of its class. The run
-// counts as at least the base latency.
+// latencyRatio returns the ratio of the request's latency so far to the base latency of its class. A run
+// shorter than the base latency counts as that long.
 func (inst *Instance) latencyRatio(now time.Duration, req *request) float64 {
 	base := inst.classes[req.Class].baseLatency
 	run := now - req.startedAt - req.callTime
@@ -67,9 +66,9 @@
 	return (req.queueDelay.Seconds() + max(run.Seconds(), base)) / base
 }
 
-// updateLag measures lag. Requests that still run count with their latency so far. Requests queued for longer
-// than a period count too: valuable requests start at once, and the started ones alone would not show that
-// the others starve.
+// updateLag measures lag. Runs that have not ended count with their latency so far. Requests queued for
+// longer than a period count too: requests with a high value density start at once, so the started requests
+// alone would not show that the others starve.
 func (inst *Instance) updateLag(now time.Duration) {
 	sum := inst.lag.ratioSums[0] + inst.lag.ratioSums[1]
 	count := inst.lag.ratioCounts[0] + inst.lag.ratioCounts[1]
@@ -88,8 +87,8 @@
 	inst.lag.beginPeriod()
 }
 
-// updateLagThreshold sets the threshold to the mean over the classes of the allowed ratio of latency to base
-// latency, minus 1, and moves the base latencies toward the recent run times.
+// updateLagThreshold sets the threshold to the allowed ratio of latency to base latency, averaged over the
+// classes, minus 1. It also moves the base latencies toward the average run times.
 func (inst *Instance) updateLagThreshold() {
 	threshold := -1.0
 	for index := range inst.classes {
@@ -105,7 +104,7 @@
 }
 
 // updateLoadShedding starts load shedding after dampeningPeriods consecutive samples over the threshold, and
-// ends it after one sample that is not.
+// ends it at the first sample that is not over it.
 func (inst *Instance) updateLoadShedding() {
 	inst.lag.samplesOverThreshold++
 	if inst.lag.current <= inst.lag.threshold {
--- a/policy/lag_test.go
+++ b/policy/lag_test.go
@@ -9,7 +9,7 @@
 	inst, _ := newTestInstance(nil)
 	for n := range dampeningPeriods {
 		if inst.isShedding {
-			t.Fatalf("load shedding on after %d crossings", n)
+			t.Fatalf("load shedding is on after %d samples over the threshold", n)
 		}
 		inst.lag.ratioSums[0] = 140
 		inst.lag.ratioCounts[0] = 10
@@ -18,7 +18,7 @@
 		inst.lag.ratioCounts = [2]float64{}
 	}
 	if !inst.isShedding {
-		t.Error("load shedding still off")
+		t.Error("load shedding is still off")
 	}
 }
 
@@ -28,7 +28,7 @@
 	inst.classes[0].baseLatency = 0.1
 	inst.endPeriod(400 * ms)
 	if inst.lag.current < 2.9 || inst.lag.current > 3.1 {
-		t.Errorf("lag %v, want 3: two runs of 400 ms so far over 100", inst.lag.current)
+		t.Errorf("lag %v, want 3: two runs of 400 ms so far over a base latency of 100 ms", inst.lag.current)
 	}
 }
 
@@ -38,7 +38,7 @@
 	inst.lag.ratioCounts[0] = 2
 	inst.Tick(700*ms, Gauges{Busy: -1})
 	if inst.lag.ratioCounts[0] != 0 || inst.lag.current != 0 {
-		t.Error("the sample lengthened by the stall was not discarded")
+		t.Error("the lag samples lengthened by the stall were not discarded")
 	}
 }
 
@@ -50,6 +50,6 @@
 	inst.requests[1].startedAt = -time.Hour
 	inst.endPeriod(600 * ms)
 	if inst.lag.current < 5.9 || inst.lag.current > 6.1 {
-		t.Errorf("lag %v, want 6: three queued for 600 ms over 100", inst.lag.current)
+		t.Errorf("lag %v, want 6: three requests queued for 600 ms over a base latency of 100 ms", inst.lag.current)
 	}
 }
--- a/policy/lists.go
+++ b/policy/lists.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// removeValue removes the first element that equals value. It changes the list in place and returns it.
+// removeValue removes the first element equal to value. It modifies the list in place and returns the result.
 func removeValue[T comparable](list []T, value T) []T {
 	if index := slices.Index(list, value); index >= 0 {
 		return slices.Delete(list, index, index+1)
@@ -13,7 +13,7 @@
 	return list
 }
 
-// removeExpired removes the times up to now. It changes the list in place and returns it.
+// removeExpired removes the expiry times up to now. It modifies the list in place and returns the result.
 func removeExpired(times []time.Duration, now time.Duration) []time.Duration {
 	return slices.DeleteFunc(times, func(expiresAt time.Duration) bool { return expiresAt <= now })
 }
--- a/policy/memory.go
+++ b/policy/memory.go
@@ -1,24 +1,25 @@
 package policy
 
-// maxMemoryUtilization is the part of the memory that is used at most.
+// maxMemoryUtilization is the maximum fraction of the memory that is used.
 const maxMemoryUtilization = 0.95
 
-// memoryUsage is the memory in use by requests and key entries, by their declared sizes.
+// memoryUsage accounts for the memory of requests and key entries, by their declared sizes.
 type memoryUsage struct {
 	usedKB           float64
 	capacityKB       float64
-	averageRequestKB float64 // moving average over the requests read
+	averageRequestKB float64 // moving average of the size of the requests read
 }
 
-// fits reports whether kb more kilobytes stay within the usable memory.
+// fits reports whether another kb kilobytes fit into the usable memory.
 func (m *memoryUsage) fits(kb float64) bool { return m.usedKB+kb <= maxMemoryUtilization*m.capacityKB }
 
-// runMemoryKB returns the memory in kB that a running request takes beyond that of the queued request.
+// runMemoryKB returns the memory in kB that a request needs while running, in addition to its memory while
+// queued.
 func (inst *Instance) runMemoryKB(requestKB float64) float64 {
 	return requestKB * (inst.server.RunMemoryFactor.Or(1) - 1)
 }
 
-// recalculateUsedMemory recalculates the used memory after a change of the settings that it depends on.
+// recalculateUsedMemory recalculates the used memory after a change of KeyEntryKB or RunMemoryFactor.
 func (inst *Instance) recalculateUsedMemory() {
 	inst.memory.usedKB = float64(len(inst.keyExpiries)) * inst.server.KeyEntryKB.Or(0)
 	for id := range inst.requests {
--- a/policy/period.go
+++ b/policy/period.go
@@ -2,31 +2,32 @@
 
 import "time"
 
-// periodLength is the time between two samples of lag. Controls that change slowly are updated at its end.
+// periodLength is the time between two samples of lag. Slowly changing controls are updated once per period.
 const periodLength = 500 * time.Millisecond
 
-// sharePastSamples is the number of past samples that the averages of the rejected and the retry share stand for.
+// sharePastSamples is the pastSamples argument of updateAverage for the averages of the rejected share and
+// the retry share.
 const sharePastSamples = 3
 
-// periodCounters count the events of a period.
+// periodCounters counts the events of the current period.
 type periodCounters struct {
-	callers               map[int]bool // callers of requests read
-	read                  int
-	retries               int // requests read that are marked as retries
-	rejected              int
-	rejectedOverThreshold int // those of at least the advertised priority threshold
-	completed             int // runs that ended with OK
-	backlogTicks          int // ticks with a backlog
+	callers               map[int]bool // callers of the requests read
+	read                  int          // requests read
+	retries               int          // requests read that are marked as retries
+	rejected              int          // requests rejected
+	rejectedOverThreshold int          // rejected requests with a priority of at least the shed threshold
+	completed             int          // runs that ended with OK
+	backlogTicks          int          // ticks with a backlog
 }
 
-// reset sets all counters to 0; it reuses the map.
+// reset sets all counters to 0. It reuses the map.
 func (c *periodCounters) reset() {
 	clear(c.callers)
 	*c = periodCounters{callers: c.callers}
 }
 
-// endPeriod measures lag and updates the controls that depend on it or on the period's counters. The order
-// matters: later controls use the results of earlier ones.
+// endPeriod measures lag, and updates the controls that depend on lag or on the counters of the period. The
+// order matters: later updates use the results of earlier ones.
 func (inst *Instance) endPeriod(now time.Duration) {
 	inst.updateLag(now)
 	inst.updateLagThreshold()
@@ -40,8 +41,7 @@
 	inst.period.reset()
 }
 
-// updateShares updates the averages of the shares of the requests read that are retries and that are
-// rejected.
+// updateShares updates the average shares of retries and of rejected requests among the requests read.
 func (inst *Instance) updateShares() {
 	counts := &inst.period
 	if counts.read == 0 {
--- a/policy/rejection.go
+++ b/policy/rejection.go
@@ -3,18 +3,18 @@
 import "time"
 
 const (
-	// minRetryAfterSeconds is the least Retry-After.
+	// minRetryAfterSeconds is the minimum Retry-After before jitter.
 	minRetryAfterSeconds = 0.05
-	// minRetryJitter is the least factor on the expected wait. Retry-After has jitter so that rejected callers
-	// don't retry at the same time.
+	// minRetryJitter is the minimum jitter factor on Retry-After. Jitter keeps rejected callers from retrying
+	// at the same time.
 	minRetryJitter = 0.75
-	// retryJitterRange is the width of the range of factors above minRetryJitter.
+	// retryJitterRange is the width of the range of jitter factors above minRetryJitter.
 	retryJitterRange = 0.5
-	// retryAfterWhileDraining is the Retry-After of a draining server, before the bound of the settings.
+	// retryAfterWhileDraining is the Retry-After of a draining server before it is limited to MaxRetryAfter.
 	retryAfterWhileDraining = time.Hour
 )
 
-// retryTarget says at which servers a retry of a rejected request may succeed.
+// retryTarget is the advice on where to retry a rejected request.
 type retryTarget int
 
 const (
@@ -22,7 +22,7 @@
 	retryOnSameServer
 )
 
-// reject answers and releases a request that has not run, with advice on when and where to retry.
+// reject rejects and releases a request that has not run. The answer advises when and where to retry.
 func (inst *Instance) reject(now time.Duration, id RequestID, target retryTarget) {
 	req := &inst.requests[id]
 	retryAfter := inst.retryAfter(now)
@@ -34,8 +34,8 @@
 	inst.release(id)
 }
 
-// retryAfter returns the expected time until the present backlog is served, or a longer one under read
-// congestion, with jitter and at most MaxRetryAfter. It is 0 if the settings turn Retry-After off.
+// retryAfter returns the expected time until the current backlog is served, or a longer time under read
+// congestion, with jitter and at most MaxRetryAfter. It is 0 if the settings disable Retry-After.
 func (inst *Instance) retryAfter(now time.Duration) time.Duration {
 	if inst.server.RetryAfter.Off() {
 		return 0
--- a/policy/request.go
+++ b/policy/request.go
@@ -7,36 +7,36 @@
 
 const (
 	untracked    requestState = iota // not admitted, or released
-	queued                           // waits for a start
-	running                          // on the cores, or waits for a disk
+	queued                           // waits to be started
+	running                          // on the cores or waiting for a disk
 	awaitingCall                     // waits for its call to be issued
 	calling                          // its call is in flight
 	coalesced                        // waits for the result of the request that it retries
 )
 
-// request is the record of a request until its release.
+// request is the state of a request until its release.
 type request struct {
 	Request
 	state           requestState
-	arrivedAt       time.Duration // at this machine, before it was read
-	deadline        time.Duration // its caller gives up or the server stops
-	usefulUntil     time.Duration // a later answer misses the latency objective
+	arrivedAt       time.Duration // when it arrived at this machine, before it was read
+	deadline        time.Duration // when its caller gives up or the server stops
+	usefulUntil     time.Duration // latest time of an answer that meets the latency objective
 	startedAt       time.Duration
 	queueDelay      time.Duration // from arrival to start
-	callTime        time.Duration // of finished calls, including the wait before they were issued
-	callRequestedAt time.Duration
-	keyExpiresAt    time.Duration // end of its key entry; 0: it has none
+	callTime        time.Duration // duration of finished calls, including the wait until they were issued
+	callRequestedAt time.Duration // when the run last requested a call
+	keyExpiresAt    time.Duration // when its key entry expires; 0: no entry
 	isAnswered      bool
 	hasStarted      bool
 	isOverQuota     bool // its tenant was over its quota at admission
 }
 
-// isExecuting reports whether the request was started and has not ended: it is on the cores or at a call.
+// isExecuting reports whether the request was started and has not ended: it is running or waits for a call.
 func (r *request) isExecuting() bool {
 	return r.state == running || r.state == awaitingCall || r.state == calling
 }
 
-// track adds the record of a request that has been read. The table grows to the largest id so far.
+// track adds a request that has been read to the request table, which grows to the largest id so far.
 func (inst *Instance) track(now time.Duration, id RequestID, arrived Request) *request {
 	missing := max(int(id)+1-len(inst.requests), 0)
 	inst.requests = append(inst.requests, make([]request, missing)...)
@@ -51,7 +51,7 @@
 	return tracked
 }
 
-// release removes a request from all tables. The key entry of a started request stays for its whole window.
+// release removes a request from all tables. The key entry of a started request remains until it expires.
 func (inst *Instance) release(id RequestID) {
 	req := &inst.requests[id]
 	if req.keyExpiresAt != 0 && !req.hasStarted {
--- a/policy/scenario_host_test.go
+++ b/policy/scenario_host_test.go
@@ -9,7 +9,8 @@
 	"thymechute/policy"
 )
 
-// A scenario is the policy.Host of its instance. Each method records its call, and schedules the events that follow from it.
+// scenario implements policy.Host for its instance. Each method records its call and schedules the events
+// that follow from it.
 
 func (s *scenario) Start(id policy.RequestID) {
 	s.record("start", int(id))
@@ -89,7 +90,7 @@
 func (s *scenario) Wake(at time.Duration) {
 	s.record("wake", at)
 	if s.chance(0.005) {
-		at += s.duration(400 * time.Millisecond) // a stall of the process
+		at += s.duration(400 * time.Millisecond) // simulates a stall of the process
 	}
 	s.at(at, func() {
 		gauges := policy.Gauges{Busy: -1, Runnable: -1}
--- a/policy/scenario_test.go
+++ b/policy/scenario_test.go
@@ -11,10 +11,10 @@
 	"thymechute/policy/settings"
 )
 
-// scenarioDuration is the time after which a scenario ends.
+// scenarioDuration is the simulated time after which a scenario ends.
 const scenarioDuration = 12 * time.Second
 
-// Values that the scenarios pick from; repeated ones are more likely.
+// Values that the scenarios choose from at random; repeated values are more likely.
 var (
 	dependencies = []settings.Dependency{
 		"", settings.DependencyShared, settings.DependencyShared, settings.DependencyTier,
@@ -30,7 +30,7 @@
 	}
 )
 
-// scenario is one server under random load: its host, its clock and the scheduled events.
+// scenario simulates one server under random load: its host, its clock and the scheduled events.
 type scenario struct {
 	random            *rand.Rand
 	instance          *policy.Instance
@@ -42,8 +42,8 @@
 	freeIDs           []policy.RequestID
 	nextID            policy.RequestID
 	settings          settings.Settings
-	load              float64 // approximate, relative to the capacity of the cores
-	slowdown          float64 // factor on the time of runs and calls
+	load              float64 // approximate load, relative to the capacity of the cores
+	slowdown          float64 // factor on the duration of runs and calls
 	callFailureChance float64 // probability that a call fails
 	running           int
 }
@@ -51,7 +51,7 @@
 // request is the host's record of a request that has not been released.
 type request struct {
 	arrived    policy.Request
-	generation int // distinguishes it from earlier requests of the same id
+	generation int // distinguishes it from earlier requests with the same id
 	running    bool
 	atCall     bool
 	startedAt  time.Duration
@@ -156,7 +156,7 @@
 	return all
 }
 
-// admitRequests admits the next request, at times a burst, and schedules itself for the next one.
+// admitRequests admits one request or sometimes a burst, and schedules itself again.
 func (s *scenario) admitRequests() {
 	burst := 1
 	if s.chance(0.05) {
@@ -170,7 +170,7 @@
 	s.at(s.now+s.duration(time.Duration(gap*float64(time.Second))), s.admitRequests)
 }
 
-// admitRandomRequest admits a request under a free id. Some callers give up later.
+// admitRandomRequest admits a random request under a free id. Some callers give up later.
 func (s *scenario) admitRandomRequest() {
 	arrived := s.randomRequest()
 	id := s.allocateID()
@@ -216,7 +216,7 @@
 	return arrived
 }
 
-// makeRetryOf makes the request a retry of the original, if that is in flight and its class is valid.
+// makeRetryOf makes the request a retry of the original if that is not released and its class is valid.
 func (s *scenario) makeRetryOf(arrived *policy.Request, original policy.RequestID) {
 	r := s.requests[original]
 	if r != nil && r.arrived.Class >= 0 && r.arrived.Class < 90 {
@@ -225,7 +225,7 @@
 	}
 }
 
-// allocateID returns a free id.
+// allocateID returns a released id, or a new one if there is none.
 func (s *scenario) allocateID() policy.RequestID {
 	if last := len(s.freeIDs) - 1; last >= 0 {
 		id := s.freeIDs[last]
@@ -236,7 +236,8 @@
 	return s.nextID - 1
 }
 
-// changeConditions changes the load, the failures of calls, or the settings.
+// changeConditions randomly changes the load, the duration of runs, the failures of calls or the settings,
+// and schedules itself again.
 func (s *scenario) changeConditions() {
 	switch s.random.IntN(8) {
 	case 0:
@@ -261,7 +262,7 @@
 	case 5:
 		s.load = pick(s, 0.1, 0.3, 0.7, 1, 2, 4)
 	case 6:
-		if s.nextID > 0 { // late events of any request, also of one that has been released
+		if s.nextID > 0 { // late events of any request, even of a released one
 			id := policy.RequestID(s.random.IntN(int(s.nextID)))
 			s.instance.CallReturned(s.now, id, policy.OK, 0)
 			s.instance.RunEnded(s.now, id, policy.OK, 0)
@@ -277,7 +278,7 @@
 
 func (s *scenario) drain() { s.instance.Drain(s.now, s.duration(3*time.Second)) }
 
-// continueRun schedules the run's next call or its end.
+// continueRun schedules the next call of the run or its end.
 func (s *scenario) continueRun(id policy.RequestID) {
 	delay := time.Duration(s.slowdown * float64(s.duration(80*time.Millisecond)))
 	if s.chance(0.03) {
@@ -322,7 +323,8 @@
 	})
 }
 
-// event is due at a time; events of the same time run in the order in which they were scheduled.
+// event is an action at a simulated time. Events at the same time run in the order in which they were
+// scheduled.
 type event struct {
 	at       time.Duration
 	sequence int
--- a/policy/settings.go
+++ b/policy/settings.go
@@ -8,18 +8,18 @@
 )
 
 const (
-	// maxCores bounds the number of cores; a larger setting counts as this.
+	// maxCores is the maximum number of cores; a larger setting is reduced to it.
 	maxCores = 4096
-	// defaultMemoryKB is the memory if the settings give none.
+	// defaultMemoryKB is the memory capacity if the settings give none.
 	defaultMemoryKB = 1e6
 )
 
-// SetServer puts changed server settings in force. Deadlines and key entries stay as they were; the used
-// memory is recalculated.
+// SetServer applies changed server settings. Existing deadlines and key entries are retained; the used memory
+// is recalculated.
 func (inst *Instance) SetServer(s settings.Server) {
 	inst.configureServer(s)
 	inst.recalculateUsedMemory()
-	// The form of both values may have changed, so both are sent to the host again.
+	// The advertise mode and the callers' idle timeout may have changed, so both values are sent again.
 	inst.advertised.lastLoad = math.Inf(1)
 	inst.idleTimeout.current = 0
 }
@@ -32,8 +32,8 @@
 	inst.calls.quota = callQuotaOf(s, inst.cores)
 }
 
-// SetClass puts the settings of the class with this index in force. The index must be in use, free or the
-// next new one. The estimates of a class in use are retained.
+// SetClass applies the settings of the class with this index. The index must be in use, free, or equal to
+// the number of classes, which adds a class. The estimates of a class in use are retained.
 func (inst *Instance) SetClass(index int, s settings.Class) {
 	if index == len(inst.classes) {
 		inst.classes = append(inst.classes, class{isFree: true})
@@ -51,7 +51,7 @@
 	}
 }
 
-// FreeClass frees the index of a class; no request of it may be left.
+// FreeClass frees the index of a class. No request of the class may be left.
 func (inst *Instance) FreeClass(index int) {
 	inst.classes[index].isFree = true
 	inst.usedClasses--
@@ -60,11 +60,12 @@
 	}
 }
 
-// referenceClass returns the class whose latency objective stands for the whole server: the first one in use.
+// referenceClass returns the class whose latency objective and run time represent the whole server: the class
+// in use with the lowest index.
 func (inst *Instance) referenceClass() *class { return &inst.classes[inst.firstUsedClass] }
 
-// SetTenant sets the quota of the tenant with this index. The index must be in use, free or the next new one.
-// The tokens of a tenant in use are retained.
+// SetTenant sets the quota of the tenant with this index. The index must be in use, free, or equal to the
+// number of tenants, which adds a tenant. The tokens of a tenant in use are retained.
 func (inst *Instance) SetTenant(index int, s settings.Tenant) {
 	if index == len(inst.tenants) {
 		inst.tenants = append(inst.tenants, quota.NewTokenBucket())
@@ -72,5 +73,5 @@
 	inst.tenants[index].FleetRate = s.Quota.Or(0)
 }
 
-// FreeTenant frees the index of a tenant; no request of it may be left.
+// FreeTenant frees the index of a tenant. No request of the tenant may be left.
 func (inst *Instance) FreeTenant(index int) { inst.tenants[index] = quota.NewTokenBucket() }
--- a/policy/settings/delta_test.go
+++ b/policy/settings/delta_test.go
@@ -18,7 +18,8 @@
 	return list
 }
 
-// For any two lists the changes lead from one to the other and contain no unchanged resource.
+// Applying the delta of any two lists to the first gives the second, and the delta contains no unchanged
+// resource.
 func TestDeltaLeadsFromOneVersionToTheNext(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		previous := tenantsOf(t, "previous")
@@ -30,7 +31,7 @@
 		byName := func(list []Tenant) map[string]Number {
 			m := map[string]Number{}
 			for _, tenant := range list {
-				if tenant.Name != "" { // can't be referred to
+				if tenant.Name != "" { // no request can refer to a tenant without a name
 					m[tenant.Name] = tenant.Quota
 				}
 			}
@@ -40,21 +41,21 @@
 		want := byName(next)
 		for _, name := range d.Tenants.Removed {
 			if _, ok := got[name]; !ok {
-				t.Fatalf("%q removed, and did not exist", name)
+				t.Fatalf("removed tenant %q is not in the previous settings", name)
 			}
 			delete(got, name)
 		}
 		for _, tenant := range d.Tenants.Set {
 			if old, ok := got[tenant.Name]; ok && old == tenant.Quota {
-				t.Fatalf("%q named, and is equal", tenant.Name)
+				t.Fatalf("tenant %q is in the delta, but unchanged", tenant.Name)
 			}
 			got[tenant.Name] = tenant.Quota
 		}
 		if fmt.Sprint(got) != fmt.Sprint(want) {
-			t.Fatalf("%v, want %v", got, want)
+			t.Fatalf("previous settings with the delta applied: %v, want %v", got, want)
 		}
 		if d.IsEmpty() != (fmt.Sprint(byName(previous)) == fmt.Sprint(want)) {
-			t.Fatalf("empty: %v", d.IsEmpty())
+			t.Fatalf("IsEmpty returns %v", d.IsEmpty())
 		}
 	})
 }
@@ -63,10 +64,10 @@
 	a := Settings{Server: Server{Cores: NumberOf(1)}}
 	b := Settings{Server: Server{Cores: NumberOf(2)}}
 	if d, err := Compare(1, a, a, func() {}); err != nil || !d.IsEmpty() {
-		t.Errorf("%+v, %v", d, err)
+		t.Errorf("equal settings: delta %+v, error %v, want an empty delta", d, err)
 	}
 	if d, err := Compare(1, a, b, func() {}); err != nil || d.Server == nil || *d.Server != b.Server {
-		t.Errorf("%+v, %v", d, err)
+		t.Errorf("changed server: delta %+v, error %v, want the new server", d, err)
 	}
 }
 
@@ -77,7 +78,7 @@
 	_, err := Compare(1, of(NonIdempotent), of(Safe), func() {})
 	var changed *IdempotencyChangedError
 	if !errors.As(err, &changed) || *changed != (IdempotencyChangedError{"seal", NonIdempotent, Safe}) {
-		t.Errorf("%v", err)
+		t.Errorf("changed idempotency: error %v", err)
 	}
 	if _, err := Compare(1, of(""), of(Safe), func() {}); err != nil {
 		t.Error(err)
@@ -101,6 +102,6 @@
 		_, _ = Compare(1, Settings{Tenants: previous}, Settings{Tenants: next}, func() {})
 	})
 	if allocations > 20 {
-		t.Errorf("%v allocations", allocations)
+		t.Errorf("%v allocations, want at most 20", allocations)
 	}
 }
--- a/policy/settings/values.go
+++ b/policy/settings/values.go
@@ -5,16 +5,16 @@
 	"time"
 )
 
-// maxSeconds is the longest duration, so that each fits a time.Duration; a longer one is reduced to it.
+// maxSeconds is the maximum duration; a longer one is reduced to it. It fits into a time.Duration.
 const maxSeconds = 1e9
 
-// Number is a finite number of at least 0, or missing. The zero value is missing.
+// Number is a finite non-negative number, or missing. The zero value is missing.
 type Number struct {
 	value float64
 	isSet bool
 }
 
-// NumberOf returns x as a Number; it is missing if x is negative, infinite or not a number.
+// NumberOf returns x as a Number, which is missing if x is negative, infinite or not a number.
 func NumberOf(x float64) Number {
 	if x >= 0 && !math.IsInf(x, 0) {
 		return Number{x, true}
@@ -46,7 +46,7 @@
 	True
 )
 
-// FlagOf returns True or False for the value.
+// FlagOf converts a bool to a Flag.
 func FlagOf(value bool) Flag {
 	if value {
 		return True
@@ -54,8 +54,8 @@
 	return False
 }
 
-// On reports whether the flag is true. A missing one is neither on nor off.
+// On reports whether the flag is True. A missing flag is neither on nor off.
 func (f Flag) On() bool { return f == True }
 
-// Off reports whether the flag is false. A missing one is neither on nor off.
+// Off reports whether the flag is False. A missing flag is neither on nor off.
 func (f Flag) Off() bool { return f == False }
--- a/policy/settings_test.go
+++ b/policy/settings_test.go
@@ -48,24 +48,24 @@
 	}
 	if inst.memory.usedKB != 8*10+10+30 || inst.calls.quota != 0.5 ||
 		len(inst.classes) != 4 || !inst.classes[3].isIdempotent {
-		t.Errorf("memory %v, quota %v, %d classes", inst.memory.usedKB, inst.calls.quota, len(inst.classes))
+		t.Errorf("%v kB in use, call quota %v, %d classes", inst.memory.usedKB, inst.calls.quota, len(inst.classes))
 	}
 	if class := inst.classes[1]; class.weight != 7 || class.baseLatency != previousClass.baseLatency ||
 		!class.isIdempotent {
-		t.Errorf("%+v, was %+v", class, previousClass)
+		t.Errorf("changed class %+v, was %+v", class, previousClass)
 	}
-	updateHealthWith(inst, 1, 0) // EndpointsFollowHealth is off now, so it becomes healthy
+	updateHealthWith(inst, 1, 0) // EndpointsFollowHealth is off now, so the server becomes healthy
 	updateHealthWith(inst, 1, 0)
 	host.expectCalls(t, 2, "health true")
 	inst.Tick(40*ms, Gauges{Busy: -1})
-	host.expectCalls(t, 1, "advertise") // once more, in the new form
+	host.expectCalls(t, 1, "advertise") // advertised again, in the new form
 	inst.RunEnded(50*ms, 0, OK, 50*ms)
 	inst.Dispatch(50 * ms)
 	inst.RunEnded(90*ms, 1, OK, 40*ms)
 	inst.Tick(11*time.Second, Gauges{Busy: -1})
 	inst.SetServer(original)
 	if inst.memory.usedKB != 0 || len(inst.keyExpiries) != 0 {
-		t.Errorf("memory %v, %d key entries left", inst.memory.usedKB, len(inst.keyExpiries))
+		t.Errorf("%v kB and %d key entries left", inst.memory.usedKB, len(inst.keyExpiries))
 	}
 }
 
@@ -125,7 +125,7 @@
 	}
 }
 
-// The quota holds for every tenant, including the last one of settings.MaxTenants.
+// The quota is enforced for every tenant, including the last one of settings.MaxTenants.
 func TestLastOfManyTenantsHasItsQuota(t *testing.T) {
 	for _, last := range []int{0, 10_000, 60_000, settings.MaxTenants - 1} { // indices
 		inst, host := newTestInstance(func(s *settings.Settings) {
@@ -143,7 +143,7 @@
 			}
 		}
 		if overQuota != 2 {
-			t.Errorf("tenant %d: %d of 10 beyond its quota, want 2: %q", last, overQuota, host.calls)
+			t.Errorf("tenant %d: %d of 10 requests over its quota, want 2: %q", last, overQuota, host.calls)
 		}
 	}
 }
@@ -156,12 +156,12 @@
 	}
 	inst.SetTenant(0, settings.Tenant{Quota: settings.NumberOf(0.002)})
 	if inst.tenants[0].Allow(0, 1) {
-		t.Error("a changed quota filled the bucket")
+		t.Error("a change of the quota refilled the bucket")
 	}
 	inst.FreeTenant(0)
 	inst.SetTenant(0, settings.Tenant{Quota: settings.NumberOf(0.001)})
 	if !inst.tenants[0].Allow(0, 1) {
-		t.Error("the next tenant found the bucket empty")
+		t.Error("the bucket of the next tenant is not full")
 	}
 }
 
@@ -178,17 +178,17 @@
 	first.runEstimates = updated
 	inst.SetClass(0, settings.Class{Idempotency: settings.Safe, LatencyObjective: settings.NumberOf(2)})
 	if first.runEstimates != updated {
-		t.Errorf("a changed class lost what was learned: %+v", first)
+		t.Errorf("a change of the settings changed the estimates of the class: %+v", first)
 	}
 	inst.FreeClass(0)
 	inst.SetClass(0, class)
 	if first.runEstimates != initial || first.runTimePerHint != 0 ||
 		first.completedRuns != 0 || first.weight != 3 {
-		t.Errorf("%+v, want as new", first)
+		t.Errorf("class at a freed index %+v, want the initial estimates", first)
 	}
 }
 
-// A freed class does not count in the lag threshold and is not the reference class.
+// A freed class is not included in the lag threshold and is not the reference class.
 func TestFreedClassIsIgnored(t *testing.T) {
 	inst, _ := newTestInstance(func(s *settings.Settings) {
 		for n, objective := range []float64{1, 2, 8} {
@@ -223,7 +223,8 @@
 		reference := inst.referenceClass().latencyObjective
 		isClose := got >= step.lagThreshold-1e-6 && got <= step.lagThreshold+1e-6
 		if !isClose || reference != time.Duration(step.reference*1e9) {
-			t.Errorf("limit %v, want %v; reference %v, want %v s", got, step.lagThreshold, reference, step.reference)
+			t.Errorf("lag threshold %v, want %v; latency objective of the reference class %v, want %v s",
+				got, step.lagThreshold, reference, step.reference)
 		}
 	}
 }
--- a/policy/tick.go
+++ b/policy/tick.go
@@ -5,11 +5,11 @@
 const (
 	// tickInterval is the time between two ticks.
 	tickInterval = 20 * time.Millisecond
-	// minStall is the delay of a tick above which the whole process is assumed to have been stalled.
+	// minStall is the delay of a tick above which the whole process is assumed to have stalled.
 	minStall = 100 * time.Millisecond
 )
 
-// Tick is called at the time requested through Host.Wake, every tickInterval. It answers expired requests,
+// Tick is called every tickInterval, at the time requested through Host.Wake. It answers expired requests,
 // updates the controls with the gauges, and ends the period when it is over.
 func (inst *Instance) Tick(now time.Duration, gauges Gauges) {
 	inst.discardLagAfterStall(now)
@@ -31,8 +31,8 @@
 	}
 }
 
-// discardLagAfterStall discards the lag samples if the process was stalled since the last tick, as the stall
-// has lengthened all latencies and is not load.
+// discardLagAfterStall discards the lag samples if the process has stalled since the last tick. The stall
+// lengthened all latencies, but was not caused by load.
 func (inst *Instance) discardLagAfterStall(now time.Duration) {
 	if now-inst.nextTickAt > minStall {
 		inst.lag.discard()
