--- a/policy/decisions_test.go
+++ b/policy/decisions_test.go
@@ -30,7 +30,7 @@
 	}
 	var got strings.Builder
 	for seed := range uint64(scenarioCount) {
-		transcript := playScenario(seed)
+		transcript := runScenario(seed)
 		fmt.Fprintf(&got, "%d %d %x\n", seed, strings.Count(transcript, "\n"), sha256.Sum256([]byte(transcript)))
 		if *decisionsDir != "" {
 			path := filepath.Join(*decisionsDir, fmt.Sprintf("%d.txt", seed))
--- a/policy/scenario_host_test.go
+++ b/policy/scenario_host_test.go
@@ -27,7 +27,7 @@
 
 func (s *scenario) Stop(id policy.RequestID) {
 	s.record("stop", int(id))
-	s.afterUnlessReleased(id, s.duration(5*time.Millisecond), func(r *request) {
+	s.afterUnlessReleased(id, s.randomDuration(5*time.Millisecond), func(r *request) {
 		if r.running {
 			s.endRun(id, r, policy.Cancelled)
 		}
@@ -42,7 +42,7 @@
 
 func (s *scenario) Call(id policy.RequestID, timeout time.Duration) {
 	s.record("call", int(id), timeout)
-	took := time.Duration(s.slowdown * float64(s.duration(100*time.Millisecond)))
+	took := time.Duration(s.slowdown * float64(s.randomDuration(100*time.Millisecond)))
 	outcome := policy.OK
 	if s.chance(s.callFailureChance) {
 		outcome = pick(s, failedCalls...)
@@ -52,7 +52,7 @@
 		outcome = policy.TimedOut
 	}
 	s.afterUnlessReleased(id, took, func(r *request) {
-		r.atCall = outcome != policy.OK
+		r.waitsForCall = outcome != policy.OK
 		s.instance.CallReturned(s.now, id, outcome, took)
 		if outcome == policy.OK {
 			s.continueRun(id)
@@ -62,7 +62,7 @@
 
 func (s *scenario) SkipCall(id policy.RequestID) {
 	s.record("skip call", int(id))
-	s.requests[id].atCall = false
+	s.requests[id].waitsForCall = false
 	s.continueRun(id)
 }
 
@@ -74,8 +74,8 @@
 
 func (s *scenario) Coalesce(id policy.RequestID) {
 	s.record("coalesce", int(id))
-	s.afterUnlessReleased(id, s.duration(300*time.Millisecond), func(*request) {
-		s.instance.RunEnded(s.now, id, policy.OK, s.duration(300*time.Millisecond))
+	s.afterUnlessReleased(id, s.randomDuration(300*time.Millisecond), func(*request) {
+		s.instance.RunEnded(s.now, id, policy.OK, s.randomDuration(300*time.Millisecond))
 	})
 }
 
@@ -90,9 +90,9 @@
 func (s *scenario) Wake(at time.Duration) {
 	s.record("wake", at)
 	if s.chance(0.005) {
-		at += s.duration(400 * time.Millisecond) // simulates a stall of the process
+		at += s.randomDuration(400 * time.Millisecond) // simulates a stall of the process
 	}
-	s.at(at, func() {
+	s.schedule(at, func() {
 		gauges := policy.Gauges{Busy: -1, Runnable: -1}
 		if !s.chance(0.1) {
 			gauges.Busy = s.random.Float64()
--- a/policy/scenario_test.go
+++ b/policy/scenario_test.go
@@ -37,7 +37,7 @@
 	transcript        strings.Builder
 	now               time.Duration
 	events            eventQueue
-	sequence          int
+	lastSequence      int
 	requests          map[policy.RequestID]*request
 	freeIDs           []policy.RequestID
 	nextID            policy.RequestID
@@ -50,16 +50,16 @@
 
 // request is the host's record of a request that has not been released.
 type request struct {
-	arrived    policy.Request
-	generation int // distinguishes it from earlier requests with the same id
-	running    bool
-	atCall     bool
-	startedAt  time.Duration
-	callsLeft  int
+	arrived      policy.Request
+	generation   int // distinguishes it from earlier requests with the same id
+	running      bool
+	waitsForCall bool
+	startedAt    time.Duration
+	callsLeft    int
 }
 
-// playScenario runs the scenario of a seed and returns the transcript of all host calls.
-func playScenario(seed uint64) string {
+// runScenario runs the scenario of a seed and returns the transcript of all host calls.
+func runScenario(seed uint64) string {
 	s := &scenario{
 		random:   rand.New(rand.NewPCG(seed, 43)),
 		requests: map[policy.RequestID]*request{},
@@ -68,10 +68,10 @@
 	s.load = pick(s, 0.1, 0.3, 0.7, 1, 2, 4)
 	s.settings = s.randomSettings()
 	s.instance = policy.New(s, s.random.Uint64(), s.settings)
-	s.at(0, s.admitRequests)
-	s.at(s.duration(2*time.Second), s.changeConditions)
+	s.schedule(0, s.admitRequests)
+	s.schedule(s.randomDuration(2*time.Second), s.changeConditions)
 	if s.chance(0.5) {
-		s.at(scenarioDuration-s.duration(4*time.Second), s.drain)
+		s.schedule(scenarioDuration-s.randomDuration(4*time.Second), s.drain)
 	}
 	for len(s.events) > 0 {
 		first := heap.Pop(&s.events).(event)
@@ -90,58 +90,58 @@
 
 func (s *scenario) chance(probability float64) bool { return s.random.Float64() < probability }
 
-func (s *scenario) duration(limit time.Duration) time.Duration {
+func (s *scenario) randomDuration(limit time.Duration) time.Duration {
 	return time.Duration(s.random.Float64() * float64(limit))
 }
 
-func (s *scenario) number(values ...float64) settings.Number {
+func (s *scenario) randomNumber(values ...float64) settings.Number {
 	if n := s.random.IntN(len(values) + 1); n < len(values) {
 		return settings.NumberOf(values[n])
 	}
 	return settings.Number{}
 }
 
-func (s *scenario) flag() settings.Flag { return settings.Flag(s.random.IntN(3)) }
+func (s *scenario) randomFlag() settings.Flag { return settings.Flag(s.random.IntN(3)) }
 
 func pick[T any](s *scenario, values ...T) T { return values[s.random.IntN(len(values))] }
 
 func (s *scenario) randomServer() settings.Server {
 	return settings.Server{
-		Cores:                 s.number(1, 2, 4, 8),
-		MemoryKB:              s.number(300, 1000, 5000, 1e6),
-		RunMemoryFactor:       s.number(1, 2, 4),
-		KeyEntryKB:            s.number(0, 5, 20),
+		Cores:                 s.randomNumber(1, 2, 4, 8),
+		MemoryKB:              s.randomNumber(300, 1000, 5000, 1e6),
+		RunMemoryFactor:       s.randomNumber(1, 2, 4),
+		KeyEntryKB:            s.randomNumber(0, 5, 20),
 		StopMode:              pick(s, "", settings.StopOff, settings.StopAbort, settings.StopSuspend),
 		Dependency:            pick(s, dependencies...),
-		CallQuota:             s.number(0.3, 0.9, 1.7, 3, 10),
-		CallLinger:            s.number(0, 0.2, 1),
-		CallQuotaWindow:       s.number(1, 5),
+		CallQuota:             s.randomNumber(0.3, 0.9, 1.7, 3, 10),
+		CallLinger:            s.randomNumber(0, 0.2, 1),
+		CallQuotaWindow:       s.randomNumber(1, 5),
 		AdvertiseMode:         pick(s, advertiseModes...),
-		CallerCount:           s.number(3, 100, 1000),
-		CallerIdleTimeout:     s.number(1, 30),
-		EndpointsFollowHealth: s.flag(),
-		FleetSize:             s.number(1, 3, 10),
-		OverQuotaWeight:       s.number(0.05, 0.5),
-		WeightPerWork:         s.flag(),
-		RetryAfter:            s.flag(),
-		MaxRetryAfter:         s.number(1, 5),
-		SlowStart:             s.flag(),
-		SlowStartFraction:     s.number(0.2, 0.5),
-		WarmUpTime:            s.number(2, 6),
-		DrainGrace:            s.number(0.5, 1),
-		MaxConcurrencyPerCore: s.number(2, 4, 20),
+		CallerCount:           s.randomNumber(3, 100, 1000),
+		CallerIdleTimeout:     s.randomNumber(1, 30),
+		EndpointsFollowHealth: s.randomFlag(),
+		FleetSize:             s.randomNumber(1, 3, 10),
+		OverQuotaWeight:       s.randomNumber(0.05, 0.5),
+		WeightPerWork:         s.randomFlag(),
+		RetryAfter:            s.randomFlag(),
+		MaxRetryAfter:         s.randomNumber(1, 5),
+		SlowStart:             s.randomFlag(),
+		SlowStartFraction:     s.randomNumber(0.2, 0.5),
+		WarmUpTime:            s.randomNumber(2, 6),
+		DrainGrace:            s.randomNumber(0.5, 1),
+		MaxConcurrencyPerCore: s.randomNumber(2, 4, 20),
 	}
 }
 
 func (s *scenario) randomClass() settings.Class {
 	return settings.Class{
 		Idempotency:      pick(s, settings.Safe, settings.Idempotent, settings.NonIdempotent),
-		Weight:           s.number(1, 3, 10),
-		DegradedWeight:   s.number(0, 0.6, 0.6),
-		MakesCalls:       s.flag(),
-		LatencyObjective: s.number(0.5, 1, 2),
-		CallerTimeout:    s.number(1, 2, 3),
-		KeyWindow:        s.number(0.5, 2, 10),
+		Weight:           s.randomNumber(1, 3, 10),
+		DegradedWeight:   s.randomNumber(0, 0.6, 0.6),
+		MakesCalls:       s.randomFlag(),
+		LatencyObjective: s.randomNumber(0.5, 1, 2),
+		CallerTimeout:    s.randomNumber(1, 2, 3),
+		KeyWindow:        s.randomNumber(0.5, 2, 10),
 	}
 }
 
@@ -151,7 +151,7 @@
 		all.Classes = append(all.Classes, s.randomClass())
 	}
 	for range s.random.IntN(3) {
-		all.Tenants = append(all.Tenants, settings.Tenant{Quota: s.number(1, 10, 100)})
+		all.Tenants = append(all.Tenants, settings.Tenant{Quota: s.randomNumber(1, 10, 100)})
 	}
 	return all
 }
@@ -167,17 +167,19 @@
 	}
 	cores := s.settings.Server.Cores.Or(1)
 	gap := 0.06 / cores / s.load
-	s.at(s.now+s.duration(time.Duration(gap*float64(time.Second))), s.admitRequests)
+	s.schedule(s.now+s.randomDuration(time.Duration(gap*float64(time.Second))), s.admitRequests)
 }
 
 // admitRandomRequest admits a random request under a free id. Some callers give up later.
 func (s *scenario) admitRandomRequest() {
 	arrived := s.randomRequest()
 	id := s.allocateID()
-	s.sequence++
-	s.requests[id] = &request{arrived: arrived, generation: s.sequence, callsLeft: s.random.IntN(3)}
+	s.lastSequence++
+	s.requests[id] = &request{arrived: arrived, generation: s.lastSequence, callsLeft: s.random.IntN(3)}
 	if s.chance(0.05) {
-		s.afterUnlessReleased(id, s.duration(time.Second), func(*request) { s.instance.CallerGone(s.now, id) })
+		s.afterUnlessReleased(id, s.randomDuration(time.Second), func(*request) {
+			s.instance.CallerGone(s.now, id)
+		})
 	}
 	s.record("admit", int(id))
 	s.instance.Admit(s.now, id, arrived)
@@ -197,15 +199,15 @@
 		arrived.Class = pick(s, -1, 99)
 	}
 	if s.slowdown > 1 {
-		arrived.ReadDelay = s.duration(600 * time.Millisecond)
+		arrived.ReadDelay = s.randomDuration(600 * time.Millisecond)
 	} else if s.chance(0.2) {
-		arrived.ReadDelay = s.duration(100 * time.Millisecond)
+		arrived.ReadDelay = s.randomDuration(100 * time.Millisecond)
 	}
 	if s.chance(0.3) {
-		arrived.CallerTimeout = s.duration(2 * time.Second)
+		arrived.CallerTimeout = s.randomDuration(2 * time.Second)
 	}
 	if s.chance(0.3) {
-		arrived.CostHint = s.duration(300 * time.Millisecond)
+		arrived.CostHint = s.randomDuration(300 * time.Millisecond)
 	}
 	switch {
 	case s.chance(0.03):
@@ -270,27 +272,27 @@
 	case 7:
 		if len(s.settings.Tenants) > 0 {
 			s.instance.FreeTenant(0)
-			s.instance.SetTenant(0, settings.Tenant{Quota: s.number(1, 10)})
+			s.instance.SetTenant(0, settings.Tenant{Quota: s.randomNumber(1, 10)})
 		}
 	}
-	s.at(s.now+s.duration(time.Second), s.changeConditions)
+	s.schedule(s.now+s.randomDuration(time.Second), s.changeConditions)
 }
 
-func (s *scenario) drain() { s.instance.Drain(s.now, s.duration(3*time.Second)) }
+func (s *scenario) drain() { s.instance.Drain(s.now, s.randomDuration(3*time.Second)) }
 
 // continueRun schedules the next call of the run or its end.
 func (s *scenario) continueRun(id policy.RequestID) {
-	delay := time.Duration(s.slowdown * float64(s.duration(80*time.Millisecond)))
+	delay := time.Duration(s.slowdown * float64(s.randomDuration(80*time.Millisecond)))
 	if s.chance(0.03) {
 		delay += time.Second
 	}
 	s.afterUnlessReleased(id, delay, func(r *request) {
-		if !r.running || r.atCall {
+		if !r.running || r.waitsForCall {
 			return
 		}
 		if r.callsLeft > 0 {
 			r.callsLeft--
-			r.atCall = true
+			r.waitsForCall = true
 			s.instance.CallRequested(s.now, id)
 			return
 		}
@@ -308,15 +310,15 @@
 	fmt.Fprintln(&s.transcript, append([]any{int64(s.now), name}, arguments...)...)
 }
 
-func (s *scenario) at(when time.Duration, act func()) {
-	s.sequence++
-	heap.Push(&s.events, event{max(when, s.now), s.sequence, act})
+func (s *scenario) schedule(when time.Duration, act func()) {
+	s.lastSequence++
+	heap.Push(&s.events, event{max(when, s.now), s.lastSequence, act})
 }
 
 // afterUnlessReleased calls act after the delay, unless the request has been released by then.
 func (s *scenario) afterUnlessReleased(id policy.RequestID, delay time.Duration, act func(r *request)) {
 	generation := s.requests[id].generation
-	s.at(s.now+delay, func() {
+	s.schedule(s.now+delay, func() {
 		if r := s.requests[id]; r != nil && r.generation == generation {
 			act(r)
 		}
--- a/policy/settings/delta_test.go
+++ b/policy/settings/delta_test.go
@@ -78,7 +78,7 @@
 	_, err := Compare(1, of(NonIdempotent), of(Safe), func() {})
 	var changed *IdempotencyChangedError
 	if !errors.As(err, &changed) || *changed != (IdempotencyChangedError{"seal", NonIdempotent, Safe}) {
-		t.Errorf("changed idempotency: error %v", err)
+		t.Errorf("changed idempotency: error %v, want an IdempotencyChangedError", err)
 	}
 	if _, err := Compare(1, of(""), of(Safe), func() {}); err != nil {
 		t.Error(err)
