--- a/internal/decide/lease/elector.go
+++ b/internal/decide/lease/elector.go
@@ -22,13 +22,13 @@
 	member      string
 	incarnation uint64
 	seq         uint64
-	states      []dutyState // by position in the table's names
+	states      []electionState // by position in the table's names
 	isDraining  bool
 	isBehind    bool // it has not caught up with the log: a renewal may be among the entries to come
 }
 
-// dutyState is this member's own state of a duty, which is not replicated.
-type dutyState struct {
+// electionState is this member's own state of a duty, which is not replicated.
+type electionState struct {
 	lastRenewal   time.Duration // when it applied the last entry that renewed the lease
 	isHolder      bool
 	expiry        time.Duration // until when it may act, if it is the holder
@@ -43,7 +43,7 @@
 // counts as renewed just now. incarnation must differ from that of every earlier process of this member.
 func NewElector(h Host, table *Table, config Config, member string, incarnation uint64) *Elector {
 	return &Elector{host: h, table: table, config: config, member: member, incarnation: incarnation,
-		states: make([]dutyState, len(table.names)), isBehind: true}
+		states: make([]electionState, len(table.names)), isBehind: true}
 }
 
 // SetCaughtUp says that the member has applied all that the log held when it started: from now on, a missing renewal
@@ -122,7 +122,7 @@
 // Restore takes over a snapshot that replaced the entries so far. Its leases count as renewed just now.
 func (e *Elector) Restore(now time.Duration, t *Table) {
 	for n, name := range e.table.names {
-		if d, ok := t.At(name); ok {
+		if d, ok := t.Lookup(name); ok {
 			e.table.duties[n] = d
 		}
 		e.states[n].lastRenewal = now
--- a/internal/decide/lease/encoding_test.go
+++ b/internal/decide/lease/encoding_test.go
@@ -51,12 +51,12 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	ring, _ := decoded.At("ring")
-	want := lease.Duty{Holder: "m0#18f3a2b4c5000000", Incarnation: 1797900000000000001, Token: 1, RenewedIndex: 4, DecidedIndex: 5}
+	ring, _ := decoded.Lookup("ring")
+	want := lease.DutyState{Holder: "m0#18f3a2b4c5000000", Incarnation: 1797900000000000001, Token: 1, RenewedIndex: 4, DecidedIndex: 5}
 	if ring != want {
 		t.Errorf("ring %+v, want %+v", ring, want)
 	}
-	if roll, _ := decoded.At("roll"); roll != (lease.Duty{Token: 1, RenewedIndex: 8}) || decoded.Index() != 9 {
+	if roll, _ := decoded.Lookup("roll"); roll != (lease.DutyState{Token: 1, RenewedIndex: 8}) || decoded.Index() != 9 {
 		t.Errorf("roll %+v at index %d", roll, decoded.Index())
 	}
 	if again, err := decoded.Encode(); err != nil || !bytes.Equal(again, encoded) {
--- a/internal/decide/lease/errors.go
+++ b/internal/decide/lease/errors.go
@@ -7,11 +7,11 @@
 
 // The reasons for which a Table rejects a command.
 var (
-	ErrUnknownDuty = errors.New("unknown duty")
-	ErrOldIndex    = errors.New("index already applied")
-	ErrRenewed     = errors.New("lease renewed since it was observed")
-	ErrFenced      = errors.New("not the lease holder")
-	ErrUnknownKind = errors.New("unknown kind of command")
+	ErrUnknownDuty    = errors.New("unknown duty")
+	ErrOldIndex       = errors.New("index already applied")
+	ErrStaleClaim     = errors.New("lease renewed since it was observed")
+	ErrNotLeaseHolder = errors.New("not the lease holder")
+	ErrUnknownKind    = errors.New("unknown kind of command")
 )
 
 // ErrInvalidDuties is the error of a list of duties that is empty, too long, or names one twice.
--- a/internal/decide/lease/errors_test.go
+++ b/internal/decide/lease/errors_test.go
@@ -20,8 +20,8 @@
 	}{
 		{6, lease.Command{Kind: lease.Acquire, Duty: "roll"}, lease.ErrUnknownDuty},
 		{5, lease.Command{Kind: lease.Renew, Duty: "ring", Member: "a", Incarnation: 1, Token: 1}, lease.ErrOldIndex},
-		{6, lease.Command{Kind: lease.Acquire, Duty: "ring", Member: "b", ObservedIndex: 4}, lease.ErrRenewed},
-		{7, lease.Command{Kind: lease.Decide, Duty: "ring", Member: "a", Incarnation: 2, Token: 1}, lease.ErrFenced},
+		{6, lease.Command{Kind: lease.Acquire, Duty: "ring", Member: "b", ObservedIndex: 4}, lease.ErrStaleClaim},
+		{7, lease.Command{Kind: lease.Decide, Duty: "ring", Member: "a", Incarnation: 2, Token: 1}, lease.ErrNotLeaseHolder},
 		{8, lease.Command{Kind: lease.Kind(9), Duty: "ring", Member: "a", Incarnation: 1, Token: 1}, lease.ErrUnknownKind},
 	} {
 		outcome := table.Apply(c.index, c.command)
--- a/internal/decide/lease/exhaustive_test.go
+++ b/internal/decide/lease/exhaustive_test.go
@@ -29,7 +29,7 @@
 func (s searchState) observations() (next []searchState) {
 	for member := range searchMembers {
 		for n, duty := range searchDuties {
-			current, _ := s.table.At(duty)
+			current, _ := s.table.Lookup(duty)
 			if s.observed[member][n] == current.RenewedIndex {
 				continue
 			}
@@ -73,9 +73,9 @@
 	command := s.inFlight[position]
 	after = s.lose(position)
 	after.table = s.table.Copy()
-	dutyBefore, _ := s.table.At(command.Duty)
+	dutyBefore, _ := s.table.Lookup(command.Duty)
 	outcome := after.table.Apply(s.table.Index()+1, command)
-	dutyAfter, _ := after.table.At(command.Duty)
+	dutyAfter, _ := after.table.Lookup(command.Duty)
 	isAcquisition := command.Kind == lease.Acquire
 	if isAcquisition && outcome.Accepted {
 		member, duty := int(command.Member[0]-'0'), int(command.Duty[0]-'a')
--- a/internal/decide/lease/lease_test.go
+++ b/internal/decide/lease/lease_test.go
@@ -186,17 +186,17 @@
 func TestAnnouncementNeedsNoTokenAndLeavesLeaseUnchanged(t *testing.T) {
 	table, _ := lease.NewTable("a")
 	table.Apply(1, lease.Command{Kind: lease.Acquire, Duty: "a", Member: "x", Incarnation: 1})
-	before, _ := table.At("a")
+	before, _ := table.Lookup("a")
 	if o := table.Apply(2, lease.Command{Kind: lease.Announce, Duty: "a", Member: "y", Incarnation: 2}); !o.Accepted {
 		t.Errorf("%+v", o)
 	}
-	if after, _ := table.At("a"); after != before {
+	if after, _ := table.Lookup("a"); after != before {
 		t.Errorf("%+v became %+v", before, after)
 	}
 	b, _ := table.Encode()
 	if back, err := lease.Decode(b); err != nil || back.Index() != 2 {
 		t.Errorf("decoded: %v", err)
-	} else if d, _ := back.At("a"); d != before {
+	} else if d, _ := back.Lookup("a"); d != before {
 		t.Errorf("decoded %+v, encoded %+v", d, before)
 	}
 }
--- a/internal/decide/lease/snapshot.go
+++ b/internal/decide/lease/snapshot.go
@@ -9,13 +9,13 @@
 
 // tableSnapshot is the encoded form of a Table.
 type tableSnapshot struct {
-	Index  uint64          `json:"Index"`
-	Duties map[string]Duty `json:"Duties"`
+	Index  uint64               `json:"Index"`
+	Duties map[string]DutyState `json:"Duties"`
 }
 
 // Encode returns the table as JSON, for a snapshot. Equal tables encode to equal bytes.
 func (t *Table) Encode() ([]byte, error) {
-	s := tableSnapshot{Index: t.index, Duties: map[string]Duty{}}
+	s := tableSnapshot{Index: t.index, Duties: map[string]DutyState{}}
 	for n, name := range t.names {
 		s.Duties[name] = t.duties[n]
 	}
--- a/internal/decide/lease/table.go
+++ b/internal/decide/lease/table.go
@@ -6,8 +6,8 @@
 	"strconv"
 )
 
-// Duty is the replicated state of one duty.
-type Duty struct {
+// DutyState is the replicated state of one duty.
+type DutyState struct {
 	Holder       string `json:"Holder"` // empty if the lease was released or never acquired
 	Incarnation  uint64 `json:"Life"`
 	Token        uint64 `json:"Token"`   // fencing token of the last holder; 0 if the lease was never acquired
@@ -25,9 +25,9 @@
 // Table is the state machine of the log. It depends on the entries alone, so all replicas that applied the same entries
 // are equal. The zero value has no duties.
 type Table struct {
-	names  []string // sorted
-	duties []Duty   // by position in names
-	index  uint64   // of the last entry applied
+	names  []string    // sorted
+	duties []DutyState // by position in names
+	index  uint64      // of the last entry applied
 
 	isFencingDisabled bool // set by tests alone, to prove that their checks detect it
 }
@@ -39,17 +39,17 @@
 	if len(names) == 0 || len(names) > MaxDuties || hasDuplicates {
 		return nil, fmt.Errorf("%w: found %q, expected 1 to %d distinct names", ErrInvalidDuties, duties, MaxDuties)
 	}
-	return &Table{names: names, duties: make([]Duty, len(names))}, nil
+	return &Table{names: names, duties: make([]DutyState, len(names))}, nil
 }
 
 // Duties returns the names of the duties, sorted. The caller must not change the slice.
 func (t *Table) Duties() []string { return t.names }
 
-// At returns the state of a duty, and whether the table has it.
-func (t *Table) At(duty string) (Duty, bool) {
+// Lookup returns the state of a duty, and whether the table has it.
+func (t *Table) Lookup(duty string) (DutyState, bool) {
 	n, found := t.position(duty)
 	if !found {
-		return Duty{}, false
+		return DutyState{}, false
 	}
 	return t.duties[n], true
 }
@@ -87,7 +87,7 @@
 }
 
 // applyTo applies a command to its duty. It returns the reason if it rejects the command; the duty is unchanged then.
-func (t *Table) applyTo(d *Duty, index uint64, c Command) error {
+func (t *Table) applyTo(d *DutyState, index uint64, c Command) error {
 	switch c.Kind {
 	case Announce:
 		return nil
@@ -97,7 +97,7 @@
 	if !t.isFencingDisabled && !d.belongsTo(c) {
 		found := fmt.Sprintf("token %d of %q", c.Token, c.Member)
 		expected := fmt.Sprintf("token %d of %q", d.Token, d.Holder)
-		return &RejectedError{c.Duty, ErrFenced, found, expected}
+		return &RejectedError{c.Duty, ErrNotLeaseHolder, found, expected}
 	}
 	switch c.Kind {
 	case Renew:
@@ -115,17 +115,17 @@
 }
 
 // acquire is the compare-and-set of the lease: it makes the command's process the holder under the next token.
-func (d *Duty) acquire(index uint64, c Command) error {
+func (d *DutyState) acquire(index uint64, c Command) error {
 	if c.ObservedIndex != d.RenewedIndex {
 		found := strconv.FormatUint(c.ObservedIndex, 10)
 		expected := strconv.FormatUint(d.RenewedIndex, 10)
-		return &RejectedError{c.Duty, ErrRenewed, found, expected}
+		return &RejectedError{c.Duty, ErrStaleClaim, found, expected}
 	}
-	*d = Duty{Holder: c.Member, Incarnation: c.Incarnation, Token: d.Token + 1, RenewedIndex: index, DecidedIndex: d.DecidedIndex}
+	*d = DutyState{Holder: c.Member, Incarnation: c.Incarnation, Token: d.Token + 1, RenewedIndex: index, DecidedIndex: d.DecidedIndex}
 	return nil
 }
 
 // belongsTo reports whether a command is the present holder's own, under its present token.
-func (d *Duty) belongsTo(c Command) bool {
+func (d *DutyState) belongsTo(c Command) bool {
 	return c.Token == d.Token && c.Member == d.Holder && c.Incarnation == d.Incarnation
 }
--- a/internal/lab/emulator/configuration_log.go
+++ b/internal/lab/emulator/configuration_log.go
@@ -89,7 +89,7 @@
 			return
 		}
 		entry.change = &change
-		granted, _ := s.checker.table.At(configurationDuty)
+		granted, _ := s.checker.table.Lookup(configurationDuty)
 		entry.isStale = c.Token < granted.Token
 	}
 	s.log.entries = append(s.log.entries, entry)
--- a/internal/lab/emulator/lease.go
+++ b/internal/lab/emulator/lease.go
@@ -113,7 +113,7 @@
 	}
 	lowest := map[string]uint64{}
 	for _, duty := range s.duties {
-		state, _ := s.truth.At(duty)
+		state, _ := s.truth.Lookup(duty)
 		lowest[duty] = state.Token
 		if state.Holder == "" { // the last holder's token is stale too
 			lowest[duty]++
@@ -195,8 +195,8 @@
 		m.Paused, m.InboundCut = false, false
 		s.Deliver(m, len(s.log))
 		for _, duty := range s.duties {
-			own, _ := m.table.At(duty)
-			if first, _ := s.Members[0].table.At(duty); own != first {
+			own, _ := m.table.Lookup(duty)
+			if first, _ := s.Members[0].table.Lookup(duty); own != first {
 				s.Figures.DivergedTables++
 			}
 		}
--- a/internal/lab/emulator/lease_member.go
+++ b/internal/lab/emulator/lease_member.go
@@ -103,7 +103,7 @@
 // its last tokens, also when another member holds the lease by now.
 func (s *LeaseSim) ProposeStale(m *LeaseMember) {
 	for duty, token := range m.tokens {
-		if state, _ := s.truth.At(duty); state.Token > token {
+		if state, _ := s.truth.Lookup(duty); state.Token > token {
 			s.Figures.StaleProposed++
 			m.Propose(lease.Command{Kind: lease.Decide, Duty: duty, Member: m.Name, Incarnation: m.incarnation, Token: token, Body: "late"})
 		}
--- a/internal/lab/scale/decisions/lease.go
+++ b/internal/lab/scale/decisions/lease.go
@@ -83,7 +83,7 @@
 	elector := lease.NewElector(discardHost{}, table, leaseConfig, processName(0, 0), 1)
 	c.addTiming("owner_entry", "member", l.Size, func(n int) {
 		now := time.Duration(n) * time.Millisecond
-		state, _ := table.At(duties[0])
+		state, _ := table.Lookup(duties[0])
 		elector.Apply(now, table.Index()+1, lease.Command{Kind: lease.Acquire, Duty: duties[0], Member: processName(n, 0),
 			Incarnation: 1, ObservedIndex: state.RenewedIndex})
 		elector.Tick(now)
