--- a/internal/decide/lease/elector.go
+++ b/internal/decide/lease/elector.go
@@ -2,137 +2,142 @@
 
 import "time"
 
-// Host is what an Elector acts through. Its methods are called from within the Elector's own.
+// Host connects an Elector to the log and to the code that runs the duties. The Elector calls it synchronously from its
+// own methods.
 type Host interface {
-	// Propose hands a command to the log. It may be lost, or be applied much later; the Elector retries.
+	// Propose submits a command to the log. The command may be lost or applied much later; the Elector retries those
+	// that acquire, renew or release a lease.
 	Propose(c Command)
-	// LeaseAcquired is called when this member becomes the holder of a duty, with its fencing token.
+	// LeaseAcquired is called when this member becomes the lease holder of a duty, with its fencing token.
 	LeaseAcquired(duty string, token uint64)
-	// LeaseLost is called when this member ceases to be the holder: it must not begin any work of the duty.
+	// LeaseLost is called when this member stops being the lease holder: it must start no further work for the duty.
 	LeaseLost(duty string)
 }
 
-// Elector is one member's part in the election for each duty: it claims, renews and releases leases. It never issues a
-// command after its own lease has expired. All times are durations since its start, by the member's own clock. In its
-// methods n is the position of a duty in the table's names.
+// Elector claims, renews and releases leases for one member. After a lease has expired by the member's own clock, it
+// proposes no more commands as its holder. All times are durations since the Elector's start, measured by that clock.
+// A dutyPos parameter is a duty's position in Table.names.
 type Elector struct {
-	host        Host
-	table       *Table // this member's replica, as far as it has applied the log
-	config      Config
-	member      string
-	incarnation uint64
-	seq         uint64
-	states      []electionState // by position in the table's names
-	isDraining  bool
-	isBehind    bool // it has not caught up with the log: a renewal may be among the entries to come
+	host         Host
+	table        *Table // this member's replica, as far as it has applied the log
+	config       Config
+	member       string
+	incarnation  uint64
+	seq          uint64
+	states       []electionState // in the order of Table.names
+	isDraining   bool
+	isCatchingUp bool // entries from before the start are still to be applied; one of them may renew a lease
 }
 
-// electionState is this member's own state of a duty, which is not replicated.
+// electionState is this member's local view of one duty's lease. It is not replicated.
 type electionState struct {
-	lastRenewal   time.Duration // when it applied the last entry that renewed the lease
-	isHolder      bool
-	expiry        time.Duration // until when it may act, if it is the holder
-	pendingSeq    uint64        // of the pending proposal; 0 if there is none
-	proposedAt    time.Duration // when that was proposed
-	notBefore     time.Duration // earliest time of the next proposal
-	claimAt       time.Duration // when it claims the vacant lease; 0 if that is not scheduled
-	claimPosition int           // its position among the claimants, from 0
+	lastRenewal      time.Duration // when this member applied the last entry that acquired, renewed or released the lease
+	isHolder         bool
+	expiry           time.Duration // when this member must stop acting as the holder; valid while isHolder
+	pendingSeq       uint64        // Seq of the pending proposal; 0 if none is pending
+	proposedAt       time.Duration // when the last proposal was made
+	earliestProposal time.Duration // no proposal is made before this time
+	claimAt          time.Duration // when to claim the vacant lease; 0 if no claim is scheduled
+	claimPosition    int           // this member's place in the order of claimants, from 0
 }
 
-// NewElector returns the elector of a member that has just started. table is its replica, empty or from a snapshot, and
-// counts as renewed just now. incarnation must differ from that of every earlier process of this member.
+// NewElector returns the elector of a member that has just started. table is its replica, empty or decoded from a
+// snapshot. incarnation must differ from that of every earlier process of this member. The elector claims nothing until
+// SetCaughtUp is called.
 func NewElector(h Host, table *Table, config Config, member string, incarnation uint64) *Elector {
 	return &Elector{host: h, table: table, config: config, member: member, incarnation: incarnation,
-		states: make([]electionState, len(table.names)), isBehind: true}
+		states: make([]electionState, len(table.names)), isCatchingUp: true}
 }
 
-// SetCaughtUp says that the member has applied all that the log held when it started: from now on, a missing renewal
-// means that there was none. Calls after the first have no effect.
+// SetCaughtUp records that the member has applied all entries that the log held when it started. From then on it may
+// claim leases; to be safe, all of them count as renewed at this moment. Only the first call has an effect.
 func (e *Elector) SetCaughtUp(now time.Duration) {
-	if !e.isBehind {
+	if !e.isCatchingUp {
 		return
 	}
-	e.isBehind = false
-	for n := range e.states {
-		e.states[n].lastRenewal = now
+	e.isCatchingUp = false
+	for dutyPos := range e.states {
+		e.states[dutyPos].lastRenewal = now
 	}
 }
 
-// SetClaimPosition sets this member's position in the order in which members claim a vacant duty. If two members have the
-// same position, one claim is rejected, no more. Without positions all claim at once.
+// SetClaimPosition sets this member's place in the order in which members claim a vacant duty; the default is 0. Two
+// members may share a position: they claim at the same time, and the table rejects the later claim.
 func (e *Elector) SetClaimPosition(duty string, position int) {
-	if n, found := e.table.position(duty); found {
-		e.states[n].claimPosition = max(position, 0)
+	if dutyPos, found := e.table.position(duty); found {
+		e.states[dutyPos].claimPosition = max(position, 0)
 	}
 }
 
-// Apply applies the log's entry at index to the replica and returns the outcome. Whether to act on an accepted decision is
-// for the caller's Fence.
+// Apply applies the log entry at index to the replica and returns its outcome. The caller must ask its Fence before it
+// acts on an accepted decision.
 func (e *Elector) Apply(now time.Duration, index uint64, c Command) Outcome {
 	outcome := e.table.Apply(index, c)
-	n, found := e.table.position(c.Duty)
+	dutyPos, found := e.table.position(c.Duty)
 	if !found {
 		return outcome
 	}
-	s := &e.states[n]
+	s := &e.states[dutyPos]
 	isOwn := c.Member == e.member && c.Incarnation == e.incarnation
 	if isOwn && c.Seq == s.pendingSeq {
 		s.pendingSeq = 0
 		if outcome.Accepted && (c.Kind == Acquire || c.Kind == Renew) {
-			e.extend(now, n, s.proposedAt)
+			e.extend(now, dutyPos, s.proposedAt)
 		}
 	}
 	if outcome.Accepted && c.Kind != Decide && c.Kind != Announce {
 		s.lastRenewal = now
 	}
-	e.expire(now, n)
+	e.expire(now, dutyPos)
 	return outcome
 }
 
-// extend counts the lease from when its entry was proposed. An entry applied after that lease has expired grants nothing.
-func (e *Elector) extend(now time.Duration, n int, proposedAt time.Duration) {
-	s := &e.states[n]
+// extend starts or extends this member's lease after its own entry was applied. The lease runs from when the entry was
+// proposed; if it has expired by now, the entry grants nothing.
+func (e *Elector) extend(now time.Duration, dutyPos int, proposedAt time.Duration) {
+	s := &e.states[dutyPos]
 	expiry := proposedAt + e.config.holderTimeout()
-	if expiry <= now || !e.isTableHolder(n) {
+	if expiry <= now || !e.isHolderInTable(dutyPos) {
 		return
 	}
 	wasHolder := s.isHolder
 	s.isHolder = true
 	s.expiry = expiry
 	if !wasHolder {
-		e.host.LeaseAcquired(e.table.names[n], e.table.duties[n].Token)
+		e.host.LeaseAcquired(e.table.names[dutyPos], e.table.duties[dutyPos].Token)
 	}
 }
 
-// isTableHolder reports whether this process is the holder by the replica.
-func (e *Elector) isTableHolder(n int) bool {
-	d := e.table.duties[n]
+// isHolderInTable reports whether the replica names this process as the holder.
+func (e *Elector) isHolderInTable(dutyPos int) bool {
+	d := e.table.duties[dutyPos]
 	return d.Holder == e.member && d.Incarnation == e.incarnation
 }
 
-// expire gives up a lease that is over by the clock or by the table.
-func (e *Elector) expire(now time.Duration, n int) {
-	s := &e.states[n]
-	if s.isHolder && (now >= s.expiry || !e.isTableHolder(n)) {
+// expire gives up this member's lease if it has expired by the clock or the replica names another holder.
+func (e *Elector) expire(now time.Duration, dutyPos int) {
+	s := &e.states[dutyPos]
+	if s.isHolder && (now >= s.expiry || !e.isHolderInTable(dutyPos)) {
 		s.isHolder = false
-		e.host.LeaseLost(e.table.names[n])
+		e.host.LeaseLost(e.table.names[dutyPos])
 	}
 }
 
-// Restore takes over a snapshot that replaced the entries so far. Its leases count as renewed just now.
+// Restore replaces the replica's state by that of a decoded snapshot and drops all pending proposals. All leases count as
+// renewed at this moment.
 func (e *Elector) Restore(now time.Duration, t *Table) {
-	for n, name := range e.table.names {
+	for dutyPos, name := range e.table.names {
 		if d, ok := t.Lookup(name); ok {
-			e.table.duties[n] = d
+			e.table.duties[dutyPos] = d
 		}
-		e.states[n].lastRenewal = now
-		e.states[n].pendingSeq = 0
-		e.expire(now, n)
+		e.states[dutyPos].lastRenewal = now
+		e.states[dutyPos].pendingSeq = 0
+		e.expire(now, dutyPos)
 	}
 	e.table.index = max(e.table.index, t.index)
 }
 
-// LeaseCount returns the number of leases that this member holds.
+// LeaseCount returns the number of leases held by this member.
 func (e *Elector) LeaseCount() (count int) {
 	for _, s := range e.states {
 		if s.isHolder {
@@ -142,12 +147,12 @@
 	return count
 }
 
-// Token returns the fencing token of a duty, and whether this member is the duty's holder at this moment.
+// Token returns a duty's current fencing token, and whether this member is the lease holder at this moment.
 func (e *Elector) Token(now time.Duration, duty string) (token uint64, isHolder bool) {
-	n, found := e.table.position(duty)
+	dutyPos, found := e.table.position(duty)
 	if !found {
 		return 0, false
 	}
-	e.expire(now, n)
-	return e.table.duties[n].Token, e.states[n].isHolder
+	e.expire(now, dutyPos)
+	return e.table.duties[dutyPos].Token, e.states[dutyPos].isHolder
 }
--- a/internal/decide/lease/encoding_test.go
+++ b/internal/decide/lease/encoding_test.go
@@ -9,9 +9,10 @@
 	"thymechute/internal/testutil"
 )
 
-// The files of testdata were encoded by the build d489d24.
+// The files in testdata were written by commit d489d24. Logs and snapshots of that format must still be read, and written
+// byte for byte.
 
-// firstIndex is the index of the first entry of testdata/commands.jsonl.
+// firstIndex is the log index of the first command in testdata/commands.jsonl.
 const firstIndex = 3
 
 func TestCommandsOfFirstBuildRoundTrip(t *testing.T) {
--- a/internal/decide/lease/errors.go
+++ b/internal/decide/lease/errors.go
@@ -5,27 +5,27 @@
 	"fmt"
 )
 
-// The reasons for which a Table rejects a command.
+// The reasons for which a Table rejects a command. A RejectedError adds the duty and the values found and expected.
 var (
 	ErrUnknownDuty    = errors.New("unknown duty")
-	ErrOldIndex       = errors.New("index already applied")
-	ErrStaleClaim     = errors.New("lease renewed since it was observed")
-	ErrNotLeaseHolder = errors.New("not the lease holder")
-	ErrUnknownKind    = errors.New("unknown kind of command")
+	ErrOldIndex       = errors.New("log index already applied")
+	ErrStaleClaim     = errors.New("claim does not name the log index of the last renewal")
+	ErrNotLeaseHolder = errors.New("command is not from the lease holder")
+	ErrUnknownKind    = errors.New("unknown command kind")
 )
 
-// ErrInvalidDuties is the error of a list of duties that is empty, too long, or names one twice.
-var ErrInvalidDuties = errors.New("invalid duties")
+// ErrInvalidDuties is returned for a list of duties that is empty, too long, or contains a duplicate.
+var ErrInvalidDuties = errors.New("invalid list of duties")
 
-// ErrInvalidSnapshot is the error of bytes that Table.Encode did not produce.
-var ErrInvalidSnapshot = errors.New("invalid snapshot of a lease table")
+// ErrInvalidSnapshot is returned for data that Table.Encode did not produce.
+var ErrInvalidSnapshot = errors.New("invalid lease table snapshot")
 
-// RejectedError says why a Table rejected a command. It wraps one of the reasons above.
+// RejectedError describes why a Table rejected a command. It wraps one of the reasons above.
 type RejectedError struct {
-	Duty     string // of the command
-	Reason   error
-	Found    string // in the command
-	Expected string // by the table
+	Duty     string // named by the command
+	Reason   error  // one of the reasons above
+	Found    string // value in the command
+	Expected string // value that the table would accept
 }
 
 func (e *RejectedError) Error() string {
--- a/internal/decide/lease/errors_test.go
+++ b/internal/decide/lease/errors_test.go
@@ -31,9 +31,9 @@
 		}
 	}
 	if _, err := lease.NewTable("ring", "ring"); !errors.Is(err, lease.ErrInvalidDuties) {
-		t.Errorf("a duty twice: %v", err)
+		t.Errorf("duplicate duty: %v, want ErrInvalidDuties", err)
 	}
 	if _, err := lease.Decode([]byte("{")); !errors.Is(err, lease.ErrInvalidSnapshot) {
-		t.Errorf("a truncated snapshot: %v", err)
+		t.Errorf("truncated snapshot: %v, want ErrInvalidSnapshot", err)
 	}
 }
--- a/internal/decide/lease/exhaustive_test.go
+++ b/internal/decide/lease/exhaustive_test.go
@@ -10,22 +10,22 @@
 
 const (
 	searchMembers     = 3
-	searchMaxInFlight = 2 // commands that are proposed and neither applied nor lost
+	searchMaxInFlight = 2 // commands that are proposed but not yet applied or lost
 )
 
 var searchDuties = []string{"a", "b"}
 
-// searchState is one state of the exhaustive search: the log's table, what is in flight, and what each member knows.
+// searchState is one state of the exhaustive search: the table, the commands in flight, and what each member knows.
 type searchState struct {
 	table    *lease.Table
 	inFlight []lease.Command
-	tokens   [searchMembers][2]uint64 // by member and duty: the last token granted to it
-	observed [searchMembers][2]uint64 // by member and duty: the last renewal that it knows of
+	tokens   [searchMembers][2]uint64 // by member and duty: the last token granted to the member
+	observed [searchMembers][2]uint64 // by member and duty: the index of the last renewal that the member knows of
 }
 
 func (s searchState) key() string { return fmt.Sprint(*s.table, s.inFlight, s.tokens, s.observed) }
 
-// observations returns the states in which a member has learned of a renewal.
+// observations returns the successor states in which one member has learned of the last renewal of one duty.
 func (s searchState) observations() (next []searchState) {
 	for member := range searchMembers {
 		for n, duty := range searchDuties {
@@ -41,7 +41,7 @@
 	return next
 }
 
-// proposals returns the states in which a member has proposed one more command.
+// proposals returns the successor states in which one member has proposed one more command.
 func (s searchState) proposals() (next []searchState) {
 	if len(s.inFlight) >= searchMaxInFlight {
 		return nil
@@ -62,16 +62,17 @@
 	return next
 }
 
-// lose returns the state in which the command at a position in flight is lost.
-func (s searchState) lose(position int) searchState {
+// drop returns the successor state in which the command at a position in inFlight is lost.
+func (s searchState) drop(position int) searchState {
 	s.inFlight = slices.Delete(slices.Clone(s.inFlight), position, position+1)
 	return s
 }
 
-// commit returns the state in which the command at a position in flight is applied, and whether that broke fencing.
-func (s searchState) commit(position int) (after searchState, isFault bool) {
+// commit returns the successor state in which the command at a position in inFlight is applied, and whether that violates
+// fencing: the token went back, or a command of another process than the holder was accepted.
+func (s searchState) commit(position int) (after searchState, violatesFencing bool) {
 	command := s.inFlight[position]
-	after = s.lose(position)
+	after = s.drop(position)
 	after.table = s.table.Copy()
 	dutyBefore, _ := s.table.Lookup(command.Duty)
 	outcome := after.table.Apply(s.table.Index()+1, command)
@@ -81,48 +82,48 @@
 		member, duty := int(command.Member[0]-'0'), int(command.Duty[0]-'a')
 		after.tokens[member][duty] = dutyAfter.Token
 	}
-	isHolders := command.Token == dutyBefore.Token && command.Member == dutyBefore.Holder
-	isFault = dutyAfter.Token < dutyBefore.Token || outcome.Accepted && !isAcquisition && !isHolders
-	return after, isFault
+	isFromHolder := command.Token == dutyBefore.Token && command.Member == dutyBefore.Holder
+	violatesFencing = dutyAfter.Token < dutyBefore.Token || outcome.Accepted && !isAcquisition && !isFromHolder
+	return after, violatesFencing
 }
 
-// explore applies every order of three members' claims, renewals, decisions and releases of two duties, with any delay and
-// loss, to a depth, from an empty table. Lease times are left out, so that only fencing protects the table. It returns the number of states and
-// of faults found.
-func explore(table *lease.Table, depth int) (states, faults int) {
-	known := map[string]bool{}
-	level := []searchState{{table: table}}
+// explore searches breadth-first, up to a depth, all orders in which three members claim, renew, decide and release two
+// duties, with any delay or loss of commands. Lease times are not modelled, so only fencing protects the table. It returns
+// the number of states visited and of fencing violations found.
+func explore(table *lease.Table, depth int) (states, violations int) {
+	visited := map[string]bool{}
+	frontier := []searchState{{table: table}}
 	for range depth {
 		var next []searchState
 		add := func(candidates ...searchState) {
 			for _, s := range candidates {
-				if key := s.key(); !known[key] {
-					known[key] = true
+				if key := s.key(); !visited[key] {
+					visited[key] = true
 					next = append(next, s)
 				}
 			}
 		}
-		for _, s := range level {
+		for _, s := range frontier {
 			add(s.observations()...)
 			add(s.proposals()...)
 			for position := range s.inFlight {
-				after, isFault := s.commit(position)
-				if isFault {
-					faults++
+				after, violatesFencing := s.commit(position)
+				if violatesFencing {
+					violations++
 				}
-				add(s.lose(position), after)
+				add(s.drop(position), after)
 			}
 		}
-		level = next
+		frontier = next
 	}
-	return len(known), faults
+	return len(visited), violations
 }
 
 func TestFencingInEveryOrderOfCommands(t *testing.T) {
 	table, _ := lease.NewTable(searchDuties...)
-	states, faults := explore(table, 7)
+	states, violations := explore(table, 7)
 	t.Logf("%d states to a depth of 7", states)
-	if faults != 0 || states < 50000 {
-		t.Errorf("%d faults in %d states", faults, states)
+	if violations != 0 || states < 50000 {
+		t.Errorf("%d fencing violations in %d states, want none in at least 50000 states", violations, states)
 	}
 }
--- a/internal/decide/lease/export_test.go
+++ b/internal/decide/lease/export_test.go
@@ -1,6 +1,6 @@
 package lease
 
-// DisableFencing makes a table and a fence accept stale commands, which a check of the caller must detect.
+// DisableFencing makes a table and a fence accept stale commands. A test uses it to show that its checks detect them.
 func DisableFencing(table *Table, fence *Fence) {
 	table.isFencingDisabled = true
 	fence.isDisabled = true
--- a/internal/decide/lease/fence.go
+++ b/internal/decide/lease/fence.go
@@ -1,17 +1,18 @@
 package lease
 
-// Fence admits decisions in order: it keeps, per duty, the highest token and index acted on. The zero value has admitted
-// nothing. It outlives changes of the holder but not the process: a restarted process starts with an empty fence and
-// fills it from the log, which has every decision.
+// Fence rejects stale decisions: it records the highest fencing token and log index acted on for each duty. The zero value
+// has admitted nothing. One Fence is kept for the lifetime of a process, across changes of the lease holder. After a restart
+// the process begins with an empty Fence and refills it from the log, which contains every decision.
 type Fence struct {
 	watermarks map[string]watermark // by duty
-	isDisabled bool                 // set by tests alone, to prove that their checks detect it
+	isDisabled bool                 // set only by tests, to show that their checks detect missing fencing
 }
 
+// watermark is the token and index of the last decision admitted.
 type watermark struct{ token, index uint64 }
 
-// Admit reports whether a decision may be acted on, and records it if so. It rejects a token lower than the highest, an
-// index that is not above the last, and a new duty past MaxDuties.
+// Admit reports whether a decision may be acted on, and records it if so. It rejects a token lower than the highest one
+// admitted, an index at or below the last one, and any further duty once it holds MaxDuties.
 func (f *Fence) Admit(duty string, token, index uint64) bool {
 	last, isKnown := f.watermarks[duty]
 	if !f.isDisabled && (token < last.token || index <= last.index) {
--- a/internal/decide/lease/lease_test.go
+++ b/internal/decide/lease/lease_test.go
@@ -14,8 +14,8 @@
 
 var leaseConfig = lease.Config{Duration: time.Second, MaxDrift: 0.05, SafetyMargin: 5 * time.Millisecond}
 
-// The faults are any order of pauses, partitions, restarts without state, and lost or delayed entries, with clocks at any
-// rate within the bound.
+// Draws any order of pauses, partitions, restarts without state, and lost or delayed entries, with clocks at any rate
+// within MaxDrift.
 func TestAtMostOneHolderUnderAnyFaults(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		r := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "rates"), 1))
@@ -68,7 +68,7 @@
 			t.Errorf("seed %d: %+v", seed, f)
 		}
 		if f.StaleProposed == 0 || f.Decisions == 0 {
-			t.Errorf("seed %d tried nothing: %+v", seed, f)
+			t.Errorf("seed %d: no stale command was proposed or no decision made: %+v", seed, f)
 		}
 	}
 }
@@ -81,12 +81,12 @@
 		admitted += f.StaleAdmitted
 	}
 	if accepted == 0 || admitted == 0 {
-		t.Errorf("without fencing %d stale commands were accepted and %d admitted: the checks detect nothing", accepted, admitted)
+		t.Errorf("without fencing %d stale commands were accepted and %d admitted, want some of each", accepted, admitted)
 	}
 	table, _ := lease.NewTable(searchDuties...)
 	lease.DisableFencing(table, &lease.Fence{})
-	if _, faults := explore(table, 6); faults == 0 {
-		t.Error("the exhaustive search detects no fault without fencing")
+	if _, violations := explore(table, 6); violations == 0 {
+		t.Error("the exhaustive search finds no violation without fencing")
 	}
 }
 
@@ -94,8 +94,8 @@
 	violations := 0
 	for seed := range uint64(20) {
 		r := rand.New(rand.NewPCG(seed, 2))
-		wide := lease.Config{Duration: time.Second, MaxDrift: 0.4}
-		s, _ := emulator.NewLeaseSim(3, wide, r, "ring") // clocks at 0.6 to 1.4
+		driftingClocks := lease.Config{Duration: time.Second, MaxDrift: 0.4}
+		s, _ := emulator.NewLeaseSim(3, driftingClocks, r, "ring") // clock rates from 0.6 to 1.4
 		s.RestartAll(lease.Config{Duration: time.Second})
 		for range 400 {
 			s.Advance(20 * time.Millisecond)
@@ -117,7 +117,7 @@
 		}
 	}
 	if violations == 0 {
-		t.Error("clocks at 0.6 to 1.4 under a lease that allows no drift never gave two holders: the check detects nothing")
+		t.Error("clock rates from 0.6 to 1.4 with leases that tolerate no drift never gave two holders: the check detects nothing")
 	}
 }
 
@@ -159,7 +159,7 @@
 	first := electHolder()
 	s.Resign(first, "roll")
 	if next := electHolder(); next == nil || next == first {
-		t.Errorf("holder %v, then %v, want another one", first, next)
+		t.Errorf("%v resigned, and %v holds the lease, want another member", first, next)
 	}
 }
 
@@ -172,7 +172,7 @@
 	}{{"ring", 1, 5, true}, {"ring", 1, 5, false}, {"ring", 2, 9, true}, {"ring", 1, 10, false}, {"roll", 1, 3, true},
 		{"ring", 2, 8, false}, {"ring", 2, 11, true}} {
 		if got := fence.Admit(c.duty, c.token, c.index); got != c.want {
-			t.Errorf("decision %d: Admit(%+v) = %v", n, c, got)
+			t.Errorf("decision %d: Admit(%+v) = %v, want the opposite", n, c, got)
 		}
 	}
 	for n := range 2 * lease.MaxDuties {
@@ -188,10 +188,10 @@
 	table.Apply(1, lease.Command{Kind: lease.Acquire, Duty: "a", Member: "x", Incarnation: 1})
 	before, _ := table.Lookup("a")
 	if o := table.Apply(2, lease.Command{Kind: lease.Announce, Duty: "a", Member: "y", Incarnation: 2}); !o.Accepted {
-		t.Errorf("%+v", o)
+		t.Errorf("announcement of a member that is not the holder: %+v, want accepted", o)
 	}
 	if after, _ := table.Lookup("a"); after != before {
-		t.Errorf("%+v became %+v", before, after)
+		t.Errorf("an announcement changed the duty from %+v to %+v", before, after)
 	}
 	b, _ := table.Encode()
 	if back, err := lease.Decode(b); err != nil || back.Index() != 2 {
@@ -203,16 +203,16 @@
 
 func TestTableRejectsInvalidCommands(t *testing.T) {
 	if _, err := lease.NewTable("a", "a"); err == nil {
-		t.Error("a duplicate duty was accepted")
+		t.Error("NewTable accepts a duplicate duty")
 	}
 	table, _ := lease.NewTable("a")
 	for n, c := range []lease.Command{{Kind: lease.Acquire, Duty: "b"}, {Kind: lease.Decide, Duty: "a", Token: 0, Member: "x"},
 		{Kind: lease.Kind(9), Duty: "a"}, {Kind: lease.Acquire, Duty: "a", ObservedIndex: 7}} {
 		if o := table.Apply(uint64(n+1), c); o.Accepted || o.Err == nil {
-			t.Errorf("%+v: %+v", c, o)
+			t.Errorf("command %+v: %+v, want rejected", c, o)
 		}
 	}
 	if o := table.Apply(2, lease.Command{Kind: lease.Acquire, Duty: "a"}); o.Accepted {
-		t.Error("an entry below the last index was applied")
+		t.Error("Apply accepts an entry below the last index")
 	}
 }
--- a/internal/decide/lease/snapshot.go
+++ b/internal/decide/lease/snapshot.go
@@ -13,7 +13,7 @@
 	Duties map[string]DutyState `json:"Duties"`
 }
 
-// Encode returns the table as JSON, for a snapshot. Equal tables encode to equal bytes.
+// Encode returns the table as JSON for a snapshot. Equal tables encode to equal bytes.
 func (t *Table) Encode() ([]byte, error) {
 	s := tableSnapshot{Index: t.index, Duties: map[string]DutyState{}}
 	for n, name := range t.names {
@@ -22,7 +22,7 @@
 	return json.Marshal(s)
 }
 
-// Decode returns the table that Encode encoded. Errors: ErrInvalidSnapshot, ErrInvalidDuties.
+// Decode returns the table from a snapshot that Encode produced. Errors: ErrInvalidSnapshot, ErrInvalidDuties.
 func Decode(b []byte) (*Table, error) {
 	var s tableSnapshot
 	if err := json.Unmarshal(b, &s); err != nil {
--- a/internal/decide/lease/table.go
+++ b/internal/decide/lease/table.go
@@ -8,31 +8,31 @@
 
 // DutyState is the replicated state of one duty.
 type DutyState struct {
-	Holder       string `json:"Holder"` // empty if the lease was released or never acquired
-	Incarnation  uint64 `json:"Life"`
+	Holder       string `json:"Holder"`  // member; empty if the lease was released or never acquired
+	Incarnation  uint64 `json:"Life"`    // of the holder; 0 without a holder
 	Token        uint64 `json:"Token"`   // fencing token of the last holder; 0 if the lease was never acquired
-	RenewedIndex uint64 `json:"Renewed"` // entry that last acquired, renewed or released the lease
-	DecidedIndex uint64 `json:"Done"`    // entry of the last decision
+	RenewedIndex uint64 `json:"Renewed"` // index of the entry that last acquired, renewed or released the lease
+	DecidedIndex uint64 `json:"Done"`    // index of the entry with the last decision
 }
 
 // Outcome is the result of applying an entry.
 type Outcome struct {
 	Accepted bool
 	Token    uint64 // fencing token of the duty after the entry
-	Err      error  // a *RejectedError unless the entry was accepted
+	Err      error  // a *RejectedError; nil if the entry was accepted
 }
 
-// Table is the state machine of the log. It depends on the entries alone, so all replicas that applied the same entries
-// are equal. The zero value has no duties.
+// Table is the replicated state machine of the log. Its state depends only on the applied entries, so all replicas that
+// applied the same entries are equal. The zero value has no duties.
 type Table struct {
 	names  []string    // sorted
-	duties []DutyState // by position in names
+	duties []DutyState // in the order of names
 	index  uint64      // of the last entry applied
 
-	isFencingDisabled bool // set by tests alone, to prove that their checks detect it
+	isFencingDisabled bool // set only by tests, to show that their checks detect missing fencing
 }
 
-// NewTable returns a table of duties whose leases were never acquired. Errors: ErrInvalidDuties.
+// NewTable returns a table of duties without lease holders. Errors: ErrInvalidDuties.
 func NewTable(duties ...string) (*Table, error) {
 	names := slices.Sorted(slices.Values(duties))
 	hasDuplicates := len(slices.Compact(slices.Clone(names))) != len(names)
@@ -54,21 +54,21 @@
 	return t.duties[n], true
 }
 
-// position returns the place of a duty in names, and whether the table has it.
+// position returns a duty's position in names, and whether the table has it.
 func (t *Table) position(duty string) (int, bool) { return slices.BinarySearch(t.names, duty) }
 
 // Index returns the index of the last entry applied.
 func (t *Table) Index() uint64 { return t.index }
 
-// Copy returns a table that shares no mutable state with this one.
+// Copy returns a table with equal state that can be changed independently of this one.
 func (t *Table) Copy() *Table {
 	replica := *t
 	replica.duties = slices.Clone(t.duties)
 	return &replica
 }
 
-// Apply applies the entry at index. Indexes must increase: an entry at or below the last index, or of an unknown duty, is
-// rejected and leaves the table unchanged.
+// Apply applies the log entry at index. Indexes must increase: an entry at or below the last index, or for an unknown
+// duty, is rejected and leaves the table unchanged.
 func (t *Table) Apply(index uint64, c Command) Outcome {
 	n, found := t.position(c.Duty)
 	if !found {
@@ -86,7 +86,8 @@
 	return Outcome{Accepted: true, Token: duty.Token}
 }
 
-// applyTo applies a command to its duty. It returns the reason if it rejects the command; the duty is unchanged then.
+// applyTo applies a command to its duty. If it rejects the command, it returns a *RejectedError and leaves the duty
+// unchanged.
 func (t *Table) applyTo(d *DutyState, index uint64, c Command) error {
 	switch c.Kind {
 	case Announce:
@@ -94,9 +95,9 @@
 	case Acquire:
 		return d.acquire(index, c)
 	}
-	if !t.isFencingDisabled && !d.belongsTo(c) {
-		found := fmt.Sprintf("token %d of %q", c.Token, c.Member)
-		expected := fmt.Sprintf("token %d of %q", d.Token, d.Holder)
+	if !t.isFencingDisabled && !d.isHeldBy(c) {
+		found := fmt.Sprintf("token %d of %q (incarnation %d)", c.Token, c.Member, c.Incarnation)
+		expected := fmt.Sprintf("token %d of %q (incarnation %d)", d.Token, d.Holder, d.Incarnation)
 		return &RejectedError{c.Duty, ErrNotLeaseHolder, found, expected}
 	}
 	switch c.Kind {
@@ -114,7 +115,8 @@
 	return nil
 }
 
-// acquire is the compare-and-set of the lease: it makes the command's process the holder under the next token.
+// acquire makes the command's process the holder under the next fencing token. It is a compare-and-set: it fails if the
+// lease was acquired, renewed or released since the entry that the claimant observed last.
 func (d *DutyState) acquire(index uint64, c Command) error {
 	if c.ObservedIndex != d.RenewedIndex {
 		found := strconv.FormatUint(c.ObservedIndex, 10)
@@ -125,7 +127,7 @@
 	return nil
 }
 
-// belongsTo reports whether a command is the present holder's own, under its present token.
-func (d *DutyState) belongsTo(c Command) bool {
+// isHeldBy reports whether a command comes from the current holder and carries the current fencing token.
+func (d *DutyState) isHeldBy(c Command) bool {
 	return c.Token == d.Token && c.Member == d.Holder && c.Incarnation == d.Incarnation
 }
