--- a/internal/decide/quorum/distribution.go
+++ b/internal/decide/quorum/distribution.go
@@ -5,7 +5,7 @@
 	"slices"
 )
 
-// distribution counts the healthy voters by region and by zone.
+// distribution counts the healthy voters per region and per zone.
 type distribution struct{ regions, zones map[string]int }
 
 func (s *selection) newDistribution() distribution {
@@ -17,12 +17,12 @@
 	return d
 }
 
-// compare orders members by the voters of their regions, then by those of their zones.
+// compare orders members by the number of voters in their regions, then by that in their zones.
 func (d distribution) compare(a, b Member) int {
 	return cmp.Or(cmp.Compare(d.regions[a.Region], d.regions[b.Region]), cmp.Compare(d.zones[a.Zone], d.zones[b.Zone]))
 }
 
-// maxPerRegion returns the most voters that a region has.
+// maxPerRegion returns the number of voters in the region with the most.
 func (d distribution) maxPerRegion() (most int) {
 	for _, n := range d.regions {
 		most = max(most, n)
@@ -30,9 +30,9 @@
 	return most
 }
 
-// improvesDistribution reports whether this member as a voter, in place of the one that is then removed, would spread the
-// voters more evenly over the regions, or over more zones and no less evenly over the regions. A swap that it approves is
-// never undone by another.
+// improvesDistribution reports whether swapping a voter for this member would spread the voters more evenly over the
+// regions, or over more zones and no less evenly over the regions. No later swap undoes one that it approves, so changes
+// come to an end.
 func (s *selection) improvesDistribution(m Member) bool {
 	d := s.distribution
 	inRegion, most := d.regions[m.Region], d.maxPerRegion()
@@ -45,7 +45,7 @@
 	return inRegion+1 <= most || s.hasSharedZone(m.Region)
 }
 
-// hasSharedZone reports whether two healthy voters of this region are in one zone.
+// hasSharedZone reports whether a healthy voter of this region shares its zone with another one.
 func (s *selection) hasSharedZone(region string) bool {
 	return slices.ContainsFunc(s.healthy, func(voter string) bool {
 		m := s.members[voter]
--- a/internal/decide/quorum/selection.go
+++ b/internal/decide/quorum/selection.go
@@ -7,16 +7,16 @@
 	"time"
 )
 
-// selection is the state that one decision depends on.
+// selection holds the input of one decision and what is derived from it.
 type selection struct {
 	config           Config
 	members          map[string]Member // by process
-	voters, learners []string          // as given
-	healthy          []string          // voters that remain
+	voters, learners []string          // as in Fleet
+	healthy          []string          // voters to keep; they may be unreachable for less than the hold-down time
 	failed           []string          // voters to replace, the longest unreachable first
 	reachableVoters  int
-	eligible         []Member // who may vote, voters among them; the oldest first
-	targetVoters     int      // number of voters wanted
+	eligible         []Member // members that may be voters, including present voters; the oldest first
+	targetVoters     int
 	distribution     distribution
 }
 
@@ -25,7 +25,7 @@
 	fleetSize := 0
 	for _, m := range fleet.Members {
 		s.members[m.Process] = m
-		if !m.Draining && !m.Replaced { // of any age: to a leader that has just started all members are young
+		if !m.Draining && !m.Replaced { // of any age, as to a leader that has just started all members are young
 			fleetSize++
 		}
 		if m.canVote() && (m.Age >= config.MinAge || slices.Contains(s.voters, m.Process)) {
@@ -41,7 +41,7 @@
 	return s
 }
 
-// classifyVoters divides the voters into healthy and failed ones.
+// classifyVoters divides the voters into healthy and failed ones, and counts the reachable ones.
 func (s *selection) classifyVoters() {
 	for _, voter := range s.voters {
 		m, isKnown := s.members[voter]
@@ -50,7 +50,7 @@
 		}
 		if !isKnown || m.UnreachableFor >= s.config.HoldDown || m.Draining || m.Replaced {
 			s.failed = append(s.failed, voter)
-		} else { // it may be unreachable for a moment
+		} else { // may be unreachable, but for less than HoldDown
 			s.healthy = append(s.healthy, voter)
 		}
 	}
@@ -59,9 +59,9 @@
 	})
 }
 
-// targetVoters returns the largest of 1, 3 and the maximum that the fleet has members for. Unreachable members count until
-// they leave or are forgotten: with fewer voters because one became unreachable, fewer failures could be tolerated just
-// when more are likely.
+// targetVoters returns the largest of 1, 3 and maxVoters that does not exceed the fleet's size. Unreachable members count
+// until they leave or are forgotten: if the target dropped when a member becomes unreachable, the log would tolerate fewer
+// failures just when more are likely.
 func targetVoters(fleetSize, maxVoters int) int {
 	target := 1
 	for _, n := range []int{3, maxVoters} {
@@ -72,7 +72,7 @@
 	return target
 }
 
-// unreachableFor returns for how long a process has been unreachable; the longest time if it is not even known.
+// unreachableFor returns how long a process has been unreachable; the longest possible time if it is not a known member.
 func (s *selection) unreachableFor(process string) time.Duration {
 	if m, isKnown := s.members[process]; isKnown {
 		return m.UnreachableFor
@@ -80,6 +80,7 @@
 	return math.MaxInt64
 }
 
+// unreachableVoters returns the voters that are unreachable or not known members.
 func (s *selection) unreachableVoters() (unreachable []string) {
 	for _, voter := range s.voters {
 		if s.unreachableFor(voter) > 0 {
@@ -89,18 +90,18 @@
 	return unreachable
 }
 
-// isGrowthUnsafe reports whether one voter more would leave the others without a quorum, should it fail at once.
+// isGrowthUnsafe reports whether adding a voter that fails immediately would lose the quorum.
 func (s *selection) isGrowthUnsafe() bool {
 	return len(s.voters) > 1 && s.reachableVoters < Majority(len(s.voters)+1)
 }
 
-// isPromotable reports whether a learner could vote now, if the quorum allows one voter more.
+// isPromotable reports whether a learner is reachable, has caught up and is needed as a voter.
 func (s *selection) isPromotable(learner string) bool {
 	m := s.members[learner]
 	return m.UnreachableFor == 0 && m.CaughtUp && s.isNeeded(m)
 }
 
-// isNeeded reports whether this member is wanted as an additional voter.
+// isNeeded reports whether another voter is needed, or this member as a voter would improve the distribution.
 func (s *selection) isNeeded(m Member) bool {
 	return len(s.healthy) < s.targetVoters || len(s.voters) <= s.targetVoters && s.improvesDistribution(m)
 }
