--- a/internal/decide/rollout/capacity.go
+++ b/internal/decide/rollout/capacity.go
@@ -5,30 +5,30 @@
 	"time"
 )
 
-// Instance is one process, as the fleet's records describe it now.
+// Instance is the current state of one process in the fleet.
 type Instance struct {
 	Name, Zone, Release string
-	Incarnation         uint64        // differs for each process of a name
-	Capacity            float64       // work items a second once warmed up; over 0
-	Age                 time.Duration // since its start
-	IsUnreachable       bool          // counts as unavailable
-	IsDraining          bool          // for any reason
-	IsVoter             bool          // in the replicated log
-	IsLeader            bool          // of the rollout
-	BlocksMigration     bool          // a slot migration waits for it
+	Incarnation         uint64        // differs between processes of the same name
+	Capacity            float64       // work items per second when warmed up; above 0
+	Age                 time.Duration // time since its start
+	IsUnreachable       bool
+	IsDraining          bool // for any reason
+	IsVoter             bool // of the replicated log
+	IsLeader            bool // leads the rollout
+	BlocksMigration     bool // a slot migration waits for it, so it must not be drained
 }
 
-// Limits are the operator's.
+// Limits are the operator's settings for a rollout, and the assumed warm-up of a restarted instance.
 type Limits struct {
-	MinCapacityFraction     float64       // of a zone's total capacity that must remain; 0 to 1
-	LoadHeadroom            float64       // multiple of a zone's present load that must remain as capacity; 0 and more
-	MaxUnavailable          int           // instances being replaced at the same time; 1 and more
+	MinCapacityFraction     float64       // fraction of a zone's total capacity that must remain available; 0 to 1
+	LoadHeadroom            float64       // multiple of a zone's load that must remain available as capacity; 0 or more
+	MaxUnavailable          int           // maximum number of instances being replaced at the same time; 1 or more
 	ReplaceTimeout          time.Duration // from the drain to the restart with the new release; stuck after this
-	InitialCapacityFraction float64       // of its capacity that an instance has at its start
-	WarmUpTime              time.Duration // after which it has all of its capacity
+	InitialCapacityFraction float64       // fraction of its capacity that an instance has at its start
+	WarmUpTime              time.Duration // age from which an instance has its full capacity
 }
 
-// warmFraction is the fraction of its capacity that an instance has at an age.
+// warmFraction returns the fraction of its capacity that an instance of a given age has.
 func (l Limits) warmFraction(age time.Duration) float64 {
 	if age >= l.WarmUpTime {
 		return 1
@@ -36,26 +36,30 @@
 	return l.InitialCapacityFraction + (1-l.InitialCapacityFraction)*max(age, 0).Seconds()/l.WarmUpTime.Seconds()
 }
 
-// zone is the capacity of one zone. Capacities are in work items a second.
+// zone holds the capacity of one zone, in work items per second.
 type zone struct {
-	name      string
-	total     float64 // of all known instances, as if up and warmed up
-	available float64 // of those that are up and not draining, at their present warm-up
-	largest   float64 // capacity of the largest available instance: what one more failure would take
-	upCount   int     // available instances
-	required  float64 // must remain available
+	name              string
+	totalCapacity     float64 // of all known instances, as if available and warmed up
+	availableCapacity float64 // of instances that are reachable and not draining, by their present warm-up
+	largestCapacity   float64 // of the largest available instance: the loss if it fails
+	availableCount    int     // number of available instances
+	requiredCapacity  float64 // minimum that must remain available
 }
 
-// spare is what may be taken from a zone while it keeps the required capacity even if its largest instance fails.
-func (z zone) spare() float64 { return z.available - z.largest - z.required }
+// spareCapacity returns how much capacity may be drained so that the zone keeps its required capacity even if its largest
+// instance fails.
+func (z zone) spareCapacity() float64 {
+	return z.availableCapacity - z.largestCapacity - z.requiredCapacity
+}
 
-// canSpare reports whether an instance of this capacity may be drained beside those already chosen in the zone.
+// canSpare reports whether an instance of this capacity may be drained in addition to those already chosen in the zone.
+// At least one instance of the zone must remain available.
 func (z *zone) canSpare(capacity, chosenCapacity float64, chosenCount int) bool {
 	const relativeTolerance = 1e-12
-	return chosenCapacity+capacity <= z.spare()*(1+relativeTolerance) && z.upCount-chosenCount > 1
+	return chosenCapacity+capacity <= z.spareCapacity()*(1+relativeTolerance) && z.availableCount-chosenCount > 1
 }
 
-// zones sums a fleet up by zone; load is a zone's present work items a second.
+// zones sums up the capacity of a fleet by zone. load is the present load by zone, in work items per second.
 func (l Limits) zones(fleet []Instance, load map[string]float64) map[string]*zone {
 	zones := map[string]*zone{}
 	for _, i := range fleet {
@@ -64,32 +68,33 @@
 			z = &zone{name: i.Zone}
 			zones[i.Zone] = z
 		}
-		z.total += i.Capacity
+		z.totalCapacity += i.Capacity
 		if i.IsUnreachable || i.IsDraining {
 			continue
 		}
-		z.available += i.Capacity * l.warmFraction(i.Age)
-		z.largest = max(z.largest, i.Capacity)
-		z.upCount++
+		z.availableCapacity += i.Capacity * l.warmFraction(i.Age)
+		z.largestCapacity = max(z.largestCapacity, i.Capacity)
+		z.availableCount++
 	}
 	for _, z := range zones {
-		z.required = max(l.MinCapacityFraction*z.total, l.LoadHeadroom*load[z.name])
+		z.requiredCapacity = max(l.MinCapacityFraction*z.totalCapacity, l.LoadHeadroom*load[z.name])
 	}
 	return zones
 }
 
-// InsufficientCapacityError is a rollout that a zone has not the capacity for. It is returned before any drain.
+// InsufficientCapacityError reports that a zone cannot spare the capacity of an instance to be drained. Plan returns it, so
+// the rollout is rejected before any drain.
 type InsufficientCapacityError struct {
 	Zone          string
-	Available     float64
-	Required      float64 // with the failure of the largest instance
+	Available     float64 // capacity now available, in work items per second
+	Required      float64 // required capacity plus that of the largest instance, in case it fails
 	DrainCapacity float64 // of the instance to be drained
 }
 
-// Error names the zone and the missing capacity.
+// Error names the zone and the missing capacity, in work items per second.
 func (e *InsufficientCapacityError) Error() string {
-	const format = "rollout: zone %s has %.6g of capacity, expected %.6g (required, with its largest instance lost) " +
-		"and %.6g for one drain: %.6g missing"
+	const format = "rollout: zone %s has %.6g work items/s available, expected %.6g (required capacity plus its largest instance) " +
+		"plus %.6g for the instance to drain: %.6g missing"
 	return fmt.Sprintf(format,
 		e.Zone, e.Available, e.Required, e.DrainCapacity, e.Required+e.DrainCapacity-e.Available)
 }
--- a/internal/decide/rollout/codec.go
+++ b/internal/decide/rollout/codec.go
@@ -9,24 +9,26 @@
 	"time"
 )
 
-// ErrInvalidSnapshot is the error of bytes that Rollout.Encode did not produce.
-var ErrInvalidSnapshot = errors.New("invalid snapshot of a rollout")
+// ErrInvalidSnapshot is returned for data that Rollout.Encode did not produce.
+var ErrInvalidSnapshot = errors.New("invalid rollout snapshot")
 
-// encodedRollout is a Rollout in a snapshot. The keys are part of its format.
+// encodedRollout is the snapshot format of a Rollout.
 type encodedRollout struct {
 	Release  string         `json:"Want"`
 	Drained  []drainRecord  `json:"Drained"`
 	Attempts map[string]int `json:"Tries"`
 }
 
-// drainRecord is a drained process in a snapshot. Its time is by the clock of the member that encoded it.
+// drainRecord is the snapshot format of a drained process. At is the time of the drain by the clock of the member that
+// encoded it; Decode ignores it, as clocks differ between members.
 type drainRecord struct {
 	Name        string        `json:"Name"`
 	Incarnation uint64        `json:"Life"`
 	At          time.Duration `json:"At"`
 }
 
-// Encode returns the rollout for a snapshot.
+// Encode returns the rollout as JSON for a snapshot. Drained processes are sorted, so that equal rollouts encode to
+// equal bytes.
 func (r *Rollout) Encode() ([]byte, error) {
 	e := encodedRollout{Release: r.Release, Attempts: r.attempts}
 	for p, at := range r.drained {
@@ -38,15 +40,15 @@
 	return json.Marshal(e)
 }
 
-// Decode replaces the rollout by a snapshot's; drained processes count as drained now. If the snapshot is not valid, it
-// fails with ErrInvalidSnapshot and changes nothing.
+// Decode replaces the rollout by that of a snapshot; drained processes count as drained now. If the snapshot is invalid, it
+// returns ErrInvalidSnapshot and changes nothing.
 func (r *Rollout) Decode(now time.Duration, snapshot []byte) error {
 	var e encodedRollout
 	if err := json.Unmarshal(snapshot, &e); err != nil {
-		return fmt.Errorf("%w: %w", ErrInvalidSnapshot, err)
+		return fmt.Errorf("%w: expected a JSON object: %w", ErrInvalidSnapshot, err)
 	}
 	if len(e.Drained) > MaxInstances {
-		return fmt.Errorf("%w: drained: found %d, expected at most %d", ErrInvalidSnapshot, len(e.Drained), MaxInstances)
+		return fmt.Errorf("%w: found %d drained processes, expected at most %d", ErrInvalidSnapshot, len(e.Drained), MaxInstances)
 	}
 	*r = *New(e.Release)
 	for _, d := range e.Drained {
--- a/internal/decide/rollout/queue.go
+++ b/internal/decide/rollout/queue.go
@@ -5,35 +5,35 @@
 	"slices"
 )
 
-// minSpare stands in for a zone's spare capacity where that is zero or less.
-const minSpare = 1e-9
+// minSpareCapacity replaces a zone's spare capacity as a divisor if that is zero or less.
+const minSpareCapacity = 1e-9
 
 // candidate is one instance to be drained.
 type candidate struct {
 	Instance
-	position int // among those given
-	queue    *zoneQueue
-	isChosen bool
+	fleetPosition int // position in the fleet as given
+	queue         *zoneQueue
+	isChosen      bool // for the current wave
 }
 
-// zoneQueue holds one zone's candidates, voters apart from the others, largest capacity first.
+// zoneQueue holds the candidates of one zone in two lists, each sorted by capacity, largest first.
 type zoneQueue struct {
 	zone           *zone
-	spare          float64
-	wavesNeeded    float64 // by the remaining candidates' capacity
-	chosenCapacity float64 // in this wave
-	chosenCount    int
+	spareCapacity  float64
+	wavesNeeded    float64 // capacity of the remaining candidates over the spare capacity
+	chosenCapacity float64 // in the current wave
+	chosenCount    int     // in the current wave
 	voters, others []*candidate
 }
 
-// drainQueue chooses wave after wave from instances that are sorted once. Its choice is the same as by sorting all that
-// remain for each wave. It holds one entry an instance, removed when chosen.
+// drainQueue chooses the instances of one wave after another. It sorts the instances only once, and yet chooses the same
+// waves as a full sort before each wave would give. It holds one entry per instance, which is removed when chosen.
 type drainQueue struct {
-	remaining []*candidate // in the given order
+	remaining []*candidate // in fleet order
 	zones     []*zoneQueue
 }
 
-// newDrainQueue sorts instances, all of whose zones are known.
+// newDrainQueue returns a queue of the instances to be drained. zones must contain the zones of all of them.
 func newDrainQueue(instances []Instance, zones map[string]*zone) *drainQueue {
 	q := &drainQueue{remaining: make([]*candidate, len(instances))}
 	all := make([]candidate, len(instances))
@@ -42,12 +42,12 @@
 		queue := queues[i.Zone]
 		if queue == nil {
 			z := zones[i.Zone]
-			queue = &zoneQueue{zone: z, spare: z.spare()}
+			queue = &zoneQueue{zone: z, spareCapacity: z.spareCapacity()}
 			queues[i.Zone] = queue
 			q.zones = append(q.zones, queue)
 		}
 		c := &all[n]
-		*c = candidate{Instance: i, position: n, queue: queue}
+		*c = candidate{Instance: i, fleetPosition: n, queue: queue}
 		q.remaining[n] = c
 		if i.IsVoter {
 			queue.voters = append(queue.voters, c)
@@ -56,37 +56,38 @@
 		}
 	}
 	for _, queue := range q.zones {
-		slices.SortFunc(queue.voters, byCapacity)
-		slices.SortFunc(queue.others, byCapacity)
+		slices.SortFunc(queue.voters, compareByCapacity)
+		slices.SortFunc(queue.others, compareByCapacity)
 	}
 	return q
 }
 
-// byCapacity orders the largest first, and equals by name.
-func byCapacity(x, y *candidate) int {
+// compareByCapacity orders candidates by capacity, largest first, and those of equal capacity by name.
+func compareByCapacity(x, y *candidate) int {
 	return cmp.Or(-cmp.Compare(x.Capacity, y.Capacity), cmp.Compare(x.Name, y.Name))
 }
 
-// inGivenOrder sorts a wave by its instances' positions in the given fleet.
-func inGivenOrder(wave []*candidate) []*candidate {
-	slices.SortFunc(wave, func(x, y *candidate) int { return x.position - y.position })
+// inFleetOrder sorts a wave in place by position in the fleet, and returns it.
+func inFleetOrder(wave []*candidate) []*candidate {
+	slices.SortFunc(wave, func(x, y *candidate) int { return x.fleetPosition - y.fleetPosition })
 	return wave
 }
 
-// waveLimits bound one wave.
+// waveLimits limit the choice of one wave.
 type waveLimits struct {
-	maxSize            int  // instances; 1 or more
-	isVoterUnavailable bool // no voter may drain: another one is unavailable
+	maxSize            int  // maximum number of instances; 1 or more
+	isVoterUnavailable bool // one voter is unavailable already, so no other may be drained
 }
 
-// nextWave removes and returns instances that may be drained together. Voters come first: they drain one at a time, so one
-// left out costs a wave. Then come the zones that need the most waves, and in a zone the largest instances, as smaller
-// ones fill the remaining capacity. The leader drains alone at the end, once it has resigned.
+// nextWave removes and returns instances that may be drained together. Voters are considered first: they drain one at a
+// time, so a wave without one costs another wave later. Then follow the zones that need the most waves, and within a zone
+// the largest instances, as smaller ones can fill the remaining capacity. The leader is drained last and alone, after it
+// has resigned.
 func (q *drainQueue) nextWave(limits waveLimits) (wave []*candidate) {
 	q.startWave()
-	byNeed := q.zonesOfEqualNeed()
+	zoneGroups := q.zonesOfEqualNeed()
 	for _, candidatesOf := range []func(*zoneQueue) []*candidate{votersOf, othersOf} {
-		for _, zones := range byNeed {
+		for _, zones := range zoneGroups {
 			if len(wave) >= limits.maxSize {
 				break
 			}
@@ -104,7 +105,7 @@
 	return wave
 }
 
-// startWave resets the zones, and sorts them by the waves they still need.
+// startWave resets the zones, and sorts them by the number of waves that they still need, largest first.
 func (q *drainQueue) startWave() {
 	for _, zone := range q.zones {
 		zone.wavesNeeded = 0
@@ -112,28 +113,29 @@
 		zone.chosenCount = 0
 	}
 	for _, c := range q.remaining {
-		c.queue.wavesNeeded += c.Capacity / max(c.queue.spare, minSpare)
+		c.queue.wavesNeeded += c.Capacity / max(c.queue.spareCapacity, minSpareCapacity)
 	}
 	slices.SortFunc(q.zones, func(x, y *zoneQueue) int { return -cmp.Compare(x.wavesNeeded, y.wavesNeeded) })
 }
 
-// zonesOfEqualNeed splits the sorted zones into runs that need the same number of waves.
-func (q *drainQueue) zonesOfEqualNeed() (runs [][]*zoneQueue) {
+// zonesOfEqualNeed splits the sorted zones into groups that need the same number of waves.
+func (q *drainQueue) zonesOfEqualNeed() (groups [][]*zoneQueue) {
 	for from := 0; from < len(q.zones); {
 		to := from + 1
 		for to < len(q.zones) && q.zones[to].wavesNeeded == q.zones[from].wavesNeeded {
 			to++
 		}
-		runs = append(runs, q.zones[from:to])
+		groups = append(groups, q.zones[from:to])
 		from = to
 	}
-	return runs
+	return groups
 }
 
 func votersOf(z *zoneQueue) []*candidate { return z.voters }
 func othersOf(z *zoneQueue) []*candidate { return z.others }
 
-// mergeByCapacity visits the candidates of several zones, the largest first over all of them, until visit returns false.
+// mergeByCapacity merges the sorted candidates of several zones: it calls visit for each one, in the order of
+// compareByCapacity, until visit returns false.
 func mergeByCapacity(zones []*zoneQueue, candidatesOf func(*zoneQueue) []*candidate, visit func(*candidate) bool) {
 	next := make([]int, len(zones))
 	for {
@@ -142,7 +144,7 @@
 			if next[n] == len(candidatesOf(zone)) {
 				continue
 			}
-			if best < 0 || byCapacity(candidatesOf(zone)[next[n]], candidatesOf(zones[best])[next[best]]) < 0 {
+			if best < 0 || compareByCapacity(candidatesOf(zone)[next[n]], candidatesOf(zones[best])[next[best]]) < 0 {
 				best = n
 			}
 		}
@@ -166,13 +168,14 @@
 	return c.queue.zone.canSpare(c.Capacity, c.queue.chosenCapacity, c.queue.chosenCount)
 }
 
+// choose adds a candidate to the current wave.
 func (c *candidate) choose() {
 	c.isChosen = true
 	c.queue.chosenCapacity += c.Capacity
 	c.queue.chosenCount++
 }
 
-// remove takes out a wave, and keeps the others in their order.
+// remove removes the instances of a wave from the queue, which keeps the order of the others.
 func (q *drainQueue) remove(wave []*candidate) {
 	if len(wave) == 0 {
 		return
--- a/internal/decide/rollout/queue_test.go
+++ b/internal/decide/rollout/queue_test.go
@@ -11,13 +11,13 @@
 	"pgregory.net/rapid"
 )
 
-// waveBySorting is the reference implementation of nextWave: it sorts all remaining instances for each wave.
+// waveBySorting is a reference implementation of nextWave that sorts all remaining instances for each wave.
 func waveBySorting(remaining []Instance, zones map[string]*zone, limits waveLimits) (names []string) {
 	wavesNeeded := map[string]float64{}
 	chosenCapacity := map[string]float64{}
 	chosenCount := map[string]int{}
 	for _, i := range remaining {
-		wavesNeeded[i.Zone] += i.Capacity / max(zones[i.Zone].spare(), 1e-9)
+		wavesNeeded[i.Zone] += i.Capacity / max(zones[i.Zone].spareCapacity(), 1e-9)
 	}
 	sorted := slices.SortedFunc(slices.Values(remaining), func(x, y Instance) int {
 		return cmp.Or(-cmp.Compare(wavesNeeded[x.Zone], wavesNeeded[y.Zone]), -cmp.Compare(x.Capacity, y.Capacity), cmp.Compare(x.Name, y.Name))
@@ -46,6 +46,7 @@
 	return names
 }
 
+// drawFleet draws a fleet of the old release with random zones and capacities, in no order of names.
 func drawFleet(t *rapid.T) []Instance {
 	zones := rapid.IntRange(1, 6).Draw(t, "zones")
 	sizes := rapid.SampledFrom([]int{1, 3}).Draw(t, "sizes")
@@ -78,7 +79,7 @@
 				got = append(got, w.Name)
 			}
 			if !slices.Equal(got, want) {
-				t.Fatalf("chosen %q, want %q as by sorting", got, want)
+				t.Fatalf("wave %q, want %q as chosen by waveBySorting", got, want)
 			}
 			if len(want) == 0 {
 				return
@@ -88,7 +89,7 @@
 	})
 }
 
-// If more instances are being replaced than the limit allows, as after it was lowered, none is drained.
+// No instance is drained while more instances are being replaced than the limit allows, as after it was lowered.
 func TestLoweredMaxUnavailableDrainsNobody(t *testing.T) {
 	fleet := largeFleet(60, 3)
 	r := New("new")
@@ -98,11 +99,11 @@
 	limits := testLimits
 	for limits.MaxUnavailable = 1; limits.MaxUnavailable <= 4; limits.MaxUnavailable++ {
 		if step := r.Next(0, fleet, nil, limits); len(step.Drain) > 0 || step.BlockedReason == "" {
-			t.Errorf("at most %d with 4 being replaced: %d drained, blocked for %q", limits.MaxUnavailable, len(step.Drain), step.BlockedReason)
+			t.Errorf("MaxUnavailable %d with 4 being replaced: %d drained, want none; blocked reason %q", limits.MaxUnavailable, len(step.Drain), step.BlockedReason)
 		}
 	}
 	if limits.MaxUnavailable = 6; len(r.Next(0, fleet, nil, limits).Drain) != 2 {
-		t.Errorf("at most 6 with 4 being replaced: expected 2 drained")
+		t.Errorf("MaxUnavailable 6 with 4 being replaced: want 2 drained")
 	}
 }
 
@@ -118,10 +119,11 @@
 		planned += len(w.Names)
 	}
 	if err != nil || planned != len(fleet) {
-		t.Fatalf("%d of %d planned, %v", planned, len(fleet), err)
+		t.Fatalf("%d of %d instances planned, error %v; want all", planned, len(fleet), err)
 	}
 }
 
+// largeFleet returns a warmed-up fleet of the old release whose instances are grouped by zone. Five are voters.
 func largeFleet(size, zones int) (fleet []Instance) {
 	for n := range size {
 		fleet = append(fleet, Instance{Name: fmt.Sprintf("instance-%04d", n), Zone: fmt.Sprintf("z%02d", n*zones/size), Release: "old", Incarnation: 1,
@@ -130,8 +132,8 @@
 	return fleet
 }
 
-// A plan of 1,200 instances, one at a time, has 1,200 waves. Its allocations must be linear in the result, not in the number
-// of waves times that of instances.
+// Draining 1,200 instances one at a time takes 1,200 waves. The memory that Plan allocates must grow with its result, not
+// with the number of waves times the number of instances.
 func TestPlanAllocationIsIndependentOfWaveCount(t *testing.T) {
 	fleet := largeFleet(1200, 40)
 	limits := testLimits
@@ -141,10 +143,10 @@
 	waves, _, err := Plan(fleet, nil, "new", limits)
 	runtime.ReadMemStats(&after)
 	if err != nil || len(waves) != 1200 {
-		t.Fatalf("%d waves, %v", len(waves), err)
+		t.Fatalf("%d waves, error %v; want 1200 waves", len(waves), err)
 	}
 	if used := after.TotalAlloc - before.TotalAlloc; used > 16<<20 {
-		t.Errorf("%d MB allocated, expected 16 at most", used>>20)
+		t.Errorf("%d MB allocated, want at most 16", used>>20)
 	}
 }
 
