--- a/internal/decide/random/random_test.go
+++ b/internal/decide/random/random_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// The sequence of a seed is the same in all releases, so that a recorded seed replays the same run.
-func TestSequenceOfASeed(t *testing.T) {
+// A seed gives the same sequence in all releases, so that a recorded seed replays the same run.
+func TestSequenceOfSeedIsStable(t *testing.T) {
 	for seed, want := range map[uint64][4]uint32{
 		0:                  {1, 4294957665, 92756161, 18591715},
 		7:                  {4294899880, 649283502, 222898167, 1400683670},
@@ -12,7 +12,7 @@
 		source := New(seed)
 		for n, word := range want {
 			if got := source.Float64(); got != float64(word)/(1<<32) {
-				t.Errorf("seed %#x, number %d: %v, want %v", seed, n, got, float64(word)/(1<<32))
+				t.Errorf("seed %#x, output %d: %v, want %v", seed, n, got, float64(word)/(1<<32))
 			}
 		}
 	}
