--- a/internal/decide/lease/elector.go
+++ b/internal/decide/lease/elector.go
@@ -5,8 +5,8 @@
 // Host connects an Elector to the log and to the code that runs the duties. The Elector calls it synchronously from its
 // own methods.
 type Host interface {
-	// Propose submits a command to the log. The command may be lost or applied much later; the Elector retries those
-	// that acquire, renew or release a lease.
+	// Propose submits a command to the log. The command may be lost or applied much later; the Elector retries claims
+	// and renewals.
 	Propose(c Command)
 	// LeaseAcquired is called when this member becomes the lease holder of a duty, with its fencing token.
 	LeaseAcquired(duty string, token uint64)
@@ -49,8 +49,9 @@
 		states: make([]electionState, len(table.names)), isCatchingUp: true}
 }
 
-// SetCaughtUp records that the member has applied all entries that the log held when it started. From then on it may
-// claim leases; to be safe, all of them count as renewed at this moment. Only the first call has an effect.
+// SetCaughtUp records that the member has applied all entries that the log held when it started, so that none of them can
+// still renew a lease. From then on it may claim leases; claimTimeout is counted from this call. Only the first call has
+// an effect.
 func (e *Elector) SetCaughtUp(now time.Duration) {
 	if !e.isCatchingUp {
 		return
@@ -61,8 +62,8 @@
 	}
 }
 
-// SetClaimPosition sets this member's place in the order in which members claim a vacant duty; the default is 0. Two
-// members may share a position: they claim at the same time, and the table rejects the later claim.
+// SetClaimPosition sets this member's place in the order in which members claim a vacant duty; the default is 0.
+// Members of the same position may claim at the same time; the table then rejects all claims but the first.
 func (e *Elector) SetClaimPosition(duty string, position int) {
 	if dutyPos, found := e.table.position(duty); found {
 		e.states[dutyPos].claimPosition = max(position, 0)
--- a/internal/decide/lease/errors.go
+++ b/internal/decide/lease/errors.go
@@ -24,7 +24,7 @@
 type RejectedError struct {
 	Duty     string // named by the command
 	Reason   error  // one of the reasons above
-	Found    string // value in the command
+	Found    string // value found in the entry
 	Expected string // value that the table would accept
 }
 
--- a/internal/decide/quorum/change.go
+++ b/internal/decide/quorum/change.go
@@ -35,8 +35,8 @@
 		len(s.voters), Majority(len(s.voters)), strings.Join(s.unreachableVoters(), ", "))}
 }
 
-// removeReplacedVoter removes a voter at whose address a later incarnation runs. The later one cannot follow the log until
-// then, because the log's configuration still assigns that address to the earlier one.
+// removeReplacedVoter removes a voter at whose address a later incarnation runs. The later one cannot follow the log
+// before, because the log's configuration still assigns the address to the earlier one.
 func (s *selection) removeReplacedVoter() (Change, bool) {
 	for _, voter := range s.failed {
 		if s.members[voter].Replaced && s.reachableVoters >= Majority(len(s.voters)-1) {
--- a/internal/decide/quorum/distribution.go
+++ b/internal/decide/quorum/distribution.go
@@ -30,9 +30,9 @@
 	return most
 }
 
-// improvesDistribution reports whether swapping a voter for this member would spread the voters more evenly over the
-// regions, or over more zones and no less evenly over the regions. No later swap undoes one that it approves, so changes
-// come to an end.
+// improvesDistribution reports whether replacing a voter by this member would spread the voters more evenly over the
+// regions, or over more zones and no less evenly over the regions. No later replacement undoes one that it approves, so
+// the changes come to an end.
 func (s *selection) improvesDistribution(m Member) bool {
 	d := s.distribution
 	inRegion, most := d.regions[m.Region], d.maxPerRegion()
--- a/internal/decide/quorum/quorum.go
+++ b/internal/decide/quorum/quorum.go
@@ -21,7 +21,7 @@
 	Age            time.Duration // time since it joined
 	UnreachableFor time.Duration // 0 while it is reachable
 	Draining       bool
-	CaughtUp       bool // it has recently applied all entries of the log
+	CaughtUp       bool // it has applied all entries that the log held a moment ago
 	Replaced       bool // the process has certainly ended: a later incarnation runs at its address
 }
 
--- a/internal/decide/rollout/plan.go
+++ b/internal/decide/rollout/plan.go
@@ -50,7 +50,7 @@
 	return state, remaining
 }
 
-// newWave returns the Wave of the chosen instances, named in the order of choice. It sorts chosen in fleet order.
+// newWave returns the Wave of the chosen instances, named in the order of choice. It sorts the argument in fleet order.
 func newWave(chosen []*candidate, zones map[string]*zone) Wave {
 	wave := Wave{Names: make([]string, len(chosen)), Capacity: make(map[string]float64, len(zones))}
 	for n, c := range chosen {
--- a/internal/decide/rollout/queue.go
+++ b/internal/decide/rollout/queue.go
@@ -80,7 +80,7 @@
 }
 
 // nextWave removes and returns instances that may be drained together. Voters are considered first: they drain one at a
-// time, so a wave without one costs another wave later. Then follow the zones that need the most waves, and within a zone
+// time, so one that is left out costs another wave. Then follow the zones that need the most waves, and within a zone
 // the largest instances, as smaller ones can fill the remaining capacity. The leader is drained last and alone, after it
 // has resigned.
 func (q *drainQueue) nextWave(limits waveLimits) (wave []*candidate) {
--- a/internal/decide/rollout/queue_test.go
+++ b/internal/decide/rollout/queue_test.go
@@ -89,7 +89,7 @@
 	})
 }
 
-// No instance is drained while more instances are being replaced than the limit allows, as after it was lowered.
+// No instance is drained while as many instances as the limit allows are being replaced, or more, as after it was lowered.
 func TestLoweredMaxUnavailableDrainsNobody(t *testing.T) {
 	fleet := largeFleet(60, 3)
 	r := New("new")
@@ -99,7 +99,8 @@
 	limits := testLimits
 	for limits.MaxUnavailable = 1; limits.MaxUnavailable <= 4; limits.MaxUnavailable++ {
 		if step := r.Next(0, fleet, nil, limits); len(step.Drain) > 0 || step.BlockedReason == "" {
-			t.Errorf("MaxUnavailable %d with 4 being replaced: %d drained, want none; blocked reason %q", limits.MaxUnavailable, len(step.Drain), step.BlockedReason)
+			t.Errorf("MaxUnavailable %d with 4 being replaced: %d drained, want none; blocked reason %q",
+				limits.MaxUnavailable, len(step.Drain), step.BlockedReason)
 		}
 	}
 	if limits.MaxUnavailable = 6; len(r.Next(0, fleet, nil, limits).Drain) != 2 {
