--- a/cmd/thymechute/amqp_faults_test.go
+++ b/cmd/thymechute/amqp_faults_test.go
@@ -26,7 +26,7 @@
 	second := e.expectStart("b")
 	e.publish("excursion", "k2", "c")
 	third := e.expectStart("c")
-	e.broker.CutNewest()
+	e.broker.CutNewestConn()
 	e.expectEvent("delivered", 6) // all three again, on another connection, on which the same tags are of other messages
 	e.expectDeadLetter("", "may have run already")
 	e.Runtime.SendEnd(1, third, "good", "")
@@ -46,7 +46,7 @@
 	e := startAMQP(t, amqpOptions{})
 	e.publish("trace", "", "a")
 	first := e.expectStart("a")
-	e.broker.CutNewest()
+	e.broker.CutNewestConn()
 	if task, _ := e.Runtime.ExpectCommand("stop"); task != first {
 		t.Errorf("stopped %s, want %s", task, first)
 	}
@@ -63,7 +63,7 @@
 	e.publish("trace", "", "b")
 	e.expectQueue("readings", 1, 1)
 	e.Runtime.SendEnd(1, task, "good", "")
-	e.broker.Release()
+	e.broker.Resume()
 	e.Runtime.SendEnd(2, e.expectStart("b"), "good", "")
 	e.expectAllSettled()
 }
@@ -79,7 +79,7 @@
 	if e.broker.QueueState("readings").Unacked != 1 {
 		t.Error("acked before the reply was confirmed")
 	}
-	e.broker.Release()
+	e.broker.Resume()
 	e.expectAllSettled()
 	e.publishProps(broker.Props{broker.Type: "excursion", broker.MessageID: "k3", broker.ReplyTo: "replies"}, "c")
 	e.Runtime.SendEnd(3, e.expectStart("c"), "good", "r")
@@ -132,7 +132,7 @@
 			e.Runtime.SendEnd(9, started, "good", result)
 			stub.ExpectResponse(1, 0, result)
 			e.expectEvent("fault", 1)
-			e.broker.Release()
+			e.broker.Resume()
 			e.publish("trace", "", "b")
 			for {
 				task, got := e.Runtime.ExpectCommand("start")
--- a/cmd/thymechute/amqp_shutdown_test.go
+++ b/cmd/thymechute/amqp_shutdown_test.go
@@ -36,7 +36,7 @@
 		t.Fatalf("exited with %d and left a message unsettled", code)
 	case <-time.After(time.Second): // longer than the grace period and the rest of a shutdown with nothing pending
 	}
-	e.broker.Release()
+	e.broker.Resume()
 	e.Program.ExpectExit(0)
 	testutil.Eventually(t, "the ack is read", func() bool { return e.broker.EventCount("acked") == 1 }) // the program does not wait for it
 }
--- a/cmd/thymechute/amqp_test.go
+++ b/cmd/thymechute/amqp_test.go
@@ -41,11 +41,11 @@
 	other.Program = testutil.StartProgramWith(t, other.Config, testutil.ProgramOptions{Args: []string{"--settings", e.operatorFile}})
 	other.Runtime.AcceptSync(0, "new", 0)
 	e.expectEvent("consumed", 2)
-	e.broker.CutPeer("n3")
+	e.broker.CutNewestConnOf("n3")
 	e.expectDeadLetter("k1", "may have run already")
 	e.Runtime.SendEnd(1, task, "good", "")
 	e.expectEvent("consumed", 3)
-	e.broker.CutPeer("n4")
+	e.broker.CutNewestConnOf("n4")
 	other.Program.Terminate() // its fake runtime fails the test on any start
 	other.Program.ExpectExit(0)
 	e.expectNoEarlierStart(2)
--- a/internal/fake/broker/broker.go
+++ b/internal/fake/broker/broker.go
@@ -20,9 +20,9 @@
 
 // Broker is the fake broker. Its exported fields are set before Start.
 type Broker struct {
-	Heartbeat    uint16 // seconds, offered to peers
-	FrameMax     uint32 // bytes, offered to peers
-	Redeliveries int    // how often each message is delivered again although it was acked
+	Heartbeat            uint16 // seconds, offered to peers
+	FrameMax             uint32 // bytes, offered to peers
+	RedeliveriesAfterAck int    // how often each message is delivered again although it was acked
 
 	mu              sync.Mutex
 	changed         *sync.Cond // broadcast with every event
@@ -44,7 +44,7 @@
 // New creates a broker that injects these faults; it listens once Start is called. It returns ErrInvalidFault.
 func New(faults ...Fault) (*Broker, error) {
 	for _, fault := range faults {
-		if err := fault.Check(); err != nil {
+		if err := fault.Validate(); err != nil {
 			return nil, err
 		}
 	}
--- a/internal/fake/broker/broker_test.go
+++ b/internal/fake/broker/broker_test.go
@@ -231,7 +231,7 @@
 	_ = p.next().Ack(false)
 	b.WaitForEvents("ack-dropped", 1)
 	b.expectQueue(t, "q", 0, 1)
-	b.CutNewest()
+	b.CutNewestConn()
 	p = dial()
 	p.consume(0)
 	for range 2 { // the second delivery is injected twice
@@ -253,7 +253,7 @@
 	if refused.Wait() || late.Acked() {
 		t.Error("confirmed")
 	}
-	b.Release()
+	b.Resume()
 	if !late.Wait() {
 		t.Error("never confirmed")
 	}
--- a/internal/fake/broker/conn.go
+++ b/internal/fake/broker/conn.go
@@ -31,7 +31,7 @@
 	handshakes  handshakeStep
 	closed      bool // closes once its output is written
 	outputMuted bool // by a fault: discards further output
-	inputPaused bool // by a fault: reads nothing more until Release
+	inputPaused bool // by a fault: reads nothing more until Resume
 }
 
 // readLoop handles the peer's frames until the connection ends.
--- a/internal/fake/broker/control.go
+++ b/internal/fake/broker/control.go
@@ -24,11 +24,11 @@
 	b.closeAllConns()
 }
 
-// CutNewest closes the newest connection.
-func (b *Broker) CutNewest() { b.CutPeer("") }
+// CutNewestConn closes the newest connection.
+func (b *Broker) CutNewestConn() { b.CutNewestConnOf("") }
 
-// CutPeer closes the newest connection of that name, or of any name when it is empty.
-func (b *Broker) CutPeer(name string) {
+// CutNewestConnOf closes the newest connection of that name, or of any name when it is empty.
+func (b *Broker) CutNewestConnOf(name string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for _, c := range slices.Backward(b.connsByAge()) {
@@ -40,8 +40,8 @@
 	}
 }
 
-// Release sends the confirms that LateConfirm delayed, reads again where StopReading paused, and sends connection.unblocked.
-func (b *Broker) Release() {
+// Resume sends the confirms that LateConfirm delayed, reads again where StopReading paused, and sends connection.unblocked.
+func (b *Broker) Resume() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	confirms := b.delayedConfirms
--- a/internal/fake/broker/deliver_faults.go
+++ b/internal/fake/broker/deliver_faults.go
@@ -13,14 +13,14 @@
 		to.sendMethod(ch.id, "basic.cancel", c.tag, true)
 	case ChannelError:
 		b.refuse(ch, replyPreconditionFailed, "PRECONDITION_FAILED - scripted", 0)
-	case Nonsense:
+	case InvalidBytes:
 		to.write([]byte("\x00nothing that could be a frame\x00"))
-	case Huge:
+	case OversizedFrame:
 		to.write([]byte{frameBody, 0, byte(ch.id), 0x7f, 0xff, 0xff, 0xff})
-	case Endless: // the size is within the agreed bound, but fewer bytes follow
+	case IncompleteFrame: // the size is within the agreed bound, but fewer bytes follow
 		to.write(append([]byte{frameBody, 0, byte(ch.id), 0, 0, 0x0f, 0x00}, make([]byte, 100)...))
 		to.outputMuted = true
-	case Foreign:
+	case UnknownConsumer:
 		to.sendMethod(ch.id, "basic.deliver", "nobody", uint64(1)<<40, false, "", "")
 		to.write(AppendFrame(nil, frameHeader, ch.id, AppendHeader(nil, 0, Props{})))
 	default:
@@ -35,7 +35,7 @@
 	switch action {
 	case Reorder:
 		c.queue.swapFirst()
-	case Mute:
+	case StopSending:
 		to.outputMuted = true
 	case StopReading:
 		to.inputPaused = true
@@ -48,7 +48,7 @@
 func (b *Broker) followDelivery(c *consumer, m *message, action FaultAction) {
 	ch, to := c.channel, c.channel.conn
 	switch action {
-	case Twice:
+	case Duplicate:
 		duplicate := *m
 		duplicate.redelivered = true
 		b.messageCount++
--- a/internal/fake/broker/event.go
+++ b/internal/fake/broker/event.go
@@ -5,18 +5,18 @@
 
 // The kinds of events.
 const (
-	EventPublished  EventKind = "published"
-	EventDelivered  EventKind = "delivered"
-	EventAcked      EventKind = "acked"
-	EventRequeued   EventKind = "requeued"    // by basic.nack or basic.reject
-	EventRejected   EventKind = "rejected"    // without requeue, or beyond the queue's delivery limit
-	EventReturned   EventKind = "gone"        // back in the queue because the channel or connection ended
-	EventAckDropped EventKind = "ack-dropped" // an ack that the fault script discarded
-	EventUnknownTag EventKind = "unknown-tag" // an ack for a delivery that is not outstanding
-	EventConnLost   EventKind = "lost"
-	EventConsumed   EventKind = "consumed"  // a consumer was added
-	EventCancelled  EventKind = "cancelled" // a consumer was removed by its peer
-	EventFault      EventKind = "fault"
+	EventPublished    EventKind = "published"
+	EventDelivered    EventKind = "delivered"
+	EventAcked        EventKind = "acked"
+	EventRequeued     EventKind = "requeued"    // by basic.nack or basic.reject
+	EventRejected     EventKind = "rejected"    // without requeue, or beyond the queue's delivery limit
+	EventAutoRequeued EventKind = "gone"        // back in the queue because the channel or connection ended
+	EventAckDropped   EventKind = "ack-dropped" // an ack that the fault script discarded
+	EventUnknownTag   EventKind = "unknown-tag" // an ack for a delivery that is not outstanding
+	EventConnLost     EventKind = "lost"
+	EventConsumed     EventKind = "consumed"  // a consumer was added
+	EventCancelled    EventKind = "cancelled" // a consumer was removed by its peer
+	EventFault        EventKind = "fault"
 )
 
 // Event is one occurrence at the broker, as passed to the observer. Fields that do not apply are zero.
--- a/internal/fake/broker/handshake.go
+++ b/internal/fake/broker/handshake.go
@@ -42,10 +42,10 @@
 		return errLoginRefused
 	case Cut:
 		return io.EOF
-	case Nonsense:
+	case InvalidBytes:
 		c.write([]byte("HTTP/1.1 400 Bad Request\r\n\r\n"))
 		return io.EOF
-	case Mute:
+	case StopSending:
 		c.outputMuted = true
 	}
 	credentials := strings.Split(startOK.Args[responseArg].(string), "\x00")
@@ -82,7 +82,7 @@
 		if c.closed {
 			return
 		}
-		if c.broker.faultAt(AtHeartbeat) == Mute {
+		if c.broker.faultAt(AtHeartbeat) == StopSending {
 			c.outputMuted = true
 		}
 		c.write(AppendFrame(nil, frameHeartbeat, 0, nil))
--- a/internal/fake/broker/script.go
+++ b/internal/fake/broker/script.go
@@ -27,43 +27,43 @@
 
 // The faults. Their strings are those of ParseFault.
 const (
-	CutBefore     FaultAction = "cut-before"    // close the connection before the event
-	CutInside     FaultAction = "cut-inside"    // send a truncated frame, then close the connection
-	CutAfter      FaultAction = "cut-after"     // close the connection after the event
-	Cut           FaultAction = "cut"           // close the connection
-	Twice         FaultAction = "twice"         // deliver the message twice
-	Reorder       FaultAction = "reorder"       // swap the message with the next one
-	Nonsense      FaultAction = "nonsense"      // send bytes that are no AMQP
-	Huge          FaultAction = "huge"          // send a frame header with a payload size of 2 GB
-	Endless       FaultAction = "endless"       // send a frame whose end never comes
-	Foreign       FaultAction = "foreign"       // deliver to a consumer tag that does not exist
-	SameTag       FaultAction = "same-tag"      // send two messages with one delivery tag
-	Mute          FaultAction = "mute"          // send nothing more
-	StopReading   FaultAction = "stop-reading"  // read nothing more, until Release
-	Cancel        FaultAction = "cancel"        // cancel the consumer
-	ChannelError  FaultAction = "channel-error" // close the channel with an error
-	RestartBroker FaultAction = "restart"       // close all connections
-	Block         FaultAction = "block"         // send connection.blocked
-	Drop          FaultAction = "drop"          // ignore the ack
-	DropCut       FaultAction = "drop-cut"      // ignore the ack and close the connection
-	NoConfirm     FaultAction = "no-confirm"    // never confirm the message
-	LateConfirm   FaultAction = "late-confirm"  // confirm the message at Release
-	Refuse        FaultAction = "refuse"        // nack the message, or refuse the login
-	Ignore        FaultAction = "ignore"        // neither act nor answer
+	CutBefore       FaultAction = "cut-before"    // close the connection before the event
+	CutInside       FaultAction = "cut-inside"    // send a truncated frame, then close the connection
+	CutAfter        FaultAction = "cut-after"     // close the connection after the event
+	Cut             FaultAction = "cut"           // close the connection
+	Duplicate       FaultAction = "twice"         // deliver the message twice
+	Reorder         FaultAction = "reorder"       // swap the message with the next one
+	InvalidBytes    FaultAction = "nonsense"      // send bytes that are no AMQP
+	OversizedFrame  FaultAction = "huge"          // send a frame header with a payload size of 2 GB
+	IncompleteFrame FaultAction = "endless"       // send a frame whose end never comes
+	UnknownConsumer FaultAction = "foreign"       // deliver to a consumer tag that does not exist
+	SameTag         FaultAction = "same-tag"      // send two messages with one delivery tag
+	StopSending     FaultAction = "mute"          // send nothing more
+	StopReading     FaultAction = "stop-reading"  // read nothing more, until Resume
+	Cancel          FaultAction = "cancel"        // cancel the consumer
+	ChannelError    FaultAction = "channel-error" // close the channel with an error
+	RestartBroker   FaultAction = "restart"       // close all connections
+	Block           FaultAction = "block"         // send connection.blocked
+	DropAck         FaultAction = "drop"          // ignore the ack
+	DropAckAndCut   FaultAction = "drop-cut"      // ignore the ack and close the connection
+	NoConfirm       FaultAction = "no-confirm"    // never confirm the message
+	LateConfirm     FaultAction = "late-confirm"  // confirm the message at Resume
+	Refuse          FaultAction = "refuse"        // nack the message, or refuse the login
+	Ignore          FaultAction = "ignore"        // neither act nor answer
 )
 
 const noFault FaultAction = ""
 
 // faultActions are the faults that are possible at each point.
 var faultActions = map[FaultPoint][]FaultAction{
-	AtDeliver: {CutBefore, CutInside, CutAfter, Twice, Reorder, Nonsense, Huge, Endless, Foreign,
-		SameTag, Mute, StopReading, Cancel, ChannelError, RestartBroker, Block},
-	AtSettle:    {Drop, DropCut, CutAfter, RestartBroker, StopReading},
+	AtDeliver: {CutBefore, CutInside, CutAfter, Duplicate, Reorder, InvalidBytes, OversizedFrame, IncompleteFrame, UnknownConsumer,
+		SameTag, StopSending, StopReading, Cancel, ChannelError, RestartBroker, Block},
+	AtSettle:    {DropAck, DropAckAndCut, CutAfter, RestartBroker, StopReading},
 	AtPublish:   {NoConfirm, LateConfirm, Refuse, ChannelError, CutBefore, CutAfter},
-	AtLogin:     {Refuse, Cut, Nonsense, Mute},
+	AtLogin:     {Refuse, Cut, InvalidBytes, StopSending},
 	AtConsume:   {ChannelError, Cut},
 	AtCancel:    {Ignore},
-	AtHeartbeat: {Mute},
+	AtHeartbeat: {StopSending},
 }
 
 // ErrInvalidFault is the error of a fault that cannot be injected at its point, or does not parse.
@@ -78,8 +78,8 @@
 	Action FaultAction
 }
 
-// Check returns ErrInvalidFault when the fault cannot be injected.
-func (f Fault) Check() error {
+// Validate returns ErrInvalidFault when the fault cannot be injected.
+func (f Fault) Validate() error {
 	if slices.Contains(faultActions[f.Point], f.Action) && f.Nth > 0 && f.Every >= 0 {
 		return nil
 	}
@@ -107,7 +107,7 @@
 			f.Every, err = strconv.Atoi(every)
 		}
 	}
-	if err != nil || f.Check() != nil {
+	if err != nil || f.Validate() != nil {
 		return f, fmt.Errorf("%w: found %q, expected EVENT:NTH[+EVERY]:FAULT of %v", ErrInvalidFault, text, faultActions)
 	}
 	return f, nil
--- a/internal/fake/broker/settle.go
+++ b/internal/fake/broker/settle.go
@@ -49,13 +49,13 @@
 // settleOne settles one delivery, or injects a fault; it returns false when the connection has been closed.
 func (b *Broker) settleOne(ch *channel, tag uint64, outcome EventKind) bool {
 	switch action := b.faultAt(AtSettle); action {
-	case Drop, DropCut:
+	case DropAck, DropAckAndCut:
 		lost := ch.unacked[tag]
 		b.emitMessage(EventAckDropped, ch.conn, lost.queue, lost.message, tag)
-		if action == DropCut {
+		if action == DropAckAndCut {
 			b.closeConn(ch.conn, closeNow)
 		}
-		return action == Drop
+		return action == DropAck
 	case RestartBroker:
 		b.closeAllConns()
 		return false
@@ -76,7 +76,7 @@
 	delete(ch.unacked, tag)
 	ended.consumer.unacked--
 	ended.queue.unacked--
-	requeues := outcome == EventRequeued || outcome == EventReturned
+	requeues := outcome == EventRequeued || outcome == EventAutoRequeued
 	if requeues && !ended.nextRequeueExceedsLimit() {
 		b.requeueDelivery(ch, tag, ended, outcome)
 		return
@@ -86,7 +86,7 @@
 		ended.message.requeues++
 		outcome = EventRejected
 	}
-	if outcome == EventAcked && ended.message.requeues < b.Redeliveries {
+	if outcome == EventAcked && ended.message.requeues < b.RedeliveriesAfterAck {
 		b.requeueDelivery(ch, tag, ended, EventAckDropped)
 		return
 	}
@@ -130,7 +130,7 @@
 		b.removeConsumer(c)
 	}
 	for _, tag := range slices.Backward(slices.Sorted(maps.Keys(ch.unacked))) {
-		b.endDelivery(ch, tag, EventReturned)
+		b.endDelivery(ch, tag, EventAutoRequeued)
 	}
 }
 
--- a/internal/fake/crashdisk/crashdisk.go
+++ b/internal/fake/crashdisk/crashdisk.go
@@ -20,8 +20,8 @@
 // ErrCrashed is the error of all calls on a directory or file that was opened before a crash.
 var ErrCrashed = errors.New("the disk has crashed since")
 
-// ErrNoSuchByte is the error of CorruptByte for a position that the file does not have.
-var ErrNoSuchByte = errors.New("no such byte")
+// ErrByteOutOfRange is the error of CorruptByte for a file that does not exist or is shorter.
+var ErrByteOutOfRange = errors.New("no such byte")
 
 // unlimited is the capacity of a disk that is never full.
 const unlimited = -1
@@ -73,9 +73,9 @@
 	return &Disk{entries: map[string]*inode{}, syncedEntries: map[string]*inode{}, failures: map[int]error{}, capacity: unlimited}
 }
 
-// FailAt makes the n-th call from now fail with err. A failing Append writes half of its bytes; a failing Sync of a file loses
+// FailNthCall makes the n-th call from now fail with err. A failing Append writes half of its bytes; a failing Sync of a file loses
 // the bytes that it should have made durable, whatever later calls do.
-func (d *Disk) FailAt(n int, err error) {
+func (d *Disk) FailNthCall(n int, err error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.failures[d.calls+n] = err
@@ -95,13 +95,13 @@
 	d.capacity = bytes
 }
 
-// CorruptByte flips a bit of one byte, durable or not, as a bad sector does. It returns ErrNoSuchByte.
+// CorruptByte flips a bit of one byte, durable or not, as a bad sector does. It returns ErrByteOutOfRange.
 func (d *Disk) CorruptByte(file string, at int) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	n := d.entries[file]
 	if n == nil || at < 0 || at >= len(n.data) {
-		return fmt.Errorf("corrupt byte %d of %q: %w", at, file, ErrNoSuchByte)
+		return fmt.Errorf("corrupt byte %d of %q: %w", at, file, ErrByteOutOfRange)
 	}
 	n.data[at] ^= corruptedBit
 	if at < len(n.synced) {
--- a/internal/fake/crashdisk/crashdisk_test.go
+++ b/internal/fake/crashdisk/crashdisk_test.go
@@ -178,7 +178,7 @@
 	_, _ = file.Append([]byte("sure"))
 	_ = file.Sync()
 	_, _ = file.Append([]byte("lost"))
-	d.FailAt(1, syscall.EIO)
+	d.FailNthCall(1, syscall.EIO)
 	if err := file.Sync(); !errors.Is(err, syscall.EIO) {
 		t.Fatal(err)
 	}
@@ -197,7 +197,7 @@
 	d := New()
 	f := d.Directory()
 	file, _ := f.Create("log")
-	d.FailAt(1, syscall.EIO)
+	d.FailNthCall(1, syscall.EIO)
 	if n, err := file.Append([]byte("1234")); n != 2 || !errors.Is(err, syscall.EIO) {
 		t.Errorf("%d, %v", n, err)
 	}
--- a/internal/lab/amqp.go
+++ b/internal/lab/amqp.go
@@ -64,7 +64,7 @@
 	const ackInterval = 20
 	cutInterval := max(r.Size/200, 500)
 	return []broker.Fault{
-		{Point: broker.AtSettle, Nth: 1 + int(r.Seed%ackInterval), Every: ackInterval, Action: broker.Drop},
+		{Point: broker.AtSettle, Nth: 1 + int(r.Seed%ackInterval), Every: ackInterval, Action: broker.DropAck},
 		{Point: broker.AtDeliver, Nth: cutInterval + int(r.Seed%7), Every: cutInterval, Action: broker.CutAfter},
 	}
 }
@@ -124,7 +124,7 @@
 		return
 	}
 	if state.Consumers > 0 && state.Unacked > 0 && time.Since(f.lastDelivery) > stallTimeout {
-		f.recorded.broker.CutNewest()
+		f.recorded.broker.CutNewestConn()
 		f.lastDelivery = time.Now()
 	}
 }
--- a/internal/lab/amqp_storm.go
+++ b/internal/lab/amqp_storm.go
@@ -23,7 +23,7 @@
 		return report, err
 	}
 	defer recorded.broker.Close()
-	recorded.broker.Redeliveries = stormRedeliveries
+	recorded.broker.RedeliveriesAfterAck = stormRedeliveries
 	for n := range r.Size {
 		recorded.publishNext(n)
 	}
--- a/internal/lab/recorded_broker.go
+++ b/internal/lab/recorded_broker.go
@@ -93,7 +93,7 @@
 		r.checker.Completed(now, attempt, outcome)
 	case broker.EventRequeued, broker.EventRejected:
 		r.checker.Completed(now, attempt, invariant.Failed)
-	case broker.EventReturned:
+	case broker.EventAutoRequeued:
 		if !r.acked[attempt] { // otherwise its ack was dropped
 			r.checker.Completed(now, attempt, invariant.CallerGone)
 		}
