--- a/internal/fake/broker/broker.go
+++ b/internal/fake/broker/broker.go
@@ -2,37 +2,37 @@
 
 import "sync"
 
-// Bounds of the broker's tables.
+// Limits of the broker's tables.
 const (
-	maxNames       = 1024    // queues, exchanges, and binding keys of an exchange, each
+	maxNames       = 1024    // of queues, of exchanges, and of binding keys per exchange
 	maxMessages    = 4 << 20 // in all queues together
 	maxConns       = 256
-	maxChannels    = 16       // of a connection
-	maxOutputBytes = 16 << 20 // unsent, of a connection
-	maxBodyBytes   = 1 << 20  // of a message
+	maxChannels    = 16       // per connection
+	maxOutputBytes = 16 << 20 // waiting to be sent, per connection
+	maxBodyBytes   = 1 << 20  // per message
 )
 
-// The defaults that are offered to peers.
+// Defaults offered to peers in connection.tune.
 const (
 	defaultHeartbeatSeconds = 10
-	minFrameMax             = 4096 // bytes, by the specification
+	minFrameMax             = 4096 // bytes; the specification's minimum
 )
 
-// Broker is the fake broker. Its exported fields are set before Start.
+// Broker is the fake broker. Its exported fields must be set before Start.
 type Broker struct {
 	Heartbeat            uint16 // seconds, offered to peers
 	FrameMax             uint32 // bytes, offered to peers
-	RedeliveriesAfterAck int    // how often each message is delivered again although it was acked
+	RedeliveriesAfterAck int    // requeues of each message before its ack takes effect
 
 	mu              sync.Mutex
-	changed         *sync.Cond // broadcast with every event
+	changed         *sync.Cond // broadcast on every event
 	script          faultScript
 	queues          map[string]*queue
-	queueOrder      []*queue // in order of declaration, for a deterministic dispatch
+	queueOrder      []*queue // in order of declaration, so that dispatch is deterministic
 	exchanges       map[string]*exchange
 	conns           map[*conn]struct{}
 	connsAccepted   int
-	messageCount    int // ready and unacked
+	messageCount    int // ready and unacked, in all queues
 	lastSequence    uint64
 	closed          bool
 	observer        func(Event)
@@ -41,7 +41,8 @@
 	server          *server
 }
 
-// New creates a broker that injects these faults; it listens once Start is called. It returns ErrInvalidFault.
+// New creates a broker that injects the faults. It does not listen before Start. It returns ErrInvalidFault for a fault that
+// does not validate.
 func New(faults ...Fault) (*Broker, error) {
 	for _, fault := range faults {
 		if err := fault.Validate(); err != nil {
--- a/internal/fake/broker/broker_test.go
+++ b/internal/fake/broker/broker_test.go
@@ -10,16 +10,17 @@
 	amqp "github.com/rabbitmq/amqp091-go"
 )
 
-// peer is a connection of the client library, which implements the specification independently of this package.
+// peer is a client connection of the library amqp091-go, an implementation of the specification independent of this package.
 type peer struct {
-	t    *testing.T
-	b    *Broker
-	conn *amqp.Connection
-	ch   *amqp.Channel
-	in   <-chan amqp.Delivery
+	t          *testing.T
+	b          *Broker
+	conn       *amqp.Connection
+	ch         *amqp.Channel
+	deliveries <-chan amqp.Delivery
 }
 
-func start(t *testing.T, faults ...Fault) (*Broker, func() *peer) {
+// startBroker starts a broker with the queues q and dead, and returns it with a function that connects a peer.
+func startBroker(t *testing.T, faults ...Fault) (*Broker, func() *peer) {
 	t.Helper()
 	b, err := New(faults...)
 	if err != nil {
@@ -56,27 +57,27 @@
 	p.t.Helper()
 	err := p.ch.Qos(prefetch, 0, false)
 	if err == nil {
-		p.in, err = p.ch.Consume("q", "", false, false, false, false, nil)
+		p.deliveries, err = p.ch.Consume("q", "", false, false, false, false, nil)
 	}
 	if err != nil {
 		p.t.Fatal(err)
 	}
 }
 
-func (p *peer) next() amqp.Delivery {
+func (p *peer) nextDelivery() amqp.Delivery {
 	p.t.Helper()
 	select {
-	case d, ok := <-p.in:
+	case d, ok := <-p.deliveries:
 		if ok {
 			return d
 		}
 	case <-time.After(20 * time.Second):
 	}
-	p.t.Fatal("no delivery")
+	p.t.Fatal("no delivery within 20 s")
 	return amqp.Delivery{}
 }
 
-// expectQueue waits until the queue has that many ready and unacked messages.
+// expectQueue waits until the queue has the given numbers of ready and unacked messages.
 func (b *Broker) expectQueue(t *testing.T, name string, ready, unacked int) {
 	t.Helper()
 	if !b.WaitForQueue(name, func(s QueueState) bool { return s.Ready == ready && s.Unacked == unacked }) {
@@ -85,7 +86,7 @@
 }
 
 func TestMultiFrameMessageRoundTrip(t *testing.T) {
-	b, dial := start(t)
+	b, dial := startBroker(t)
 	p := dial()
 	body := bytes.Repeat([]byte("0123456789abcdef"), 1000)
 	if err := p.ch.Confirm(false); err != nil {
@@ -95,10 +96,10 @@
 		Headers: amqp.Table{"customer": "acme", "rank": 0.5, "list": []any{int32(1), "x"}}, Body: body}
 	done, err := p.ch.PublishWithDeferredConfirm("", "q", true, false, sent)
 	if err != nil || !done.Wait() {
-		t.Fatal(err, "not confirmed")
+		t.Fatal(err, "the message was not confirmed")
 	}
 	p.consume(1)
-	d := p.next()
+	d := p.nextDelivery()
 	if !bytes.Equal(d.Body, body) || d.Type != "trace" || d.MessageId != "m" || d.Expiration != "100" || d.Priority != 3 ||
 		d.Timestamp.Unix() != 1700000000 || d.Headers["rank"] != 0.5 || d.Redelivered {
 		t.Errorf("%+v", d)
@@ -110,18 +111,18 @@
 }
 
 func TestSettlement(t *testing.T) {
-	b, dial := start(t)
+	b, dial := startBroker(t)
 	for _, id := range []string{"a", "b", "c", "d", "e"} {
 		b.Publish("", "q", Props{MessageID: id}, []byte(id))
 	}
 	p := dial()
 	p.consume(3)
-	a, second, c := p.next(), p.next(), p.next()
+	a, second, c := p.nextDelivery(), p.nextDelivery(), p.nextDelivery()
 	b.expectQueue(t, "q", 2, 3) // no more than the prefetch limit
 	_ = second.Ack(true)        // settles a as well
-	d, e := p.next(), p.next()
+	d, e := p.nextDelivery(), p.nextDelivery()
 	_ = c.Reject(true)
-	if back := p.next(); back.MessageId != "c" || !back.Redelivered || back.Headers["x-delivery-count"] != int64(1) {
+	if back := p.nextDelivery(); back.MessageId != "c" || !back.Redelivered || back.Headers["x-delivery-count"] != int64(1) {
 		t.Errorf("%+v", back)
 	}
 	_ = d.Reject(false)
@@ -130,20 +131,20 @@
 	b.expectQueue(t, "q", 2, 0) // c and e are requeued
 	p = dial()
 	p.consume(0)
-	if c, again := p.next(), p.next(); c.MessageId != "c" || again.MessageId != "e" || !again.Redelivered {
-		t.Errorf("%s, %s", c.MessageId, again.MessageId)
+	if c, again := p.nextDelivery(), p.nextDelivery(); c.MessageId != "c" || again.MessageId != "e" || !again.Redelivered {
+		t.Errorf("delivered %s, %s, want c and a redelivered e", c.MessageId, again.MessageId)
 	}
 	_, _ = a, e
 	closed := p.ch.NotifyClose(make(chan *amqp.Error, 1))
 	_ = p.ch.Ack(77, false)
 	if err := <-closed; err == nil || err.Code != 406 {
-		t.Errorf("an unknown tag: %v", err)
+		t.Errorf("ack of an unknown delivery tag: channel closed with %v, want reply code 406", err)
 	}
 	b.expectQueue(t, "q", 2, 0)
 }
 
 func TestUnroutableMessageIsReturnedAndUnknownExchangeClosesChannel(t *testing.T) {
-	_, dial := start(t)
+	_, dial := startBroker(t)
 	p := dial()
 	_ = p.ch.Confirm(false)
 	back := p.ch.NotifyReturn(make(chan amqp.Return, 1))
@@ -159,33 +160,33 @@
 }
 
 func TestSingleActiveConsumer(t *testing.T) {
-	b, dial := start(t)
+	b, dial := startBroker(t)
 	if err := b.DeclareQueue("single", Table{"x-single-active-consumer": true}); err != nil {
 		t.Fatal(err)
 	}
 	one, two := dial(), dial()
-	one.in, _ = one.ch.Consume("single", "", false, false, false, false, nil)
-	two.in, _ = two.ch.Consume("single", "", false, false, false, false, nil)
+	one.deliveries, _ = one.ch.Consume("single", "", false, false, false, false, nil)
+	two.deliveries, _ = two.ch.Consume("single", "", false, false, false, false, nil)
 	for range 4 {
 		b.Publish("", "single", Props{}, nil)
 	}
 	for range 4 {
-		one.next()
+		one.nextDelivery()
 	}
 	one.conn.Close()
 	for range 4 {
-		two.next()
+		two.nextDelivery()
 	}
 }
 
 func TestFaultIsInjectedOnce(t *testing.T) {
 	for _, c := range []struct {
 		action      FaultAction
-		want        string // ID of the message that the peer gets first
-		otherConn   bool   // it gets it on another connection
+		want        string // ID of the first message that the peer receives
+		otherConn   bool   // it is received on a new connection
 		redelivered bool
 	}{
-		{"cut-before", "m", true, false}, // it was never sent
+		{"cut-before", "m", true, false}, // not sent before the cut
 		{"cut-inside", "m", true, true},
 		{"cut-after", "m", true, true},
 		{"restart", "m", true, false},
@@ -195,47 +196,47 @@
 		{"cancel", "m", true, false},
 		{"reorder", "n", false, false},
 	} {
-		b, dial := start(t, Fault{Point: "deliver", Nth: 1, Action: c.action})
+		b, dial := startBroker(t, Fault{Point: "deliver", Nth: 1, Action: c.action})
 		b.Publish("", "q", Props{MessageID: "m"}, []byte("body"))
 		b.Publish("", "q", Props{MessageID: "n"}, []byte("body"))
 		p := dial()
 		ended := p.ch.NotifyClose(make(chan *amqp.Error, 1))
 		cancelled := p.ch.NotifyCancel(make(chan string, 1))
 		_ = p.ch.Qos(1, 0, false)
-		p.in, _ = p.ch.Consume("q", "", false, false, false, false, nil)
+		p.deliveries, _ = p.ch.Consume("q", "", false, false, false, false, nil)
 		if c.otherConn {
 			select {
 			case <-ended:
 			case <-cancelled:
 			case <-time.After(20 * time.Second):
-				t.Fatalf("%s: nothing happened", c.action)
+				t.Fatalf("%s: neither the channel was closed nor the consumer cancelled within 20 s", c.action)
 			}
 			p.conn.Close()
-			if !b.WaitForEvents("lost", 1) { // the peer learns of the end before the broker does
-				t.Fatalf("%s: not lost", c.action)
+			if !b.WaitForEvents("lost", 1) { // the peer learns that the connection is closed before the broker does
+				t.Fatalf("%s: the broker did not notice that the connection was closed", c.action)
 			}
 			p = dial()
 			p.consume(1)
 		}
-		if d := p.next(); d.MessageId != c.want || d.Redelivered != c.redelivered {
-			t.Errorf("%s: %s, redelivered %v", c.action, d.MessageId, d.Redelivered)
+		if d := p.nextDelivery(); d.MessageId != c.want || d.Redelivered != c.redelivered {
+			t.Errorf("%s: delivered %s, redelivered %v", c.action, d.MessageId, d.Redelivered)
 		}
 	}
 }
 
 func TestLostAckIsRedelivered(t *testing.T) {
-	b, dial := start(t, Fault{Point: "settle", Nth: 1, Action: "drop"}, Fault{Point: "deliver", Nth: 2, Action: "twice"})
+	b, dial := startBroker(t, Fault{Point: "settle", Nth: 1, Action: "drop"}, Fault{Point: "deliver", Nth: 2, Action: "twice"})
 	b.Publish("", "q", Props{MessageID: "m"}, nil)
 	p := dial()
 	p.consume(0)
-	_ = p.next().Ack(false)
+	_ = p.nextDelivery().Ack(false)
 	b.WaitForEvents("ack-dropped", 1)
 	b.expectQueue(t, "q", 0, 1)
 	b.CutNewestConn()
 	p = dial()
 	p.consume(0)
-	for range 2 { // the second delivery is injected twice
-		d := p.next()
+	for range 2 { // the fault delivers the redelivered message twice
+		d := p.nextDelivery()
 		if d.MessageId != "m" || !d.Redelivered {
 			t.Errorf("%+v", d)
 		}
@@ -245,27 +246,27 @@
 }
 
 func TestDelayedConfirmAndRejectedLogin(t *testing.T) {
-	b, dial := start(t, Fault{Point: "publish", Nth: 1, Action: "late-confirm"}, Fault{Point: "publish", Nth: 2, Action: "refuse"}, Fault{Point: "login", Nth: 2, Action: "refuse"})
+	b, dial := startBroker(t, Fault{Point: "publish", Nth: 1, Action: "late-confirm"}, Fault{Point: "publish", Nth: 2, Action: "refuse"}, Fault{Point: "login", Nth: 2, Action: "refuse"})
 	p := dial()
 	_ = p.ch.Confirm(false)
 	late, _ := p.ch.PublishWithDeferredConfirm("", "q", false, false, amqp.Publishing{})
 	refused, _ := p.ch.PublishWithDeferredConfirm("", "q", false, false, amqp.Publishing{})
 	if refused.Wait() || late.Acked() {
-		t.Error("confirmed")
+		t.Error("a refused or delayed message was confirmed")
 	}
 	b.Resume()
 	if !late.Wait() {
-		t.Error("never confirmed")
+		t.Error("the delayed message was not confirmed after Resume")
 	}
 	_, err := amqp.Dial("amqp://guest:guest@" + b.server.listener.Addr().String())
 	if err == nil {
-		t.Error("the login was accepted")
+		t.Error("the second login was accepted, want it refused")
 	}
 }
 
-// Input that is no AMQP closes its connection and no other.
+// A connection that sends something other than AMQP is closed; other connections are unaffected.
 func TestMalformedInputClosesOnlyItsConnection(t *testing.T) {
-	b, dial := start(t)
+	b, dial := startBroker(t)
 	p := dial()
 	p.consume(1)
 	for _, text := range []string{"GET / HTTP/1.1\r\n\r\n", "AMQP\x00\x00\x09\x01\x01\x00\x00\xff\xff\xff\xff", "AMQP\x00\x00\x09\x01\x01\x00\x01\x00\x00\x00\x00\xce"} {
@@ -282,8 +283,8 @@
 		c.Close()
 	}
 	b.Publish("", "q", Props{MessageID: "m"}, nil)
-	if p.next().MessageId != "m" {
-		t.Error("another connection was affected")
+	if p.nextDelivery().MessageId != "m" {
+		t.Error("another connection did not receive its message")
 	}
 }
 
--- a/internal/fake/broker/channel.go
+++ b/internal/fake/broker/channel.go
@@ -1,19 +1,20 @@
 package broker
 
+// channel is an AMQP channel of a connection.
 type channel struct {
-	conn      *conn
-	id        uint16
-	lastTag   uint64 // delivery tag
-	unacked   map[uint64]delivery
-	consumers map[string]*consumer
-	prefetch  int // of consumers that start; 0 for no limit
-	confirms  bool
-	published uint64 // messages, the last confirm number
-	closing   bool   // channel.close was sent
-	incoming  *incomingMessage
+	conn         *conn
+	id           uint16
+	lastTag      uint64 // last delivery tag used
+	unacked      map[uint64]delivery
+	consumers    map[string]*consumer
+	prefetch     int    // for consumers added from now on; 0 for no limit
+	confirmMode  bool   // confirm.select was received
+	publishCount uint64 // messages published; in publisher confirms, the number of the last one
+	closing      bool   // channel.close was sent
+	incoming     *incomingMessage
 }
 
-// incomingMessage is a published message whose content has not come completely.
+// incomingMessage is a published message whose content has not been received completely.
 type incomingMessage struct {
 	exchange, key string
 	mandatory     bool
@@ -23,7 +24,7 @@
 	body          []byte
 }
 
-// handleChannelMethod opens and closes channels, and passes other methods to their handlers.
+// handleChannelMethod opens and closes channels, and passes other methods to their handlers in channelMethods.
 func (c *conn) handleChannelMethod(id uint16, m Method) error {
 	ch := c.channels[id]
 	switch {
@@ -66,8 +67,9 @@
 	c.broker.releaseChannel(ch)
 }
 
-// refuse closes a channel with an error; its ID is free again once the peer has sent channel.close-ok.
-func (b *Broker) refuse(ch *channel, code uint16, text string, methodID uint32) {
+// closeChannelWithError closes a channel with a reply code. Its ID can be used again once the peer has sent channel.close-ok.
+// methodID is the class and method that caused the error, 0 if none.
+func (b *Broker) closeChannelWithError(ch *channel, code uint16, text string, methodID uint32) {
 	ch.conn.closeChannel(ch)
 	ch.conn.sendMethod(ch.id, "channel.close", code, text, uint16(methodID>>16), uint16(methodID))
 }
--- a/internal/fake/broker/codec_test.go
+++ b/internal/fake/broker/codec_test.go
@@ -13,14 +13,15 @@
 	"time"
 )
 
-var full = Props{"text/plain", "gzip", Table{"customer": "acme", "n": int64(-3), "deep": Table{"list": []any{true, nil, 1.5, uint8(3)}},
+// allProps has a value for every property.
+var allProps = Props{"text/plain", "gzip", Table{"customer": "acme", "n": int64(-3), "deep": Table{"list": []any{true, nil, 1.5, uint8(3)}},
 	"at": time.Unix(1700000000, 0), "raw": []byte{0, 255}}, uint8(2), uint8(9), "c", "r", "1000", "m", uint64(1700000000), "trace", "u", "a", "k"}
 
 func TestHeaderRoundTrip(t *testing.T) {
-	for _, p := range []Props{{}, full, {MessageID: "only"}} {
+	for _, p := range []Props{{}, allProps, {MessageID: "only"}} {
 		size, got, err := DecodeHeader(AppendHeader(nil, 77, p))
 		if err != nil || size != 77 || !reflect.DeepEqual(got, p) {
-			t.Errorf("%d %v %v, want %v", size, got, err, p)
+			t.Errorf("body size %d, properties %v, error %v, want size 77 and %v", size, got, err, p)
 		}
 	}
 }
@@ -32,22 +33,22 @@
 	if err != nil || !reflect.DeepEqual(got, want) {
 		t.Errorf("%v %v", got, err)
 	}
-	for n := range m { // a truncated method is an error, never a shorter method
+	for n := range m { // a truncated method must be an error, never decode as a shorter method
 		if _, err := DecodeMethod(m[:n]); err == nil {
-			t.Errorf("truncated to %d bytes: no error", n)
+			t.Errorf("method truncated to %d bytes: no error", n)
 		}
 	}
 	if _, err := DecodeMethod(append(m, 0)); err == nil {
-		t.Error("trailing bytes: no error")
+		t.Error("method with a trailing byte: no error")
 	}
 }
 
-// recordedFrames has a name and a frame in hexadecimal on each line, encoded by revision d489d24.
+// recordedFrames has one frame per line, as a name and hexadecimal bytes. Revision d489d24 encoded them.
 //
 //go:embed testdata/frames-d489d24.txt
 var recordedFrames string
 
-// sampleArguments are arguments for a method's signature, those of the recorded frames.
+// sampleArguments returns the arguments that the recorded frames use for a signature.
 func sampleArguments(signature string) (args []any) {
 	for n, kind := range signature {
 		switch kind {
@@ -64,7 +65,7 @@
 		case 'L':
 			args = append(args, fmt.Sprintf("long%d", n))
 		case 'T':
-			args = append(args, full[Headers])
+			args = append(args, allProps[Headers])
 		case 'b':
 			args = append(args, n%2 == 0)
 		}
@@ -72,11 +73,11 @@
 	return args
 }
 
-// encodeRecorded encodes the frame of that name as it was recorded.
+// encodeRecorded encodes the recorded frame of that name with the current codec.
 func encodeRecorded(name string) []byte {
 	switch name {
 	case "header":
-		return AppendFrame(nil, frameHeader, 6, AppendHeader(nil, 77, full))
+		return AppendFrame(nil, frameHeader, 6, AppendHeader(nil, 77, allProps))
 	case "empty-header":
 		return AppendFrame(nil, frameHeader, 6, AppendHeader(nil, 0, Props{}))
 	case "heartbeat":
@@ -87,7 +88,8 @@
 	return AppendFrame(nil, frameMethod, 5, AppendMethod(nil, name, sampleArguments(methodsByID[methodIDs[name]].args)...))
 }
 
-// Every method, header and kind of frame is encoded and decoded as revision d489d24 did.
+// Every method, content header and kind of frame is encoded and decoded as by revision d489d24. This guards against changes
+// of the wire format that encoder and decoder share, which a round trip does not show.
 func TestRecordedFrames(t *testing.T) {
 	lines := strings.Split(strings.TrimSpace(recordedFrames), "\n")
 	if len(lines) != len(methodsByID)+4 {
@@ -126,14 +128,14 @@
 func TestFrameSizeIsCheckedBeforeReading(t *testing.T) {
 	for _, text := range []string{"\x01\x00\x00\xff\xff\xff\xff", "\x07\x00\x00\x00\x00\x00\x00\xce", "\x01\x00\x00\x00\x00\x00\x01xx"} {
 		if _, err := ReadFrame(bytes.NewReader([]byte(text)), MaxPayload); !errors.Is(err, ErrFrame) {
-			t.Errorf("%q: %v", text, err)
+			t.Errorf("%q: found error %v, expected ErrFrame", text, err)
 		}
 	}
 }
 
 func FuzzDecode(f *testing.F) {
 	f.Add(AppendFrame(nil, frameMethod, 1, AppendMethod(nil, "queue.declare", uint16(0), "q", false, true, false, false, false, Table{"a": Table{"b": []any{int32(1)}}})))
-	f.Add(AppendFrame(nil, frameHeader, 1, AppendHeader(nil, 5, full)))
+	f.Add(AppendFrame(nil, frameHeader, 1, AppendHeader(nil, 5, allProps)))
 	f.Add(AppendFrame(nil, frameHeartbeat, 0, nil))
 	f.Add([]byte("\x01\x00\x01\x00\x00\x00\x0a\x00\x32\x00\x0a\x00\x00\xff\xff\xff\xff\xce"))
 	f.Fuzz(func(t *testing.T, text []byte) {
@@ -145,7 +147,7 @@
 				}
 				return
 			}
-			if m, err := DecodeMethod(frame.Payload); err == nil { // a method that decodes can be encoded again
+			if m, err := DecodeMethod(frame.Payload); err == nil { // a decoded method can be encoded again
 				if again, err := DecodeMethod(AppendMethod(nil, m.Name, m.Args...)); err != nil || again.Name != m.Name {
 					t.Errorf("%v: %v", m, err)
 				}
--- a/internal/fake/broker/conn.go
+++ b/internal/fake/broker/conn.go
@@ -9,32 +9,32 @@
 	"time"
 )
 
-// protocolHeader opens an AMQP 0-9-1 connection; a broker answers with it when it is offered another version.
+// protocolHeader opens an AMQP 0-9-1 connection. A broker answers with it when the peer sends a different header.
 const protocolHeader = "AMQP\x00\x00\x09\x01"
 
-// handshakeTimeout bounds the time until a connection has agreed on its heartbeat.
+// handshakeTimeout is the read deadline of a connection until its heartbeat interval is negotiated or it is open.
 const handshakeTimeout = 30 * time.Second
 
-var errProtocolVersion = errors.New("broker: the peer offers another protocol")
+var errProtocolVersion = errors.New("broker: protocol header is not that of AMQP 0-9-1")
 
-// conn is one connection, guarded by the broker's mutex.
+// conn is the connection of one peer, guarded by the broker's mutex.
 type conn struct {
-	broker      *Broker
-	net         net.Conn
-	number      int        // in order of acceptance, from 1
-	peer        string     // name in the client properties
-	wake        *sync.Cond // for the writer, and for a reader that is paused
-	output      []byte     // not written yet
-	channels    map[uint16]*channel
-	frameMax    uint32
-	heartbeat   time.Duration // as agreed; 0 for none
-	handshakes  handshakeStep
-	closed      bool // closes once its output is written
-	outputMuted bool // by a fault: discards further output
-	inputPaused bool // by a fault: reads nothing more until Resume
+	broker          *Broker
+	net             net.Conn
+	number          int        // in order of acceptance, from 1
+	peer            string     // connection_name of the client properties
+	wake            *sync.Cond // wakes the writer, and a paused reader
+	output          []byte     // to be written by writeLoop
+	channels        map[uint16]*channel
+	frameMax        uint32
+	heartbeat       time.Duration // negotiated interval; 0 if disabled
+	handshakeStep   handshakeStep
+	closed          bool // writeLoop closes the socket once output is written
+	outputDiscarded bool // by a fault: write discards everything
+	inputPaused     bool // by a fault: handles no frames until Resume
 }
 
-// readLoop handles the peer's frames until the connection ends.
+// readLoop handles the peer's frames until the connection ends, then closes it.
 func (c *conn) readLoop() {
 	defer c.broker.server.goroutines.Done()
 	err := c.serve(bufio.NewReader(c.net))
@@ -84,7 +84,7 @@
 	return nil
 }
 
-// receive handles one frame and then delivers what has become deliverable.
+// receive handles one frame and then delivers the messages that have become deliverable.
 func (c *conn) receive(f Frame) error {
 	b := c.broker
 	b.mu.Lock()
@@ -96,7 +96,7 @@
 		return net.ErrClosed
 	}
 	var err error
-	if c.handshakes < handshakeDone {
+	if c.handshakeStep < handshakeDone {
 		err = c.handshake(f)
 	} else {
 		err = c.handleFrame(f)
@@ -106,12 +106,13 @@
 	return err
 }
 
-// extendReadDeadline allows three heartbeats without a frame; a connection without heartbeat may be idle for good.
+// extendReadDeadline allows three heartbeat intervals until the next frame. An open connection without heartbeats has no read
+// deadline.
 func (c *conn) extendReadDeadline() {
 	switch {
 	case c.heartbeat > 0:
 		_ = c.net.SetReadDeadline(time.Now().Add(3 * c.heartbeat))
-	case c.handshakes == handshakeDone:
+	case c.handshakeStep == handshakeDone:
 		_ = c.net.SetReadDeadline(time.Time{})
 	}
 }
@@ -139,7 +140,7 @@
 func (c *conn) handleConnectionMethod(m Method) error {
 	switch m.Name {
 	case "connection.close":
-		for _, ch := range c.channels { // requeues before the peer learns that the connection is closed
+		for _, ch := range c.channels { // requeue messages before the peer learns that the connection is closed
 			c.broker.releaseChannel(ch)
 		}
 		c.sendMethod(0, "connection.close-ok")
--- a/internal/fake/broker/content.go
+++ b/internal/fake/broker/content.go
@@ -2,7 +2,7 @@
 
 import "io"
 
-// handleContentFrame handles a content header or a part of a body.
+// handleContentFrame handles a content header or body frame. It publishes the message once its body is complete.
 func (c *conn) handleContentFrame(f Frame) error {
 	ch := c.channels[f.Channel]
 	if ch == nil {
@@ -15,7 +15,7 @@
 	if m == nil || m.hasHeader != (f.Kind == frameBody) {
 		return errUnexpectedFrame
 	}
-	if err := m.add(f); err != nil {
+	if err := m.addFrame(f); err != nil {
 		return err
 	}
 	if len(m.body) < m.size {
@@ -25,8 +25,8 @@
 	return c.publish(ch, m)
 }
 
-// add adds the payload of a content frame.
-func (m *incomingMessage) add(f Frame) error {
+// addFrame adds the payload of a content frame.
+func (m *incomingMessage) addFrame(f Frame) error {
 	if f.Kind == frameHeader {
 		size, props, err := DecodeHeader(f.Payload)
 		if err != nil || size > maxBodyBytes {
@@ -42,17 +42,17 @@
 	return nil
 }
 
-// publish routes a message that has come completely, and confirms it, or injects a fault.
+// publish routes and confirms a completely received message, or injects a fault.
 func (c *conn) publish(ch *channel, m *incomingMessage) error {
 	b := c.broker
-	ch.published++
-	number := ch.published
-	action := b.faultAt(AtPublish)
+	ch.publishCount++
+	number := ch.publishCount
+	action := b.nextFault(AtPublish)
 	switch action {
 	case CutBefore:
 		return io.EOF
 	case ChannelError:
-		b.refuse(ch, replyPreconditionFailed, "PRECONDITION_FAILED - scripted", methodIDs["basic.publish"])
+		b.closeChannelWithError(ch, replyPreconditionFailed, "PRECONDITION_FAILED - scripted", methodIDs["basic.publish"])
 		return nil
 	case Refuse:
 		c.sendMethod(ch.id, "basic.nack", number, false, false)
@@ -67,7 +67,7 @@
 	switch {
 	case action == CutAfter:
 		return io.EOF
-	case !ch.confirms || action == NoConfirm:
+	case !ch.confirmMode || action == NoConfirm:
 	case action == LateConfirm:
 		b.delayedConfirms = append(b.delayedConfirms, confirm)
 	default:
--- a/internal/fake/broker/control.go
+++ b/internal/fake/broker/control.go
@@ -5,29 +5,29 @@
 	"slices"
 )
 
-// connsByAge is the connections, the oldest first.
+// connsByAge returns the connections, oldest first.
 func (b *Broker) connsByAge() []*conn {
 	return slices.SortedFunc(maps.Keys(b.conns), func(x, y *conn) int { return x.number - y.number })
 }
 
-// closeAllConns closes all connections at once, as a broker that restarts.
+// closeAllConns closes all connections without writing their pending output, like a restarting broker.
 func (b *Broker) closeAllConns() {
 	for _, c := range b.connsByAge() {
 		b.closeConn(c, closeNow)
 	}
 }
 
-// Restart closes all connections, as a broker with durable queues that restarts.
+// Restart simulates the restart of a broker with durable queues: it closes all connections and keeps the queues.
 func (b *Broker) Restart() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.closeAllConns()
 }
 
-// CutNewestConn closes the newest connection.
+// CutNewestConn closes the newest connection without writing its pending output.
 func (b *Broker) CutNewestConn() { b.CutNewestConnOf("") }
 
-// CutNewestConnOf closes the newest connection of that name, or of any name when it is empty.
+// CutNewestConnOf is CutNewestConn for connections of one name, as given in the client properties; an empty name matches all.
 func (b *Broker) CutNewestConnOf(name string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -40,7 +40,8 @@
 	}
 }
 
-// Resume sends the confirms that LateConfirm delayed, reads again where StopReading paused, and sends connection.unblocked.
+// Resume ends the faults LateConfirm, StopReading and Block: it sends the delayed confirms, reads again from paused
+// connections and sends connection.unblocked.
 func (b *Broker) Resume() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -51,23 +52,23 @@
 	}
 	for _, c := range b.connsByAge() {
 		c.inputPaused = false
-		if c.handshakes == handshakeDone {
+		if c.handshakeStep == handshakeDone {
 			c.sendMethod(0, "connection.unblocked")
 		}
 		c.wake.Broadcast()
 	}
 }
 
-// QueueState is the state of one queue, and the number of the broker's connections.
+// QueueState is the state of one queue, with the number of the broker's connections.
 type QueueState struct {
 	Ready, Unacked int // messages
 	Consumers      int
-	Prefetch       int // of all consumers together
-	Connections    int
+	Prefetch       int // sum over all consumers
+	Connections    int // of the broker
 }
 
-// WaitForQueue waits until the queue's state is wanted; it returns false when the broker is closed first. wanted must not call
-// the broker.
+// WaitForQueue waits until wanted returns true for the queue's state. It returns false when the broker is closed first. wanted
+// must not call the broker.
 func (b *Broker) WaitForQueue(name string, wanted func(QueueState) bool) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -80,7 +81,7 @@
 	return false
 }
 
-// WaitForEvents waits until there were count events of a kind; it returns false when the broker is closed first.
+// WaitForEvents waits until count events of a kind have occurred. It returns false when the broker is closed first.
 func (b *Broker) WaitForEvents(kind EventKind, count int) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -90,14 +91,14 @@
 	return b.eventCounts[kind] >= count
 }
 
-// EventCount is the number of events of a kind so far.
+// EventCount returns the number of events of a kind since the broker was created.
 func (b *Broker) EventCount(kind EventKind) int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.eventCounts[kind]
 }
 
-// QueueState returns the state of a queue; a queue that is not declared is empty.
+// QueueState returns the state of a queue. For an undeclared queue all counts of the queue are 0.
 func (b *Broker) QueueState(name string) QueueState {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -121,7 +122,7 @@
 	Body  []byte
 }
 
-// TakeMessages removes and returns the ready messages of a queue.
+// TakeMessages removes the ready messages from a queue and returns them in order.
 func (b *Broker) TakeMessages(name string) (all []Message) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/internal/fake/broker/decode.go
+++ b/internal/fake/broker/decode.go
@@ -6,22 +6,22 @@
 	"time"
 )
 
-// Table is a field table. Its values are bool, the sized integers, float32, float64, string, []byte, time.Time (in whole
-// seconds), Table, []any and nil.
+// Table is a field table. Its values are nil, bool, int, int8 to int64, uint8 to uint32, float32, float64, string, []byte,
+// time.Time (in whole seconds), Table and []any.
 type Table map[string]any
 
-// Kinds of the values in field tables, after RabbitMQ's errata to the specification.
+// Type tags of the values in field tables, according to RabbitMQ's errata to the specification.
 const (
 	fieldBool      = 't'
 	fieldInt8      = 'b'
 	fieldUint8     = 'B'
 	fieldInt16     = 's'
-	fieldSpecInt16 = 'U' // of the specification; decoded only
+	fieldSpecInt16 = 'U' // the specification's tag; decoded only
 	fieldUint16    = 'u'
 	fieldInt32     = 'I'
 	fieldUint32    = 'i'
 	fieldInt64     = 'l'
-	fieldSpecInt64 = 'L' // of the specification; decoded only
+	fieldSpecInt64 = 'L' // the specification's tag; decoded only
 	fieldFloat32   = 'f'
 	fieldFloat64   = 'd'
 	fieldDecimal   = 'D' // decoded only
@@ -33,12 +33,13 @@
 	fieldArray     = 'A'
 )
 
-// decoder decodes arguments. After an error, its methods return zero values.
+// decoder decodes method arguments and properties. After an error its methods return zero values.
 type decoder struct {
 	remaining []byte
 	err       error
 }
 
+// take returns the next n bytes, without copying them.
 func (d *decoder) take(n int) []byte {
 	if d.err != nil || n < 0 || n > len(d.remaining) {
 		d.err = ErrSyntax
@@ -49,7 +50,7 @@
 	return p
 }
 
-// finish returns the first error, or ErrSyntax when bytes remain.
+// finish returns ErrSyntax when decoding failed or bytes remain.
 func (d *decoder) finish() error {
 	if d.err == nil && len(d.remaining) > 0 {
 		d.err = ErrSyntax
@@ -76,9 +77,9 @@
 	return d.take(int(n))
 }
 
-// arguments decodes values of the signature's kinds, see methodsByID.
+// arguments decodes the values that a signature lists (format: see methodsByID).
 func (d *decoder) arguments(signature string) (args []any) {
-	bits, used := uint64(0), bitsPerOctet // the octet of consecutive bit arguments, and how many of its bits are used
+	bits, used := uint64(0), bitsPerOctet // the octet that holds consecutive bit arguments, and how many of its bits are used
 	for _, k := range signature {
 		if k != 'b' {
 			used = bitsPerOctet
@@ -109,7 +110,7 @@
 	return args
 }
 
-// table decodes a field table; depth counts the tables around it.
+// table decodes a field table nested in depth other tables or arrays.
 func (d *decoder) table(depth int) Table {
 	in := &decoder{remaining: d.longString()}
 	t := Table{}
@@ -128,7 +129,7 @@
 	return t
 }
 
-// value decodes one field value.
+// value decodes a field value with its type tag.
 func (d *decoder) value(depth int) any {
 	if depth > maxTableDepth {
 		d.err = ErrSyntax
--- a/internal/fake/broker/deliver.go
+++ b/internal/fake/broker/deliver.go
@@ -1,13 +1,13 @@
 package broker
 
-// publication is a message to route.
+// publication is a message and its routing information.
 type publication struct {
 	exchange, key string
 	props         Props
 	body          []byte
 }
 
-// Publish publishes a message, as a peer would; it returns false when the message was routed to no queue.
+// Publish publishes a message as a peer would, without a connection. It returns false when no queue receives the message.
 func (b *Broker) Publish(exchange, key string, props Props, body []byte) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -16,7 +16,8 @@
 	return routed
 }
 
-// route adds a message to each queue that its exchange routes it to; it returns false when there is none.
+// route adds a message to each queue that its exchange routes it to, unless the broker holds maxMessages. It returns false when
+// no queue receives the message.
 func (b *Broker) route(c *conn, p publication) bool {
 	routed := false
 	for _, name := range b.routes(p) {
@@ -34,7 +35,7 @@
 	return routed
 }
 
-// routes are the names of the queues that a message is routed to.
+// routes returns the names of the queues that a message is routed to.
 func (b *Broker) routes(p publication) []string {
 	if p.exchange == defaultExchange {
 		return []string{p.key}
@@ -46,7 +47,7 @@
 	return exchange.bindings[exchange.bindingKey(p.key)]
 }
 
-// dispatch delivers ready messages until none is left or no consumer takes one.
+// dispatch delivers ready messages of all queues until none is left or no consumer is ready.
 func (b *Broker) dispatch() {
 	for _, q := range b.queueOrder {
 		for q.readyCount() > 0 && b.deliverNext(q) {
@@ -54,24 +55,24 @@
 	}
 }
 
-// deliverNext delivers the next message of a queue, or injects a fault; it returns false when no consumer is ready.
+// deliverNext delivers the next message of a queue, or injects a fault. It returns false when no consumer is ready.
 func (b *Broker) deliverNext(q *queue) bool {
 	c := q.nextReadyConsumer()
 	if c == nil {
 		return false
 	}
-	action := b.faultAt(AtDeliver)
-	if b.replaceDelivery(c, action) {
+	action := b.nextFault(AtDeliver)
+	if b.injectInsteadOfDelivery(c, action) {
 		return true
 	}
-	b.disturbDelivery(c, action)
+	b.injectBeforeDelivery(c, action)
 	m := q.pop()
 	b.sendDelivery(c, m)
-	b.followDelivery(c, m, action)
+	b.injectAfterDelivery(c, m, action)
 	return true
 }
 
-// sendDelivery sends one message to a consumer.
+// sendDelivery sends a message to a consumer and tracks it as unacked, unless the consumer has no-ack set.
 func (b *Broker) sendDelivery(c *consumer, m *message) {
 	ch, q := c.channel, c.queue
 	ch.lastTag++
--- a/internal/fake/broker/deliver_faults.go
+++ b/internal/fake/broker/deliver_faults.go
@@ -1,7 +1,7 @@
 package broker
 
-// replaceDelivery injects a fault in place of a delivery; it returns false when the action is none of these.
-func (b *Broker) replaceDelivery(c *consumer, action FaultAction) bool {
+// injectInsteadOfDelivery injects a fault that replaces the delivery. It returns false when the action is no such fault.
+func (b *Broker) injectInsteadOfDelivery(c *consumer, action FaultAction) bool {
 	ch, to := c.channel, c.channel.conn
 	switch action {
 	case CutBefore:
@@ -12,14 +12,14 @@
 		b.removeConsumer(c)
 		to.sendMethod(ch.id, "basic.cancel", c.tag, true)
 	case ChannelError:
-		b.refuse(ch, replyPreconditionFailed, "PRECONDITION_FAILED - scripted", 0)
+		b.closeChannelWithError(ch, replyPreconditionFailed, "PRECONDITION_FAILED - scripted", 0)
 	case InvalidBytes:
 		to.write([]byte("\x00nothing that could be a frame\x00"))
 	case OversizedFrame:
 		to.write([]byte{frameBody, 0, byte(ch.id), 0x7f, 0xff, 0xff, 0xff})
-	case IncompleteFrame: // the size is within the agreed bound, but fewer bytes follow
+	case IncompleteFrame: // the stated size is within the negotiated limit, but fewer bytes follow
 		to.write(append([]byte{frameBody, 0, byte(ch.id), 0, 0, 0x0f, 0x00}, make([]byte, 100)...))
-		to.outputMuted = true
+		to.outputDiscarded = true
 	case UnknownConsumer:
 		to.sendMethod(ch.id, "basic.deliver", "nobody", uint64(1)<<40, false, "", "")
 		to.write(AppendFrame(nil, frameHeader, ch.id, AppendHeader(nil, 0, Props{})))
@@ -29,14 +29,14 @@
 	return true
 }
 
-// disturbDelivery injects a fault before a delivery.
-func (b *Broker) disturbDelivery(c *consumer, action FaultAction) {
+// injectBeforeDelivery injects a fault that precedes or changes the delivery.
+func (b *Broker) injectBeforeDelivery(c *consumer, action FaultAction) {
 	to := c.channel.conn
 	switch action {
 	case Reorder:
 		c.queue.swapFirst()
 	case StopSending:
-		to.outputMuted = true
+		to.outputDiscarded = true
 	case StopReading:
 		to.inputPaused = true
 	case Block:
@@ -44,8 +44,8 @@
 	}
 }
 
-// followDelivery injects a fault that follows a delivery.
-func (b *Broker) followDelivery(c *consumer, m *message, action FaultAction) {
+// injectAfterDelivery injects a fault that follows the delivery.
+func (b *Broker) injectAfterDelivery(c *consumer, m *message, action FaultAction) {
 	ch, to := c.channel, c.channel.conn
 	switch action {
 	case Duplicate:
--- a/internal/fake/broker/encode.go
+++ b/internal/fake/broker/encode.go
@@ -14,13 +14,14 @@
 	return append(append(out, byte(len(s))), s...)
 }
 
+// appendLongString appends a long string: a 32-bit length and the bytes.
 func appendLongString(out, b []byte) []byte {
 	return append(binary.BigEndian.AppendUint32(out, uint32(len(b))), b...)
 }
 
-// appendArguments appends values of the signature's kinds, see methodsByID.
+// appendArguments appends the values that a signature lists (format: see methodsByID).
 func appendArguments(out []byte, signature string, args []any) []byte {
-	bits, used := 0, bitsPerOctet // index of the octet of consecutive bit arguments, and how many of its bits are used
+	bits, used := 0, bitsPerOctet // index of the octet that holds consecutive bit arguments, and how many of its bits are used
 	for i, k := range signature {
 		if k != 'b' {
 			used = bitsPerOctet
@@ -54,21 +55,21 @@
 	return out
 }
 
-// appendTable appends a field table.
+// appendTable appends a field table, with its names sorted.
 func appendTable(out []byte, t Table) []byte {
 	var in []byte
 	names := make([]string, 0, len(t))
 	for name := range t {
 		names = append(names, name)
 	}
-	sort.Strings(names) // for a deterministic encoding
+	sort.Strings(names) // makes the encoding deterministic
 	for _, name := range names {
 		in = appendValue(appendShortString(in, name), t[name])
 	}
 	return appendLongString(out, in)
 }
 
-// appendValue appends a field value with its kind; it panics for a type that Table does not allow.
+// appendValue appends a field value with its type tag. It panics for a type that Table does not allow.
 func appendValue(out []byte, v any) []byte {
 	be := binary.BigEndian
 	switch v := v.(type) {
@@ -114,5 +115,5 @@
 		}
 		return appendLongString(append(out, fieldArray), in)
 	}
-	panic(fmt.Sprintf("no field of a table: %T", v))
+	panic(fmt.Sprintf("broker: type %T is not allowed as a value of a field table", v))
 }
--- a/internal/fake/broker/frame.go
+++ b/internal/fake/broker/frame.go
@@ -7,14 +7,14 @@
 	"io"
 )
 
-// Bounds of the codec.
+// Limits of the codec.
 const (
-	MaxPayload      = 128 << 10 // bytes of a frame's payload
-	maxTableDepth   = 8         // tables nested in tables
-	maxTableEntries = 256       // of one table or array
+	MaxPayload      = 128 << 10 // bytes of payload per frame
+	maxTableDepth   = 8         // levels of nested tables and arrays
+	maxTableEntries = 256       // per table or array
 )
 
-// Frame kinds, the octet that ends a frame, and the bytes that a frame adds to its payload.
+// Frame kinds, the octet that ends every frame, and the size of a frame without its payload.
 const (
 	frameMethod    = 1
 	frameHeader    = 2
@@ -33,13 +33,13 @@
 
 // Errors of the codec.
 var (
-	ErrFrame  = errors.New("not a frame")         // wrong kind, size or end
-	ErrSyntax = errors.New("arguments malformed") // of a method or a content header
-	ErrMethod = errors.New("unknown method")
+	ErrFrame  = errors.New("malformed AMQP frame")     // unknown kind, size over the limit, or wrong end octet
+	ErrSyntax = errors.New("malformed AMQP arguments") // of a method or a content header
+	ErrMethod = errors.New("unknown AMQP method")
 )
 
-// ReadFrame reads one frame with a payload of at most maxPayload bytes, and MaxPayload in any case. It returns ErrFrame or
-// the error of the reader.
+// ReadFrame reads one frame. Its payload may have up to maxPayload bytes, but no more than MaxPayload. It returns ErrFrame for a
+// malformed frame, or the reader's error.
 func ReadFrame(r io.Reader, maxPayload uint32) (f Frame, err error) {
 	var head [7]byte
 	if _, err = io.ReadFull(r, head[:]); err != nil {
@@ -48,14 +48,14 @@
 	f.Kind, f.Channel = head[0], binary.BigEndian.Uint16(head[1:])
 	size := binary.BigEndian.Uint32(head[3:])
 	if size > min(maxPayload, MaxPayload) || !isFrameKind(f.Kind) {
-		return f, fmt.Errorf("%w: kind %d of %d bytes", ErrFrame, f.Kind, size)
+		return f, fmt.Errorf("%w: kind %d with a payload of %d bytes", ErrFrame, f.Kind, size)
 	}
 	body := make([]byte, size+1)
 	if _, err = io.ReadFull(r, body); err != nil {
 		return f, err
 	}
 	if f.Payload = body[:size]; body[size] != frameEnd {
-		return f, fmt.Errorf("%w: ends with %#x", ErrFrame, body[size])
+		return f, fmt.Errorf("%w: last octet is %#x, expected 0xce", ErrFrame, body[size])
 	}
 	return f, nil
 }
--- a/internal/fake/broker/handshake.go
+++ b/internal/fake/broker/handshake.go
@@ -6,27 +6,27 @@
 	"time"
 )
 
-// handshakeStep counts the methods of the handshake that have come.
+// handshakeStep is the number of handshake methods received so far.
 type handshakeStep int
 
-// handshakeMethods are the methods of the handshake, in the order that the specification demands.
+// handshakeMethods are the methods that a peer must send, in this order, before its connection is open.
 var handshakeMethods = [...]string{"connection.start-ok", "connection.tune-ok", "connection.open"}
 
 const handshakeDone = handshakeStep(len(handshakeMethods))
 
-// handshake handles the frames of a connection that is not open yet.
+// handshake handles a frame of a connection that is not open yet.
 func (c *conn) handshake(f Frame) error {
 	if f.Kind == frameHeartbeat {
 		return nil
 	}
 	m, err := DecodeMethod(f.Payload)
-	if err != nil || f.Kind != frameMethod || f.Channel != 0 || m.Name != handshakeMethods[c.handshakes] {
+	if err != nil || f.Kind != frameMethod || f.Channel != 0 || m.Name != handshakeMethods[c.handshakeStep] {
 		return errCommandInvalid
 	}
-	c.handshakes++
+	c.handshakeStep++
 	switch m.Name {
 	case "connection.start-ok":
-		return c.logIn(m)
+		return c.authenticate(m)
 	case "connection.tune-ok":
 		return c.tune(m)
 	}
@@ -34,10 +34,10 @@
 	return nil
 }
 
-// logIn checks the peer's credentials, of which any name does, and offers the connection's limits.
-func (c *conn) logIn(startOK Method) error {
+// authenticate accepts any PLAIN credentials with a user name that is not empty, and offers the connection's limits.
+func (c *conn) authenticate(startOK Method) error {
 	const propertiesArg, mechanismArg, responseArg = 0, 1, 2
-	switch c.broker.faultAt(AtLogin) {
+	switch c.broker.nextFault(AtLogin) {
 	case Refuse:
 		return errLoginRefused
 	case Cut:
@@ -46,7 +46,7 @@
 		c.write([]byte("HTTP/1.1 400 Bad Request\r\n\r\n"))
 		return io.EOF
 	case StopSending:
-		c.outputMuted = true
+		c.outputDiscarded = true
 	}
 	credentials := strings.Split(startOK.Args[responseArg].(string), "\x00")
 	if startOK.Args[mechanismArg] != "PLAIN" || len(credentials) != 3 || credentials[1] == "" {
@@ -59,7 +59,7 @@
 	return nil
 }
 
-// tune takes over the limits that the peer has chosen.
+// tune applies the limits that the peer has chosen.
 func (c *conn) tune(tuneOK Method) error {
 	const frameMaxArg, heartbeatArg = 1, 2
 	frameMax := tuneOK.Args[frameMaxArg].(uint32)
@@ -74,7 +74,7 @@
 	return nil
 }
 
-// scheduleHeartbeat sends a heartbeat each half of the agreed interval, until the connection is closed.
+// scheduleHeartbeat sends a heartbeat every half of the negotiated interval, until the connection is closed.
 func (c *conn) scheduleHeartbeat() {
 	time.AfterFunc(c.heartbeat/2, func() {
 		c.broker.mu.Lock()
@@ -82,8 +82,8 @@
 		if c.closed {
 			return
 		}
-		if c.broker.faultAt(AtHeartbeat) == StopSending {
-			c.outputMuted = true
+		if c.broker.nextFault(AtHeartbeat) == StopSending {
+			c.outputDiscarded = true
 		}
 		c.write(AppendFrame(nil, frameHeartbeat, 0, nil))
 		c.scheduleHeartbeat()
--- a/internal/fake/broker/methods.go
+++ b/internal/fake/broker/methods.go
@@ -5,15 +5,15 @@
 	"io"
 )
 
-// methodCall is a method that a peer calls on an open channel.
+// methodCall is a method received on an open channel.
 type methodCall struct {
 	conn    *conn
 	channel *channel
 	method  Method
 }
 
-// channelMethods are the handlers of the methods that the broker implements, but for those that open and close channels. An
-// error of a handler ends the connection.
+// channelMethods are the handlers of the channel methods that the broker implements, except those that open and close channels.
+// An error returned by a handler ends the connection.
 var channelMethods = map[string]func(methodCall) error{
 	"exchange.declare": methodCall.declareExchange,
 	"queue.declare":    methodCall.declareQueue,
@@ -26,7 +26,7 @@
 	"basic.ack":        methodCall.ack,
 	"basic.reject":     methodCall.reject,
 	"basic.nack":       methodCall.nack,
-	"confirm.select":   methodCall.selectConfirms,
+	"confirm.select":   methodCall.enableConfirms,
 	"channel.flow":     methodCall.ignore,
 	"channel.flow-ok":  methodCall.ignore,
 	"basic.cancel-ok":  methodCall.ignore,
@@ -36,24 +36,27 @@
 func (c methodCall) text(arg int) string { return c.method.Args[arg].(string) }
 func (c methodCall) flag(arg int) bool   { return c.method.Args[arg].(bool) }
 
-// reply sends the method's -ok answer, unless the peer has set its no-wait argument.
+// reply sends the method's -ok reply, unless its no-wait argument is set.
 func (c methodCall) reply(noWaitArg int, args ...any) {
 	if !c.flag(noWaitArg) {
 		c.replyAlways(args...)
 	}
 }
 
+// replyAlways sends the -ok reply of a method that has no no-wait argument.
 func (c methodCall) replyAlways(args ...any) {
 	c.conn.sendMethod(c.channel.id, c.method.Name+"-ok", args...)
 }
 
-// refuse closes the channel with an error.
-func (c methodCall) refuse(code uint16, text string) error {
-	c.broker().refuse(c.channel, code, text, methodIDs[c.method.Name])
+// closeWithError closes the channel with a reply code; the connection stays open.
+func (c methodCall) closeWithError(code uint16, text string) error {
+	c.broker().closeChannelWithError(c.channel, code, text, methodIDs[c.method.Name])
 	return nil
 }
 
-func (c methodCall) notFound(name string) error { return c.refuse(replyNotFound, "NOT_FOUND - "+name) }
+func (c methodCall) closeWithNotFound(name string) error {
+	return c.closeWithError(replyNotFound, "NOT_FOUND - "+name)
+}
 
 func (c methodCall) ignore() error { return nil }
 
@@ -61,10 +64,10 @@
 	const nameArg, kindArg, passiveArg, noWaitArg = 1, 2, 3, 7
 	if c.flag(passiveArg) {
 		if c.broker().exchanges[c.text(nameArg)] == nil {
-			return c.notFound("exchange " + c.text(nameArg))
+			return c.closeWithNotFound("exchange " + c.text(nameArg))
 		}
 	} else if err := c.broker().declareExchange(c.text(nameArg), c.text(kindArg)); err != nil {
-		return c.refuse(replyPreconditionFailed, "PRECONDITION_FAILED")
+		return c.closeWithError(replyPreconditionFailed, "PRECONDITION_FAILED")
 	}
 	c.reply(noWaitArg)
 	return nil
@@ -73,10 +76,10 @@
 func (c methodCall) declareQueue() error {
 	const nameArg, passiveArg, noWaitArg, tableArg = 1, 2, 6, 7
 	if c.broker().queues[c.text(nameArg)] == nil && c.flag(passiveArg) {
-		return c.notFound("queue " + c.text(nameArg))
+		return c.closeWithNotFound("queue " + c.text(nameArg))
 	}
 	if err := c.broker().declareQueue(c.text(nameArg), c.method.Args[tableArg].(Table)); err != nil {
-		return c.refuse(replyPreconditionFailed, "PRECONDITION_FAILED")
+		return c.closeWithError(replyPreconditionFailed, "PRECONDITION_FAILED")
 	}
 	q := c.broker().queues[c.text(nameArg)]
 	c.reply(noWaitArg, q.name, uint32(q.readyCount()), uint32(len(q.consumers)))
@@ -86,7 +89,7 @@
 func (c methodCall) bindQueue() error {
 	const queueArg, exchangeArg, keyArg, noWaitArg = 1, 2, 3, 4
 	if err := c.broker().bind(c.text(queueArg), c.text(exchangeArg), c.text(keyArg)); err != nil {
-		return c.notFound(c.text(queueArg))
+		return c.closeWithNotFound(c.text(queueArg))
 	}
 	c.reply(noWaitArg)
 	return nil
@@ -96,7 +99,7 @@
 	const queueArg, noWaitArg = 1, 2
 	q := c.broker().queues[c.text(queueArg)]
 	if q == nil {
-		return c.notFound(c.text(queueArg))
+		return c.closeWithNotFound(c.text(queueArg))
 	}
 	count := q.purge()
 	c.broker().messageCount -= count
@@ -107,7 +110,7 @@
 func (c methodCall) setPrefetch() error {
 	const countArg, globalArg = 1, 2
 	c.channel.prefetch = int(c.method.Args[countArg].(uint16))
-	if c.flag(globalArg) { // as with RabbitMQ's quorum queues
+	if c.flag(globalArg) { // RabbitMQ's quorum queues do not support it either
 		return errNotImplemented
 	}
 	c.replyAlways()
@@ -118,11 +121,11 @@
 	const queueArg, tagArg, noAckArg, noWaitArg = 1, 2, 4, 6
 	ch, q := c.channel, c.broker().queues[c.text(queueArg)]
 	if q == nil {
-		return c.notFound("queue " + c.text(queueArg))
+		return c.closeWithNotFound("queue " + c.text(queueArg))
 	}
-	switch c.broker().faultAt(AtConsume) {
+	switch c.broker().nextFault(AtConsume) {
 	case ChannelError:
-		return c.refuse(replyAccessRefused, "ACCESS_REFUSED - scripted")
+		return c.closeWithError(replyAccessRefused, "ACCESS_REFUSED - scripted")
 	case Cut:
 		return io.EOF
 	}
@@ -143,7 +146,7 @@
 
 func (c methodCall) cancel() error {
 	const tagArg, noWaitArg = 0, 1
-	if c.broker().faultAt(AtCancel) == Ignore {
+	if c.broker().nextFault(AtCancel) == Ignore {
 		return nil
 	}
 	if cancelled := c.channel.consumers[c.text(tagArg)]; cancelled != nil {
@@ -154,19 +157,19 @@
 	return nil
 }
 
-// publish starts a message; its content follows in frames of its own.
+// publish prepares the channel for a message; its content follows in separate frames.
 func (c methodCall) publish() error {
 	const exchangeArg, keyArg, mandatoryArg = 1, 2, 3
 	if c.broker().exchanges[c.text(exchangeArg)] == nil {
-		return c.notFound("exchange " + c.text(exchangeArg))
+		return c.closeWithNotFound("exchange " + c.text(exchangeArg))
 	}
 	c.channel.incoming = &incomingMessage{exchange: c.text(exchangeArg), key: c.text(keyArg), mandatory: c.flag(mandatoryArg)}
 	return nil
 }
 
-func (c methodCall) selectConfirms() error {
+func (c methodCall) enableConfirms() error {
 	const noWaitArg = 0
-	c.channel.confirms = true
+	c.channel.confirmMode = true
 	c.reply(noWaitArg)
 	return nil
 }
@@ -189,14 +192,16 @@
 	return nil
 }
 
-// noMultiple is passed to tags by a method without a multiple argument.
+// noMultiple is passed to tags for a method without a multiple argument.
 const noMultiple = -1
 
+// tags returns the delivery tags that the method settles.
 func (c methodCall) tags(multipleArg int) tagRange {
 	const tagArg = 0
 	return tagRange{tag: c.method.Args[tagArg].(uint64), multiple: multipleArg != noMultiple && c.flag(multipleArg)}
 }
 
+// rejection returns the outcome of a reject or nack, which depends on its requeue argument.
 func (c methodCall) rejection(requeueArg int) EventKind {
 	if c.flag(requeueArg) {
 		return EventRequeued
@@ -204,12 +209,12 @@
 	return EventRejected
 }
 
-// settle settles deliveries; a tag without an unacked delivery on this channel closes the channel, as RabbitMQ does.
+// settle settles deliveries. Like RabbitMQ, it closes the channel when a tag has no unacked delivery on it.
 func (c methodCall) settle(tags tagRange, outcome EventKind) {
 	b := c.broker()
 	if b.settle(c.channel, tags, outcome) {
 		return
 	}
 	b.emit(EventUnknownTag, c.conn)
-	b.refuse(c.channel, replyPreconditionFailed, fmt.Sprintf("PRECONDITION_FAILED - unknown delivery tag %d", tags.tag), methodIDs["basic.ack"])
+	b.closeChannelWithError(c.channel, replyPreconditionFailed, fmt.Sprintf("PRECONDITION_FAILED - unknown delivery tag %d", tags.tag), methodIDs["basic.ack"])
 }
--- a/internal/fake/broker/output.go
+++ b/internal/fake/broker/output.go
@@ -2,7 +2,7 @@
 
 import "slices"
 
-// writeLoop writes the connection's output until the connection is closed.
+// writeLoop writes the connection's output until the connection is closed, then closes the socket.
 func (c *conn) writeLoop() {
 	defer c.broker.server.goroutines.Done()
 	defer c.net.Close()
@@ -26,29 +26,29 @@
 	}
 }
 
-// write queues bytes for the writer; a peer that has maxOutputBytes waiting is disconnected.
+// write queues bytes for writeLoop. It disconnects a peer that has more than maxOutputBytes waiting.
 func (c *conn) write(p []byte) {
-	if c.outputMuted || c.closed {
+	if c.outputDiscarded || c.closed {
 		return
 	}
 	if c.output = append(c.output, p...); len(c.output) > maxOutputBytes {
-		c.net.Close() // the reader then ends the connection
+		c.net.Close() // readLoop then fails and ends the connection
 	}
-	c.wake.Broadcast() // not Signal: a paused reader may wait as well
+	c.wake.Broadcast() // not Signal: a paused reader may wait on it as well
 }
 
-// truncateOutput removes the last bytes of the unsent output, so that it ends within a frame.
+// truncateOutput removes the last bytes of the unsent output, so that it ends in the middle of a frame.
 func (c *conn) truncateOutput() {
 	const removed = 7
 	c.output = c.output[:max(len(c.output)-removed, 0)]
 }
 
-// sendMethod sends a method without content.
+// sendMethod queues a method without content.
 func (c *conn) sendMethod(channel uint16, name string, args ...any) {
 	c.write(AppendFrame(nil, frameMethod, channel, AppendMethod(nil, name, args...)))
 }
 
-// sendContent sends a method with its header and its body, in frames of at most the agreed size.
+// sendContent queues a method with its content header and body, in frames of at most the negotiated size.
 func (c *conn) sendContent(channel uint16, method []byte, props Props, body []byte) {
 	out := AppendFrame(nil, frameMethod, channel, method)
 	out = AppendFrame(out, frameHeader, channel, AppendHeader(nil, len(body), props))
--- a/internal/fake/broker/props.go
+++ b/internal/fake/broker/props.go
@@ -5,10 +5,10 @@
 	"maps"
 )
 
-// Props are the properties of a message, indexed by the constants below; an absent property is nil.
+// Props are the properties of a message, indexed by the constants below. An absent property is nil.
 type Props [14]any
 
-// Indexes of the properties, in the order of the specification. A property is a string where nothing else is stated.
+// Indexes of the properties, in the order of the specification. Properties are strings unless noted otherwise.
 const (
 	ContentType = iota
 	ContentEncoding
@@ -26,22 +26,22 @@
 	ClusterID
 )
 
-// propertySignature has the kinds of the properties, as in methodsByID.
+// propertySignature lists the types of the properties, in the format of methodsByID.
 const propertySignature = "SSTooSSSSqSSSS"
 
-// Text is the string property at index; empty when it is absent.
+// Text returns the string property at index, or "" when it is absent.
 func (p *Props) Text(index int) string {
 	text, _ := p[index].(string)
 	return text
 }
 
-// Header is the header of that name; nil when it is absent.
+// Header returns the header of that name, or nil when it is absent.
 func (p *Props) Header(name string) any {
 	headers, _ := p[Headers].(Table)
 	return headers[name]
 }
 
-// WithHeader returns a copy with that header set.
+// WithHeader returns a copy with the header set.
 func (p Props) WithHeader(name string, value any) Props {
 	headers := Table{}
 	if old, ok := p[Headers].(Table); ok {
@@ -52,17 +52,17 @@
 	return p
 }
 
-// classBasic is the class ID of content.
+// classBasic is the class ID of basic, the only class whose methods carry content.
 const classBasic = 60
 
-// DecodeHeader decodes the payload of a content header of class basic: the size of the body in bytes and the properties. It
-// returns ErrSyntax.
+// DecodeHeader decodes the payload of a content header of class basic. bodySize is in bytes. It returns ErrSyntax for a malformed
+// header.
 func DecodeHeader(payload []byte) (bodySize uint64, p Props, err error) {
 	r := &decoder{remaining: payload}
 	class, weight := r.uint(2), r.uint(2)
 	bodySize = r.uint(8)
 	flags := r.uint(2)
-	if class != classBasic || weight != 0 || flags&3 != 0 { // bit 0 announces more flags, bit 1 is undefined
+	if class != classBasic || weight != 0 || flags&3 != 0 { // bit 0 announces a further flags field, bit 1 is not assigned
 		return 0, p, ErrSyntax
 	}
 	for i, kind := range propertySignature {
--- a/internal/fake/broker/queue.go
+++ b/internal/fake/broker/queue.go
@@ -2,7 +2,7 @@
 
 import "slices"
 
-// compactAfter is how many delivered messages a queue's ready list may start with before they are removed.
+// compactAfter is the number of popped entries at the front of a queue's ready list beyond which pop may remove them.
 const compactAfter = 1024
 
 type message struct {
@@ -10,16 +10,16 @@
 	props         Props
 	body          []byte
 	redelivered   bool
-	requeues      int    // deliveries that ended with a requeue
-	sequence      uint64 // order of publication over all queues
+	requeues      int    // how often it was requeued after a delivery
+	sequence      uint64 // order of publication across all queues
 }
 
 type queue struct {
 	name         string
 	args         Table
-	ready        []*message // by sequence, from head on
-	head         int
-	requeued     []*message // by sequence, all published before those in ready
+	ready        []*message // from head on, sorted by sequence
+	head         int        // index of the first message in ready
+	requeued     []*message // sorted by sequence; all published before those in ready
 	consumers    []*consumer
 	nextConsumer int // round-robin index
 	unacked      int
@@ -27,7 +27,7 @@
 
 func (q *queue) readyCount() int { return len(q.ready) - q.head + len(q.requeued) }
 
-// pop removes the first ready message; there must be one.
+// pop removes and returns the first ready message. It panics when there is none.
 func (q *queue) pop() *message {
 	if len(q.requeued) > 0 {
 		m := q.requeued[0]
@@ -42,7 +42,7 @@
 	return m
 }
 
-// requeue puts a delivered message back at its place.
+// requeue puts a delivered message back at its original position.
 func (q *queue) requeue(m *message) {
 	at, _ := slices.BinarySearchFunc(q.requeued, m.sequence, func(other *message, sequence uint64) int {
 		return int(int64(other.sequence) - int64(sequence))
@@ -50,7 +50,7 @@
 	q.requeued = slices.Insert(q.requeued, at, m)
 }
 
-// swapFirst swaps the first two ready messages, where there are two.
+// swapFirst swaps the first two ready messages, if there are two.
 func (q *queue) swapFirst() {
 	if q.readyCount() < 2 {
 		return
@@ -68,8 +68,8 @@
 	return count
 }
 
-// nextReadyConsumer is the consumer that the next delivery goes to, round-robin or the single active one; nil when each has
-// reached its prefetch limit.
+// nextReadyConsumer returns the consumer for the next delivery: the next one round-robin, or the single active consumer. It
+// returns nil when no consumer is ready.
 func (q *queue) nextReadyConsumer() *consumer {
 	for range q.consumers {
 		q.nextConsumer %= len(q.consumers)
@@ -85,6 +85,7 @@
 	return nil
 }
 
+// consumer is a subscription of a channel to a queue.
 type consumer struct {
 	tag      string
 	channel  *channel
@@ -94,12 +95,12 @@
 	noAck    bool
 }
 
-// isReady reports whether the consumer takes a further delivery.
+// isReady reports whether the consumer can take another delivery.
 func (c *consumer) isReady() bool {
 	return !c.channel.closing && (c.prefetch == 0 || c.unacked < c.prefetch)
 }
 
-// delivery is one that is not settled yet.
+// delivery is a delivered message that is not settled yet.
 type delivery struct {
 	message  *message
 	queue    *queue
--- a/internal/fake/broker/replies.go
+++ b/internal/fake/broker/replies.go
@@ -2,7 +2,7 @@
 
 import "fmt"
 
-// connectionError ends a connection with a reply code of the specification.
+// connectionError is an error that closes the connection with one of the specification's reply codes.
 type connectionError struct {
 	code uint16
 	text string
@@ -10,7 +10,7 @@
 
 func (e connectionError) Error() string { return fmt.Sprintf("%d %s", e.code, e.text) }
 
-// The errors that end a connection.
+// Errors that close a connection.
 var (
 	errLoginRefused    = connectionError{403, "ACCESS_REFUSED"}
 	errMalformedFrame  = connectionError{501, "FRAME_ERROR"}
@@ -22,7 +22,7 @@
 	errNotImplemented  = connectionError{540, "NOT_IMPLEMENTED"}
 )
 
-// The reply codes that close a channel, or return a message.
+// Reply codes of channel.close and basic.return.
 const (
 	replyNoRoute            = 312
 	replyAccessRefused      = 403
--- a/internal/fake/broker/script.go
+++ b/internal/fake/broker/script.go
@@ -8,7 +8,7 @@
 	"strings"
 )
 
-// FaultPoint is an event at which a fault can be injected.
+// FaultPoint is a step of the broker's work at which a fault can be injected.
 type FaultPoint string
 
 // The points at which faults can be injected.
@@ -22,22 +22,22 @@
 	AtHeartbeat FaultPoint = "heartbeat"
 )
 
-// FaultAction is the fault that is injected at a point.
+// FaultAction is what an injected fault does.
 type FaultAction string
 
-// The faults. Their strings are those of ParseFault.
+// The fault actions. ParseFault accepts their strings.
 const (
-	CutBefore       FaultAction = "cut-before"    // close the connection before the event
-	CutInside       FaultAction = "cut-inside"    // send a truncated frame, then close the connection
-	CutAfter        FaultAction = "cut-after"     // close the connection after the event
+	CutBefore       FaultAction = "cut-before"    // close the connection instead of handling the event
+	CutInside       FaultAction = "cut-inside"    // send the message with its last frame truncated, then close the connection
+	CutAfter        FaultAction = "cut-after"     // handle the event, then close the connection
 	Cut             FaultAction = "cut"           // close the connection
-	Duplicate       FaultAction = "twice"         // deliver the message twice
+	Duplicate       FaultAction = "twice"         // deliver the message twice, with different delivery tags
 	Reorder         FaultAction = "reorder"       // swap the message with the next one
-	InvalidBytes    FaultAction = "nonsense"      // send bytes that are no AMQP
-	OversizedFrame  FaultAction = "huge"          // send a frame header with a payload size of 2 GB
-	IncompleteFrame FaultAction = "endless"       // send a frame whose end never comes
+	InvalidBytes    FaultAction = "nonsense"      // send bytes that are not AMQP
+	OversizedFrame  FaultAction = "huge"          // send a frame header that states a payload of 2 GB
+	IncompleteFrame FaultAction = "endless"       // send the beginning of a frame and nothing after it
 	UnknownConsumer FaultAction = "foreign"       // deliver to a consumer tag that does not exist
-	SameTag         FaultAction = "same-tag"      // send two messages with one delivery tag
+	SameTag         FaultAction = "same-tag"      // deliver the message twice with the same delivery tag
 	StopSending     FaultAction = "mute"          // send nothing more
 	StopReading     FaultAction = "stop-reading"  // read nothing more, until Resume
 	Cancel          FaultAction = "cancel"        // cancel the consumer
@@ -49,12 +49,12 @@
 	NoConfirm       FaultAction = "no-confirm"    // never confirm the message
 	LateConfirm     FaultAction = "late-confirm"  // confirm the message at Resume
 	Refuse          FaultAction = "refuse"        // nack the message, or refuse the login
-	Ignore          FaultAction = "ignore"        // neither act nor answer
+	Ignore          FaultAction = "ignore"        // neither handle the method nor reply
 )
 
 const noFault FaultAction = ""
 
-// faultActions are the faults that are possible at each point.
+// faultActions are the actions that are possible at each point.
 var faultActions = map[FaultPoint][]FaultAction{
 	AtDeliver: {CutBefore, CutInside, CutAfter, Duplicate, Reorder, InvalidBytes, OversizedFrame, IncompleteFrame, UnknownConsumer,
 		SameTag, StopSending, StopReading, Cancel, ChannelError, RestartBroker, Block},
@@ -66,24 +66,25 @@
 	AtHeartbeat: {StopSending},
 }
 
-// ErrInvalidFault is the error of a fault that cannot be injected at its point, or does not parse.
-var ErrInvalidFault = errors.New("invalid fault")
+// ErrInvalidFault is returned for a fault that does not parse, or whose action is not possible at its point.
+var ErrInvalidFault = errors.New("broker: invalid fault")
 
-// Fault is an action injected at the Nth event of a point, and at each Every-th one after it. Events are counted over the
-// broker's life.
+// Fault is an action injected at the Nth event of a point, and at each Every-th event after that. Events are counted per point,
+// over the broker's lifetime.
 type Fault struct {
 	Point  FaultPoint
 	Nth    int // from 1
-	Every  int // 0 for a single injection
+	Every  int // 0 to inject the fault once
 	Action FaultAction
 }
 
-// Validate returns ErrInvalidFault when the fault cannot be injected.
+// Validate returns ErrInvalidFault when the action is not possible at the point, or a count is out of range.
 func (f Fault) Validate() error {
 	if slices.Contains(faultActions[f.Point], f.Action) && f.Nth > 0 && f.Every >= 0 {
 		return nil
 	}
-	return fmt.Errorf("%w: found %s:%d+%d:%s, expected EVENT:NTH[+EVERY]:FAULT of %v", ErrInvalidFault, f.Point, f.Nth, f.Every, f.Action, faultActions)
+	return fmt.Errorf("%w: found %s:%d+%d:%s, expected EVENT:NTH[+EVERY]:FAULT with NTH from 1; faults by event: %v",
+		ErrInvalidFault, f.Point, f.Nth, f.Every, f.Action, faultActions)
 }
 
 // matches reports whether the fault is due at the n-th event of its point.
@@ -108,18 +109,19 @@
 		}
 	}
 	if err != nil || f.Validate() != nil {
-		return f, fmt.Errorf("%w: found %q, expected EVENT:NTH[+EVERY]:FAULT of %v", ErrInvalidFault, text, faultActions)
+		return f, fmt.Errorf("%w: found %q, expected EVENT:NTH[+EVERY]:FAULT with NTH from 1; faults by event: %v",
+			ErrInvalidFault, text, faultActions)
 	}
 	return f, nil
 }
 
-// faultScript decides which fault is injected when.
+// faultScript decides at which events faults are injected.
 type faultScript struct {
 	faults      []Fault
-	pointCounts map[FaultPoint]int
+	pointCounts map[FaultPoint]int // events so far
 }
 
-// next counts an event and returns the action due at it, or noFault.
+// next counts an event of a point and returns the action due at this event, or noFault.
 func (s *faultScript) next(point FaultPoint) FaultAction {
 	s.pointCounts[point]++
 	for _, fault := range s.faults {
@@ -130,8 +132,8 @@
 	return noFault
 }
 
-// faultAt counts an event of the script, and emits EventFault when a fault is due.
-func (b *Broker) faultAt(point FaultPoint) FaultAction {
+// nextFault counts an event of a point and returns the action due at it, or noFault. It emits EventFault when a fault is due.
+func (b *Broker) nextFault(point FaultPoint) FaultAction {
 	action := b.script.next(point)
 	if action != noFault {
 		b.emit(EventFault, nil)
--- a/internal/fake/broker/server.go
+++ b/internal/fake/broker/server.go
@@ -8,13 +8,13 @@
 	"thymechute/internal/fake/loopback"
 )
 
-// server is the listener of a broker, and the goroutines of its connections.
+// server holds the listener of a broker and tracks the goroutines of the listener and of the connections.
 type server struct {
 	listener   net.Listener
 	goroutines sync.WaitGroup
 }
 
-// Start listens at a loopback address and returns the bound address. Its error is a *loopback.AddressError or that of the listener.
+// Start listens on a loopback address and returns the bound address. It returns a *loopback.AddressError or the listener's error.
 func (b *Broker) Start(address string) (string, error) {
 	if _, err := loopback.Parse(address); err != nil {
 		return "", fmt.Errorf("broker: %w", err)
@@ -36,11 +36,12 @@
 		if err != nil {
 			return
 		}
-		b.accept(c)
+		b.startConn(c)
 	}
 }
 
-// Close closes all connections and ends the broker; WaitForQueue and WaitForEvents return.
+// Close closes the listener and all connections, and waits for their goroutines. Pending WaitForQueue and WaitForEvents calls
+// return.
 func (b *Broker) Close() {
 	b.mu.Lock()
 	b.closed = true
@@ -51,8 +52,8 @@
 	b.server.goroutines.Wait()
 }
 
-// accept starts a connection, or closes it when the broker is closed or has maxConns.
-func (b *Broker) accept(n net.Conn) {
+// startConn starts serving an accepted connection. It closes the connection when the broker is closed or has maxConns.
+func (b *Broker) startConn(n net.Conn) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.closed || len(b.conns) >= maxConns {
--- a/internal/fake/broker/settle.go
+++ b/internal/fake/broker/settle.go
@@ -6,10 +6,11 @@
 	"time"
 )
 
-// flushTimeout bounds the writing of a closed connection's output to a peer that does not read.
+// flushTimeout limits how long a closed connection waits for a peer that does not read its remaining output.
 const flushTimeout = 2 * time.Second
 
-// tagRange is the delivery tags that a peer settles: one, or with multiple all up to it, where 0 stands for all.
+// tagRange is the set of delivery tags that a peer settles: a single tag, or with multiple all tags up to it. With multiple,
+// tag 0 means all unacked deliveries.
 type tagRange struct {
 	tag      uint64
 	multiple bool
@@ -22,11 +23,11 @@
 	return tag <= r.tag || r.isAll()
 }
 
-// isAll reports whether the range stands for all unacked deliveries.
+// isAll reports whether the range means all unacked deliveries.
 func (r tagRange) isAll() bool { return r.multiple && r.tag == 0 }
 
-// settle settles unacked deliveries as acked, requeued or rejected. It returns false when the range names none, though it may
-// be empty when it stands for all.
+// settle settles unacked deliveries as acked, requeued or rejected. It returns false when the range contains no unacked delivery,
+// unless it means all of them.
 func (b *Broker) settle(ch *channel, tags tagRange, outcome EventKind) bool {
 	var settled []uint64
 	for tag := range ch.unacked {
@@ -46,9 +47,9 @@
 	return true
 }
 
-// settleOne settles one delivery, or injects a fault; it returns false when the connection has been closed.
+// settleOne settles one delivery, or injects a fault. It returns false when the connection has been closed.
 func (b *Broker) settleOne(ch *channel, tag uint64, outcome EventKind) bool {
-	switch action := b.faultAt(AtSettle); action {
+	switch action := b.nextFault(AtSettle); action {
 	case DropAck, DropAckAndCut:
 		lost := ch.unacked[tag]
 		b.emitMessage(EventAckDropped, ch.conn, lost.queue, lost.message, tag)
@@ -70,7 +71,7 @@
 	return true
 }
 
-// endDelivery removes an unacked delivery, and requeues, drops or dead-letters its message.
+// endDelivery removes an unacked delivery, and requeues, discards or dead-letters its message.
 func (b *Broker) endDelivery(ch *channel, tag uint64, outcome EventKind) {
 	ended := ch.unacked[tag]
 	delete(ch.unacked, tag)
@@ -97,12 +98,13 @@
 	}
 }
 
-// nextRequeueExceedsLimit reports whether one more requeue is beyond the queue's x-delivery-limit.
+// nextRequeueExceedsLimit reports whether one more requeue would exceed the queue's x-delivery-limit.
 func (d delivery) nextRequeueExceedsLimit() bool {
 	limit, ok := d.queue.args["x-delivery-limit"].(int64)
 	return ok && int64(d.message.requeues)+1 > limit
 }
 
+// requeueDelivery puts the message of an ended delivery back into its queue, marked as redelivered.
 func (b *Broker) requeueDelivery(ch *channel, tag uint64, ended delivery, event EventKind) {
 	ended.message.redelivered = true
 	ended.message.requeues++
@@ -110,7 +112,7 @@
 	ended.queue.requeue(ended.message)
 }
 
-// deadLetter routes a rejected message to the queue's dead-letter exchange, where it has one.
+// deadLetter routes a rejected message to its queue's dead-letter exchange, if there is one.
 func (b *Broker) deadLetter(ch *channel, rejected delivery) {
 	exchange, ok := rejected.queue.args["x-dead-letter-exchange"].(string)
 	if !ok {
@@ -134,13 +136,13 @@
 	}
 }
 
-// removeConsumer ends a consumer; its unacked deliveries can still be settled on the channel.
+// removeConsumer removes a consumer. Its unacked deliveries can still be settled on the channel.
 func (b *Broker) removeConsumer(removed *consumer) {
 	removed.queue.consumers = slices.DeleteFunc(removed.queue.consumers, func(c *consumer) bool { return c == removed })
 	delete(removed.channel.consumers, removed.tag)
 }
 
-// closeMode is what happens to the output of a connection that is closed.
+// closeMode states what happens to the unsent output of a closed connection.
 type closeMode int
 
 const (
@@ -148,7 +150,7 @@
 	closeAfterFlush                  // write it, within flushTimeout
 )
 
-// closeConn closes a connection and requeues its unacked messages.
+// closeConn closes a connection and requeues its unacked messages. It does nothing when the connection is closed already.
 func (b *Broker) closeConn(c *conn, mode closeMode) {
 	if _, ok := b.conns[c]; !ok {
 		return
@@ -159,7 +161,7 @@
 		b.releaseChannel(ch)
 	}
 	c.closed = true
-	if mode == closeNow || c.outputMuted {
+	if mode == closeNow || c.outputDiscarded {
 		c.output = nil
 		c.net.Close()
 	} else {
--- a/internal/fake/broker/signatures.go
+++ b/internal/fake/broker/signatures.go
@@ -14,8 +14,8 @@
 // bitsPerOctet is how many consecutive bit arguments share an octet.
 const bitsPerOctet = 8
 
-// methodsByID is the name and signature of each method, by class ID << 16 | method ID. A signature has a letter for each
-// argument: o octet, h short, l long, q longlong, S shortstr, L longstr, T table, b bit.
+// methodsByID maps class ID << 16 | method ID to the method's name and signature. A signature has one letter per argument:
+// o octet, h short, l long, q longlong, S shortstr, L longstr, T table, b bit.
 var methodsByID = map[uint32]struct{ name, args string }{
 	10<<16 | 10: {"connection.start", "ooTLL"}, 10<<16 | 11: {"connection.start-ok", "TSLS"},
 	10<<16 | 30: {"connection.tune", "hlh"}, 10<<16 | 31: {"connection.tune-ok", "hlh"},
@@ -44,7 +44,7 @@
 	85<<16 | 10: {"confirm.select", "b"}, 85<<16 | 11: {"confirm.select-ok", ""},
 }
 
-// methodIDs are the keys of methodsByID by name.
+// methodIDs maps the name of each method to its key in methodsByID.
 var methodIDs = func() map[string]uint32 {
 	m := map[string]uint32{}
 	for id, s := range methodsByID {
@@ -53,26 +53,26 @@
 	return m
 }()
 
-// DecodeMethod decodes the payload of a method frame. It returns ErrMethod for an unknown method, and ErrSyntax for arguments
-// that do not fill the payload exactly.
+// DecodeMethod decodes the payload of a method frame. It returns ErrMethod for an unknown method, and ErrSyntax for malformed
+// arguments or trailing bytes.
 func DecodeMethod(payload []byte) (m Method, err error) {
 	r := &decoder{remaining: payload}
 	id := uint32(r.uint(4))
 	s, ok := methodsByID[id]
 	if !ok || r.err != nil {
-		return m, fmt.Errorf("%w: %d.%d", ErrMethod, id>>16, id&0xffff)
+		return m, fmt.Errorf("%w: class %d, method %d", ErrMethod, id>>16, id&0xffff)
 	}
 	m.Name = s.name
 	m.Args = r.arguments(s.args)
 	return m, r.finish()
 }
 
-// AppendMethod appends the payload of a method frame. It panics for an unknown name and for arguments that do not match the
-// signature.
+// AppendMethod appends the payload of a method frame. It panics when the method is unknown, or when the arguments do not match
+// its signature.
 func AppendMethod(out []byte, name string, args ...any) []byte {
 	id, ok := methodIDs[name]
 	if !ok || len(args) != len(methodsByID[id].args) {
-		panic("no such method: " + name)
+		panic("broker: unknown method, or wrong number of arguments: " + name)
 	}
 	return appendArguments(binary.BigEndian.AppendUint32(out, id), methodsByID[id].args, args)
 }
--- a/internal/fake/broker/topology.go
+++ b/internal/fake/broker/topology.go
@@ -12,29 +12,30 @@
 	exchangeFanout = "fanout"
 )
 
-const defaultExchange = "" // routes to the queue whose name is the routing key
+const defaultExchange = "" // routes to the queue named by the routing key
 
-// The queues of DeclareReadings.
+// Queues declared by DeclareReadings.
 const (
 	readingsQueue   = "readings"
 	deadLetterQueue = "dead"
 )
 
-// ErrTooManyNames is the error of a declaration beyond the bound on names.
-var ErrTooManyNames = errors.New("broker: too many names")
+// ErrTooManyNames is returned for a declaration when maxNames queues or exchanges exist.
+var ErrTooManyNames = errors.New("broker: too many queues or exchanges")
 
-// ErrNotDeclared is the error of a binding whose queue or exchange does not exist.
-var ErrNotDeclared = errors.New("broker: not declared")
+// ErrNotDeclared is returned for a binding whose queue or exchange does not exist, or whose exchange is the default one.
+var ErrNotDeclared = errors.New("broker: queue or exchange not declared")
 
-// ErrExchangeKind is the error of an exchange of a kind that the broker does not implement.
+// ErrExchangeKind is returned for an exchange of a kind that the broker does not implement.
 var ErrExchangeKind = errors.New("broker: unknown exchange kind")
 
+// exchange routes messages to the queues that are bound to it.
 type exchange struct {
 	kind     string
-	bindings map[string][]string // queues by binding key; a fanout exchange has the key "" only
+	bindings map[string][]string // queue names by binding key; a fanout exchange uses only the key ""
 }
 
-// bindingKey is the key under which the exchange binds and looks up a routing key.
+// bindingKey returns the key of bindings that a routing key maps to.
 func (e *exchange) bindingKey(key string) string {
 	if e.kind == exchangeFanout {
 		return ""
@@ -42,8 +43,9 @@
 	return key
 }
 
-// DeclareQueue declares a queue unless it exists. Of its arguments the broker implements x-dead-letter-exchange,
-// x-dead-letter-routing-key, x-queue-type, x-delivery-limit and x-single-active-consumer, as RabbitMQ defines them.
+// DeclareQueue declares a queue unless it exists. The broker implements the arguments x-dead-letter-exchange,
+// x-dead-letter-routing-key, x-queue-type, x-delivery-limit and x-single-active-consumer as RabbitMQ defines them, and ignores
+// others.
 func (b *Broker) DeclareQueue(name string, args Table) error {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -55,14 +57,14 @@
 		return nil
 	}
 	if len(b.queues) >= maxNames {
-		return fmt.Errorf("%w: queue %q, expected at most %d", ErrTooManyNames, name, maxNames)
+		return fmt.Errorf("%w: cannot declare queue %q, the limit is %d", ErrTooManyNames, name, maxNames)
 	}
 	b.queues[name] = &queue{name: name, args: args}
 	b.queueOrder = append(b.queueOrder, b.queues[name])
 	return nil
 }
 
-// DeclareExchange declares an exchange of the kind direct or fanout, unless it exists.
+// DeclareExchange declares an exchange of kind direct or fanout, unless it exists.
 func (b *Broker) DeclareExchange(name, kind string) error {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -71,10 +73,10 @@
 
 func (b *Broker) declareExchange(name, kind string) error {
 	if kind != exchangeDirect && kind != exchangeFanout {
-		return fmt.Errorf("%w: exchange %q, found %q, expected %s or %s", ErrExchangeKind, name, kind, exchangeDirect, exchangeFanout)
+		return fmt.Errorf("%w: exchange %q has kind %q, expected %s or %s", ErrExchangeKind, name, kind, exchangeDirect, exchangeFanout)
 	}
 	if len(b.exchanges) >= maxNames {
-		return fmt.Errorf("%w: exchange %q, expected at most %d", ErrTooManyNames, name, maxNames)
+		return fmt.Errorf("%w: cannot declare exchange %q, the limit is %d", ErrTooManyNames, name, maxNames)
 	}
 	if b.exchanges[name] == nil {
 		b.exchanges[name] = &exchange{kind: kind, bindings: map[string][]string{}}
@@ -82,7 +84,8 @@
 	return nil
 }
 
-// DeclareReadings declares the queue readings, and a fanout dead-letter exchange of that name bound to the queue dead.
+// DeclareReadings declares the queue readings with the arguments, and a fanout dead-letter exchange with the queue dead bound to
+// it.
 func (b *Broker) DeclareReadings(deadLetterExchange string, args Table) error {
 	return errors.Join(
 		b.DeclareQueue(readingsQueue, args),
@@ -91,7 +94,7 @@
 		b.Bind(deadLetterQueue, deadLetterExchange, ""))
 }
 
-// Bind routes messages that are published to the exchange with that key to the queue.
+// Bind binds a queue to an exchange: messages published to the exchange with the routing key are added to the queue.
 func (b *Broker) Bind(queue, exchange, key string) error {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -101,7 +104,7 @@
 func (b *Broker) bind(queue, exchange, key string) error {
 	from := b.exchanges[exchange]
 	if b.queues[queue] == nil || exchange == defaultExchange || from == nil {
-		return fmt.Errorf("%w: queue %q or exchange %q", ErrNotDeclared, queue, exchange)
+		return fmt.Errorf("%w: cannot bind queue %q to exchange %q", ErrNotDeclared, queue, exchange)
 	}
 	key = from.bindingKey(key)
 	if !slices.Contains(from.bindings[key], queue) && len(from.bindings) < maxNames {
