--- a/cmd/thymechute/serve.go
+++ b/cmd/thymechute/serve.go
@@ -150,8 +150,8 @@
 		zap.Strings("restart_keys", s.config.RestartKeys(reloaded)))
 	s.log.Info("configuration reloaded", fields...)
 	switchAddress(&s.config.Runtime, reloaded.Runtime, s.runtime.Open)
-	switchAddress(&s.config.Index, reloaded.Index, s.index.Move)
-	switchAddress(&s.config.Catalog, reloaded.Catalog, s.catalog.Move)
+	switchAddress(&s.config.Index, reloaded.Index, s.index.AddressChanged)
+	switchAddress(&s.config.Catalog, reloaded.Catalog, s.catalog.AddressChanged)
 	return nil
 }
 
--- a/internal/catalog/catalog.go
+++ b/internal/catalog/catalog.go
@@ -52,8 +52,8 @@
 	return []byte("alive " + r.name + " " + state)
 }
 
-// Move closes the socket after a change of the catalog's address; the next report is due at once.
-func (r *Reporter) Move() {
+// AddressChanged closes the socket after a change of the catalog's address; the next report is due at once.
+func (r *Reporter) AddressChanged() {
 	if r.socket != nil && r.socket.conn != nil {
 		r.socket.conn.Close()
 	}
--- a/internal/catalog/catalog_test.go
+++ b/internal/catalog/catalog_test.go
@@ -24,7 +24,7 @@
 	if n := strings.Count(w.Out, "alive n3 passing"); n < 9 { // a quarter may be lost
 		t.Errorf("%d reports in 3 s", n)
 	}
-	r.Move()
+	r.AddressChanged()
 	r.Sweep(now.Add(4*time.Second), node.Unhealthy)
 	again := &testutil.FakeConn{}
 	dialled[1].Opened(again)
--- a/internal/index/connection.go
+++ b/internal/index/connection.go
@@ -117,6 +117,6 @@
 		p.release(c)
 		return
 	}
-	c.call = nil // Move has replaced this connection
+	c.call = nil // AddressChanged has replaced this connection
 	c.conn.Close()
 }
--- a/internal/index/pool.go
+++ b/internal/index/pool.go
@@ -143,7 +143,7 @@
 	p.dialQueued()
 }
 
-// owns reports whether the connection belongs to the pool, which neither drop nor Move has removed it from.
+// owns reports whether the connection belongs to the pool, which neither drop nor AddressChanged has removed it from.
 func (p *Pool) owns(c *connection) bool {
 	_, ok := p.conns[c]
 	return ok
@@ -189,8 +189,8 @@
 	return next
 }
 
-// Move replaces all connections after a change of the index's address. Calls in flight may still return on the former ones.
-func (p *Pool) Move() {
+// AddressChanged replaces all connections after a change of the index's address. Calls in flight may still return on the former ones.
+func (p *Pool) AddressChanged() {
 	moved := p.conns
 	p.conns = map[*connection]struct{}{}
 	p.idle = nil
--- a/internal/index/pool_test.go
+++ b/internal/index/pool_test.go
@@ -148,7 +148,7 @@
 	out, wOut := open(dialled)
 	p.Call("c", time.Second, nil) // being dialled when the address changes
 	dialing := (*dialled)[len(*dialled)-1]
-	p.Move()
+	p.AddressChanged()
 	wDialing := &testutil.FakeConn{}
 	dialing.Opened(wDialing)
 	now, wNow := open(dialled)
@@ -168,14 +168,14 @@
 	for _, id := range []node.TaskID{"a", "b", "c", "d", "e"} { // four being dialled, e is queued
 		p.Call(id, time.Second, nil)
 	}
-	p.Move()
+	p.AddressChanged()
 	if len(*dialled) != 8 || len(p.conns) != 4 || len(p.queue) != 1 {
 		t.Errorf("%d dialled, %d connections, %d queued", len(*dialled), len(p.conns), len(p.queue))
 	}
 	for _, c := range (*dialled)[4:] {
 		c.Opened(&testutil.FakeConn{})
 	}
-	p.Move() // all calls on the former connections are in flight, and e does not wait for them
+	p.AddressChanged() // all calls on the former connections are in flight, and e does not wait for them
 	if len(*dialled) != 9 || len(p.queue) != 0 {
 		t.Errorf("%d dialled, %d queued", len(*dialled), len(p.queue))
 	}
