--- a/internal/rpc/conn.go
+++ b/internal/rpc/conn.go
@@ -16,17 +16,17 @@
 	closingGracePeriod = 250 * time.Millisecond  // between a closing notification and the close, for requests in transit
 )
 
-// conn handles one connection of a client stub. It closes in two steps. First the client is notified; requests that were in
-// transit are still served. Then the connection is closing: no input is received any more, and the loop closes it after the
-// last pending response. A protocol error that can't be answered skips the first step.
+// conn handles one connection of a client stub. It is closed in two steps. First the client is sent a closing notification;
+// requests already in transit are still served. Then closing is set: no more input is received, and the loop closes the
+// connection after the last pending response. An error returned by Received skips the first step.
 type conn struct {
 	server         *Server
 	transport      loop.Conn
 	lines          jsonline.LineSplitter
 	pending        map[string]struct{} // IDs of requests without a response; at most maxPendingRequests
 	lastActive     time.Time           // when it was opened, or a request was last received or answered
-	partialSince   time.Time           // when the first part of an incomplete message was received; zero: none
-	notifiedAt     time.Time           // of the closing notification; zero: not sent
+	partialSince   time.Time           // when an incomplete message began to arrive; zero: none
+	notifiedAt     time.Time           // when the closing notification was sent; zero: not sent
 	hasRequested   bool                // a complete request was received
 	closing        bool
 	protocolErrors int
@@ -43,7 +43,7 @@
 	}
 }
 
-// HasPending reports whether a request has no response yet.
+// HasPending reports whether a request is still without a response.
 func (c *conn) HasPending() bool { return len(c.pending) > 0 }
 
 // Closed implements loop.Handler: the client closed the connection, or left too much output unread.
@@ -54,7 +54,7 @@
 	}
 }
 
-// notifyClosing asks the client to send nothing more here; it should close the connection after the last response.
+// notifyClosing asks the client to send no more requests on this connection and to close it after the last response.
 func (c *conn) notifyClosing(now time.Time) {
 	if c.closing || !c.isUnnotified() {
 		return
@@ -71,14 +71,14 @@
 	return !c.HasPending() && now.Sub(c.lastActive) > timeout
 }
 
-// isStalled reports whether the first request, or the rest of a partial message, is overdue.
+// isStalled reports whether the first request, or the rest of a partial message, took longer than requestTimeout.
 func (c *conn) isStalled(now time.Time) bool {
-	isPartialOverdue := !c.partialSince.IsZero() && now.Sub(c.partialSince) > requestTimeout
-	isFirstOverdue := !c.hasRequested && now.Sub(c.lastActive) > requestTimeout
-	return isPartialOverdue || isFirstOverdue
+	isRestOfMessageOverdue := !c.partialSince.IsZero() && now.Sub(c.partialSince) > requestTimeout
+	isFirstRequestOverdue := !c.hasRequested && now.Sub(c.lastActive) > requestTimeout
+	return isRestOfMessageOverdue || isFirstRequestOverdue
 }
 
-// close stops receiving; pending requests are still answered.
+// close stops receiving input; pending requests are still answered.
 func (c *conn) close() {
 	c.closing = true
 	c.transport.Close()
@@ -102,8 +102,8 @@
 	}
 }
 
-// Received implements loop.Handler. A protocol error is answered under the message's ID; without an ID, or after too many
-// errors, the connection closes.
+// Received implements loop.Handler. A protocol error is answered with an error response to the message's ID. If the ID could
+// not be decoded, or after too many errors, the connection closes as well.
 func (c *conn) Received(p []byte) error {
 	hasMessage := false
 	err := c.lines.Feed(p, func(line []byte) error {
@@ -158,19 +158,19 @@
 	c.pending[message.ID] = struct{}{}
 	id := node.MessageID(message.ID)
 	if message.IsHealthCheck {
-		c.server.config.Admission.CheckHealth(c, id, message.depth())
+		c.server.config.Admission.CheckHealth(c, id, message.healthCheckDepth())
 		return nil
 	}
 	err := c.server.config.Admission.Admit(c, id, message.Request)
 	if err != nil {
 		delete(c.pending, message.ID)
-		return rejectedRequest(err)
+		return admissionProtocolError(err)
 	}
 	return nil
 }
 
-// checkNotification rejects notifications by the names of methods that need a response. All others are ignored, as none
-// is defined.
+// checkNotification rejects a notification whose method needs a response. All others are ignored, as the protocol defines no
+// notifications from clients.
 func (c *conn) checkNotification(method string) error {
 	if method == methodHealthCheck || c.server.config.Admission.HasClass(method) {
 		return &ProtocolError{codeInvalidRequest, errIDExpected}
@@ -178,8 +178,8 @@
 	return nil
 }
 
-// rejectedRequest returns the protocol error for an error of Admission.Admit, whose text is sent to the client.
-func rejectedRequest(err error) *ProtocolError {
+// admissionProtocolError returns the protocol error for an error of Admission.Admit, whose text is sent to the client.
+func admissionProtocolError(err error) *ProtocolError {
 	switch {
 	case errors.Is(err, node.ErrUnknownClass):
 		return &ProtocolError{codeMethodNotFound, err}
--- a/internal/rpc/decode.go
+++ b/internal/rpc/decode.go
@@ -12,33 +12,33 @@
 	protocolVersion   = "2.0"   // of JSON-RPC
 	methodHealthCheck = "check" // every other method is a request class
 
-	maxIDLength     = 40  // bytes of a message's ID
-	maxStringLength = 128 // bytes of any other string but the body
+	maxMessageIDLength = 40  // bytes of a message's ID
+	maxStringLength    = 128 // bytes of any other string but the body
 )
 
 // Message is a request, health check or notification from a client stub.
 type Message struct {
-	ID             string // digits as in the line; empty for a notification
+	ID             string // the digits as received; empty for a notification
 	Method         string
 	IsNotification bool // it has no ID and gets no response
 	IsHealthCheck  bool
-	IsDeepCheck    bool         // a health check that asks for a test of the parts
-	Request        node.Request // of neither a notification nor a health check; its class is the method
+	IsDeepCheck    bool         // a health check that tests the runtime as well
+	Request        node.Request // set for requests only; its class is the method
 }
 
-// depth returns the depth of a health check.
-func (m *Message) depth() node.HealthCheckDepth {
+// healthCheckDepth returns the depth of a health check.
+func (m *Message) healthCheckDepth() node.HealthCheckDepth {
 	if m.IsDeepCheck {
 		return node.DeepCheck
 	}
 	return node.ShallowCheck
 }
 
-// envelope is the members of a message, before params are decoded.
+// envelope holds the top-level members of a message; params are not decoded yet.
 type envelope struct {
 	version string
 	method  string
-	id      string // empty if missing or not acceptable
+	id      string // empty if missing or invalid
 	hasID   bool
 	params  []byte // points into the line; nil if missing
 }
@@ -54,13 +54,13 @@
 		return message, &ProtocolError{codeInvalidRequest, err}
 	}
 	message.Method = members.method
-	isCall := members.version == protocolVersion && members.method != ""
-	if isCall && !members.hasID {
+	isRequestObject := members.version == protocolVersion && members.method != ""
+	if isRequestObject && !members.hasID {
 		message.IsNotification = true
 		return message, nil
 	}
-	if !isCall || members.id == "" {
-		return message, &ProtocolError{codeInvalidRequest, errNotRequest}
+	if !isRequestObject || members.id == "" {
+		return message, &ProtocolError{codeInvalidRequest, errIncompleteRequest}
 	}
 	message.IsHealthCheck = members.method == methodHealthCheck
 	if message.IsHealthCheck && members.params == nil {
@@ -96,11 +96,11 @@
 	return members, reader.ExpectEnd()
 }
 
-// readID reads the ID. Only a number of at most maxIDLength digits is acceptable.
+// readID reads the ID. An ID other than a number of at most maxMessageIDLength digits is left empty.
 func (e *envelope) readID(reader *jsonline.Reader) error {
 	e.hasID = true
 	if e.id != "" {
-		e.id = "" // a response with either ID could be taken for that of another request
+		e.id = "" // a response with either ID could be taken for that to another request
 		return errDuplicateID
 	}
 	raw, err := reader.ReadRaw()
@@ -108,13 +108,13 @@
 		return err
 	}
 	hasOnlyDigits := strings.Trim(string(raw), "0123456789") == ""
-	if len(raw) <= maxIDLength && hasOnlyDigits {
+	if len(raw) <= maxMessageIDLength && hasOnlyDigits {
 		e.id = string(raw)
 	}
 	return nil
 }
 
-func readString(reader *jsonline.Reader, into *string) error {
+func readString(reader *jsonline.Reader, dst *string) error {
 	text, err := reader.ReadString()
 	if err != nil {
 		return err
@@ -122,6 +122,6 @@
 	if len(text) > maxStringLength {
 		return errStringTooLong
 	}
-	*into = string(text)
+	*dst = string(text)
 	return nil
 }
--- a/internal/rpc/decode_test.go
+++ b/internal/rpc/decode_test.go
@@ -31,7 +31,7 @@
 		if err != nil || message.ID != "7" || message.IsHealthCheck || body != string(want.Body) || !got.ReceivedAt.Equal(want.ReceivedAt) ||
 			got.ID != want.ID || got.Class != want.Class || got.Tenant != want.Tenant || got.Key != want.Key ||
 			got.Subject != want.Subject || got.Caller != 4 || !got.IsRetry || got.MemoryKB != 24.5 || got.Priority != 0.625 {
-			t.Errorf("%v: %+v", err, message)
+			t.Errorf("error %v, decoded %+v", err, message)
 		}
 	}
 }
@@ -57,7 +57,8 @@
 	}
 	f.Fuzz(func(t *testing.T, line []byte) {
 		message, err := Decode(line)
-		if err == nil && !message.IsHealthCheck && (!isPlainID(string(message.Request.ID)) || len(message.Request.Body) > maxBodySize || message.ID == "") {
+		if err == nil && !message.IsHealthCheck &&
+			(!isValidRequestID(string(message.Request.ID)) || len(message.Request.Body) > maxBodySize || message.ID == "") {
 			t.Errorf("%q was decoded as %+v", line, message)
 		}
 		if out := AppendError(nil, message.ID, &ProtocolError{codeParseError, errors.New(string(line))}); err != nil && !json.Valid(out) {
--- a/internal/rpc/encode.go
+++ b/internal/rpc/encode.go
@@ -9,16 +9,16 @@
 	"thymechute/internal/node"
 )
 
-// Messages of the errors for requests that did not complete.
+// Error messages for requests that did not complete.
 const (
 	messageFailed     = "failed"
 	messageOverloaded = "overloaded"
 )
 
-// nullID is the ID of a response to a message whose own could not be read.
+// nullID is the ID in the response to a message whose ID could not be decoded.
 const nullID = "null"
 
-// closingNotification asks a client to send nothing more on the connection.
+// closingNotification asks a client to send no more requests on the connection.
 var closingNotification = []byte(`{"jsonrpc":"2.0","method":"closing"}` + "\n")
 
 // AppendResponse appends the response to the request with that ID, with its line feed.
@@ -38,7 +38,7 @@
 	return appendErrorData(out, appendHint(nil, answer.Advertised))
 }
 
-// rejectionData returns the members of a rejection's data, each after a comma.
+// rejectionData returns the members of a rejection's data object, each preceded by a comma.
 func rejectionData(answer node.Answer) (data []byte) {
 	backoffMillis := math.Ceil(float64(answer.RetryAfter) / float64(time.Millisecond))
 	if backoffMillis > 0 {
@@ -51,7 +51,7 @@
 	return appendHint(data, answer.Advertised)
 }
 
-// appendErrorData appends the members, each after a comma, as the data of an error, and ends the line.
+// appendErrorData appends the members, each preceded by a comma, as the data object of an error, and ends the line.
 func appendErrorData(out, members []byte) []byte {
 	if len(members) > 0 {
 		out = append(out, `,"data":{`...)
@@ -97,7 +97,7 @@
 	return append(out, id...)
 }
 
-// appendHint appends the advertised load value; a negative one means none and is left out.
+// appendHint appends the advertised load as the hint member. A negative value means that none is advertised.
 func appendHint(out []byte, advertised float64) []byte {
 	if advertised < 0 {
 		return out
--- a/internal/rpc/encode_test.go
+++ b/internal/rpc/encode_test.go
@@ -10,7 +10,7 @@
 )
 
 func TestAppendResponseEncodesStatus(t *testing.T) {
-	for want, a := range map[string]node.Answer{
+	for want, answer := range map[string]node.Answer{
 		`{"jsonrpc":"2.0","id":7,"result":{"doc":"AP8=","hint":0.25}}`: {Status: node.Served, Result: []byte{0, 255}, Advertised: 0.25},
 		`{"jsonrpc":"2.0","id":7,"result":{"doc":""}}`:                 {Status: node.Served, Advertised: -1},
 		`{"jsonrpc":"2.0","id":7,"error":{"code":-32001,"message":"overloaded","data":{"backoff":251,"final":1,"hint":0}}}`: {
@@ -18,14 +18,14 @@
 		`{"jsonrpc":"2.0","id":7,"error":{"code":-32000,"message":"failed"}}`: {
 			Status: node.Failed, RetryAfter: time.Second, NoRetryElsewhere: true, Advertised: -1},
 	} {
-		got := string(AppendResponse(nil, "7", a))
+		got := string(AppendResponse(nil, "7", answer))
 		if got != want+"\n" || !json.Valid([]byte(got)) {
 			t.Errorf("got %s, want %s", got, want)
 		}
 	}
 }
 
-// The texts of errors are part of the protocol.
+// Error responses are part of the protocol; no byte of them may change.
 func TestProtocolErrorsAreEncodedByteForByte(t *testing.T) {
 	for line, want := range map[string]string{
 		`{`:               `{"jsonrpc":"2.0","id":null,"error":{"code":-32700,"message":"no JSON at byte 1: expected a string"}}`,
--- a/internal/rpc/params.go
+++ b/internal/rpc/params.go
@@ -8,24 +8,24 @@
 )
 
 const (
-	maxBodySize      = 2 << 10          // bytes of a request's body, decoded
-	maxMemoryKB      = 2000             // exclusive bound of a request's memory, in kB
-	maxCallerNumber  = 1e9              // largest number of a stub
-	maxTimestamp     = 1e14             // Unix milliseconds; rejects other units before they are converted
-	maxRequestAge    = 30 * time.Second // an older time of receipt is rejected, as it would count as a wait of that length
-	maxClockSkew     = 5 * time.Second  // by which a time of receipt may be in the future at most
-	maxTrackedFields = 64               // per message; duplicates of further ones are not detected
-	maxPlainIDLength = 64               // bytes of a request ID
+	maxBodySize        = 2 << 10          // bytes of a request's body, decoded
+	maxMemoryKB        = 2000             // exclusive upper bound of a request's memory, in kB
+	maxCallerNumber    = 1e9              // largest number that identifies a stub
+	maxTimestamp       = 1e14             // Unix milliseconds; times in smaller units exceed it and are rejected before conversion
+	maxRequestAge      = 30 * time.Second // an older time of receipt is rejected, as its age would count as waiting time
+	maxClockSkew       = 5 * time.Second  // how far a time of receipt may be in the future
+	maxTrackedFields   = 64               // per message; duplicates of fields beyond it are not detected
+	maxRequestIDLength = 64               // bytes of a request ID
 )
 
-// requiredFields are the params that every request must have.
+// requiredFields are the names of the params that every request must have.
 var requiredFields = []string{"rid", "t0", "peer", "mem", "prio", "doc"}
 
 // paramsDecoder decodes the params of one message.
 type paramsDecoder struct {
 	reader  *jsonline.Reader
 	message *Message
-	seen    map[string]bool // names of fields; bounded by maxTrackedFields
+	seen    map[string]bool // names of the decoded fields; at most maxTrackedFields
 }
 
 func (m *Message) decodeParams(text []byte) error {
@@ -45,8 +45,8 @@
 			return &FieldError{name, errMissingField}
 		}
 	}
-	if !isPlainID(string(m.Request.ID)) {
-		return &FieldError{"rid", errNotPlainID}
+	if !isValidRequestID(string(m.Request.ID)) {
+		return &FieldError{"rid", errInvalidRequestID}
 	}
 	return nil
 }
@@ -79,9 +79,9 @@
 	case "again":
 		request.IsRetry, err = d.reader.ReadBool()
 	case "mem":
-		request.MemoryKB, err = readNumber(d.reader, isMemory, errMemoryRange)
+		request.MemoryKB, err = readNumber(d.reader, isValidMemory, errMemoryRange)
 	case "prio":
-		request.Priority, err = readNumber(d.reader, isPriority, errNotPriority)
+		request.Priority, err = readNumber(d.reader, isValidPriority, errPriorityRange)
 	case "token":
 		return readString(d.reader, &request.Key)
 	case "obj":
@@ -96,7 +96,7 @@
 	return err
 }
 
-// readTimestamp reads a time in Unix milliseconds, which must be about now.
+// readTimestamp reads a time in Unix milliseconds, at most maxRequestAge in the past and maxClockSkew in the future.
 func readTimestamp(reader *jsonline.Reader) (time.Time, error) {
 	millis, err := reader.ReadNumber()
 	if err != nil {
@@ -114,19 +114,19 @@
 }
 
 func readCaller(reader *jsonline.Reader) (int, error) {
-	number, err := readNumber(reader, isCallerNumber, errNotCaller)
+	number, err := readNumber(reader, isValidCallerNumber, errInvalidCaller)
 	return int(number), err
 }
 
-func isCallerNumber(number float64) bool {
+func isValidCallerNumber(number float64) bool {
 	return number == math.Trunc(number) && number >= 0 && number <= maxCallerNumber
 }
 
-func isMemory(kilobytes float64) bool { return kilobytes > 0 && kilobytes < maxMemoryKB }
+func isValidMemory(kilobytes float64) bool { return kilobytes > 0 && kilobytes < maxMemoryKB }
 
-func isPriority(priority float64) bool { return priority >= 0 && priority < 1 }
+func isValidPriority(priority float64) bool { return priority >= 0 && priority < 1 }
 
-// readNumber reads a number. The error for one that is not valid is errInvalid.
+// readNumber reads a number. It returns errInvalid for one that isValid rejects.
 func readNumber(reader *jsonline.Reader, isValid func(float64) bool, errInvalid error) (float64, error) {
 	number, err := reader.ReadNumber()
 	if err != nil {
@@ -138,8 +138,9 @@
 	return number, nil
 }
 
-// isPlainID reports whether an ID consists of letters, digits and hyphens, so that line protocols can carry it.
-func isPlainID(id string) bool {
+// isValidRequestID reports whether an ID consists of 1 to maxRequestIDLength letters, digits and hyphens, so that line-based
+// protocols can carry it.
+func isValidRequestID(id string) bool {
 	for _, c := range []byte(id) {
 		isDigit := c >= '0' && c <= '9'
 		isLetter := c >= 'a' && c <= 'z' || c >= 'A' && c <= 'Z'
@@ -147,5 +148,5 @@
 			return false
 		}
 	}
-	return len(id) > 0 && len(id) <= maxPlainIDLength
+	return len(id) > 0 && len(id) <= maxRequestIDLength
 }
--- a/internal/rpc/server.go
+++ b/internal/rpc/server.go
@@ -1,8 +1,8 @@
-// Package rpc serves the client stubs' protocol, JSON-RPC 2.0 with one message a line: it decodes lines into requests and
-// health checks for an Admission, and encodes its answers.
+// Package rpc serves the client stubs' protocol, JSON-RPC 2.0 with one message per line: it decodes lines into requests and
+// health checks, passes them to an Admission, and encodes its answers.
 //
 // A Server owns the stubs' connections, at most Config.MaxConns + Config.SpareConns, and the IDs of their pending requests,
-// at most maxPendingRequests each. Input of a client affects only its own connection. Everything runs on the event loop;
+// at most maxPendingRequests each. A client's input affects only its own connection. Everything runs on the event loop;
 // nothing is safe for use from other goroutines.
 package rpc
 
@@ -23,35 +23,35 @@
 	maxIdleTimeout = time.Minute            // higher settings are lowered to it
 )
 
-// Admission decides on requests. Answers come back through the node.Responder under the id given with the request.
+// Admission admits or rejects requests. It answers through the node.Responder, with the id that it was given.
 type Admission interface {
 	// HasClass reports whether a request class is configured.
 	HasClass(class string) bool
-	// Admit takes a request. An error, such as node.ErrUnknownClass, means that no answer follows.
+	// Admit admits or rejects a request. After an error, such as node.ErrUnknownClass, no answer follows.
 	Admit(responder node.Responder, id node.MessageID, request node.Request) error
-	// CallerGone reports that no answer can be delivered any more.
+	// CallerGone reports that the responder can deliver no more answers.
 	CallerGone(responder node.Responder)
-	// CheckHealth takes a health check; a deep one tests the runtime as well.
+	// CheckHealth answers a health check; a deep one tests the runtime as well.
 	CheckHealth(responder node.Responder, id node.MessageID, depth node.HealthCheckDepth)
 }
 
-// Config is what NewServer needs.
+// Config configures a Server.
 type Config struct {
 	Admission  Admission
-	MaxConns   int // connections that have not been sent a closing notification
-	SpareConns int // connections over MaxConns, which have been sent one
+	MaxConns   int // limit of connections that were not sent a closing notification
+	SpareConns int // limit of further connections, which were sent one
 	Log        *zap.Logger
 }
 
 // Server owns the connections of client stubs.
 type Server struct {
-	config        Config
-	conns         map[*conn]struct{} // not closing, or with pending requests
-	notifiedConns int                // those of conns that were sent a closing notification
-	idleTimeout   time.Duration
-	draining      bool
-	nextSweep     time.Time
-	overLimit     int // connections over MaxConns since the last log line
+	config            Config
+	conns             map[*conn]struct{} // those that are not closing or have pending requests
+	notifiedConns     int                // number of conns that were sent a closing notification
+	idleTimeout       time.Duration
+	draining          bool
+	nextSweep         time.Time
+	overLimitSinceLog int // connections accepted or rejected over MaxConns since the last log line
 }
 
 // NewServer returns a server without connections, with the longest idle timeout.
@@ -65,11 +65,11 @@
 
 // Accept returns the handler of a new connection, or nil if there is no capacity. At MaxConns connections the least needed one
 // is sent a closing notification; its requests in transit are still served. If all have pending requests, the new connection
-// is notified once it is open, and its requests are served too. When all spare connections are used as well, the least needed
-// connection closes at once; if all have pending requests, the new one does.
+// is notified once it is open, and its requests are served too. When all spare connections are in use as well, the least
+// needed connection is closed at once; if all have pending requests, the new one is rejected.
 func (s *Server) Accept() loop.ServerHandler {
 	if s.atCapacity() {
-		s.overLimit++
+		s.overLimitSinceLog++
 		if c := s.evictionCandidate((*conn).isUnnotified); c != nil {
 			c.notifyClosing(time.Now())
 		}
@@ -90,16 +90,16 @@
 
 // evictionCandidate returns the least needed of the eligible connections without pending requests, or nil. Connections that
 // never sent a request are needed least, then those that were idle for longest.
-func (s *Server) evictionCandidate(isEligible func(*conn) bool) (least *conn) {
+func (s *Server) evictionCandidate(isEligible func(*conn) bool) (leastNeeded *conn) {
 	for c := range s.conns {
 		if c.HasPending() || c.closing || !isEligible(c) {
 			continue
 		}
-		if least == nil || c.isLessNeededThan(least) {
-			least = c
+		if leastNeeded == nil || c.isLessNeededThan(leastNeeded) {
+			leastNeeded = c
 		}
 	}
-	return least
+	return leastNeeded
 }
 
 func (c *conn) isLessNeededThan(other *conn) bool {
@@ -109,15 +109,15 @@
 	return c.lastActive.Before(other.lastActive)
 }
 
-// atCapacity reports whether MaxConns connections have not been notified.
+// atCapacity reports whether MaxConns connections were not sent a closing notification.
 func (s *Server) atCapacity() bool { return len(s.conns)-s.notifiedConns >= s.config.MaxConns }
 
-// SetIdleTimeout sets after which time a connection without pending requests closes.
+// SetIdleTimeout sets how long a connection may be without pending requests before it is closed.
 func (s *Server) SetIdleTimeout(timeout time.Duration) {
 	s.idleTimeout = min(max(timeout, minIdleTimeout), maxIdleTimeout)
 }
 
-// Drain sends all connections, and those opened from now on, a closing notification.
+// Drain sends a closing notification to all connections, also to those opened from now on.
 func (s *Server) Drain() {
 	s.draining = true
 	for c := range s.conns {
@@ -125,11 +125,11 @@
 	}
 }
 
-// HasPending reports false: responses are sent by the tick in which they are written.
+// HasPending reports false, as responses are sent by the tick in which they are written.
 func (s *Server) HasPending() bool { return false }
 
-// Sweep notifies idle and stalled connections, and closes them closingGracePeriod later, when no request can be in transit any
-// more. While draining it closes only stalled ones, as clients close the others themselves.
+// Sweep sends idle and stalled connections a closing notification, and closes them closingGracePeriod later, when no request
+// can be in transit any more. While draining it closes only stalled ones, as clients close the others themselves.
 func (s *Server) Sweep(now time.Time) {
 	if now.Before(s.nextSweep) {
 		return
@@ -138,11 +138,11 @@
 	for c := range s.conns {
 		s.sweepConn(c, now)
 	}
-	if s.overLimit > 0 {
+	if s.overLimitSinceLog > 0 {
 		s.config.Log.Warn("connection limit reached",
-			zap.Int("connections_over_limit", s.overLimit),
+			zap.Int("connections_over_limit", s.overLimitSinceLog),
 			zap.Int("limit", s.config.MaxConns))
-		s.overLimit = 0
+		s.overLimitSinceLog = 0
 	}
 }
 
--- a/internal/rpc/server_test.go
+++ b/internal/rpc/server_test.go
@@ -24,7 +24,7 @@
 func (a *fakeAdmission) CallerGone(node.Responder)                                         { a.callersGone++ }
 func (a *fakeAdmission) CheckHealth(node.Responder, node.MessageID, node.HealthCheckDepth) {}
 
-// newTestServer allows one spare connection.
+// newTestServer returns a server with one spare connection.
 func newTestServer(admission Admission, maxConns int) *Server {
 	return NewServer(Config{Admission: admission, MaxConns: maxConns, SpareConns: 1, Log: zap.NewNop()})
 }
@@ -32,45 +32,46 @@
 func TestIdleTimeoutDoesNotCloseConnectionsWithPendingRequests(t *testing.T) {
 	admission := &fakeAdmission{}
 	server := newTestServer(admission, 2)
-	busy := &testutil.FakeConn{}
-	idle := &testutil.FakeConn{}
+	busyTransport := &testutil.FakeConn{}
+	idleTransport := &testutil.FakeConn{}
 	busyConn := server.Accept()
 	idleConn := server.Accept()
-	busyConn.Opened(busy)
-	idleConn.Opened(idle)
+	busyConn.Opened(busyTransport)
+	idleConn.Opened(idleTransport)
 	if err := busyConn.Received([]byte(requestLine + "\n")); err != nil || admission.admitted != 1 {
 		t.Fatalf("%v, %d admitted", err, admission.admitted)
 	}
 	server.SetIdleTimeout(time.Second)
 	server.Sweep(time.Now().Add(2 * time.Second))
-	if idle.Closed || idle.Out != string(closingNotification) || busy.Out != "" {
-		t.Errorf("idle closed %v without a grace period after its notification %q; busy was sent %q", idle.Closed, idle.Out, busy.Out)
+	if idleTransport.Closed || idleTransport.Out != string(closingNotification) || busyTransport.Out != "" {
+		t.Errorf("idle closed %v without a grace period after its notification %q; busy was sent %q",
+			idleTransport.Closed, idleTransport.Out, busyTransport.Out)
 	}
 	server.Sweep(time.Now().Add(3 * time.Second))
-	if busy.Closed || !idle.Closed {
-		t.Errorf("busy closed %v, idle closed %v", busy.Closed, idle.Closed)
+	if busyTransport.Closed || !idleTransport.Closed {
+		t.Errorf("busy closed %v, idle closed %v", busyTransport.Closed, idleTransport.Closed)
 	}
 	busyConn.(*conn).Answer("7", node.Answer{})
 	server.Sweep(time.Now().Add(4 * time.Second))
-	if busy.Closed || !strings.HasSuffix(busy.Out, string(closingNotification)) {
-		t.Errorf("closed %v without a notification before: %q", busy.Closed, busy.Out)
+	if busyTransport.Closed || !strings.HasSuffix(busyTransport.Out, string(closingNotification)) {
+		t.Errorf("closed %v without a notification before: %q", busyTransport.Closed, busyTransport.Out)
 	}
 	if err := busyConn.Received([]byte(requestLine + "\n")); err != nil || admission.admitted != 2 { // in transit at the notification
 		t.Fatalf("%v, %d admitted", err, admission.admitted)
 	}
 	server.Sweep(time.Now().Add(6 * time.Second))
-	if busy.Closed {
-		t.Error("closed over a request that was in transit at the notification")
+	if busyTransport.Closed {
+		t.Error("closed despite a request that was in transit at the notification")
 	}
 	busyConn.(*conn).Answer("7", node.Answer{})
 	server.Sweep(time.Now().Add(8 * time.Second))
-	if !busy.Closed {
-		t.Error("an answered connection stayed open")
+	if !busyTransport.Closed {
+		t.Error("an idle connection without pending requests stayed open")
 	}
 }
 
-// At the limit the least needed connection is notified, and requests that cross the notification are admitted. Only with the
-// spare connections in use as well one closes at once, and never one with a pending request.
+// At the limit the least needed connection is sent a closing notification, and its requests in transit are admitted. Only when
+// the spare connections are in use as well is one closed at once, and never one with a pending request.
 func TestConnectionLimitNotifiesLeastNeededFirst(t *testing.T) {
 	admission := &fakeAdmission{}
 	server := newTestServer(admission, 2)
@@ -82,34 +83,35 @@
 		}
 		return handler, transport
 	}
-	used, first := open()
-	_ = used.Received([]byte(requestLine + "\n"))
-	used.(*conn).Answer("7", node.Answer{})
-	first.Out = ""
-	silent, second := open()
-	_, third := open()
-	if second.Out != string(closingNotification) || second.Closed || first.Out+third.Out != "" {
-		t.Errorf("sent %q, closed %v; others were sent %q", second.Out, second.Closed, first.Out+third.Out)
+	usedHandler, usedTransport := open()
+	_ = usedHandler.Received([]byte(requestLine + "\n"))
+	usedHandler.(*conn).Answer("7", node.Answer{})
+	usedTransport.Out = ""
+	silentHandler, silentTransport := open()
+	_, unusedTransport := open()
+	if silentTransport.Out != string(closingNotification) || silentTransport.Closed || usedTransport.Out+unusedTransport.Out != "" {
+		t.Errorf("sent %q, closed %v; others were sent %q", silentTransport.Out, silentTransport.Closed, usedTransport.Out+unusedTransport.Out)
 	}
-	if err := silent.Received([]byte(requestLine + "\n")); err != nil || admission.admitted != 2 { // in transit at the notification
+	if err := silentHandler.Received([]byte(requestLine + "\n")); err != nil || admission.admitted != 2 { // in transit at the notification
 		t.Fatalf("%v, %d admitted", err, admission.admitted)
 	}
-	fourth, transport := open() // the spare connection is in use: of those with nothing pending the one without a request closes
-	if !third.Closed || second.Closed || first.Closed || fourth == nil || transport.Out != "" {
-		t.Errorf("closed %v, %v and %v", first.Closed, second.Closed, third.Closed)
+	lastHandler, lastTransport := open() // the spare connection is in use: closes the idle connection that never sent a request
+	if !unusedTransport.Closed || silentTransport.Closed || usedTransport.Closed || lastHandler == nil || lastTransport.Out != "" {
+		t.Errorf("closed %v, %v and %v", usedTransport.Closed, silentTransport.Closed, unusedTransport.Closed)
 	}
-	for handler, id := range map[loop.ServerHandler]string{used: "8", fourth: "8"} {
+	for handler, id := range map[loop.ServerHandler]string{usedHandler: "8", lastHandler: "8"} {
 		if err := handler.Received([]byte(strings.Replace(requestLine, `"id":7`, `"id":`+id, 1) + "\n")); err != nil {
 			t.Fatal(err)
 		}
 	}
 	if handler, _ := open(); handler != nil {
-		t.Error("accepted over the limit with all connections in use")
+		t.Error("accepted over the limit while all connections had pending requests")
 	}
-	silent.(*conn).Answer("7", node.Answer{})
+	silentHandler.(*conn).Answer("7", node.Answer{})
 	server.Sweep(time.Now().Add(time.Second))
-	if server.notifiedConns != 0 || len(server.conns) != 2 || !second.Closed {
-		t.Errorf("%d of %d notified, the first of them closed %v", server.notifiedConns, len(server.conns), second.Closed)
+	if server.notifiedConns != 0 || len(server.conns) != 2 || !silentTransport.Closed {
+		t.Errorf("%d of %d connections notified, the one notified first closed %v",
+			server.notifiedConns, len(server.conns), silentTransport.Closed)
 	}
 }
 
@@ -132,7 +134,7 @@
 		if transport.Closed {
 			t.Errorf("%s: closed at once", name)
 		}
-		for sweep := range 4 { // single bytes complete no message
+		for sweep := range 4 { // further bytes of an incomplete message don't extend its timeout
 			if name != "complete" && name != "silent" {
 				_ = handler.Received([]byte(" "))
 			}
