--- a/internal/index/connection.go
+++ b/internal/index/connection.go
@@ -12,40 +12,40 @@
 	"thymechute/policy"
 )
 
-// connection is the handler of one connection. It takes no further calls once the pool does not own it.
+// connection handles one connection to the index. It is given no further calls once the pool no longer owns it.
 type connection struct {
-	pool     *Pool
-	conn     loop.Conn                // nil before it is open, and once it is closed
-	call     *call                    // nil: none
-	carried  map[node.TaskID]struct{} // requests whose calls were sent on it; at most maxCallsPerConn
-	unread   []byte                   // the start of a reply; at most one reply long
-	lastUsed time.Time
+	pool            *Pool
+	transport       loop.Conn                // nil before it is open, and once it is closed
+	call            *call                    // sent, or waiting for the connection to open; nil: none
+	carriedRequests map[node.TaskID]struct{} // IDs of the requests whose calls were sent on it; at most maxCallsPerConn
+	partialReply    []byte                   // the start of an incomplete reply; shorter than one reply
+	lastUsed        time.Time
 }
 
 func newConnection(p *Pool, first *call) *connection {
-	return &connection{pool: p, call: first, carried: map[node.TaskID]struct{}{}}
+	return &connection{pool: p, call: first, carriedRequests: map[node.TaskID]struct{}{}}
 }
 
 // hasCarried reports whether a call of the request was sent on this connection.
 func (c *connection) hasCarried(id node.TaskID) bool {
-	_, ok := c.carried[id]
+	_, ok := c.carriedRequests[id]
 	return ok
 }
 
-// send writes the call.
+// send writes a call to the open connection.
 func (c *connection) send(next *call) {
 	c.call = next
 	c.lastUsed = time.Now()
-	c.carried[next.id] = struct{}{}
-	next.on = c
+	c.carriedRequests[next.id] = struct{}{}
+	next.conn = c
 	next.sent = true
-	c.conn.Write(appendCall(nil, next))
+	c.transport.Write(appendCall(nil, next))
 	next.body = nil
 }
 
-// Opened sends the call that the connection was dialled for, or a queued one if that has ended.
+// Opened sends the call that the connection was dialled for, or a queued one if that call has ended.
 func (c *connection) Opened(conn loop.Conn) {
-	c.conn = conn
+	c.transport = conn
 	c.lastUsed = time.Now()
 	switch {
 	case !c.pool.owns(c):
@@ -57,16 +57,16 @@
 	}
 }
 
-// Closed ends the call on the connection. If it was sent, the index may have executed it.
+// Closed ends the connection's call. If it was sent, the index may have executed it.
 func (c *connection) Closed(err error) {
 	if c.call != nil {
-		c.loseCall(err)
+		c.failCall(err)
 	}
-	c.conn = nil
+	c.transport = nil
 	c.pool.drop(c)
 }
 
-func (c *connection) loseCall(err error) {
+func (c *connection) failCall(err error) {
 	lost := c.call
 	c.pool.reportAnomaly("index connection lost during a call",
 		zap.Error(err),
@@ -78,14 +78,14 @@
 	}
 	c.call = nil
 	delete(c.pool.calls, lost.id)
-	lost.end(c.pool.sink, time.Now(), outcome, nil)
+	lost.reportResult(c.pool.sink, time.Now(), outcome, nil)
 }
 
-// Received reads replies. An error, for bytes that are not a reply, closes the connection.
+// Received reads replies. It returns an error, which closes the connection, for input that is not a reply.
 func (c *connection) Received(data []byte) error {
 	text := data
-	if len(c.unread) > 0 {
-		text = append(c.unread, data...)
+	if len(c.partialReply) > 0 {
+		text = append(c.partialReply, data...)
 	}
 	for len(text) > 0 {
 		r, length, err := decodeReply(text)
@@ -98,11 +98,11 @@
 		c.handle(r)
 		text = text[length:]
 	}
-	c.unread = append([]byte(nil), text...)
+	c.partialReply = append([]byte(nil), text...)
 	return nil
 }
 
-// handle ends the call that the reply belongs to. A reply of another call, or with an unknown status, is ignored.
+// handle ends the call that the reply belongs to. A reply to another call, or with an unknown status, is ignored.
 func (c *connection) handle(r reply) {
 	p := c.pool
 	answered := c.call
@@ -112,11 +112,11 @@
 		return
 	}
 	delete(p.calls, answered.id)
-	answered.end(p.sink, time.Now(), outcome, bytes.Clone(r.body))
+	answered.reportResult(p.sink, time.Now(), outcome, bytes.Clone(r.body))
 	if p.owns(c) {
 		p.release(c)
 		return
 	}
 	c.call = nil // AddressChanged has replaced this connection
-	c.conn.Close()
+	c.transport.Close()
 }
--- a/internal/index/pool.go
+++ b/internal/index/pool.go
@@ -5,9 +5,9 @@
 // or repeated reply can't be taken for that to another call. The pool never retries a call, and reports one as not executed
 // only if nothing of it was written or the index said so.
 //
-// Tables: calls (one per request; removed at the reply, the timeout, Abandon or the end of the connection) and connections (at
-// most as many as NewPool is given; idle ones are closed after idleTimeout). A Pool belongs to the event loop; its methods
-// must be called on the loop's goroutine and do not block.
+// A Pool holds at most one call per request, until its reply, timeout, abandonment or the end of its connection, and at most
+// the number of connections given to NewPool; idle ones are closed after idleTimeout. A Pool belongs to the event loop; its
+// methods must be called on the loop's goroutine and do not block.
 package index
 
 import (
@@ -22,12 +22,12 @@
 )
 
 const (
-	idleTimeout     = time.Second // the index drops idle connections, so calls on one that was idle for long are likely to fail
-	maxCallsPerConn = 64          // after which it is closed, as it records the ids of its calls
-	maxAnomalyLines = 20          // log lines about lost calls and unexpected replies
+	idleTimeout        = time.Second // the index drops idle connections, so calls on one that was idle for long are likely to fail
+	maxCallsPerConn    = 64          // a connection is closed after this many, as it records the IDs of their requests
+	maxAnomalyLogLines = 20          // log lines about lost calls and unexpected replies
 )
 
-// Sink receives the results of calls, on the loop.
+// Sink receives the results of calls on the event loop.
 type Sink interface {
 	// CallReturned is called once for each call that was not abandoned.
 	CallReturned(id node.TaskID, result node.CallResult)
@@ -39,12 +39,12 @@
 	startedAt time.Time
 	deadline  time.Time
 	body      []byte      // nil once it is written
-	on        *connection // that carries it, or is dialled for it; nil: queued
+	conn      *connection // carries the call, or is dialled for it; nil: queued
 	sent      bool        // written to the connection
 }
 
-// end reports the end of the call to the sink.
-func (c *call) end(sink Sink, now time.Time, outcome policy.Outcome, reply []byte) {
+// reportResult reports the result of the call to the sink.
+func (c *call) reportResult(sink Sink, now time.Time, outcome policy.Outcome, reply []byte) {
 	sink.CallReturned(c.id, node.CallResult{Outcome: outcome, Duration: now.Sub(c.startedAt), Reply: reply})
 }
 
@@ -90,39 +90,40 @@
 	p.dialQueued()
 }
 
-// takeIdle returns the latest used idle connection that may carry a call of the request; nil: none.
+// takeIdle removes and returns the most recently used idle connection that may carry a call of the request; nil: none.
 func (p *Pool) takeIdle(id node.TaskID, now time.Time) *connection {
-	for index, c := range slices.Backward(p.idle) {
+	for i, c := range slices.Backward(p.idle) {
 		if now.Sub(c.lastUsed) < idleTimeout && !c.hasCarried(id) {
-			p.idle = slices.Delete(p.idle, index, index+1)
+			p.idle = slices.Delete(p.idle, i, i+1)
 			return c
 		}
 	}
 	return nil
 }
 
-// dialQueued dials a connection for each queued call, up to maxConns.
+// dialQueued dials a connection for each queued call, up to maxConns connections.
 func (p *Pool) dialQueued() {
 	for len(p.queue) > 0 && len(p.conns) < p.maxConns {
 		next := p.queue[0]
 		p.queue = p.queue[1:]
 		c := newConnection(p, next)
-		next.on = c
+		next.conn = c
 		p.conns[c] = struct{}{}
 		p.dial(c)
 	}
 }
 
-// release sends the oldest queued call that the connection may carry, or makes the connection idle.
+// release sends the oldest queued call that the connection may carry, or else makes the connection idle. After
+// maxCallsPerConn calls it closes the connection.
 func (p *Pool) release(c *connection) {
 	c.call = nil
-	if len(c.carried) >= maxCallsPerConn {
+	if len(c.carriedRequests) >= maxCallsPerConn {
 		p.drop(c)
 		return
 	}
-	for index, queued := range p.queue {
+	for i, queued := range p.queue {
 		if !c.hasCarried(queued.id) {
-			p.queue = slices.Delete(p.queue, index, index+1)
+			p.queue = slices.Delete(p.queue, i, i+1)
 			c.send(queued)
 			return
 		}
@@ -130,20 +131,20 @@
 	p.idle = append(p.idle, c)
 }
 
-// drop closes a connection, and dials another one if a call is queued.
+// drop closes a connection and dials another one if a call is queued.
 func (p *Pool) drop(c *connection) {
 	if !p.owns(c) {
 		return
 	}
 	delete(p.conns, c)
 	p.idle = slices.DeleteFunc(p.idle, func(idle *connection) bool { return idle == c })
-	if c.conn != nil {
-		c.conn.Close()
+	if c.transport != nil {
+		c.transport.Close()
 	}
 	p.dialQueued()
 }
 
-// owns reports whether the connection belongs to the pool, which neither drop nor AddressChanged has removed it from.
+// owns reports whether the connection belongs to the pool. drop and AddressChanged remove connections from it.
 func (p *Pool) owns(c *connection) bool {
 	_, ok := p.conns[c]
 	return ok
@@ -157,7 +158,7 @@
 	}
 	delete(p.calls, id)
 	p.queue = slices.DeleteFunc(p.queue, func(queued *call) bool { return queued == abandoned })
-	c := abandoned.on
+	c := abandoned.conn
 	if c == nil {
 		return
 	}
@@ -167,7 +168,7 @@
 	}
 }
 
-// Sweep ends the calls past their deadline, closes idle connections, and returns the next deadline; zero: none.
+// Sweep ends calls past their deadline, closes connections idle for over idleTimeout, and returns the next deadline; zero: none.
 func (p *Pool) Sweep(now time.Time) (next time.Time) {
 	for id, pending := range p.calls {
 		if now.Before(pending.deadline) {
@@ -181,7 +182,7 @@
 			outcome = policy.TimedOut
 		}
 		p.Abandon(id)
-		pending.end(p.sink, now, outcome, nil)
+		pending.reportResult(p.sink, now, outcome, nil)
 	}
 	for len(p.idle) > 0 && now.Sub(p.idle[0].lastUsed) > idleTimeout {
 		p.drop(p.idle[0])
@@ -189,27 +190,28 @@
 	return next
 }
 
-// AddressChanged replaces all connections after a change of the index's address. Calls in flight may still return on the former ones.
+// AddressChanged replaces all connections after a change of the index's address. Calls that were sent may still return on the
+// former connections.
 func (p *Pool) AddressChanged() {
-	moved := p.conns
+	former := p.conns
 	p.conns = map[*connection]struct{}{}
 	p.idle = nil
-	for c := range moved {
+	for c := range former {
 		switch {
-		case c.conn == nil && c.call != nil: // being dialled at the old address
+		case c.transport == nil && c.call != nil: // being dialled at the former address
 			p.queue = append(p.queue, c.call)
 			c.call = nil
-		case c.conn != nil && c.call == nil:
-			c.conn.Close()
+		case c.transport != nil && c.call == nil:
+			c.transport.Close()
 		}
 	}
 	p.dialQueued()
 }
 
-// reportAnomaly logs an unexpected event, at most maxAnomalyLines times.
+// reportAnomaly logs an unexpected event, at most maxAnomalyLogLines times.
 func (p *Pool) reportAnomaly(message string, fields ...zap.Field) {
 	p.anomalies++
-	if p.anomalies <= maxAnomalyLines {
+	if p.anomalies <= maxAnomalyLogLines {
 		p.log.Warn(message, fields...)
 	}
 }
--- a/internal/index/pool_test.go
+++ b/internal/index/pool_test.go
@@ -15,35 +15,35 @@
 	"thymechute/policy"
 )
 
-// sink records the ends of calls.
-type sink struct{ got []string }
+// sink records the results of calls.
+type sink struct{ results []string }
 
 func (s *sink) CallReturned(id node.TaskID, result node.CallResult) {
-	s.got = append(s.got, fmt.Sprintf("%s %d %s", id, result.Outcome, result.Reply))
+	s.results = append(s.results, fmt.Sprintf("%s %d %s", id, result.Outcome, result.Reply))
 }
 
-// newPool returns a pool and the connections that it dials; open opens one.
+// newPool returns a pool, its sink and the connections that it dials.
 func newPool(maxConns int) (p *Pool, s *sink, dialled *[]*connection) {
 	s = &sink{}
 	dialled = &[]*connection{}
-	return NewPool(s, func(to loop.Handler) { *dialled = append(*dialled, to.(*connection)) }, maxConns, zap.NewNop()), s, dialled
+	return NewPool(s, func(handler loop.Handler) { *dialled = append(*dialled, handler.(*connection)) }, maxConns, zap.NewNop()), s, dialled
 }
 
 // open opens the connection that was dialled last.
 func open(dialled *[]*connection) (*connection, *testutil.FakeConn) {
 	c := (*dialled)[len(*dialled)-1]
-	w := &testutil.FakeConn{}
-	c.Opened(w)
-	return c, w
+	transport := &testutil.FakeConn{}
+	c.Opened(transport)
+	return c, transport
 }
 
-// expectOnly fails unless the call's end is all that was recorded.
+// expectOnly fails the test unless the call's result is all that was recorded.
 func expectOnly(t *testing.T, s *sink, id string, outcome policy.Outcome, reply string) {
 	t.Helper()
-	if len(s.got) != 1 || s.got[0] != fmt.Sprintf("%s %d %s", id, outcome, reply) {
-		t.Errorf("got %q, want %s with outcome %d", s.got, id, outcome)
+	if len(s.results) != 1 || s.results[0] != fmt.Sprintf("%s %d %s", id, outcome, reply) {
+		t.Errorf("got %q, want %s with outcome %d", s.results, id, outcome)
 	}
-	s.got = nil
+	s.results = nil
 }
 
 func TestOutcomeOfLostCallDependsOnItsProgress(t *testing.T) {
@@ -58,21 +58,21 @@
 	p.Call("c", time.Second, []byte("x"))
 	p.Call("d", time.Second, []byte("x")) // waits for the only connection
 	p.Sweep(time.Now().Add(2 * time.Second))
-	if got := strings.Join(s.got, ","); !strings.Contains(got, fmt.Sprintf("c %d", policy.ConnectFailed)) ||
+	if got := strings.Join(s.results, ","); !strings.Contains(got, fmt.Sprintf("c %d", policy.ConnectFailed)) ||
 		!strings.Contains(got, fmt.Sprintf("d %d", policy.ConnectFailed)) {
 		t.Errorf("got %q", got)
 	}
-	s.got = nil
-	c, w := open(dialled)
+	s.results = nil
+	c, transport := open(dialled)
 	p.Call("e", time.Second, []byte("x"))
 	p.Sweep(time.Now().Add(2 * time.Second))
 	expectOnly(t, s, "e", policy.TimedOut, "")
-	if !strings.HasSuffix(w.Out, " 1\r\nx\r\n") || strings.Contains(w.Out, "GET c") || !w.Closed {
-		t.Errorf("wrote %q, closed %v", w.Out, w.Closed)
+	if !strings.HasSuffix(transport.Out, " 1\r\nx\r\n") || strings.Contains(transport.Out, "GET c") || !transport.Closed {
+		t.Errorf("wrote %q, closed %v", transport.Out, transport.Closed)
 	}
 	c.Closed(&loop.ConnError{Connected: true, Err: errors.New("closed")})
-	if len(s.got) != 0 || len(p.conns) != 0 {
-		t.Errorf("got %q, %d connections left", s.got, len(p.conns))
+	if len(s.results) != 0 || len(p.conns) != 0 {
+		t.Errorf("got %q, %d connections left", s.results, len(p.conns))
 	}
 }
 
@@ -87,85 +87,86 @@
 				t.Fatal(err)
 			}
 		}
-		if got := strings.Join(s.got, ","); got != fmt.Sprintf("a %d \r\n\r\n", policy.OK) {
+		if got := strings.Join(s.results, ","); got != fmt.Sprintf("a %d \r\n\r\n", policy.OK) {
 			t.Errorf("cut at %d: %q", cut, got)
 		}
 	}
 }
 
-// A late or repeated reply must not be taken for the reply to another call.
+// A connection carries only one call of a request, as a repeated reply could be taken for the reply to the next one.
 func TestRepeatedReplyIsNotTakenForTheNextCall(t *testing.T) {
 	p, s, dialled := newPool(8)
 	p.Call("a", time.Second, nil)
 	first, _ := open(dialled)
 	_ = first.Received([]byte("a HIT 1\r\n1\r\n"))
 	expectOnly(t, s, "a", policy.OK, "1")
-	p.Call("a", time.Second, nil) // its next call, elsewhere
+	p.Call("a", time.Second, nil) // the request's next call, on another connection
 	second, _ := open(dialled)
 	_ = first.Received([]byte("a HIT 1\r\n1\r\n"))
-	if len(s.got) != 0 || second == first {
-		t.Errorf("%q was taken", s.got)
+	if len(s.results) != 0 || second == first {
+		t.Errorf("%q was accepted as the reply to the next call", s.results)
 	}
 	p.Abandon("a")
 	p.Call("b", time.Second, nil)
 	if first.call == nil || first.call.id != "b" {
-		t.Error("a valid connection is not reused")
+		t.Error("a connection that may carry the call is not reused")
 	}
 }
 
 func TestBrokenConnectionAffectsOnlyItsOwnCall(t *testing.T) {
 	p, s, dialled := newPool(8)
 	p.Call("a", time.Second, nil)
-	bad, _ := open(dialled)
+	brokenConn, _ := open(dialled)
 	p.Call("b", time.Second, nil)
-	good, _ := open(dialled)
-	for _, noise := range []string{"no reply at all\n", "a HIT 3000000000\r\n", "a HIT -1\r\n", strings.Repeat("x", maxHeadBytes+1), "a HIT 1\r\nxyz"} {
-		if err := bad.Received([]byte(noise)); err == nil {
-			t.Errorf("%.20q was taken", noise)
+	intactConn, _ := open(dialled)
+	for _, malformed := range []string{"no reply at all\n", "a HIT 3000000000\r\n", "a HIT -1\r\n",
+		strings.Repeat("x", maxStatusLineBytes+1), "a HIT 1\r\nxyz"} {
+		if err := brokenConn.Received([]byte(malformed)); err == nil {
+			t.Errorf("%.20q was accepted", malformed)
 		}
-		bad.unread = nil
+		brokenConn.partialReply = nil
 	}
-	bad.Closed(&loop.ConnError{Connected: true, Err: errors.New("noise")})
+	brokenConn.Closed(&loop.ConnError{Connected: true, Err: errors.New("malformed reply")})
 	expectOnly(t, s, "a", policy.Reset, "")
-	_ = good.Received([]byte("b HIT 1\r\nx\r\n"))
+	_ = intactConn.Received([]byte("b HIT 1\r\nx\r\n"))
 	expectOnly(t, s, "b", policy.OK, "x")
 }
 
 func TestIdleConnectionsAndThoseOfTheFormerAddressAreNotUsed(t *testing.T) {
 	p, s, dialled := newPool(8)
 	p.Call("a", time.Second, nil)
-	c, w := open(dialled)
-	_ = c.Received([]byte("a SHED\r\n"))
+	idleConn, idleTransport := open(dialled)
+	_ = idleConn.Received([]byte("a SHED\r\n"))
 	p.Sweep(time.Now().Add(idleTimeout / 2))
-	if w.Closed {
-		t.Error("closed too soon")
+	if idleTransport.Closed {
+		t.Error("the idle connection is closed before idleTimeout")
 	}
 	p.Sweep(time.Now().Add(2 * idleTimeout))
-	if !w.Closed {
-		t.Error("an idle connection stays")
+	if !idleTransport.Closed {
+		t.Error("the idle connection stays open after idleTimeout")
 	}
 	p.Call("b", time.Second, nil)
-	out, wOut := open(dialled)
+	busyConn, busyTransport := open(dialled)
 	p.Call("c", time.Second, nil) // being dialled when the address changes
-	dialing := (*dialled)[len(*dialled)-1]
+	dialingConn := (*dialled)[len(*dialled)-1]
 	p.AddressChanged()
-	wDialing := &testutil.FakeConn{}
-	dialing.Opened(wDialing)
-	now, wNow := open(dialled)
-	if !wDialing.Closed || wDialing.Out != "" || now == dialing || !strings.HasPrefix(wNow.Out, "GET c") {
-		t.Errorf("old: closed %v, %q; new: %q", wDialing.Closed, wDialing.Out, wNow.Out)
-	}
-	s.got = nil
-	_ = out.Received([]byte("b HIT 1\r\nx\r\n")) // may still return
+	dialingTransport := &testutil.FakeConn{}
+	dialingConn.Opened(dialingTransport)
+	newConn, newTransport := open(dialled)
+	if !dialingTransport.Closed || dialingTransport.Out != "" || newConn == dialingConn || !strings.HasPrefix(newTransport.Out, "GET c") {
+		t.Errorf("former connection: closed %v, wrote %q; new one wrote %q", dialingTransport.Closed, dialingTransport.Out, newTransport.Out)
+	}
+	s.results = nil
+	_ = busyConn.Received([]byte("b HIT 1\r\nx\r\n")) // a call in flight may still return
 	expectOnly(t, s, "b", policy.OK, "x")
-	if !wOut.Closed {
+	if !busyTransport.Closed {
 		t.Error("the connection to the former address stays open")
 	}
 }
 
 func TestNewAddressIsDialledOnceForEachQueuedCall(t *testing.T) {
 	p, _, dialled := newPool(4)
-	for _, id := range []node.TaskID{"a", "b", "c", "d", "e"} { // four being dialled, e is queued
+	for _, id := range []node.TaskID{"a", "b", "c", "d", "e"} { // for a to d connections are being dialled; e is queued
 		p.Call(id, time.Second, nil)
 	}
 	p.AddressChanged()
@@ -186,9 +187,9 @@
 		f.Add([]byte(seed))
 	}
 	f.Fuzz(func(t *testing.T, text []byte) {
-		r, n, err := decodeReply(text)
-		if err == nil && (n <= 0 || n > len(text) || r.id == "" || text[n-1] != '\n') {
-			t.Errorf("%q was taken as %+v, %d bytes", text, r, n)
+		r, length, err := decodeReply(text)
+		if err == nil && (length <= 0 || length > len(text) || r.id == "" || text[length-1] != '\n') {
+			t.Errorf("%q was decoded as %+v, %d bytes", text, r, length)
 		}
 	})
 }
--- a/internal/index/protocol.go
+++ b/internal/index/protocol.go
@@ -11,16 +11,16 @@
 	"thymechute/policy"
 )
 
-// Bounds of a reply, in bytes.
+// Limits of a reply, in bytes.
 const (
-	maxHeadBytes = 256
-	maxBodyBytes = 64 << 10
+	maxStatusLineBytes = 256
+	maxBodyBytes       = 64 << 10
 )
 
 // statusHit is the status of a reply with a body.
 const statusHit = "HIT"
 
-// outcomes are the outcomes of calls by the reply's status.
+// outcomes maps the status of a reply to the outcome of its call.
 var outcomes = map[string]policy.Outcome{
 	statusHit: policy.OK,
 	"SHED":    policy.Rejected,
@@ -29,7 +29,7 @@
 	"NOBODY":  policy.NotStarted,
 }
 
-// reply is one message from the index.
+// reply is the index's answer to one call.
 type reply struct {
 	id     node.TaskID
 	status string
@@ -41,62 +41,62 @@
 // decodeReply decodes the reply at the start of the text and returns its length in bytes. The error is errIncomplete if the
 // text ends within the reply.
 func decodeReply(text []byte) (r reply, length int, err error) {
-	r, head, err := decodeHead(text)
+	r, line, err := decodeStatusLine(text)
 	if err != nil || r.status != statusHit {
-		return r, head.length, err
+		return r, line.length, err
 	}
-	bodySize, err := head.bodySize()
+	bodySize, err := line.bodySize()
 	if err != nil {
 		return r, 0, err
 	}
-	length = head.length + bodySize + len("\r\n")
+	length = line.length + bodySize + len("\r\n")
 	if len(text) < length {
 		return r, 0, errIncomplete
 	}
-	r.body = text[head.length : head.length+bodySize]
+	r.body = text[line.length : line.length+bodySize]
 	if !bytes.HasSuffix(text[:length], []byte("\r\n")) {
-		return r, 0, errors.New("index: expected CR LF behind the reply")
+		return r, 0, errors.New("index reply: expected CR LF after the body")
 	}
 	return r, length, nil
 }
 
-// head is the first line of a reply.
-type head struct {
+// statusLine is the first line of a reply.
+type statusLine struct {
 	words  [][]byte
-	length int // bytes, with CR LF
+	length int // bytes, including CR LF
 }
 
-// decodeHead reads the first line: id and status, and the body's length of a hit.
-func decodeHead(text []byte) (r reply, h head, err error) {
+// decodeStatusLine decodes the first line: ID and status, followed by the body's length in case of a hit.
+func decodeStatusLine(text []byte) (r reply, line statusLine, err error) {
 	end := bytes.IndexByte(text, '\n')
 	if end < 0 {
-		if len(text) > maxHeadBytes {
-			return r, h, errors.New("index: line too long")
+		if len(text) > maxStatusLineBytes {
+			return r, line, fmt.Errorf("index reply: no end of line in the first %d bytes", maxStatusLineBytes)
 		}
-		return r, h, errIncomplete
+		return r, line, errIncomplete
 	}
-	words := bytes.Fields(text[:min(end, maxHeadBytes)])
-	if end > maxHeadBytes || len(words) < 2 || text[max(end-1, 0)] != '\r' {
-		return r, h, errors.New("index: expected an id and a word, ended by CR LF")
+	words := bytes.Fields(text[:min(end, maxStatusLineBytes)])
+	if end > maxStatusLineBytes || len(words) < 2 || text[max(end-1, 0)] != '\r' {
+		return r, line, fmt.Errorf("index reply: expected an ID, a status and CR LF within %d bytes", maxStatusLineBytes)
 	}
 	r.id = node.TaskID(words[0])
 	r.status = string(words[1])
-	return r, head{words: words, length: end + 1}, nil
+	return r, statusLine{words: words, length: end + 1}, nil
 }
 
-// bodySize reads the length of the body, in bytes.
-func (h head) bodySize() (int, error) {
-	if len(h.words) != 3 {
-		return 0, errors.New("index: expected a length")
+// bodySize decodes the length of the body, in bytes.
+func (l statusLine) bodySize() (int, error) {
+	if len(l.words) != 3 {
+		return 0, fmt.Errorf("index reply: first line has %d words, expected an ID, a status and the body's length", len(l.words))
 	}
-	size, err := strconv.ParseUint(string(h.words[2]), 10, 31)
+	size, err := strconv.ParseUint(string(l.words[2]), 10, 31)
 	if err != nil || size > maxBodyBytes {
-		return 0, fmt.Errorf("index: expected a length up to %d", maxBodyBytes)
+		return 0, fmt.Errorf("index reply: body length is %q, expected 0 to %d", l.words[2], maxBodyBytes)
 	}
 	return int(size), nil
 }
 
-// appendCall appends a call: its id, the time until its deadline in milliseconds, at least 1, and the body.
+// appendCall appends a call: its ID, the milliseconds until its deadline (at least 1), the body's length and the body.
 func appendCall(out []byte, issued *call) []byte {
 	millisLeft := max(time.Until(issued.deadline).Milliseconds(), 1)
 	out = fmt.Appendf(out, "GET %s %d %d\r\n", issued.id, millisLeft, len(issued.body))
--- a/internal/runtimelink/link.go
+++ b/internal/runtimelink/link.go
@@ -1,10 +1,10 @@
-// Package runtimelink is the client of the runtime that executes requests: it writes commands and reads notices, as JSON
-// messages of one line each.
+// Package runtimelink is the client of the runtime that executes requests: it writes commands and reads notices, each a JSON
+// object on one line.
 //
-// A Link has one connection to the runtime, and opens another after a backoff with jitter when that is lost. The runtime
+// A Link has one connection to the runtime. When it is lost, the Link opens another after a backoff with jitter. The runtime
 // numbers its notices; a new connection requests those after the last one that was read, and each is passed on once and in
 // order. A Link does not buffer commands: after RuntimeResynced, which follows the missed notices, the instance repeats the
-// commands that a lost connection may not have delivered.
+// commands that the lost connection may not have delivered.
 //
 // A Link belongs to the event loop; its methods must be called on the loop's goroutine and do not block.
 package runtimelink
@@ -23,20 +23,20 @@
 )
 
 const (
-	minBackoff      = 20 * time.Millisecond // after the first failed connection
-	maxBackoff      = time.Second           // the runtime may be back at any time
-	gaugesTimeout   = 2 * time.Second       // another connection is opened after this long without an answer
-	maxAnomalyLines = 20                    // log lines about unexpected notices, per connection
-	gaugesNonce     = "g"                   // of the gauge requests of ticks
+	minBackoff         = 20 * time.Millisecond // after the first failed connection
+	maxBackoff         = time.Second           // short, as the runtime may be back at any time
+	gaugesTimeout      = 2 * time.Second       // without an answer for this long, another connection is opened
+	maxAnomalyLogLines = 20                    // log lines about unexpected notices, per connection
+	gaugesNonce        = "g"                   // nonce of the gauge requests sent by ticks
 )
 
-// Sink receives the runtime's notices, on the loop.
+// Sink receives the runtime's notices on the event loop.
 type Sink interface {
 	// RuntimeReady is called with the runtime's state when a connection is established.
 	RuntimeReady(state node.RuntimeState)
-	// RuntimeResynced is called when the notices missed before the connection were passed on.
+	// RuntimeResynced is called when all notices missed before the connection was established have been passed on.
 	RuntimeResynced()
-	// RunEnded is called when a run has ended.
+	// RunEnded is called when a run has ended or was not started.
 	RunEnded(id node.TaskID, result node.RunResult)
 	// CallRequested is called when a run waits for the reply to a call with this body.
 	CallRequested(id node.TaskID, body []byte)
@@ -54,22 +54,22 @@
 	log      *zap.Logger
 	random   *rand.Rand
 
-	latest    *session  // the latest connection, open or being dialled
-	conn      loop.Conn // of the session that commands are written to; nil while the link is down
+	latest    *session  // handler of the newest connection, open or being dialled
+	conn      loop.Conn // carries the commands; nil while the link is down
 	lines     jsonline.LineSplitter
-	lastIndex uint64 // of the last numbered notice read
+	lastIndex uint64 // of the last numbered notice that was read
 
-	resynced     bool   // the notices missed before this connection were read
-	syncNonce    string // of the gauge request whose answer follows them
-	sessionCount int
-	anomalies    int // of this connection
-	backoff      time.Duration
-	openedAt     time.Time
-	awaitedSince time.Time // of the first gauge request since the last input; zero: none
+	resynced        bool   // the notices missed before this connection have been read
+	syncNonce       string // nonce of the gauge request whose answer follows the missed notices
+	sessionCount    int
+	anomalies       int // unexpected notices on this connection
+	backoff         time.Duration
+	openedAt        time.Time
+	unansweredSince time.Time // time of the first gauge request since the last input; zero: none
 }
 
-// NewLink returns a link without a connection. dial opens a connection for a handler, schedule runs a function on the loop
-// after a delay, and seed determines the jitter of the backoff.
+// NewLink returns a link without a connection. dial opens a connection for a handler, schedule runs a function on the event
+// loop after a delay, and seed determines the jitter of the backoff.
 func NewLink(sink Sink, dial func(loop.Handler), schedule func(time.Duration, func()), seed uint64, log *zap.Logger) *Link {
 	return &Link{
 		sink:     sink,
@@ -81,7 +81,7 @@
 	}
 }
 
-// Open dials a new connection, which replaces the present one once it is open.
+// Open dials a new connection, which replaces the current one once it is open.
 func (l *Link) Open() {
 	l.latest = &session{link: l}
 	l.dial(l.latest)
@@ -90,17 +90,17 @@
 // Up reports whether commands reach the runtime.
 func (l *Link) Up() bool { return l.conn != nil && l.resynced }
 
-// Start starts a run of the class with that body.
+// Start starts a run of a request's class with its body.
 func (l *Link) Start(id node.TaskID, class string, body []byte) {
-	l.send(command{verb: verbStart, task: id, class: class, body: notNil(body)})
+	l.send(command{verb: verbStart, task: id, class: class, body: emptyIfNil(body)})
 }
 
 // Stop stops a run.
 func (l *Link) Stop(id node.TaskID) { l.send(command{verb: verbStop, task: id}) }
 
-// DeliverReply gives a run the reply to its call.
+// DeliverReply delivers the reply to a run's call.
 func (l *Link) DeliverReply(id node.TaskID, reply []byte) {
-	l.send(command{verb: verbGive, task: id, body: notNil(reply)})
+	l.send(command{verb: verbGive, task: id, body: emptyIfNil(reply)})
 }
 
 // RequestGauges requests a reading of the gauges. If nothing was received for gaugesTimeout after an earlier request, the
@@ -111,16 +111,16 @@
 }
 
 func (l *Link) reopenIfSilent(now time.Time) {
-	if l.awaitedSince.IsZero() {
-		l.awaitedSince = now
+	if l.unansweredSince.IsZero() {
+		l.unansweredSince = now
 		return
 	}
-	silence := now.Sub(l.awaitedSince)
+	silence := now.Sub(l.unansweredSince)
 	if silence <= gaugesTimeout {
 		return
 	}
 	l.log.Warn("runtime link silent", zap.Duration("silent_for", silence))
-	l.awaitedSince = now
+	l.unansweredSince = now
 	l.Open()
 }
 
@@ -133,16 +133,16 @@
 	}
 }
 
-// notNil returns an empty body for nil, as a command omits a nil body.
-func notNil(body []byte) []byte {
+// emptyIfNil returns an empty body for nil, as a command omits a nil body.
+func emptyIfNil(body []byte) []byte {
 	if body == nil {
 		return []byte{}
 	}
 	return body
 }
 
-// replace makes the session's connection the link's.
-func (l *Link) replace(conn loop.Conn) {
+// replaceConn closes the current connection and synchronizes the new one from the last notice that was read.
+func (l *Link) replaceConn(conn loop.Conn) {
 	if l.conn != nil {
 		l.conn.Close()
 	}
@@ -150,15 +150,15 @@
 	l.resynced = false
 	l.anomalies = 0
 	l.openedAt = time.Now()
-	l.awaitedSince = time.Time{}
+	l.unansweredSince = time.Time{}
 	l.sessionCount++
 	l.syncNonce = "sync" + strconv.Itoa(l.sessionCount)
 	l.lines = jsonline.LineSplitter{MaxLength: maxLineBytes}
 	l.conn.Write(appendSync(nil, l.lastIndex))
 }
 
-// reopen dials again after the backoff, unless the session was replaced by then.
-func (l *Link) reopen(lost *session) {
+// scheduleReopen dials again after the backoff, unless the lost session has been replaced by then.
+func (l *Link) scheduleReopen(lost *session) {
 	jitter := 0.5 + l.random.Float64()
 	delay := time.Duration(float64(l.backoff) * jitter)
 	l.backoff = min(2*l.backoff, maxBackoff)
@@ -169,7 +169,7 @@
 	})
 }
 
-// handle passes a notice on, unless it was read before.
+// handle passes a notice on to the sink, unless it was read before.
 func (l *Link) handle(n notice) {
 	isNumbered := n.Index != 0
 	if isNumbered && n.Index <= l.lastIndex {
@@ -223,7 +223,7 @@
 	l.sink.GaugesRead(n.Readings)
 }
 
-// handleNack handles a command that the runtime rejected; a run that was not started has ended.
+// handleNack handles the rejection of a command. A run whose start was rejected ends as not started.
 func (l *Link) handleNack(n notice) {
 	l.reportAnomaly("command rejected", n)
 	if n.Outcome == verbStart {
@@ -233,7 +233,7 @@
 
 func (l *Link) reportAnomaly(reason string, n notice) {
 	l.anomalies++
-	if l.anomalies > maxAnomalyLines {
+	if l.anomalies > maxAnomalyLogLines {
 		return
 	}
 	l.log.Warn("unexpected runtime notice", zap.String("reason", reason), zap.String("verb", n.Verb),
--- a/internal/runtimelink/link_test.go
+++ b/internal/runtimelink/link_test.go
@@ -14,11 +14,11 @@
 	"thymechute/policy"
 )
 
-// sink records what the link passes on.
-type sink struct{ got []string }
+// sink records the notices that the link passes on.
+type sink struct{ events []string }
 
 func (s *sink) record(format string, args ...any) {
-	s.got = append(s.got, fmt.Sprintf(format, args...))
+	s.events = append(s.events, fmt.Sprintf(format, args...))
 }
 func (s *sink) RuntimeReady(state node.RuntimeState) {
 	s.record("ready %v %v", state.Reused, state.Age)
@@ -40,16 +40,16 @@
 	return NewLink(s, func(loop.Handler) {}, schedule, 7, zap.NewNop()), s, delays
 }
 
-// open gives the link a new connection.
-func open(l *Link, w loop.Conn) {
+// open dials a connection of the link and opens it.
+func open(l *Link, conn loop.Conn) {
 	l.Open()
-	l.latest.Opened(w)
+	l.latest.Opened(conn)
 }
 
 func TestNoticesArePassedOnOnceAndInOrder(t *testing.T) {
 	l, s, _ := newLink()
-	w := &testutil.FakeConn{}
-	open(l, w)
+	conn := &testutil.FakeConn{}
+	open(l, conn)
 	const notices = `{"verb":"ready","outcome":"new","spent":1.5}
 {"verb":"wants","index":1,"task":"a","bytes":"eA=="}
 {"verb":"wants","index":1,"task":"a","bytes":"eQ=="}
@@ -61,19 +61,19 @@
 		}
 	}
 	if l.Up() {
-		t.Error("up before the missed notices were read")
+		t.Error("the link is up before the missed notices were read")
 	}
 	if err := l.latest.Received([]byte(`{"verb":"load","nonce":"sync1","readings":[1,2]}` + "\n")); err != nil || !l.Up() {
 		t.Errorf("%v, up %v", err, l.Up())
 	}
-	if got := strings.Join(s.got, "; "); got != "ready false 1.5ms; wants a x; end a 1 z; resynced; readings [1 2]" {
+	if got := strings.Join(s.events, "; "); got != "ready false 1.5ms; wants a x; end a 1 z; resynced; readings [1 2]" {
 		t.Error(got)
 	}
-	again := &testutil.FakeConn{}
+	newConn := &testutil.FakeConn{}
 	l.latest.Closed(&loop.ConnError{Connected: true})
-	open(l, again)
-	if l.Up() || !strings.Contains(again.Out, `"index":2`) {
-		t.Errorf("up %v, synced with %q", l.Up(), again.Out)
+	open(l, newConn)
+	if l.Up() || !strings.Contains(newConn.Out, `"index":2`) {
+		t.Errorf("up %v, wrote %q, want a sync from index 2", l.Up(), newConn.Out)
 	}
 }
 
@@ -83,31 +83,31 @@
 		l.Open()
 		l.latest.Closed(&loop.ConnError{})
 	}
-	w := *delays
-	if w[0] > 2*minBackoff || w[5] < 4*minBackoff || w[11] < maxBackoff/2 || w[11] > 2*maxBackoff {
-		t.Errorf("%v", w)
+	backoffs := *delays
+	if backoffs[0] > 2*minBackoff || backoffs[5] < 4*minBackoff || backoffs[11] < maxBackoff/2 || backoffs[11] > 2*maxBackoff {
+		t.Errorf("got delays %v", backoffs)
 	}
 }
 
 func TestNewConnectionReplacesTheOldOnceItIsOpen(t *testing.T) {
 	l, s, _ := newLink()
-	old := &testutil.FakeConn{}
-	w := &testutil.FakeConn{}
-	open(l, old)
-	first := l.latest
+	oldConn := &testutil.FakeConn{}
+	conn := &testutil.FakeConn{}
+	open(l, oldConn)
+	oldSession := l.latest
 	l.Open()
 	l.Stop("a")
-	if old.Closed || !strings.Contains(old.Out, `"stop"`) {
-		t.Error("the old connection does not serve until the new one is open")
+	if oldConn.Closed || !strings.Contains(oldConn.Out, `"stop"`) {
+		t.Error("the old connection was closed or not used before the new one was open")
 	}
-	l.latest.Opened(w)
-	if err := first.Received([]byte(`{"verb":"wants","index":1,"task":"a","bytes":"eA=="}` + "\n")); err != nil || len(s.got) > 0 {
-		t.Errorf("%v, %q read on the old connection", err, s.got)
+	l.latest.Opened(conn)
+	if err := oldSession.Received([]byte(`{"verb":"wants","index":1,"task":"a","bytes":"eA=="}` + "\n")); err != nil || len(s.events) > 0 {
+		t.Errorf("%v, %q read on the old connection", err, s.events)
 	}
-	first.Closed(&loop.ConnError{Connected: true})
+	oldSession.Closed(&loop.ConnError{Connected: true})
 	l.Stop("b")
-	if !old.Closed || !strings.Contains(w.Out, `"b"`) {
-		t.Errorf("closed %v, wrote %q", old.Closed, w.Out)
+	if !oldConn.Closed || !strings.Contains(conn.Out, `"b"`) {
+		t.Errorf("closed %v, wrote %q", oldConn.Closed, conn.Out)
 	}
 }
 
@@ -115,8 +115,8 @@
 	l, s, _ := newLink()
 	open(l, &testutil.FakeConn{})
 	_ = l.latest.Received([]byte(`{"verb":"nack","outcome":"start","task":"a"}` + "\n" + `{"verb":"nack","outcome":"give","task":"b"}` + "\n"))
-	if len(s.got) != 1 || s.got[0] != fmt.Sprintf("end a %d ", policy.NotStarted) {
-		t.Errorf("%q", s.got)
+	if len(s.events) != 1 || s.events[0] != fmt.Sprintf("end a %d ", policy.NotStarted) {
+		t.Errorf("got %q, want only the end of run a", s.events)
 	}
 }
 
@@ -127,7 +127,7 @@
 	}
 	f.Fuzz(func(t *testing.T, line []byte) {
 		if n, err := decodeNotice(line); err == nil && (n.Verb == "" || n.Spent < 0 || len(n.Body) > maxBodyBytes) {
-			t.Errorf("%q was taken as %+v", line, n)
+			t.Errorf("%q was decoded as %+v", line, n)
 		}
 	})
 }
--- a/internal/runtimelink/protocol.go
+++ b/internal/runtimelink/protocol.go
@@ -10,42 +10,42 @@
 	"thymechute/policy"
 )
 
-// Bounds of what a notice may carry.
+// Limits of a notice.
 const (
 	maxLineBytes   = 64 << 10
 	maxBodyBytes   = 32 << 10
 	maxReadings    = 64      // further ones are ignored
-	maxIndex       = 1 << 53 // the largest integer that a JSON number carries exactly
+	maxIndex       = 1 << 53 // integers up to this are exact in a JSON number
 	maxSpentMillis = 1e12
 )
 
 // Verbs of commands.
 const (
-	verbStart    = "start"
-	verbStop     = "stop"
-	verbGive     = "give"
-	verbGauges   = "gauges"
-	verbSelfTest = "selftest"
+	verbStart    = "start"    // starts a run
+	verbStop     = "stop"     // stops a run
+	verbGive     = "give"     // delivers the reply to a run's call
+	verbGauges   = "gauges"   // requests a reading of the gauges
+	verbSelfTest = "selftest" // requests a self-test
 )
 
 // Verbs of notices.
 const (
-	verbReady   = "ready"
-	verbEnd     = "end"
-	verbWants   = "wants"
-	verbLoad    = "load"
-	verbVerdict = "verdict"
-	verbNack    = "nack"
-	verbInfo    = "info"
+	verbReady   = "ready"   // the connection is established
+	verbEnd     = "end"     // a run has ended
+	verbWants   = "wants"   // a run waits for the reply to a call
+	verbLoad    = "load"    // a reading of the gauges
+	verbVerdict = "verdict" // the result of a self-test
+	verbNack    = "nack"    // a command was rejected
+	verbInfo    = "info"    // ignored
 )
 
-// Outcomes that are compared with.
+// Outcomes with their own handling.
 const (
-	stateOld    = "old"  // of ready: the runtime has executed requests before this connection
+	stateOld    = "old"  // of ready: the runtime executed requests before this connection
 	outcomeGood = "good" // of end and verdict
 )
 
-// runOutcomes are the outcomes of an end notice.
+// runOutcomes maps the outcomes of an end notice to the policy's.
 var runOutcomes = map[string]policy.Outcome{
 	outcomeGood: policy.OK,
 	"bad":       policy.Failed,
@@ -53,19 +53,19 @@
 	"gone":      policy.NotStarted,
 }
 
-// notice is a message from the runtime. Which fields it carries depends on the verb.
+// notice is a message from the runtime. Its verb determines which fields it carries.
 type notice struct {
 	Verb     string
 	Task     node.TaskID
-	Outcome  string
-	Nonce    string // of the command that it answers
-	Index    uint64 // 0: not numbered
-	Spent    time.Duration
+	Outcome  string        // of end, verdict and ready; of nack: the verb of the rejected command
+	Nonce    string        // of the command that the notice answers
+	Index    uint64        // 0: the notice is not numbered
+	Spent    time.Duration // of end: the run's duration; of ready: the runtime's age
 	Body     []byte
 	Readings []float64
 }
 
-// decodeNotice reads one line. Unknown fields are ignored.
+// decodeNotice decodes one line. Unknown fields are ignored.
 func decodeNotice(line []byte) (n notice, err error) {
 	r := jsonline.NewReader(line)
 	err = r.ReadObject(func(name []byte) error { return n.decodeField(r, string(name)) })
@@ -76,7 +76,7 @@
 		return n, err
 	}
 	if n.Verb == "" {
-		return n, errors.New("expected a verb")
+		return n, errors.New("no verb")
 	}
 	return n, nil
 }
@@ -84,15 +84,15 @@
 func (n *notice) decodeField(r *jsonline.Reader, name string) (err error) {
 	switch name {
 	case "verb":
-		n.Verb, err = decodeText(r)
+		n.Verb, err = decodeString(r)
 	case "task":
 		var task string
-		task, err = decodeText(r)
+		task, err = decodeString(r)
 		n.Task = node.TaskID(task)
 	case "outcome":
-		n.Outcome, err = decodeText(r)
+		n.Outcome, err = decodeString(r)
 	case "nonce":
-		n.Nonce, err = decodeText(r)
+		n.Nonce, err = decodeString(r)
 	case "index":
 		n.Index, err = decodeIndex(r)
 	case "spent":
@@ -115,7 +115,7 @@
 	return err
 }
 
-func decodeText(r *jsonline.Reader) (string, error) {
+func decodeString(r *jsonline.Reader) (string, error) {
 	text, err := r.ReadString()
 	return string(text), err
 }
@@ -123,12 +123,12 @@
 func decodeIndex(r *jsonline.Reader) (uint64, error) {
 	value, err := r.ReadNumber()
 	if err == nil && (value < 0 || value > maxIndex) {
-		return 0, errors.New("expected a number of a notice")
+		return 0, fmt.Errorf("index is %v, expected 0 to %d", value, uint64(maxIndex))
 	}
 	return uint64(value), err
 }
 
-// decodeMillis reads a time in milliseconds; one out of range is taken as the nearest bound.
+// decodeMillis reads a duration in milliseconds, clamped to 0 to maxSpentMillis.
 func decodeMillis(r *jsonline.Reader) (time.Duration, error) {
 	value, err := r.ReadNumber()
 	if err != nil {
@@ -137,7 +137,7 @@
 	return time.Duration(min(max(value, 0), maxSpentMillis) * float64(time.Millisecond)), nil
 }
 
-// command is a message to the runtime. Empty fields are omitted, but for a body that is not nil.
+// command is a message to the runtime. Empty fields are omitted, except for a body, which is omitted only if nil.
 type command struct {
 	verb  string
 	task  node.TaskID
@@ -146,7 +146,7 @@
 	nonce string
 }
 
-// append writes the command's line.
+// append appends the command's line.
 func (c command) append(out []byte) []byte {
 	out = jsonline.AppendString(append(out, `{"verb":`...), c.verb)
 	if c.task != "" {
@@ -164,7 +164,7 @@
 	return append(out, "}\n"...)
 }
 
-// appendSync writes the line that asks for the notices after an index.
+// appendSync appends the line that requests the notices after lastIndex.
 func appendSync(out []byte, lastIndex uint64) []byte {
 	return fmt.Appendf(out, `{"verb":"sync","index":%d}`+"\n", lastIndex)
 }
--- a/internal/runtimelink/protocol_test.go
+++ b/internal/runtimelink/protocol_test.go
@@ -6,9 +6,9 @@
 	"thymechute/internal/testutil"
 )
 
-// The runtime's protocol is fixed: the lines must not change in any byte.
+// The runtime's protocol is fixed: no byte of the lines may change.
 func TestCommandsAreEncodedAsInTheProtocol(t *testing.T) {
-	for want, write := range map[string]func(*Link){
+	for want, sendCommand := range map[string]func(*Link){
 		`{"verb":"start","task":"a","handler":"safe","bytes":"eA=="}`: func(l *Link) { l.Start("a", "safe", []byte("x")) },
 		`{"verb":"start","task":"a","handler":"safe","bytes":""}`:     func(l *Link) { l.Start("a", "safe", nil) },
 		`{"verb":"stop","task":"a"}`:                                  func(l *Link) { l.Stop("a") },
@@ -19,7 +19,7 @@
 		l, _, _ := newLink()
 		conn := &testutil.FakeConn{}
 		open(l, conn)
-		write(l)
+		sendCommand(l)
 		if got := conn.Out; got != `{"verb":"sync","index":0}`+"\n"+want+"\n" {
 			t.Errorf("wrote %q, want %q", got, want)
 		}
--- a/internal/runtimelink/session.go
+++ b/internal/runtimelink/session.go
@@ -9,34 +9,34 @@
 	"thymechute/internal/loop"
 )
 
-// session is the handler of one connection of a link. Input of a replaced session is ignored, as its successor requests the
-// notices after the last one that was read.
+// session handles one connection of a link. Input of a replaced session is ignored, as its successor requests the notices
+// after the last one that was read.
 type session struct {
 	link *Link
 	conn loop.Conn // nil before it is open
 }
 
-// Opened makes the session the link's connection, unless it was replaced while it was dialled.
+// Opened makes the connection the link's, unless the session was replaced while it was dialled.
 func (s *session) Opened(conn loop.Conn) {
 	s.conn = conn
 	if s.link.latest != s {
 		conn.Close()
 		return
 	}
-	s.link.replace(conn)
+	s.link.replaceConn(conn)
 }
 
-// Received reads notices. An error, for a line that is not a notice, closes the connection.
+// Received reads notices. It returns an error, which closes the connection, for a line that is not a notice.
 func (s *session) Received(data []byte) error {
 	l := s.link
 	if s.conn != l.conn {
 		return nil
 	}
-	l.awaitedSince = time.Time{}
+	l.unansweredSince = time.Time{}
 	return l.lines.Feed(data, func(line []byte) error {
 		n, err := decodeNotice(line)
 		if err != nil {
-			return fmt.Errorf("runtime: %w", err)
+			return fmt.Errorf("invalid notice from the runtime: %w", err)
 		}
 		l.handle(n)
 		return nil
@@ -52,6 +52,6 @@
 		l.resynced = false
 	}
 	if l.latest == s {
-		l.reopen(s)
+		l.scheduleReopen(s)
 	}
 }
