--- a/internal/catalog/catalog.go
+++ b/internal/catalog/catalog.go
@@ -1,5 +1,5 @@
-// Package catalog reports this instance to the service catalog: datagrams of three words ("alive", the instance's name and
-// its health) that get no answer.
+// Package catalog reports the health of this instance to the service catalog, in datagrams of three words ("alive", the
+// instance's name and its health) that get no answer.
 //
 // The catalog removes an entry that was not reported for 3 s. As datagrams may be lost, ten are sent in that time. After an
 // error the socket is closed, and the next report opens another one. A Reporter belongs to the event loop; its methods must
@@ -16,7 +16,7 @@
 // reportInterval is a tenth of an entry's lifetime in the catalog.
 const reportInterval = 300 * time.Millisecond
 
-// Reporter sends the reports.
+// Reporter sends the reports of one instance.
 type Reporter struct {
 	name       string
 	dial       func(loop.Handler)
@@ -24,7 +24,7 @@
 	nextReport time.Time
 }
 
-// New returns a reporter for the instance of that name; dial opens a socket for a handler.
+// New returns a reporter for the named instance; dial opens a socket for a handler.
 func New(name string, dial func(loop.Handler)) *Reporter { return &Reporter{name: name, dial: dial} }
 
 // Sweep reports the instance's health if reportInterval has passed since the last report.
@@ -40,11 +40,11 @@
 		return
 	}
 	r.nextReport = now.Add(reportInterval)
-	r.socket.conn.Write(r.report(status))
+	r.socket.conn.Write(r.encodeReport(status))
 }
 
-// report returns the datagram.
-func (r *Reporter) report(status node.HealthStatus) []byte {
+// encodeReport returns the datagram of a report.
+func (r *Reporter) encodeReport(status node.HealthStatus) []byte {
 	state := "critical"
 	if status == node.Healthy {
 		state = "passing"
@@ -52,7 +52,7 @@
 	return []byte("alive " + r.name + " " + state)
 }
 
-// AddressChanged closes the socket after a change of the catalog's address; the next report is due at once.
+// AddressChanged closes the socket after a change of the catalog's address. The next report is due at once.
 func (r *Reporter) AddressChanged() {
 	if r.socket != nil && r.socket.conn != nil {
 		r.socket.conn.Close()
@@ -61,13 +61,13 @@
 	r.nextReport = time.Time{}
 }
 
-// socket is one socket of the reporter. A replaced socket is ignored.
+// socket handles one socket of a reporter. Events of a replaced socket are ignored.
 type socket struct {
 	reporter *Reporter
 	conn     loop.Conn // nil before it is open
 }
 
-// Opened closes a socket that was replaced while it was dialled.
+// Opened closes the connection if the socket was replaced while it was dialled.
 func (s *socket) Opened(conn loop.Conn) {
 	s.conn = conn
 	if s.reporter.socket != s {
--- a/internal/catalog/catalog_test.go
+++ b/internal/catalog/catalog_test.go
@@ -13,46 +13,46 @@
 
 func TestReportsAreSentOftenWithinAnEntrysLifetime(t *testing.T) {
 	var dialled []*socket
-	r := New("n3", func(p loop.Handler) { dialled = append(dialled, p.(*socket)) })
+	r := New("n3", func(handler loop.Handler) { dialled = append(dialled, handler.(*socket)) })
 	now := time.Now()
-	w := &testutil.FakeConn{}
+	conn := &testutil.FakeConn{}
 	r.Sweep(now, node.Healthy)
-	dialled[0].Opened(w)
+	dialled[0].Opened(conn)
 	for at := now; at.Before(now.Add(3 * time.Second)); at = at.Add(20 * time.Millisecond) {
 		r.Sweep(at, node.Healthy)
 	}
-	if n := strings.Count(w.Out, "alive n3 passing"); n < 9 { // a quarter may be lost
-		t.Errorf("%d reports in 3 s", n)
+	if count := strings.Count(conn.Out, "alive n3 passing"); count < 9 { // enough are left if a quarter is lost
+		t.Errorf("%d reports in 3 s", count)
 	}
 	r.AddressChanged()
 	r.Sweep(now.Add(4*time.Second), node.Unhealthy)
-	again := &testutil.FakeConn{}
-	dialled[1].Opened(again)
+	newConn := &testutil.FakeConn{}
+	dialled[1].Opened(newConn)
 	r.Sweep(now.Add(4*time.Second), node.Unhealthy)
-	if !w.Closed || again.Out != "alive n3 critical" {
-		t.Errorf("closed %v, wrote %q", w.Closed, again.Out)
+	if !conn.Closed || newConn.Out != "alive n3 critical" {
+		t.Errorf("closed %v, wrote %q", conn.Closed, newConn.Out)
 	}
 }
 
-// While the catalog is down each report fails on its own socket: an error does not prevent later reports.
+// While the catalog is down, every report fails and closes its socket. Later reports must still be sent, on new sockets.
 func TestSocketWithAnErrorIsReplaced(t *testing.T) {
 	var dialled []*socket
-	r := New("n3", func(p loop.Handler) { dialled = append(dialled, p.(*socket)) })
+	r := New("n3", func(handler loop.Handler) { dialled = append(dialled, handler.(*socket)) })
 	now := time.Now()
 	for n := range 3 {
 		r.Sweep(now, node.Healthy)
 		if len(dialled) != n+1 {
 			t.Fatalf("dialled %d times after %d errors", len(dialled), n)
 		}
-		w := &testutil.FakeConn{}
-		dialled[n].Opened(w)
+		conn := &testutil.FakeConn{}
+		dialled[n].Opened(conn)
 		r.Sweep(now, node.Healthy)
-		if w.Out != "alive n3 passing" {
-			t.Errorf("wrote %q after %d errors", w.Out, n)
+		if conn.Out != "alive n3 passing" {
+			t.Errorf("wrote %q after %d errors", conn.Out, n)
 		}
 		dialled[n].Closed(&loop.ConnError{Connected: true, Err: errors.New("connection refused")})
 		if n > 0 {
-			dialled[n-1].Closed(errors.New("once more")) // a replaced socket
+			dialled[n-1].Closed(errors.New("second close")) // a replaced socket
 		}
 		now = now.Add(2 * reportInterval)
 	}
--- a/internal/jsonline/lines.go
+++ b/internal/jsonline/lines.go
@@ -14,7 +14,7 @@
 	partial   []byte
 }
 
-// HasPartial reports whether an incomplete line has been received.
+// HasPartial reports whether an incomplete line is buffered.
 func (s *LineSplitter) HasPartial() bool { return len(s.partial) > 0 }
 
 // Feed calls handle for each line that data completes, trimmed of white space; blank lines are skipped. The line is valid
--- a/internal/jsonline/reader.go
+++ b/internal/jsonline/reader.go
@@ -1,5 +1,5 @@
-// Package jsonline reads one JSON object from a line, member by member, without building a tree, and appends the few
-// JSON values that our messages need. It also splits a byte stream into lines.
+// Package jsonline reads one JSON object from a line, member by member, without building a tree. It also encodes strings and
+// splits a byte stream into lines.
 //
 // A Reader accepts any bytes without panicking and never reads past the line. Raw values and strings without escapes
 // point into the line, so a caller that retains them must copy them. Readers and splitters are not safe for concurrent use.
@@ -10,15 +10,15 @@
 	"fmt"
 )
 
-const maxDepth = 32 // levels of nested values; none of our messages has as many
+const maxDepth = 32 // levels of nested values; no message needs as many
 
-// ErrSyntax matches every SyntaxError.
+// ErrSyntax is matched by every SyntaxError.
 var ErrSyntax = errors.New("no JSON")
 
-// SyntaxError is malformed JSON.
+// SyntaxError reports malformed JSON.
 type SyntaxError struct {
 	Offset   int    // bytes from the start of the line
-	Expected string // what the grammar requires there
+	Expected string // what the grammar requires at that offset
 }
 
 func (e *SyntaxError) Error() string {
@@ -63,7 +63,7 @@
 	return true
 }
 
-// ReadObject reads an object and calls member with each name; member must read exactly the value. It returns a
+// ReadObject reads an object and calls member with each name; member must read exactly the value. ReadObject returns a
 // SyntaxError or the error of member.
 func (r *Reader) ReadObject(member func(name []byte) error) error {
 	if !r.consume('{') {
@@ -92,7 +92,7 @@
 	}
 }
 
-// ReadArray reads an array and calls element at each element; element must read exactly the value. It returns a
+// ReadArray reads an array and calls element at each element; element must read exactly the value. ReadArray returns a
 // SyntaxError or the error of element.
 func (r *Reader) ReadArray(element func() error) error {
 	if !r.consume('[') {
--- a/internal/jsonline/reader_test.go
+++ b/internal/jsonline/reader_test.go
@@ -56,7 +56,7 @@
 		}
 	}
 	if _, err := NewReader(AppendBase64(nil, make([]byte, 21))).ReadBase64(20); err == nil {
-		t.Error("21 bytes accepted for 20")
+		t.Error("accepted 21 bytes with a limit of 20")
 	}
 }
 
@@ -84,7 +84,7 @@
 	}
 }
 
-// Objects that encoding/json accepts are read to their end, and no input makes the reader panic.
+// Every object that encoding/json accepts is read to its end, and no input makes the reader panic.
 func FuzzObject(f *testing.F) {
 	for _, seed := range []string{`{"a":1,"b":[true,null,{"c":"\u0000"}]}`, `{}`, `{"a":-1.5e3}`, `{`, `{"a":}`, `[[[[`, `{"a":1}x`, `{"":"` + "\x80" + `"}`} {
 		f.Add([]byte(seed))
--- a/internal/jsonline/string.go
+++ b/internal/jsonline/string.go
@@ -11,15 +11,15 @@
 )
 
 const (
-	escapeLetters    = `"\/bfnrt`        // of the escapes of one letter
-	escapeCharacters = "\"\\/\b\f\n\r\t" // that they stand for, in the same order
-	codeUnitDigits   = 4                 // hex digits after \u
-	replacement      = "?"               // for invalid UTF-8 in AppendString
-	expectNoControl  = "no control character in a string"
-	expectStringEnd  = "the string's end"
+	escapeLetters          = `"\/bfnrt`        // letters of the one-letter escapes
+	escapeCharacters       = "\"\\/\b\f\n\r\t" // characters that these escapes stand for, in the same order
+	codeUnitDigits         = 4                 // hex digits after \u
+	invalidUTF8Replacement = "?"               // for invalid UTF-8 in AppendString
+	expectNoControl        = "no control character in a string"
+	expectStringEnd        = "the string's end"
 )
 
-// ReadString reads a string. Without escapes the result points into the line.
+// ReadString reads a string. If it has no escapes, the result points into the line.
 func (r *Reader) ReadString() ([]byte, error) {
 	if !r.consume('"') {
 		return nil, r.syntaxError("a string")
@@ -66,7 +66,7 @@
 	return nil, r.syntaxError(expectStringEnd)
 }
 
-// appendEscape reads what follows a backslash and appends the character it stands for.
+// appendEscape reads the rest of an escape after its backslash and appends the character.
 func (r *Reader) appendEscape(out []byte) ([]byte, error) {
 	c := r.text[r.offset]
 	r.offset++
@@ -89,8 +89,8 @@
 	return utf8.AppendRune(out, character), nil
 }
 
-// readSurrogatePair reads the escape after a surrogate and returns the character of the pair. If the two are not a pair it
-// reads nothing and returns the surrogate, which stands for no character.
+// readSurrogatePair reads the escape after a surrogate and returns the character of the pair. If the two are not a pair, it
+// reads nothing and returns the surrogate, which is then encoded as U+FFFD.
 func (r *Reader) readSurrogatePair(first rune) (rune, error) {
 	start := r.offset
 	r.offset += len(`\u`)
@@ -121,7 +121,7 @@
 	return rune(unit), nil
 }
 
-// ReadBase64 reads a string in standard base64 of at most maxSize decoded bytes, into a slice of its own.
+// ReadBase64 reads a string in standard base64 of at most maxSize decoded bytes. The result does not point into the line.
 func (r *Reader) ReadBase64(maxSize int) ([]byte, error) {
 	text, err := r.ReadString()
 	if err != nil {
@@ -144,7 +144,7 @@
 
 // AppendString appends s as a JSON string, with a question mark for each run of invalid UTF-8.
 func AppendString(out []byte, s string) []byte {
-	s = strings.ToValidUTF8(s, replacement)
+	s = strings.ToValidUTF8(s, invalidUTF8Replacement)
 	out = append(out, '"')
 	for i := range len(s) {
 		switch c := s[i]; {
--- a/internal/jsonline/value.go
+++ b/internal/jsonline/value.go
@@ -6,7 +6,7 @@
 	"strings"
 )
 
-// ReadNumber reads a number by JSON's own grammar, which is stricter than strconv's.
+// ReadNumber reads a number by the grammar of JSON, which is stricter than that of strconv.
 func (r *Reader) ReadNumber() (float64, error) {
 	r.peek()
 	start := r.offset
@@ -19,9 +19,9 @@
 	return x, nil
 }
 
-// skipNumber skips the longest prefix that may be a number, and reports whether it is one.
+// skipNumber skips the longest prefix that could be the start of a number, and reports whether it is a number.
 func (r *Reader) skipNumber() bool {
-	r.skipAny("-")
+	r.skipOneOf("-")
 	start := r.offset
 	if !r.skipDigits() {
 		return false
@@ -30,11 +30,11 @@
 	if hasLeadingZero {
 		return false
 	}
-	if r.skipAny(".") && !r.skipDigits() {
+	if r.skipOneOf(".") && !r.skipDigits() {
 		return false
 	}
-	if r.skipAny("eE") {
-		r.skipAny("+-")
+	if r.skipOneOf("eE") {
+		r.skipOneOf("+-")
 		return r.skipDigits()
 	}
 	return true
@@ -48,8 +48,8 @@
 	return r.offset > start
 }
 
-// skipAny skips the next byte if it is one of the set.
-func (r *Reader) skipAny(set string) bool {
+// skipOneOf skips the next byte if the set contains it.
+func (r *Reader) skipOneOf(set string) bool {
 	if r.offset >= len(r.text) || strings.IndexByte(set, r.text[r.offset]) < 0 {
 		return false
 	}
