--- a/internal/catalog/catalog_test.go
+++ b/internal/catalog/catalog_test.go
@@ -16,19 +16,19 @@
 	r := New("n3", func(handler loop.Handler) { dialled = append(dialled, handler.(*socket)) })
 	now := time.Now()
 	conn := &testutil.FakeConn{}
-	r.Sweep(now, node.Healthy)
+	r.ReportIfDue(now, node.Healthy)
 	dialled[0].Opened(conn)
 	for at := now; at.Before(now.Add(3 * time.Second)); at = at.Add(20 * time.Millisecond) {
-		r.Sweep(at, node.Healthy)
+		r.ReportIfDue(at, node.Healthy)
 	}
 	if count := strings.Count(conn.Out, "alive n3 passing"); count < 9 { // enough are left if a quarter is lost
 		t.Errorf("%d reports in 3 s", count)
 	}
 	r.AddressChanged()
-	r.Sweep(now.Add(4*time.Second), node.Unhealthy)
+	r.ReportIfDue(now.Add(4*time.Second), node.Unhealthy)
 	newConn := &testutil.FakeConn{}
 	dialled[1].Opened(newConn)
-	r.Sweep(now.Add(4*time.Second), node.Unhealthy)
+	r.ReportIfDue(now.Add(4*time.Second), node.Unhealthy)
 	if !conn.Closed || newConn.Out != "alive n3 critical" {
 		t.Errorf("closed %v, wrote %q", conn.Closed, newConn.Out)
 	}
@@ -40,13 +40,13 @@
 	r := New("n3", func(handler loop.Handler) { dialled = append(dialled, handler.(*socket)) })
 	now := time.Now()
 	for n := range 3 {
-		r.Sweep(now, node.Healthy)
+		r.ReportIfDue(now, node.Healthy)
 		if len(dialled) != n+1 {
 			t.Fatalf("dialled %d times after %d errors", len(dialled), n)
 		}
 		conn := &testutil.FakeConn{}
 		dialled[n].Opened(conn)
-		r.Sweep(now, node.Healthy)
+		r.ReportIfDue(now, node.Healthy)
 		if conn.Out != "alive n3 passing" {
 			t.Errorf("wrote %q after %d errors", conn.Out, n)
 		}
