--- a/internal/fleet/consensus/heartbeats_test.go
+++ b/internal/fleet/consensus/heartbeats_test.go
@@ -45,7 +45,7 @@
 	b := startLog(t, Config{Process: "b#1", Bind: address})
 	defer func() { _ = a.Stop() }()
 	testutil.Eventually(t, "a leader", func() bool { return a.raft.State() == raft.Leader })
-	if err := a.AddLearner("b#1", address); err != nil {
+	if err := a.AddNonvoter("b#1", address); err != nil {
 		t.Fatal(err)
 	}
 	began := time.Now()
--- a/internal/fleet/consensus/log.go
+++ b/internal/fleet/consensus/log.go
@@ -188,18 +188,18 @@
 	return future.Configuration().Servers, nil
 }
 
-// AddLearner makes a process, reachable at host:port, follow the log without a vote. It must be called at the leader, and
+// AddNonvoter adds a process, reachable at host:port, to the log as a server without a vote. It must be called at the leader, and
 // waits until the change is committed, or fails with raft's error after configurationTimeout.
-func (l *Log) AddLearner(process, address string) error {
+func (l *Log) AddNonvoter(process, address string) error {
 	return l.raft.AddNonvoter(raft.ServerID(process), serverAddress(address, process), 0, configurationTimeout).Error()
 }
 
-// AddVoter makes a process, reachable at host:port, a voter. It waits and fails as AddLearner does.
+// AddVoter makes a process, reachable at host:port, a voter. It waits and fails as AddNonvoter does.
 func (l *Log) AddVoter(process, address string) error {
 	return l.raft.AddVoter(raft.ServerID(process), serverAddress(address, process), 0, configurationTimeout).Error()
 }
 
-// removeServer removes a process from the log. It waits and fails as AddLearner does.
+// removeServer removes a process from the log. It waits and fails as AddNonvoter does.
 func (l *Log) removeServer(process string) error {
 	return l.raft.RemoveServer(raft.ServerID(process), 0, configurationTimeout).Error()
 }
--- a/internal/fleet/consensus/voters.go
+++ b/internal/fleet/consensus/voters.go
@@ -101,7 +101,7 @@
 		if isServer || p.unreachableFor(now) > 0 || p.Draining || p.isReplaced {
 			continue
 		}
-		if err := m.log.AddLearner(process, p.Address); err != nil {
+		if err := m.log.AddNonvoter(process, p.Address); err != nil {
 			lastErr = err
 		}
 	}
--- a/internal/lab/scale/raftlog/child.go
+++ b/internal/lab/scale/raftlog/child.go
@@ -94,7 +94,7 @@
 		if time.Since(began) > addAllTimeout {
 			return fmt.Errorf("added %d of %d servers within %v", n, len(peers), addAllTimeout)
 		}
-		add := g.replicas[0].log.AddLearner
+		add := g.replicas[0].log.AddNonvoter
 		if n < voters {
 			add = g.replicas[0].log.AddVoter
 		}
