--- a/cmd/thymechute/consensus_test.go
+++ b/cmd/thymechute/consensus_test.go
@@ -49,8 +49,8 @@
 	for n := range locations {
 		name := fmt.Sprint("m", n)
 		var a addresses
-		a.bind, a.proxy = testutil.StartProxy(t, f.net, name, subnet, n+1)
-		a.logBind, a.logProxy = testutil.StartProxy(t, f.net, name, subnet, n+1)
+		a.bind, a.proxy = testutil.StartMemberProxy(t, f.net, name, subnet, n+1)
+		a.logBind, a.logProxy = testutil.StartMemberProxy(t, f.net, name, subnet, n+1)
 		all = append(all, a)
 		f.names = append(f.names, name)
 	}
--- a/internal/fleet/consensus/log_test.go
+++ b/internal/fleet/consensus/log_test.go
@@ -29,7 +29,7 @@
 
 // startLogCluster starts five members, and waits until all vote.
 func startLogCluster(t *testing.T) *logCluster {
-	c := &logCluster{testutil.NewCluster(t, 6, member.Ports, func(e *memberEvent, name string) { e.member = name }), t}
+	c := &logCluster{testutil.NewCluster(t, 6, member.PortCount, func(e *memberEvent, name string) { e.member = name }), t}
 	t.Cleanup(c.logOnFailure)
 	for n := range votingMembers {
 		environment := []string{fmt.Sprintf("%s=z%d", zoneVariable, n%zoneCount)}
--- a/internal/fleet/consensus/member_test.go
+++ b/internal/fleet/consensus/member_test.go
@@ -75,7 +75,7 @@
 		},
 	})
 	go m.poll()
-	m.AwaitParent()
+	m.AwaitParentExit()
 	m.Driver().Drain(0)
 	time.Sleep(releaseDelay)
 	_ = m.Membership.Leave(time.Second)
--- a/internal/fleet/rolling/member_test.go
+++ b/internal/fleet/rolling/member_test.go
@@ -75,7 +75,7 @@
 	})
 	go m.poll()
 	m.emit(memberEvent{Kind: eventReady, Release: m.release, Incarnation: m.startedAt})
-	go func() { m.AwaitParent(); os.Exit(0) }()
+	go func() { m.AwaitParentExit(); os.Exit(0) }()
 	<-m.draining
 	m.emit(memberEvent{Kind: eventDrains, Release: m.release, Incarnation: m.startedAt})
 	<-m.announced
--- a/internal/fleet/rolling/rolling_test.go
+++ b/internal/fleet/rolling/rolling_test.go
@@ -43,7 +43,7 @@
 	c := &rolloutCluster{t: t, wantedFile: filepath.Join(t.TempDir(), "want"), isOver: make(chan struct{})}
 	c.setWanted("")
 	c.installed.Store(oldRelease)
-	c.Cluster = testutil.NewCluster(t, subnet, member.Ports, func(e *memberEvent, name string) { e.member = name })
+	c.Cluster = testutil.NewCluster(t, subnet, member.PortCount, func(e *memberEvent, name string) { e.member = name })
 	for n := range memberCount {
 		name := fmt.Sprint("m", n)
 		if n == 0 {
--- a/internal/fleet/slots/member_test.go
+++ b/internal/fleet/slots/member_test.go
@@ -107,7 +107,7 @@
 		}
 	}
 	go m.poll()
-	m.AwaitParent()
+	m.AwaitParentExit()
 }
 
 // LeaseAcquired implements consensus.Watcher.
--- a/internal/fleet/slots/migration_test.go
+++ b/internal/fleet/slots/migration_test.go
@@ -73,7 +73,7 @@
 		s.all = append(s.all, ring.Backend{Name: name, Zone: s.backends.serve(t, name), Weight: 1})
 	}
 	s.setWanted(s.all[:4]...)
-	s.Cluster = testutil.NewCluster(t, subnet, member.Ports, func(e *memberEvent, name string) { e.member = name })
+	s.Cluster = testutil.NewCluster(t, subnet, member.PortCount, func(e *memberEvent, name string) { e.member = name })
 	for n := range 5 {
 		environment := append([]string{wantedFileVariable + "=" + s.wantedFile}, variables...)
 		if n == 0 {
--- a/internal/fleet/slots/warm_up_test.go
+++ b/internal/fleet/slots/warm_up_test.go
@@ -136,7 +136,7 @@
 		f.backends = append(f.backends, ring.Backend{Name: fmt.Sprint("b", n), Zone: new(countingBackend).serve(t), Weight: 1})
 	}
 	setWantedBackends(t, f.wantedFile, f.backends)
-	f.Cluster = testutil.NewCluster(t, subnet, member.Ports, func(e *memberEvent, name string) { e.member = name })
+	f.Cluster = testutil.NewCluster(t, subnet, member.PortCount, func(e *memberEvent, name string) { e.member = name })
 	f.Start("m0", append(f.environment, member.BootstrapVariable+"=1")...)
 	f.WaitFor("first leader", 0, isLeaseAcquired)
 	for n := 1; n < members; n++ {
--- a/internal/invariant/checker.go
+++ b/internal/invariant/checker.go
@@ -17,10 +17,10 @@
 	violations []Violation
 	outcomes   map[Outcome]int
 
-	DuplicateOutcomes     int // answers to attempts that were answered or never received
-	LateOutcomes          int // answers after the deadline
-	DoubleRunsPerInstance int // repeated runs of an item at the same instance
-	DoubleRunsAll         int // the same, at any instance
+	DuplicateAnswers          int // answers to attempts that were already answered or never received
+	LateAnswers               int // answers after the deadline
+	DuplicateRunsSameInstance int // further runs of an item at the same instance that its idempotency forbids
+	DuplicateRuns             int // the same, at any instance
 }
 
 type workItem struct {
@@ -103,7 +103,7 @@
 func (c *Checker) checkOtherInstances(item *workItem, instanceName string) {
 	for other, starts := range item.startsByInstance {
 		if other != instanceName && len(starts) > 0 {
-			c.DoubleRunsAll++
+			c.DuplicateRuns++
 			c.report(NoDuplicateEffect, item.name, "ran at %s and at %s", other, instanceName)
 			return
 		}
@@ -113,8 +113,8 @@
 func (c *Checker) checkSameInstance(at time.Duration, item *workItem, instanceName string, idempotency Idempotency) {
 	for _, earlier := range item.startsByInstance[instanceName] {
 		if idempotency == NonIdempotent || at-earlier < c.keyWindow {
-			c.DoubleRunsPerInstance++
-			c.DoubleRunsAll++
+			c.DuplicateRunsSameInstance++
+			c.DuplicateRuns++
 			c.report(NoDuplicateEffect, item.name, "ran at %s at %v and again at %v", instanceName, earlier, at)
 			return
 		}
@@ -126,15 +126,15 @@
 	a := c.attempts[attemptID]
 	switch {
 	case a == nil:
-		c.DuplicateOutcomes++
+		c.DuplicateAnswers++
 		c.report(AnsweredOnce, attemptID, "answered and never received")
 		return
 	case a.outcome != "":
-		c.DuplicateOutcomes++
+		c.DuplicateAnswers++
 		c.report(AnsweredOnce, a.Item, "attempt %s ended as %s and as %s", attemptID, a.outcome, outcome)
 		return
 	case outcome != CallerGone && at > a.Deadline:
-		c.LateOutcomes++
+		c.LateAnswers++
 		c.report(AnsweredOnce, a.Item, "attempt %s answered %v late", attemptID, at-a.Deadline)
 	case outcome == Rejected && a.hasRun && c.items[a.Item].idempotency != Safe:
 		c.report(NoDuplicateEffect, a.Item, "rejected though it ran")
@@ -194,8 +194,8 @@
 // AttemptCount returns the number of attempts received.
 func (c *Checker) AttemptCount() int { return len(c.attempts) }
 
-// ExecutedItems returns the number of items that ran at least once.
-func (c *Checker) ExecutedItems() (count int) {
+// ExecutedItemCount returns the number of items that ran at least once.
+func (c *Checker) ExecutedItemCount() (count int) {
 	for _, item := range c.items {
 		if len(item.startsByInstance) > 0 {
 			count++
--- a/internal/lab/recorded_broker.go
+++ b/internal/lab/recorded_broker.go
@@ -167,20 +167,20 @@
 	report.AddFigure("scrapped", float64(c.OutcomeCount(invariant.Failed)))
 	report.AddFigure("caller_gone", float64(c.OutcomeCount(invariant.CallerGone)))
 	report.AddFigure("dead_lettered", float64(r.deadLettered))
-	report.AddFigure("ran_messages", float64(c.ExecutedItems()))
+	report.AddFigure("ran_messages", float64(c.ExecutedItemCount()))
 	report.AddFigure("acks_dropped", float64(r.broker.EventCount(broker.EventAckDropped)))
 	report.AddFigure("connections_lost", float64(r.broker.EventCount(broker.EventConnLost)))
 	report.ExpectZero("unsettled_at_broker", state.Ready+state.Unacked)
-	report.ExpectZero("ended_twice", c.DuplicateOutcomes+unknownTags)
-	report.ExpectZero("late", c.LateOutcomes)
-	report.ExpectZero("double_runs_one_instance", c.DoubleRunsPerInstance)
-	report.ExpectZero("double_runs_all", c.DoubleRunsAll)
+	report.ExpectZero("ended_twice", c.DuplicateAnswers+unknownTags)
+	report.ExpectZero("late", c.LateAnswers)
+	report.ExpectZero("double_runs_one_instance", c.DuplicateRunsSameInstance)
+	report.ExpectZero("double_runs_all", c.DuplicateRuns)
 	violations := c.Violations()
 	report.ExpectZero("breaches", len(violations))
 	for _, violation := range violations[:min(len(violations), maxReportedFaults)] {
 		report.AddFault("%s", violation.String())
 	}
-	if lost := size - c.ExecutedItems() - r.deadLettered; lost > 0 {
+	if lost := size - c.ExecutedItemCount() - r.deadLettered; lost > 0 {
 		report.AddFault("%d messages neither ran nor are dead letters", lost)
 	}
 	report.AddFigure("most_memory_mb", megabytes(maxMemory))
--- a/internal/simhost/events.go
+++ b/internal/simhost/events.go
@@ -74,7 +74,7 @@
 func (h *host) sinceStart() time.Duration { return h.now - h.startedAt }
 
 func (h *host) tick(m wire.Message) error {
-	row, err := m.Row("server_stats")
+	row, err := m.Numbers("server_stats")
 	if err != nil {
 		return err
 	}
--- a/internal/testutil/cluster.go
+++ b/internal/testutil/cluster.go
@@ -85,9 +85,9 @@
 	return address
 }
 
-// StartProxy chooses an address to bind for a member, 127.0.subnet.n, and one at which others reach it through the fault
+// StartMemberProxy chooses an address to bind for a member, 127.0.subnet.n, and one at which others reach it through the fault
 // network, 127.0.subnet+1.n.
-func StartProxy(t testing.TB, network *faultnet.Network, name string, subnet, n int) (bind, proxy string) {
+func StartMemberProxy(t testing.TB, network *faultnet.Network, name string, subnet, n int) (bind, proxy string) {
 	bind = FreeAddressOn(t, fmt.Sprintf("127.0.%d.%d", subnet, n))
 	proxy = FreeAddressOn(t, fmt.Sprintf("127.0.%d.%d", subnet+1, n))
 	if err := network.StartProxy(name, bind, proxy); err != nil {
@@ -127,7 +127,7 @@
 	m := &clusterMember{}
 	n := len(c.names) + 1
 	for range c.ports {
-		bind, proxy := StartProxy(c.t, c.Net, name, c.subnet, n)
+		bind, proxy := StartMemberProxy(c.t, c.Net, name, c.subnet, n)
 		m.binds = append(m.binds, bind)
 		m.proxies = append(m.proxies, proxy)
 	}
--- a/internal/testutil/member/member.go
+++ b/internal/testutil/member/member.go
@@ -36,8 +36,8 @@
 
 	// Indexes of a member's ports in its Cluster.
 	membershipPort, logPort = 0, 1
-	// Ports is how many ports each member needs.
-	Ports = 2
+	// PortCount is the number of ports of each member.
+	PortCount = 2
 )
 
 var (
@@ -150,8 +150,8 @@
 	}
 }
 
-// AwaitParent returns when the parent ends.
-func (m *Member) AwaitParent() { _, _ = io.Copy(io.Discard, os.Stdin) }
+// AwaitParentExit returns when the parent ends.
+func (m *Member) AwaitParentExit() { _, _ = io.Copy(io.Discard, os.Stdin) }
 
 // receive hands another member's message to the log, once that has started.
 func (m *Member) receive(message []byte) {
--- a/internal/wire/message.go
+++ b/internal/wire/message.go
@@ -108,8 +108,8 @@
 	}
 }
 
-// Row returns the numbers of a comma-separated list; nil if the field is missing.
-func (m Message) Row(name string) ([]float64, error) {
+// Numbers returns the numbers of a comma-separated list; nil if the field is missing.
+func (m Message) Numbers(name string) ([]float64, error) {
 	text, _ := m.Field(name)
 	if text == "" {
 		return nil, nil
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -62,7 +62,7 @@
 	if off, err := m.Bool("off"); off || err != nil {
 		t.Error(off, err)
 	}
-	if row, err := m.Row("row"); !slices.Equal(row, []float64{0.5, 3}) || err != nil {
+	if row, err := m.Numbers("row"); !slices.Equal(row, []float64{0.5, 3}) || err != nil {
 		t.Error(row, err)
 	}
 	if text, found := m.Text("text"); text != "a b=c" || !found {
@@ -78,7 +78,7 @@
 	if wait, err := m.Seconds("wait_s"); wait != 0 || err != nil {
 		t.Error(wait, err)
 	}
-	if row, err := m.Row("row"); row != nil || err != nil {
+	if row, err := m.Numbers("row"); row != nil || err != nil {
 		t.Error(row, err)
 	}
 	if _, found := m.Text("text"); found {
@@ -101,7 +101,7 @@
 		"number": func(name string) error { _, err := m.Number(name); return err },
 		"time_s": func(name string) error { _, err := m.Seconds(name); return err },
 		"flag":   func(name string) error { _, err := m.Bool(name); return err },
-		"row":    func(name string) error { _, err := m.Row(name); return err },
+		"row":    func(name string) error { _, err := m.Numbers(name); return err },
 	} {
 		var malformed *Error
 		if err := decode(field); !errors.As(err, &malformed) || malformed.Field != "M "+field {
