--- a/internal/fake/broker/queue.go
+++ b/internal/fake/broker/queue.go
@@ -5,6 +5,7 @@
 // compactAfter is the number of popped entries at the front of a queue's ready list beyond which pop may remove them.
 const compactAfter = 1024
 
+// message is a message that is in a queue, or delivered and not settled yet.
 type message struct {
 	exchange, key string
 	props         Props
@@ -14,6 +15,7 @@
 	sequence      uint64 // order of publication across all queues
 }
 
+// queue is a declared queue with its consumers.
 type queue struct {
 	name         string
 	args         Table
@@ -22,7 +24,7 @@
 	requeued     []*message // sorted by sequence; all published before those in ready
 	consumers    []*consumer
 	nextConsumer int // round-robin index
-	unacked      int
+	unacked      int // deliveries that are not settled yet
 }
 
 func (q *queue) readyCount() int { return len(q.ready) - q.head + len(q.requeued) }
--- a/internal/fake/catalog/catalog.go
+++ b/internal/fake/catalog/catalog.go
@@ -1,10 +1,10 @@
-// Package catalog is a fake of the catalog from which client stubs learn of instances. It receives the reports of the platform's
-// protocol ("alive NAME passing", one UDP datagram, no answer), keeps an entry until entryTTL after its last report, and counts
-// what it received. The protocol's page does not state how a list reaches a client stub; EncodeList is the smallest encoding
-// that would do.
+// Package catalog is a fake of the catalog from which client stubs learn the addresses of instances. It receives reports in the
+// platform's protocol ("alive NAME passing" in one UDP datagram, without an answer), keeps an entry until entryTTL after its last
+// report, and counts what it received. The platform's documentation does not state how a list reaches a client stub; EncodeList
+// is the smallest encoding that suffices.
 //
-// Its table is the entries by name (maxEntries; reports of further names are rejected), expired when they are listed. A mutex
-// guards it; a goroutine reads the socket until Close.
+// Its table holds the entries by name (at most maxEntries; reports of further names are rejected). Names removes the expired
+// ones. A mutex guards the table. One goroutine reads the socket until Close.
 package catalog
 
 import (
@@ -23,26 +23,26 @@
 	maxEntries        = 1 << 14
 	entryTTL          = 3 * time.Second
 	maxReportBytes    = 2048
-	socketBufferBytes = 4 << 20 // for reports that arrive while this process is not scheduled
+	socketBufferBytes = 4 << 20 // holds the reports that arrive while this process is not scheduled
 )
 
-// Counts are the datagrams received so far.
+// Counts are the numbers of datagrams received so far.
 type Counts struct {
-	Reports, Bytes int // accepted reports, and their bytes without UDP and IP headers
-	Malformed      int // datagrams that are no report
+	Reports, Bytes int // accepted reports, and their size without UDP and IP headers
+	Malformed      int // datagrams that are not reports
 	Rejected       int // reports of names beyond maxEntries
 }
 
 // Catalog is the fake catalog.
 type Catalog struct {
 	socket     *net.UDPConn
-	done       sync.WaitGroup
+	goroutines sync.WaitGroup
 	mu         sync.Mutex
 	counts     Counts
-	lastReport map[string]time.Time
+	lastReport map[string]time.Time // time of the last report, by instance name
 }
 
-// Start listens at a loopback address and returns the bound address. Its error is a *loopback.AddressError or that of the socket.
+// Start listens on a loopback address and returns the bound address. It returns a *loopback.AddressError or the socket's error.
 func Start(address string) (*Catalog, string, error) {
 	parsed, err := loopback.Parse(address)
 	if err != nil {
@@ -54,20 +54,20 @@
 	}
 	_ = socket.SetReadBuffer(socketBufferBytes)
 	c := &Catalog{socket: socket, lastReport: map[string]time.Time{}}
-	c.done.Add(1)
+	c.goroutines.Add(1)
 	go c.read()
 	return c, socket.LocalAddr().String(), nil
 }
 
-// Close closes the socket and waits until the catalog no longer reads.
+// Close closes the socket and waits for the goroutine that reads it.
 func (c *Catalog) Close() {
 	c.socket.Close()
-	c.done.Wait()
+	c.goroutines.Wait()
 }
 
-// read records the datagrams of the socket until it is closed.
+// read records the datagrams that arrive at the socket, until it is closed.
 func (c *Catalog) read() {
-	defer c.done.Done()
+	defer c.goroutines.Done()
 	buffer := make([]byte, maxReportBytes)
 	for {
 		n, _, err := c.socket.ReadFromUDPAddrPort(buffer)
@@ -78,7 +78,7 @@
 	}
 }
 
-// record counts a datagram, and renews the entry of the report's name.
+// record counts a datagram and renews the entry of the instance that it reports.
 func (c *Catalog) record(now time.Time, report string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -96,7 +96,7 @@
 	c.counts.Bytes += len(report)
 }
 
-// parseReport returns the instance name of a report.
+// parseReport returns the instance name in a report; ok is false when the datagram is not a report.
 func parseReport(report string) (name string, ok bool) {
 	words := strings.Fields(report)
 	if len(words) != 3 || words[0] != "alive" {
@@ -106,14 +106,14 @@
 	return words[1], isState
 }
 
-// Counts returns the counts so far.
+// Counts returns the numbers of datagrams received so far.
 func (c *Catalog) Counts() Counts {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.counts
 }
 
-// Names returns the names of the entries that have not expired at the time, sorted, and removes the expired ones.
+// Names returns the sorted names of the entries that have not expired at time now, and removes the expired entries.
 func (c *Catalog) Names(now time.Time) []string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -121,7 +121,7 @@
 	return slices.Sorted(maps.Keys(c.lastReport))
 }
 
-// EncodeList encodes a list of instances: a line of name and address each.
+// EncodeList encodes a list of instances, with one line of name and address per instance.
 func EncodeList(names []string, address func(name string) string) []byte {
 	var list []byte
 	for _, name := range names {
--- a/internal/fake/catalog/catalog_test.go
+++ b/internal/fake/catalog/catalog_test.go
@@ -8,6 +8,7 @@
 	"time"
 )
 
+// startCatalog starts a catalog and returns it with a socket that sends to it.
 func startCatalog(t *testing.T) (*Catalog, net.Conn) {
 	t.Helper()
 	c, address, err := Start("127.0.0.1:0")
@@ -23,6 +24,7 @@
 	return c, sender
 }
 
+// waitForDatagrams waits until the catalog has received that many datagrams.
 func (c *Catalog) waitForDatagrams(t *testing.T, datagrams int) Counts {
 	t.Helper()
 	for end := time.Now().Add(10 * time.Second); time.Now().Before(end); time.Sleep(time.Millisecond) {
@@ -30,7 +32,7 @@
 			return counts
 		}
 	}
-	t.Fatalf("%+v, expected %d datagrams", c.Counts(), datagrams)
+	t.Fatalf("counts after 10 s: %+v, expected %d datagrams", c.Counts(), datagrams)
 	return Counts{}
 }
 
@@ -42,10 +44,10 @@
 	}
 	counts := c.waitForDatagrams(t, len(reports))
 	if want := (Counts{Reports: 3, Bytes: len(reports[0]) + len(reports[1]) + len(reports[2]), Malformed: 3}); counts != want {
-		t.Errorf("%+v, expected %+v", counts, want)
+		t.Errorf("counts %+v, expected %+v", counts, want)
 	}
 	if names := c.Names(time.Now()); !slices.Equal(names, []string{"n1", "n2"}) {
-		t.Errorf("listed %v", names)
+		t.Errorf("listed %v, expected n1 and n2", names)
 	}
 }
 
@@ -55,10 +57,10 @@
 	c.record(start, "alive n1 passing")
 	c.record(start.Add(2*time.Second), "alive n2 passing")
 	if names := c.Names(start.Add(3 * time.Second)); len(names) != 2 {
-		t.Errorf("listed %v after 3 s", names)
+		t.Errorf("listed %v 3 s after the report of n1, expected n1 and n2", names)
 	}
 	if names := c.Names(start.Add(3*time.Second + 1)); !slices.Equal(names, []string{"n2"}) {
-		t.Errorf("listed %v after 3 s and more", names)
+		t.Errorf("listed %v over 3 s after the report of n1, expected n2 only", names)
 	}
 }
 
@@ -69,14 +71,14 @@
 	}
 	c.record(time.Time{}, "alive n0 passing")
 	if counts := c.Counts(); counts.Rejected != 1 || counts.Reports != maxEntries+1 || len(c.lastReport) != maxEntries {
-		t.Errorf("%+v with %d entries", counts, len(c.lastReport))
+		t.Errorf("counts %+v with %d entries, expected one report rejected and no further entry", counts, len(c.lastReport))
 	}
 }
 
 func TestEncodeList(t *testing.T) {
 	list := EncodeList([]string{"n1", "n2"}, func(name string) string { return "10.0.0." + name[1:] + ":8080" })
 	if string(list) != "n1 10.0.0.1:8080\nn2 10.0.0.2:8080\n" {
-		t.Errorf("%q", list)
+		t.Errorf("list encoded as %q", list)
 	}
 }
 
@@ -84,7 +86,7 @@
 	for _, address := range []string{"0.0.0.0:0", "10.0.0.1:8761", "nowhere"} {
 		if c, _, err := Start(address); err == nil {
 			c.Close()
-			t.Errorf("%s: no error", address)
+			t.Errorf("Start(%q): no error, expected a *loopback.AddressError", address)
 		}
 	}
 }
--- a/internal/fake/crashdisk/crashdisk_test.go
+++ b/internal/fake/crashdisk/crashdisk_test.go
@@ -13,7 +13,8 @@
 	"thymechute/internal/state/disk"
 )
 
-func read(t interface{ Fatal(...any) }, f disk.File) []byte {
+// readAll returns the content of a file.
+func readAll(t interface{ Fatal(...any) }, f disk.File) []byte {
 	size, err := f.Size()
 	if err != nil {
 		t.Fatal(err)
@@ -25,13 +26,13 @@
 	return b
 }
 
-// operation is what one step of TestMatchesRealDirectory does.
+// operation is the kind of a step of TestMatchesRealDirectory.
 type operation int
 
 const (
 	createFile operation = iota
 	appendToFile
-	appendAgain // as appendToFile, which is drawn twice as often as the others
+	appendAgain // same as appendToFile, so that it is drawn twice as often as the others
 	renameFile
 	removeFile
 	truncateFile
@@ -55,7 +56,7 @@
 	}
 }
 
-// apply carries out the step in a directory. It returns the file that it opened, nil for none.
+// apply performs the step in a directory. It returns the file that it opened, or nil if there is none.
 func (s directoryStep) apply(directory disk.Directory) (opened disk.File, err error) {
 	switch s.operation {
 	case createFile:
@@ -77,19 +78,19 @@
 	return opened, err
 }
 
-// describe carries out the step and returns a text of its outcome, the directory's names and the file's content.
-func (s directoryStep) describe(t *rapid.T, directory disk.Directory) string {
+// applyAndDescribe performs the step and describes its outcome, the directory's names and the file's content as text.
+func (s directoryStep) applyAndDescribe(t *rapid.T, directory disk.Directory) string {
 	opened, err := s.apply(directory)
 	names, listed := directory.Names()
 	outcome := fmt.Sprint(err == nil, errors.Is(err, os.ErrExist), errors.Is(err, os.ErrNotExist), names, listed)
 	if opened != nil {
-		outcome += fmt.Sprintf(" %q", read(t, opened))
+		outcome += fmt.Sprintf(" %q", readAll(t, opened))
 		opened.Close()
 	}
 	return outcome
 }
 
-// Without crashes and failures, the fake behaves as a real directory.
+// Without crashes and failures, the fake behaves like a directory of the operating system.
 func TestMatchesRealDirectory(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		path, err := os.MkdirTemp("", "disk")
@@ -104,15 +105,15 @@
 		fake := New().Directory()
 		for range rapid.IntRange(1, 30).Draw(t, "steps") {
 			step := drawStep(t)
-			found, expected := step.describe(t, fake), step.describe(t, real)
+			found, expected := step.applyAndDescribe(t, fake), step.applyAndDescribe(t, real)
 			if found != expected {
-				t.Fatalf("%+v: the fake gives %s, the real directory %s", step, found, expected)
+				t.Fatalf("%+v: the fake directory returned %s, the real directory %s", step, found, expected)
 			}
 		}
 	})
 }
 
-// After a crash, synced data is there, followed by nothing but a prefix of the appended data, and zeros.
+// A crash keeps synced data. Only a prefix of the data appended since the last Sync, and zeros, can follow it.
 func TestCrashKeepsSyncedData(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		d := New()
@@ -138,16 +139,16 @@
 		}
 		d.Crash(func(n int) int { return rapid.IntRange(0, n-1).Draw(t, "chance") })
 		if _, err := file.Append(nil); !errors.Is(err, ErrCrashed) {
-			t.Fatalf("still open: %v", err)
+			t.Fatalf("append to a file opened before the crash: found %v, expected ErrCrashed", err)
 		}
 		again, err := d.Directory().Open("log")
 		if err != nil {
 			t.Fatal(err)
 		}
-		got := read(t, again)
+		got := readAll(t, again)
 		text := bytes.TrimRight(got, "\x00")
 		if len(text) < synced || !bytes.HasPrefix(all, text) || len(got) > len(all) {
-			t.Fatalf("%d bytes synced of %q, got %q", synced, all, got)
+			t.Fatalf("appended %[2]q, synced the first %[1]d bytes, found %[3]q after the crash", synced, all, got)
 		}
 	})
 }
@@ -164,12 +165,12 @@
 		}
 		d.Crash(func(n int) int { return min(keep, n-1) })
 		if names, _ := d.Directory().Names(); fmt.Sprint(names) != want {
-			t.Errorf("chance %d: %v, want %s", keep, names, want)
+			t.Errorf("random number %d: names %v after the crash, want %s", keep, names, want)
 		}
 	}
 }
 
-// After a failed Sync, a later successful one does not make durable what the first should have.
+// A successful Sync does not make the bytes durable that an earlier Sync failed to write.
 func TestFailedSyncLosesData(t *testing.T) {
 	d := New()
 	f := d.Directory()
@@ -183,13 +184,13 @@
 		t.Fatal(err)
 	}
 	_, _ = file.Append([]byte("later"))
-	if err := file.Sync(); err != nil || string(read(t, file)) != "surelostlater" {
+	if err := file.Sync(); err != nil || string(readAll(t, file)) != "surelostlater" {
 		t.Fatal(err)
 	}
 	d.Crash(func(int) int { return 0 })
 	again, _ := d.Directory().Open("log")
-	if got := string(read(t, again)); got != "sure\x00\x00\x00\x00later" {
-		t.Errorf("%q", got)
+	if got := string(readAll(t, again)); got != "sure\x00\x00\x00\x00later" {
+		t.Errorf("content after the crash: %q", got)
 	}
 }
 
@@ -206,7 +207,7 @@
 		t.Errorf("%d, %v", n, err)
 	}
 	d.SetCapacity(-1)
-	if n, err := file.Append([]byte("9")); n != 1 || err != nil || string(read(t, file)) != "125679" {
+	if n, err := file.Append([]byte("9")); n != 1 || err != nil || string(readAll(t, file)) != "125679" {
 		t.Errorf("%d, %v", n, err)
 	}
 	unlock, err := f.Lock()
@@ -214,7 +215,7 @@
 		t.Fatal(err)
 	}
 	if _, err := f.Lock(); !errors.Is(err, disk.ErrLocked) {
-		t.Errorf("locked twice: %v", err)
+		t.Errorf("second lock: found error %v, expected ErrLocked", err)
 	}
 	_ = unlock()
 	if _, err := f.Lock(); err != nil {
@@ -222,7 +223,7 @@
 	}
 	d.Crash(func(int) int { return 0 })
 	if _, err := d.Directory().Lock(); err != nil {
-		t.Errorf("a crash does not unlock: %v", err)
+		t.Errorf("lock after a crash: %v, expected it released", err)
 	}
 }
 
@@ -238,7 +239,7 @@
 	}
 	other, _ := disk.Open(path)
 	if _, err := other.Lock(); !errors.Is(err, disk.ErrLocked) {
-		t.Errorf("locked twice: %v", err)
+		t.Errorf("second lock: found error %v, expected ErrLocked", err)
 	}
 	if err := unlock(); err != nil {
 		t.Fatal(err)
--- a/internal/fake/crashdisk/directory.go
+++ b/internal/fake/crashdisk/directory.go
@@ -6,13 +6,13 @@
 	"thymechute/internal/state/disk"
 )
 
-// directory implements disk.Directory for the processes between two crashes.
+// directory implements disk.Directory for one incarnation, the time between two crashes.
 type directory struct {
 	disk        *Disk
 	incarnation int
 }
 
-// call runs act with the lock held, unless a name is invalid or the call must fail.
+// call counts a call and runs act with the mutex held, unless a name is invalid or the call must fail.
 func (f *directory) call(names []string, act func() error) error {
 	f.disk.mu.Lock()
 	defer f.disk.mu.Unlock()
@@ -27,9 +27,9 @@
 	return act()
 }
 
-// change applies changes of names that a crash keeps or undoes together; the lock is held.
-func (f *directory) change(changes ...entryChange) {
-	renames(changes).apply(f.disk.entries)
+// applyChanges applies name changes that a crash keeps or undoes together. The caller holds the mutex.
+func (f *directory) applyChanges(changes ...entryChange) {
+	atomicChanges(changes).apply(f.disk.entries)
 	f.disk.unsyncedChanges = append(f.disk.unsyncedChanges, changes)
 }
 
@@ -49,7 +49,7 @@
 		if f.disk.entries[name] != nil {
 			return os.ErrExist
 		}
-		f.change(entryChange{name, created})
+		f.applyChanges(entryChange{name, created})
 		return nil
 	})
 	if err != nil {
@@ -81,7 +81,7 @@
 			return os.ErrNotExist
 		}
 		if from != to {
-			f.change(entryChange{from, nil}, entryChange{to, renamed})
+			f.applyChanges(entryChange{from, nil}, entryChange{to, renamed})
 		}
 		return nil
 	})
@@ -93,7 +93,7 @@
 		if f.disk.entries[name] == nil {
 			return os.ErrNotExist
 		}
-		f.change(entryChange{name, nil})
+		f.applyChanges(entryChange{name, nil})
 		return nil
 	})
 }
@@ -124,7 +124,7 @@
 	return f.unlock, nil
 }
 
-// unlock releases the lock; after a crash it has been released already.
+// unlock releases the lock. It does nothing after a crash, which has released the lock already.
 func (f *directory) unlock() error {
 	f.disk.mu.Lock()
 	defer f.disk.mu.Unlock()
--- a/internal/fake/crashdisk/file.go
+++ b/internal/fake/crashdisk/file.go
@@ -36,7 +36,7 @@
 	return size, err
 }
 
-// Append implements disk.File. On a full disk it writes what fits and returns syscall.ENOSPC.
+// Append implements disk.File. When the disk is full it writes the bytes that fit and returns syscall.ENOSPC.
 func (o *openFile) Append(p []byte) (int, error) {
 	d := o.directory.disk
 	d.mu.Lock()
@@ -56,7 +56,7 @@
 	return n, err
 }
 
-// Truncate implements disk.File; it cannot make a file longer.
+// Truncate implements disk.File. It cannot extend a file.
 func (o *openFile) Truncate(size int64) error {
 	return o.directory.call(nil, func() error {
 		if size < 0 || size > int64(len(o.inode.data)) {
@@ -83,5 +83,5 @@
 	return err
 }
 
-// Close implements disk.File; it does nothing.
+// Close implements disk.File. It does nothing.
 func (o *openFile) Close() error { return nil }
--- a/internal/fake/crashdisk/inode.go
+++ b/internal/fake/crashdisk/inode.go
@@ -2,25 +2,24 @@
 
 import "slices"
 
-// inode is the content of a file, independent of its names.
+// inode holds the content of a file, independently of its names.
 type inode struct {
 	data   []byte
-	synced []byte // durable: the data at the last successful Sync
+	synced []byte // the durable data, as of the last successful Sync
 
-	// The bytes from lostFrom to before lostTo were lost by a failed Sync: a crash leaves zeros there, even if a later Sync
-	// succeeds.
+	// A failed Sync lost the bytes in [lostFrom, lostTo). A crash leaves zeros there, even if a later Sync succeeds.
 	lostFrom, lostTo int
 }
 
-// newInode is a file whose data is durable.
-func newInode(data []byte) *inode {
+// newSyncedInode creates a file whose data is durable.
+func newSyncedInode(data []byte) *inode {
 	return &inode{data: data, synced: slices.Clone(data)}
 }
 
 // sync makes the data durable.
 func (n *inode) sync() { n.synced = slices.Clone(n.data) }
 
-// failSync loses the bytes that are not durable yet.
+// failSync marks the bytes that are not durable yet as lost.
 func (n *inode) failSync() {
 	if n.lostTo <= n.lostFrom {
 		n.lostFrom = min(len(n.synced), len(n.data))
@@ -28,8 +27,8 @@
 	n.lostTo = len(n.data)
 }
 
-// afterCrash is the content that a crash leaves: the durable bytes and any prefix of those appended since, perhaps followed by
-// zeros where the size was written and the data was not. A truncation that was not synced may be undone.
+// afterCrash returns the content after a crash: the durable bytes and any prefix of the bytes appended since, possibly followed
+// by zeros, as if the new size reached the disk but the data did not. An unsynced truncation may be undone.
 func (n *inode) afterCrash(random Random) []byte {
 	content := slices.Clone(n.synced)
 	if len(n.data) < len(n.synced) {
--- a/internal/fake/faultnet/address.go
+++ b/internal/fake/faultnet/address.go
@@ -8,11 +8,11 @@
 	"sync"
 )
 
-// ErrNoFreePort is the error of FreeAddress when all ports that it tried are in use.
+// ErrNoFreePort is returned by FreeAddress when all ports that it tried are in use.
 var ErrNoFreePort = errors.New("faultnet: no free port")
 
-// The ports of FreeAddress, from minPort to before portsEnd. They lie below the ephemeral range (from 32768): members dial from
-// the address at which they listen, so an outgoing connection could otherwise take a port before its owner listens.
+// FreeAddress returns ports from minPort to portsEnd-1, below the ephemeral range (from 32768). Members dial from the IP on which
+// they listen, so an outgoing connection could take an ephemeral port before the owner of that port listens on it.
 const (
 	minPort  = 10000
 	portsEnd = 32000
@@ -20,13 +20,13 @@
 
 const maxPortAttempts = 100
 
-// returnedAddresses has all addresses that FreeAddress has returned in this process. Their owners bind them later, so until
-// then they look free: without the table a member could get one address for two of its ports.
+// returnedAddresses is the set of addresses that FreeAddress has returned in this process. An address looks free until its owner
+// binds it; without this set a member could get the same address for two of its ports.
 var returnedAddresses sync.Map
 
-// FreeAddress returns an address on a loopback IP whose port is free for both TCP and UDP, as memberlist binds both. The port is
-// random and not determined by any seed. No address is returned twice in a process. It returns ErrNoFreePort after
-// maxPortAttempts ports.
+// FreeAddress returns an address with the given loopback IP and a port that is free for both TCP and UDP, as memberlist binds
+// both. The port is random and does not depend on any seed. An address is returned only once per process. FreeAddress returns
+// ErrNoFreePort after maxPortAttempts ports.
 func FreeAddress(ip string) (string, error) {
 	for range maxPortAttempts {
 		address := fmt.Sprintf("%s:%d", ip, minPort+rand.IntN(portsEnd-minPort))
@@ -37,7 +37,7 @@
 			return address, nil
 		}
 	}
-	return "", fmt.Errorf("%w: %d tried on %s for TCP and UDP", ErrNoFreePort, maxPortAttempts, ip)
+	return "", fmt.Errorf("%w: tried %d ports of %s, each must be free for TCP and UDP", ErrNoFreePort, maxPortAttempts, ip)
 }
 
 func isFree(address string) bool {
--- a/internal/fake/faultnet/address_test.go
+++ b/internal/fake/faultnet/address_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// An address is free for both protocols, and its port is outside the ephemeral range.
+// The address is free for TCP and UDP, and its port is outside the ephemeral range.
 func TestFreeAddress(t *testing.T) {
 	for range 50 {
 		address, err := FreeAddress("127.0.90.1")
@@ -15,7 +15,7 @@
 		}
 		at := netip.MustParseAddrPort(address)
 		if at.Addr() != netip.MustParseAddr("127.0.90.1") || at.Port() < minPort || at.Port() >= portsEnd {
-			t.Errorf("%s, expected 127.0.90.1 and a port from %d to before %d", address, minPort, portsEnd)
+			t.Errorf("found %s, expected 127.0.90.1 with a port from %d to below %d", address, minPort, portsEnd)
 		}
 		l, err := net.Listen("tcp", address)
 		if err != nil {
@@ -30,9 +30,9 @@
 	}
 }
 
-// An address that was returned and is not bound yet is not returned again: of so many draws some would otherwise be alike.
+// An address that was returned and is not bound yet is not returned again. With this many draws, some ports are drawn repeatedly.
 func TestFreeAddressIsNotReturnedTwice(t *testing.T) {
-	const draws = 3000 // of 22,000 ports: about 200 pairs by chance
+	const draws = 3000 // from 22,000 ports: about 200 pairs of equal ports are expected
 	returned := map[string]bool{}
 	for range draws {
 		address, err := FreeAddress("127.0.90.2")
--- a/internal/fake/faultnet/faultnet_test.go
+++ b/internal/fake/faultnet/faultnet_test.go
@@ -24,6 +24,7 @@
 	return l, u
 }
 
+// startProxy starts a proxy on a free port of ip and returns its address.
 func startProxy(t *testing.T, n *Network, name, ip string, member net.Listener) string {
 	t.Helper()
 	probe, err := net.Listen("tcp", ip+":0")
@@ -46,7 +47,7 @@
 	return err == nil
 }
 
-// pairOfMembers is two members, a and b, behind the proxies of a network.
+// pairOfMembers is a network with two members, a and b, and a proxy for each.
 type pairOfMembers struct {
 	network            *Network
 	streamsA           net.Listener
@@ -55,6 +56,7 @@
 	proxyOfA, proxyOfB string
 }
 
+// startPair starts the sockets of both members and their proxies.
 func startPair(t *testing.T) *pairOfMembers {
 	t.Helper()
 	p := &pairOfMembers{network: New(1)}
@@ -75,7 +77,7 @@
 	}
 }
 
-// dialAFromB opens a stream from b to a's proxy.
+// dialAFromB opens a TCP connection from b to a's proxy.
 func (p *pairOfMembers) dialAFromB(t *testing.T) net.Conn {
 	t.Helper()
 	dialer := net.Dialer{LocalAddr: &net.TCPAddr{IP: net.ParseIP("127.0.3.2")}, Timeout: time.Second}
@@ -87,35 +89,35 @@
 	return c
 }
 
-// A cut drops datagrams in its direction only, and both are counted.
+// A cut drops datagrams in its direction only. Forwarded and dropped datagrams are counted.
 func TestCutIsOneWayForDatagrams(t *testing.T) {
 	p := startPair(t)
 	sendDatagram(t, p.datagramsA, p.proxyOfB)
 	if !received(p.datagramsB) {
-		t.Fatal("a to b: nothing came before any cut")
+		t.Fatal("a to b: no datagram arrived before the cut")
 	}
 	p.network.Cut("a", "b")
 	sendDatagram(t, p.datagramsA, p.proxyOfB)
 	if received(p.datagramsB) {
-		t.Fatal("a to b came through the cut")
+		t.Fatal("a to b: a datagram passed the cut")
 	}
 	sendDatagram(t, p.datagramsB, p.proxyOfA)
 	if !received(p.datagramsA) {
-		t.Fatal("b to a: nothing came, but the cut is one way")
+		t.Fatal("b to a: no datagram arrived, but only a to b is cut")
 	}
 	if forwarded, dropped := p.network.Counts("a", "b"); forwarded != 1 || dropped != 1 {
 		t.Fatalf("a to b: %d forwarded, %d dropped; want 1 and 1", forwarded, dropped)
 	}
 }
 
-// A cut in either direction closes streams and rejects new ones, as a stream carries data both ways.
+// A cut in either direction closes TCP connections and rejects new ones, as a connection carries data in both directions.
 func TestCutClosesStreamsOfBothDirections(t *testing.T) {
 	p := startPair(t)
 	p.network.Cut("a", "b")
 	rejected := p.dialAFromB(t)
 	_ = rejected.SetReadDeadline(time.Now().Add(time.Second))
 	if _, err := rejected.Read(make([]byte, 1)); err == nil {
-		t.Fatal("a stream across a cut stayed open")
+		t.Fatal("a new connection was not closed although a to b is cut")
 	}
 
 	p.network.Heal()
@@ -131,12 +133,12 @@
 	buffer := make([]byte, 1)
 	_ = accepted.SetReadDeadline(time.Now().Add(time.Second))
 	if _, err := accepted.Read(buffer); err != nil || buffer[0] != 'x' {
-		t.Fatalf("after heal the stream carried nothing: %v", err)
+		t.Fatalf("the connection carried no data after Heal: %v", err)
 	}
 	p.network.Cut("b", "a")
 	_ = c.SetReadDeadline(time.Now().Add(time.Second))
 	if _, err := c.Read(buffer); err == nil {
-		t.Fatal("an open stream outlived the cut")
+		t.Fatal("an open connection was not closed by the cut")
 	}
 }
 
@@ -144,6 +146,6 @@
 	n := New(1)
 	defer n.Close()
 	if err := n.StartProxy("a", "10.0.0.1:7000", "127.0.0.1:0"); err == nil {
-		t.Fatal("a member outside loopback: no error")
+		t.Fatal("member address 10.0.0.1: no error, expected ErrNotLoopback")
 	}
 }
--- a/internal/fake/faultnet/rules.go
+++ b/internal/fake/faultnet/rules.go
@@ -2,29 +2,29 @@
 
 import "math/rand/v2"
 
-// lossStream is the generator's stream for losses; with the seed it determines them.
+// lossStream is the second seed of the generator that draws losses.
 const lossStream = 0xfa17
 
-// pair is two members, in the direction from the sender to the receiver.
+// pair is an ordered pair of member names: sender and receiver.
 type pair struct{ from, to string }
 
 func (p pair) reversed() pair { return pair{p.to, p.from} }
 
-// transport is how members send to each other.
+// transport is the way in which members send to each other.
 type transport int
 
 const (
 	datagram transport = iota
-	stream             // a connection; it carries data in both directions
+	stream             // a TCP connection, which carries data in both directions
 )
 
-// rules decide what passes between members.
+// rules decide which datagrams and connections pass between members, and count them.
 type rules struct {
 	cuts      map[pair]bool
 	loss      map[pair]float64 // rate of lost datagrams, 0 to 1
 	random    *rand.Rand
-	forwarded map[pair]int // datagrams and connections
-	dropped   map[pair]int
+	forwarded map[pair]int // count of datagrams and connections
+	dropped   map[pair]int // count of datagrams and connections
 }
 
 func newRules(seed uint64) rules {
@@ -32,18 +32,18 @@
 		forwarded: map[pair]int{}, dropped: map[pair]int{}}
 }
 
-// admit reports whether a datagram or a new connection passes, and counts it. What comes from no member never passes.
-func (r *rules) admit(p pair, kind transport) bool {
-	admitted := p.from != "" && !r.isCut(p, kind) && !r.isLost(p, kind)
-	if admitted {
+// allow decides whether a datagram or a new connection passes, and counts it. Traffic from an unknown sender never passes.
+func (r *rules) allow(p pair, kind transport) bool {
+	allowed := p.from != "" && !r.isCut(p, kind) && !r.drawLoss(p, kind)
+	if allowed {
 		r.forwarded[p]++
 	} else {
 		r.dropped[p]++
 	}
-	return admitted
+	return allowed
 }
 
-// isCut reports whether a cut drops what is sent. A stream carries data in both directions, so a cut in either ends it.
+// isCut reports whether a cut blocks the traffic. A stream carries data in both directions, so a cut in either blocks it.
 func (r *rules) isCut(p pair, kind transport) bool {
 	if kind == stream && r.cuts[p.reversed()] {
 		return true
@@ -51,25 +51,25 @@
 	return r.cuts[p]
 }
 
-// isLost draws whether a datagram is lost.
-func (r *rules) isLost(p pair, kind transport) bool {
+// drawLoss decides at random whether a datagram is lost; it draws only where a loss rate is set.
+func (r *rules) drawLoss(p pair, kind transport) bool {
 	return kind == datagram && r.loss[p] > 0 && r.random.Float64() < r.loss[p]
 }
 
-// Cut drops everything from one member to another, in this direction only, and closes the connections between them.
+// Cut drops all traffic from one member to another, in this direction only, and closes the connections between them.
 func (n *Network) Cut(from, to string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	cut := pair{from, to}
 	n.cuts[cut] = true
-	for p := range n.pipes {
+	for p := range n.proxiedConns {
 		if between := (pair{p.from, p.to}); between == cut || between == cut.reversed() {
 			p.close()
 		}
 	}
 }
 
-// Isolate cuts a member off from all others, in both directions.
+// Isolate cuts a member off from the others, in both directions.
 func (n *Network) Isolate(name string, others []string) {
 	for _, other := range others {
 		if other != name {
@@ -79,7 +79,7 @@
 	}
 }
 
-// Partition cuts every pair of members of different groups, in both directions. Members of no group are unaffected.
+// Partition cuts every pair of members that are in different groups, in both directions. Members in no group are unaffected.
 func (n *Network) Partition(groups ...[]string) {
 	for i, group := range groups {
 		for j, other := range groups {
@@ -90,7 +90,7 @@
 	}
 }
 
-// cutAll cuts each member of one group from each of another, in this direction.
+// cutAll cuts every member of one group from every member of another, in this direction only.
 func (n *Network) cutAll(from, to []string) {
 	for _, sender := range from {
 		for _, receiver := range to {
@@ -106,7 +106,7 @@
 	n.loss[pair{from, to}] = min(max(rate, 0), 1)
 }
 
-// Heal removes every cut and loss.
+// Heal removes all cuts and loss rates.
 func (n *Network) Heal() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/internal/fake/loopback/loopback_test.go
+++ b/internal/fake/loopback/loopback_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// Addresses of loopback are parsed; all others are errors that name what was found.
+// Loopback addresses are parsed. All others are rejected with an error that has the address.
 func TestParse(t *testing.T) {
 	for _, address := range []string{"127.0.0.1:0", "127.9.8.7:65535", "[::1]:80"} {
 		if parsed, err := Parse(address); err != nil || parsed.String() != address {
--- a/internal/fake/runtime/protocol.go
+++ b/internal/fake/runtime/protocol.go
@@ -9,32 +9,32 @@
 	"time"
 )
 
-// outcome is how a task ended, as notified.
+// outcome is the outcome of a task in its notification.
 type outcome string
 
 const (
-	outcomeGood outcome = "good"
-	outcomeCut  outcome = "cut" // stopped by command
+	outcomeCompleted outcome = "good"
+	outcomeStopped   outcome = "cut" // stopped by a stop command
 )
 
-// The states that the answer to sync reports.
+// States of the runtime in the answer to sync.
 const (
-	stateNew = "new" // the first sync since the start
+	stateNew = "new" // this is the first sync since the runtime started
 	stateOld = "old"
 )
 
-// idleLoad is the load that the gauges report.
+// idleLoad is the load reported in the answer to gauges, whatever runs.
 const idleLoad = 0.1
 
-// command is a line that the program sends.
+// command is a line received from the program.
 type command struct {
 	Verb, Task, Handler, Nonce string
 	Bytes                      []byte
-	Index                      uint64 // of the last notification that the program has read
+	Index                      uint64 // index of the last notification that the program has read; in sync only
 }
 
-// connection is one that has sent sync. Writes are buffered until flush.
-type connection struct {
+// servedConn is a connection that has sent sync. Writes are buffered until flush.
+type servedConn struct {
 	net net.Conn
 	out *bufio.Writer
 }
@@ -56,7 +56,7 @@
 	}
 }
 
-// handle handles one command; it returns false when the runtime is closed.
+// handle handles one command. It returns false when the runtime is closed.
 func (r *Runtime) handle(c net.Conn, m command) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -66,14 +66,14 @@
 	if m.Verb == "sync" {
 		r.sync(c, m.Index)
 	}
-	if r.connection == nil || r.connection.net != c {
-		return true // a newer connection has taken over, or this one has not sent sync
+	if r.servedConn == nil || r.servedConn.net != c {
+		return true // this connection has not sent sync, or a newer one has replaced it
 	}
 	switch m.Verb {
 	case "start":
-		r.start(m)
+		r.startTask(m)
 	case "stop":
-		r.stop(m.Task)
+		r.stopTask(m.Task)
 	case "gauges":
 		r.send(fmt.Appendf(nil, `{"verb":"load","nonce":%q,"readings":[%g,%d]}`+"\n", m.Nonce, idleLoad, len(r.runs)))
 	case "selftest":
@@ -83,25 +83,25 @@
 	return true
 }
 
-// sync makes c the connection that is served, and sends it the notifications after index.
+// sync makes c the served connection in place of any other, and sends it the notifications after index.
 func (r *Runtime) sync(c net.Conn, index uint64) {
-	if r.connection != nil && r.connection.net != c {
-		r.connection.net.Close()
+	if r.servedConn != nil && r.servedConn.net != c {
+		r.servedConn.net.Close()
 	}
-	r.connection = &connection{net: c, out: bufio.NewWriter(c)}
+	r.servedConn = &servedConn{net: c, out: bufio.NewWriter(c)}
 	state := stateNew
-	if r.synced {
+	if r.hasSynced {
 		state = stateOld
 	}
-	r.synced = true
+	r.hasSynced = true
 	r.send(fmt.Appendf(nil, `{"verb":"ready","outcome":%q,"spent":%d}`+"\n", state, time.Since(r.startTime).Milliseconds()))
 	for n := max(index+1, r.firstIndex); n <= r.lastIndex; n++ {
 		r.send(r.notifications[n-r.firstIndex])
 	}
 }
 
-// start runs a task, unless it runs already.
-func (r *Runtime) start(m command) {
+// startTask starts a task, unless it is running already or there are maxRuns running tasks.
+func (r *Runtime) startTask(m command) {
 	if r.runs[m.Task] != nil || len(r.runs) >= maxRuns {
 		return
 	}
@@ -112,7 +112,7 @@
 		if r.onEnd != nil {
 			r.onEnd(m.Bytes, time.Since(startTime))
 		}
-		r.notifyEnd(m.Task, outcomeGood, max(runTime, 0), result)
+		r.notifyEnd(m.Task, outcomeCompleted, max(runTime, 0), result)
 	}
 	if runTime <= 0 {
 		end()
@@ -130,18 +130,18 @@
 	})
 }
 
-// stop ends a task that runs.
-func (r *Runtime) stop(task string) {
+// stopTask stops a running task.
+func (r *Runtime) stopTask(task string) {
 	timer := r.runs[task]
 	if timer == nil {
 		return
 	}
 	timer.Stop()
 	delete(r.runs, task)
-	r.notifyEnd(task, outcomeCut, 0, nil)
+	r.notifyEnd(task, outcomeStopped, 0, nil)
 }
 
-// notifyEnd sends the notification that a task has ended, and stores it for connections that may miss it.
+// notifyEnd sends the notification that a task has ended, and keeps it for connections that miss it.
 func (r *Runtime) notifyEnd(task string, ended outcome, runTime time.Duration, result []byte) {
 	r.lastIndex++
 	line := fmt.Appendf(nil, `{"verb":"end","index":%d,"task":%q,"outcome":%q,"spent":%g,"bytes":%q}`+"\n",
@@ -154,16 +154,16 @@
 	r.send(line)
 }
 
-// send writes a line to the connection that is served, if there is one. Errors are found by the connection's reader.
+// send writes a line to the served connection, if there is one. It ignores errors, as the connection's reader fails as well.
 func (r *Runtime) send(line []byte) {
-	if r.connection != nil {
-		_, _ = r.connection.out.Write(line)
+	if r.servedConn != nil {
+		_, _ = r.servedConn.out.Write(line)
 	}
 }
 
-// flush sends what was written to the connection that is served. Errors are found by the connection's reader.
+// flush sends the buffered lines to the served connection. It ignores errors, as the connection's reader fails as well.
 func (r *Runtime) flush() {
-	if r.connection != nil {
-		_ = r.connection.out.Flush()
+	if r.servedConn != nil {
+		_ = r.servedConn.out.Flush()
 	}
 }
--- a/internal/fake/runtime/runtime_test.go
+++ b/internal/fake/runtime/runtime_test.go
@@ -10,7 +10,8 @@
 	"time"
 )
 
-// OnEnd observes each task that ends by itself, before its notification and with at least its run time, and no stopped one.
+// The OnEnd observer is called for each task that completes, before its notification and with at least its run time. It is not
+// called for a stopped task.
 func TestOnEndObservesRunTimes(t *testing.T) {
 	runTimes := map[string]time.Duration{"none": 0, "short": 20 * time.Millisecond, "long": time.Hour}
 	r, address, err := Start("127.0.0.1:0", func(_ string, body []byte) (time.Duration, []byte) { return runTimes[string(body)], nil },
@@ -43,11 +44,11 @@
 		}
 	}
 	if ends != len(runTimes) || len(ended) != 2 {
-		t.Fatalf("%d notifications of %d, %d observed", ends, len(runTimes), len(ended))
+		t.Fatalf("%d end notifications of %d tasks, %d observed by OnEnd, expected 2", ends, len(runTimes), len(ended))
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if took["short"] < runTimes["short"] || took["none"] > took["short"] {
-		t.Errorf("observed %v", took)
+		t.Errorf("OnEnd observed the run times %v", took)
 	}
 }
--- a/internal/fake/stub/conn.go
+++ b/internal/fake/stub/conn.go
@@ -11,19 +11,19 @@
 )
 
 const (
-	maxOpenRequests = 32 // on one connection, the protocol's limit
+	maxOpenRequests = 32 // per connection; the protocol's limit
 	dialTimeout     = time.Second
 	maxLineBytes    = 64 << 10
-	codeRejected    = -32001
+	codeRejected    = -32001 // JSON-RPC error code of a rejected request
 )
 
-// conn is one connection of a load. Once it has ended, or the server has announced its end, it takes no further requests.
+// conn is one connection of a load. It takes no further requests once it is closed or the server has announced to close it.
 type conn struct {
 	run     *loadRun
 	net     net.Conn
 	mu      sync.Mutex
-	lastID  int         // last request ID used
-	pending map[int]int // numbers of the open requests by request ID
+	lastID  int         // last JSON-RPC ID used
+	pending map[int]int // numbers of the open requests, by JSON-RPC ID
 	closing bool
 }
 
@@ -35,11 +35,11 @@
 	}
 	opened := &conn{run: r, net: c, pending: map[int]int{}}
 	r.readers.Add(1)
-	go opened.read()
+	go opened.readLoop()
 	return opened, nil
 }
 
-// reserve allocates an ID for request n; ok is false when the connection is at its limit or closing.
+// reserve allocates a JSON-RPC ID for request n. ok is false when the connection is closing or has maxOpenRequests.
 func (c *conn) reserve(n int) (id int, ok bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -58,28 +58,29 @@
 	return c.closing
 }
 
-// send writes a request; on an error the reader fails all open requests.
+// send writes a request. On an error it closes the connection, and the reader records all open requests as lost.
 func (c *conn) send(id int, request Request, rid uint64) {
 	if _, err := c.net.Write(EncodeRequest(id, rid, request)); err != nil {
 		c.net.Close()
 	}
 }
 
-// EncodeRequest encodes one request as a line of JSON-RPC, newline included. id is the JSON-RPC ID, rid the platform's request ID.
+// EncodeRequest encodes a request as a line of JSON-RPC, including the newline. id is the JSON-RPC ID, rid the platform's request
+// ID.
 func EncodeRequest(id int, rid uint64, request Request) []byte {
 	return fmt.Appendf(nil, `{"jsonrpc":"2.0","id":%d,"method":%q,"params":{"rid":"%016x","t0":%d,"peer":1,"acct":%q,"mem":%g,"prio":0.5,"doc":%q}}`+"\n",
 		id, request.Class, rid, time.Now().UnixMilli(), request.Tenant, request.MemoryKB,
 		base64.StdEncoding.EncodeToString(request.Body))
 }
 
-// message is an answer, or the notification that the server closes the connection.
+// message is an answer, or the notification that the server is going to close the connection.
 type message struct {
 	ID     int
 	Method string
 	Error  *struct{ Code int }
 }
 
-// outcome is that of the request which the message answers.
+// outcome returns the outcome of the request that the message answers.
 func (m message) outcome() Outcome {
 	switch {
 	case m.Error == nil:
@@ -91,10 +92,10 @@
 	}
 }
 
-// read handles the server's messages until the connection ends.
-func (c *conn) read() {
+// readLoop handles the server's messages until the connection ends.
+func (c *conn) readLoop() {
 	defer c.run.readers.Done()
-	defer c.fail()
+	defer c.abort()
 	in := bufio.NewScanner(c.net)
 	in.Buffer(nil, maxLineBytes)
 	for in.Scan() {
@@ -110,7 +111,7 @@
 	}
 }
 
-// closeWhenIdle stops taking requests, and closes the connection once none is open.
+// closeWhenIdle makes the connection take no further requests, and closes it once no request is open.
 func (c *conn) closeWhenIdle() {
 	c.mu.Lock()
 	c.closing = true
@@ -121,7 +122,7 @@
 	}
 }
 
-// complete records the outcome of the answered request.
+// complete records the outcome of the request that m answers.
 func (c *conn) complete(m message) {
 	c.mu.Lock()
 	number, ok := c.pending[m.ID]
@@ -136,8 +137,8 @@
 	}
 }
 
-// fail closes the connection and records its open requests as lost.
-func (c *conn) fail() {
+// abort closes the connection and records its open requests as lost.
+func (c *conn) abort() {
 	c.net.Close()
 	c.mu.Lock()
 	c.closing = true
--- a/internal/fake/stub/distribution.go
+++ b/internal/fake/stub/distribution.go
@@ -8,10 +8,10 @@
 
 const (
 	maxMicroseconds   = int64(10 * time.Minute / time.Microsecond)
-	significantDigits = 3 // of the histogram's values
+	significantDigits = 3 // of the durations kept
 )
 
-// Distribution is a histogram of durations from 1 µs to 10 minutes, with three significant digits.
+// Distribution is a histogram of durations from 1 µs to 10 minutes, accurate to three significant digits.
 type Distribution struct{ histogram *hdrhistogram.Histogram }
 
 // NewDistribution creates an empty distribution.
@@ -24,23 +24,23 @@
 	_ = d.histogram.RecordValue(min(max(t.Microseconds(), 1), maxMicroseconds))
 }
 
-// Percentile is the duration that percent (0 to 100) of the recorded ones do not exceed.
+// Percentile returns the duration that percent (0 to 100) of the recorded durations do not exceed.
 func (d *Distribution) Percentile(percent float64) time.Duration {
 	return time.Duration(d.histogram.ValueAtQuantile(percent)) * time.Microsecond
 }
 
-// Max is the longest recorded duration.
+// Max returns the longest recorded duration.
 func (d *Distribution) Max() time.Duration {
 	return time.Duration(d.histogram.Max()) * time.Microsecond
 }
 
-// Count is the number of recorded durations.
+// Count returns the number of recorded durations.
 func (d *Distribution) Count() int { return int(d.histogram.TotalCount()) }
 
 // Merge adds all durations of other.
 func (d *Distribution) Merge(other *Distribution) { d.histogram.Merge(other.histogram) }
 
-// Latencies is the distribution of the latencies of all requests, with or without an answer.
+// Latencies returns the distribution of the latencies of all requests, answered or not.
 func (s Samples) Latencies() *Distribution {
 	d := NewDistribution()
 	for _, sample := range s {
@@ -49,7 +49,7 @@
 	return d
 }
 
-// SendDelays is the distribution of the generator's own delays.
+// SendDelays returns the distribution of the generator's delays, see Sample.SendDelay.
 func (s Samples) SendDelays() *Distribution {
 	d := NewDistribution()
 	for _, sample := range s {
@@ -58,7 +58,7 @@
 	return d
 }
 
-// Count is the number of requests with that outcome.
+// Count returns the number of requests with the outcome.
 func (s Samples) Count(outcome Outcome) (count int) {
 	for _, sample := range s {
 		if sample.Outcome == outcome {
--- a/internal/fake/stub/run.go
+++ b/internal/fake/stub/run.go
@@ -9,7 +9,7 @@
 	"golang.org/x/sys/unix"
 )
 
-// maxSleep bounds one sleep, and so how late a load that is stopped notices it.
+// maxSleep limits a single sleep, and therefore the delay until a run notices that it has been stopped.
 const maxSleep = 20 * time.Millisecond
 
 // loadRun is the state of one run of a load.
@@ -21,14 +21,14 @@
 
 	mu         sync.Mutex
 	samples    Samples
-	unfinished int  // requests sent and neither answered nor lost
-	allSent    bool // no further request will be sent
-	finished   bool // later answers are ignored
-	done       chan struct{}
+	unfinished int           // requests that are being sent or are sent, and neither answered nor lost
+	allSent    bool          // no further request will be sent
+	finished   bool          // further answers are ignored
+	done       chan struct{} // receives a value once allSent is set and unfinished is 0
 	readers    sync.WaitGroup
 }
 
-// sendAll sends every request at its due time, until the load is over, stopped or cancelled.
+// sendAll sends every request at its due time, until the load's duration has passed or the load is stopped or cancelled.
 func (r *loadRun) sendAll(ctx context.Context) {
 	begin := time.Now()
 	for due := r.interval(); due < r.load.Duration; due += r.interval() {
@@ -47,8 +47,8 @@
 	return time.Duration(r.random.ExpFloat64() / r.load.Rate * float64(time.Second))
 }
 
-// sleepUntil sleeps with the kernel's timers, since Go's fire up to a millisecond late. It returns false when the load has
-// been stopped or cancelled.
+// sleepUntil sleeps by nanosleep(2), as Go's timers fire up to a millisecond late. It returns false when the load has been
+// stopped or cancelled.
 func (r *loadRun) sleepUntil(ctx context.Context, at time.Time) bool {
 	for {
 		select {
@@ -63,11 +63,11 @@
 			return true
 		}
 		request := unix.NsecToTimespec(int64(wait))
-		_ = unix.Nanosleep(&request, nil) // when interrupted, the loop sleeps again
+		_ = unix.Nanosleep(&request, nil) // the loop continues a sleep that was interrupted
 	}
 }
 
-// send sends one request, or records that no connection had capacity for it.
+// send sends the next request, or records it as Unsent when no connection can take it.
 func (r *loadRun) send(due time.Time) {
 	r.mu.Lock()
 	n := len(r.samples)
@@ -76,7 +76,7 @@
 	if r.load.GeneratorDelay != nil {
 		time.Sleep(r.load.GeneratorDelay(n))
 	}
-	r.setOutcome(n, Unanswered) // before the reservation: the connection may end right after it
+	r.setOutcome(n, Unanswered) // before reserve: the connection may end, and lose the request, right after it
 	c, id := r.reserve(n)
 	if c == nil {
 		r.setOutcome(n, Unsent)
@@ -85,7 +85,7 @@
 	c.send(id, r.load.Request(n), r.random.Uint64())
 }
 
-// setOutcome records that a request is being sent (Unanswered), or that it could not be (Unsent).
+// setOutcome records that request n is being sent (Unanswered), or that it could not be sent (Unsent).
 func (r *loadRun) setOutcome(n int, outcome Outcome) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -98,8 +98,8 @@
 	}
 }
 
-// reserve returns a connection with capacity for the request, round-robin, and the request's ID on it; nil when there is
-// none. A connection that is closing is replaced.
+// reserve selects a connection for request n, round-robin, and returns it with the request's JSON-RPC ID. It returns nil when no
+// connection can take the request. It replaces connections that are closing.
 func (r *loadRun) reserve(n int) (*conn, int) {
 	for range r.conns {
 		r.nextConn = (r.nextConn + 1) % len(r.conns)
@@ -122,7 +122,7 @@
 	return nil, 0
 }
 
-// complete records the outcome of a request, unless it has one already.
+// complete records the outcome of request n, unless it has one already.
 func (r *loadRun) complete(n int, outcome Outcome) {
 	now := time.Now()
 	r.mu.Lock()
@@ -141,8 +141,8 @@
 	}
 }
 
-// await waits until every request has an outcome, at most AnswerTimeout.
-func (r *loadRun) await(ctx context.Context) {
+// awaitOutcomes waits until every request has an outcome, for at most AnswerTimeout.
+func (r *loadRun) awaitOutcomes(ctx context.Context) {
 	r.mu.Lock()
 	open := r.unfinished
 	r.mu.Unlock()
@@ -156,7 +156,7 @@
 	}
 }
 
-// finish returns the samples; a request without an outcome gets its age as latency.
+// finish returns the samples. The latency of a request without an answer is set to its age.
 func (r *loadRun) finish() Samples {
 	now := time.Now()
 	r.mu.Lock()
@@ -171,7 +171,7 @@
 	return r.samples
 }
 
-// closeConns closes all connections and waits for their readers.
+// closeConns closes all connections and waits for their reader goroutines.
 func (r *loadRun) closeConns() {
 	for _, c := range r.conns {
 		c.net.Close()
