--- a/deploy/deploy.go
+++ b/deploy/deploy.go
@@ -1,10 +1,10 @@
-// Package deploy carries the schema of the operator's file into the program, so that what is checked is what
-// stands beside the file. It must never hold anything else.
+// Package deploy embeds the schema of the operator's settings file, so that the program validates against the same file that
+// operators read. It must not contain anything else.
 package deploy
 
 import _ "embed"
 
-// Schema is thymechute.xsd.
+// Schema is the content of thymechute.xsd.
 //
 //go:embed thymechute.xsd
 var Schema []byte
--- a/internal/operator/amqp.go
+++ b/internal/operator/amqp.go
@@ -8,23 +8,23 @@
 	"thymechute/internal/xsd"
 )
 
-// AMQP configures work that is consumed from a message broker.
+// AMQP configures the consumption of requests from a message broker.
 type AMQP struct {
 	Line                  int           `xml:"-"`
-	Brokers               []Endpoint    `xml:"broker"` // tried in turn
+	Brokers               []Endpoint    `xml:"broker"` // alternatives, tried in turn
 	Credentials           *Credentials  `xml:"login"`
-	TLS                   *TLS          `xml:"tls"` // nil: without TLS
+	TLS                   *TLS          `xml:"tls"` // nil: no TLS
 	Queues                []Queue       `xml:"queue"`
 	Fields                *FieldMapping `xml:"fields"`
 	HeartbeatSeconds      int           `xml:"heartbeat-s,attr"`
-	MinCredit             int           `xml:"least-credit,attr"` // unacknowledged messages of each queue
+	MinCredit             int           `xml:"least-credit,attr"` // bounds of the prefetch count of each queue
 	MaxCredit             int           `xml:"most-credit,attr"`
 	MaxBodyBytes          int           `xml:"largest-body,attr"`
-	MaxReturns            int           `xml:"returns,attr"` // of one message to its queue, before it is dead-lettered
+	MaxReturns            int           `xml:"returns,attr"` // returns of one message to its queue before it is dead-lettered
 	ConfirmTimeoutSeconds int           `xml:"confirm-s,attr"`
 
-	Username, Password string      `xml:"-"` // from the credentials' file
-	TLSConfig          *tls.Config `xml:"-"` // from the files of TLS; nil: without TLS
+	Username, Password string      `xml:"-"` // from Credentials.File
+	TLSConfig          *tls.Config `xml:"-"` // from the files of TLS; nil: no TLS
 }
 
 // Endpoint is the address of a server.
@@ -32,14 +32,14 @@
 	Address string `xml:"address,attr"`
 }
 
-// Credentials authenticate the program to the broker.
+// Credentials names the virtual host and the file with the user name and password for the broker.
 type Credentials struct {
 	Line  int    `xml:"-"`
 	Vhost string `xml:"vhost,attr"`
-	File  string `xml:"file,attr"` // "": the default user
+	File  string `xml:"file,attr"` // "": the default user name and password
 }
 
-// TLS names the PEM files of connections to the broker.
+// TLS configures TLS for connections to the broker. The files are PEM files.
 type TLS struct {
 	Line            int    `xml:"-"`
 	CAFile          string `xml:"ca,attr"`
@@ -48,7 +48,7 @@
 	ServerName      string `xml:"name,attr"`
 }
 
-// Queue is a queue that is consumed.
+// Queue configures a queue that is consumed.
 type Queue struct {
 	Line                 int        `xml:"-"`
 	Arguments            []Argument `xml:"argument"`
@@ -56,10 +56,10 @@
 	ConsumerTag          string     `xml:"tag,attr"`
 	DeadLetterExchange   string     `xml:"dead-letter,attr"`
 	DeadLetterRoutingKey string     `xml:"dead-letter-key,attr"`
-	OnRedelivery         string     `xml:"redelivered,attr"` // dead-letter or run
+	OnRedelivery         string     `xml:"redelivered,attr"` // "dead-letter" or "run"
 }
 
-// Argument is an argument of consuming a queue.
+// Argument is an argument of basic.consume.
 type Argument struct {
 	Line  int    `xml:"-"`
 	Name  string `xml:"name,attr"`
@@ -74,11 +74,11 @@
 	IdempotencyKey string `xml:"key,attr"`
 	Subject        string `xml:"subject,attr"`
 	Priority       string `xml:"rank,attr"`
-	Origin         string `xml:"origin,attr"`   // when the message was sent
+	Origin         string `xml:"origin,attr"`   // time at which the message was sent
 	CallerTimeout  string `xml:"patience,attr"` // milliseconds
 }
 
-// complete checks the constraints that the schema cannot express, fills in missing elements and reads the files.
+// complete validates what the schema cannot express, sets the defaults of missing elements, and reads the named files.
 func (a *AMQP) complete(schema *xsd.Schema) error {
 	if a.MinCredit > a.MaxCredit {
 		return &xsd.ValidationError{Line: a.Line, Element: "amqp", Found: fmt.Sprintf("least-credit=%d", a.MinCredit),
@@ -103,7 +103,7 @@
 	return a.loadTLS()
 }
 
-// defaultFieldMapping is the schema's own defaults, taken from a file with an empty element.
+// defaultFieldMapping returns the defaults that the schema declares, by decoding a document with an empty element fields.
 func defaultFieldMapping(schema *xsd.Schema) (*FieldMapping, error) {
 	settings, err := decode(schema, []byte(`<thymechute xmlns="urn:thymechute:operator:1"><amqp><broker address="a:1"/>`+
 		`<queue name="q" dead-letter="d"/><fields/></amqp></thymechute>`))
@@ -118,7 +118,7 @@
 	for n := range a.Queues {
 		q := &a.Queues[n]
 		if seen[q.Name] {
-			return &xsd.ValidationError{Line: q.Line, Element: "queue", Found: "a second " + q.Name, Expected: "each queue once"}
+			return &xsd.ValidationError{Line: q.Line, Element: "queue", Found: "a second queue " + q.Name, Expected: "each queue once"}
 		}
 		seen[q.Name] = true
 		if q.DeadLetterRoutingKey == "" {
@@ -133,7 +133,7 @@
 	return nil
 }
 
-// TypedValue is the value as a bool, int64 or string, by its type. Errors: an *xsd.ValidationError.
+// TypedValue returns the value as a bool, int64 or string, depending on Type. The error is an *xsd.ValidationError.
 func (a Argument) TypedValue() (any, error) {
 	switch a.Type {
 	case "boolean":
--- a/internal/operator/bind.go
+++ b/internal/operator/bind.go
@@ -8,11 +8,11 @@
 	"thymechute/internal/xsd"
 )
 
-// lineField is the field that takes the line of an element, if a struct has it.
+// lineField is the name of the optional struct field that receives the line number of the element.
 const lineField = "Line"
 
-// bind copies a node's attributes and child elements into the fields of a struct with the matching tags. The document is valid,
-// and a test ensures that the struct has a field for everything in the schema, so that it cannot fail.
+// bind copies a node's attributes and child elements into the struct fields with the matching tags. It cannot fail, as the
+// document has been validated and a test ensures that the structs have a field for everything in the schema.
 func bind(n *xsd.Node, into reflect.Value) {
 	if line := into.FieldByName(lineField); line.IsValid() {
 		line.SetInt(int64(n.Line))
@@ -29,7 +29,7 @@
 	}
 }
 
-// bindChildren copies the child elements of a name into a pointer or slice.
+// bindChildren copies the child elements of that name into a field, which is a pointer or a slice.
 func bindChildren(n *xsd.Node, name string, field reflect.Value) {
 	for _, child := range n.Children {
 		if child.Name != name {
@@ -46,12 +46,12 @@
 	}
 }
 
-// fieldTag is the XML name in a field's tag, and whether it is an attribute's.
+// fieldTag returns the XML name in a field's tag, and whether it names an attribute.
 func fieldTag(f reflect.StructField) (name string, isAttribute bool) {
 	return strings.CutSuffix(f.Tag.Get("xml"), ",attr")
 }
 
-// setField sets a field to a text that the schema has accepted for its kind.
+// setField parses a text, which the schema has accepted for the kind of the field, and sets the field.
 func setField(field reflect.Value, text string) {
 	switch field.Kind() {
 	case reflect.String:
--- a/internal/operator/fleet.go
+++ b/internal/operator/fleet.go
@@ -8,12 +8,12 @@
 	"thymechute/internal/xsd"
 )
 
-// Fleet configures membership with the other instances (internal/fleet/membership).
+// Fleet configures this instance's membership in a fleet (package internal/fleet/membership).
 type Fleet struct {
 	Line            int        `xml:"-"`
-	Seeds           []Endpoint `xml:"seed"` // members to join by
+	Seeds           []Endpoint `xml:"seed"` // members through which to join
 	Bind            string     `xml:"bind,attr"`
-	Advertise       string     `xml:"advertise,attr"` // "": as Bind
+	Advertise       string     `xml:"advertise,attr"` // "": the same as Bind
 	Zone            string     `xml:"zone,attr"`
 	Region          string     `xml:"region,attr"` // "": none
 	MaxMembers      int        `xml:"most,attr"`
@@ -22,22 +22,22 @@
 	Log             *Log       `xml:"log"` // nil: none
 }
 
-// Log configures the fleet's replicated log (internal/fleet/consensus).
+// Log configures the fleet's replicated log (package internal/fleet/consensus).
 type Log struct {
 	Line            int    `xml:"-"`
 	Bind            string `xml:"bind,attr"`
-	Advertise       string `xml:"advertise,attr"` // "": as Bind
+	Advertise       string `xml:"advertise,attr"` // "": the same as Bind
 	MaxVoters       int    `xml:"voters,attr"`
 	LeaseDurationMS int    `xml:"lease-ms,attr"`
 	BootstrapTime   string `xml:"found,attr"`
 
-	BootstrapAt time.Time `xml:"-"` // BootstrapTime; zero: this member does not bootstrap the log
+	BootstrapAt time.Time `xml:"-"` // BootstrapTime, parsed; zero: this member does not bootstrap the log
 }
 
-// maxLocationBytes is the longest zone or region that a member's record carries (internal/fleet/membership).
+// maxLocationBytes is the maximum length of a zone or region in a member's record (package internal/fleet/membership).
 const maxLocationBytes = 64
 
-// validate checks the constraints that the schema cannot express, those of the log included.
+// validate checks what the schema cannot express, also for the log, and completes the log's settings.
 func (f *Fleet) validate() error {
 	for _, location := range []struct{ attribute, value string }{{"zone", f.Zone}, {"region", f.Region}} {
 		if len(location.value) > maxLocationBytes {
@@ -51,7 +51,7 @@
 	return f.Log.complete()
 }
 
-// complete checks the constraints that the schema cannot express, and parses the bootstrap time.
+// complete validates what the schema cannot express, and parses the bootstrap time.
 func (l *Log) complete() (err error) {
 	if l.MaxVoters%2 == 0 {
 		return &xsd.ValidationError{Line: l.Line, Element: "log", Found: fmt.Sprintf("voters=%q", strconv.Itoa(l.MaxVoters)), Expected: "3 or 5"}
@@ -61,7 +61,7 @@
 	}
 	if l.BootstrapAt, err = time.Parse(time.RFC3339, l.BootstrapTime); err != nil {
 		return &xsd.ValidationError{Line: l.Line, Element: "log", Found: fmt.Sprintf("found=%q", l.BootstrapTime),
-			Expected: "a time as 2026-12-02T03:04:05Z"}
+			Expected: "an RFC 3339 time such as 2026-12-02T03:04:05Z"}
 	}
 	return nil
 }
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -1,8 +1,8 @@
-// Package operator reads the operator's settings file (deploy/thymechute.xml) into typed values. The schema beside the file,
-// deploy/thymechute.xsd, is the only list of names, types, limits and defaults: the structs here only name its elements and
-// attributes, and a test compares both in either direction. Constraints that the schema cannot express (one limit against
-// another, files that must be readable) are checked here and reported with the line of the element. Credentials never appear in
-// an error.
+// Package operator reads the operator's settings file (example: deploy/thymechute.xml) into typed values. The schema
+// deploy/thymechute.xsd is the only place that defines names, types, limits and defaults: the structs here only have a field for
+// each of its elements and attributes, and a test checks that none is missing on either side. Constraints that the schema
+// cannot express (between two limits, or that a file is readable) are checked here and reported with the line of the element.
+// Credentials never appear in an error.
 package operator
 
 import (
@@ -14,18 +14,18 @@
 	"thymechute/internal/xsd"
 )
 
-// Settings are the contents of the settings file; what is nil is disabled.
+// Settings is the content of the settings file. A feature whose field is nil is disabled.
 type Settings struct {
 	AMQP  *AMQP  `xml:"amqp"`
 	Fleet *Fleet `xml:"fleet"`
 }
 
-// Load reads the settings file at a path and the files that it names. An error is one line: path, line, element, what was
-// found and what is expected.
+// Load reads the settings file and the files that it names. An error is one line with the path, the line and the element, what
+// was found and what was expected.
 func Load(path string) (*Settings, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
-		return nil, fmt.Errorf("settings: found %w, expected a file that can be read", err)
+		return nil, fmt.Errorf("settings: found %w, expected a readable file", err)
 	}
 	settings, err := Parse(text)
 	if err != nil {
@@ -34,7 +34,7 @@
 	return settings, nil
 }
 
-// Parse parses the text of a settings file and reads the files that it names. Errors: an *xsd.ValidationError.
+// Parse parses the text of a settings file and reads the files that it names. The error is an *xsd.ValidationError.
 func Parse(text []byte) (*Settings, error) {
 	schema, err := xsd.Compile(deploy.Schema)
 	if err != nil {
--- a/internal/xsd/compile.go
+++ b/internal/xsd/compile.go
@@ -7,24 +7,24 @@
 	"strings"
 )
 
-// compiler compiles the named types of a schema, each once.
+// compiler compiles the named types of a schema, each only once.
 type compiler struct {
-	definitions  map[string]*Node // by name
+	definitions  map[string]*Node // of types, by name; the other maps hold those compiled so far
 	complexTypes map[string]*complexType
 	simpleTypes  map[string]*simpleType
 }
 
-// Compile compiles a schema. Errors: a *ValidationError with the line of what is not supported.
+// Compile compiles a schema. The error is a *ValidationError for the first thing that is invalid or not supported.
 func Compile(text []byte) (*Schema, error) {
 	root, err := parseDocument(text)
 	if err != nil {
 		return nil, err
 	}
 	if root.namespace != schemaNamespace || root.Name != "schema" {
-		return nil, &ValidationError{root.Line, root.Name, "another element", "xs:schema"}
+		return nil, &ValidationError{root.Line, root.Name, "another root element", "xs:schema"}
 	}
 	c := compiler{definitions: map[string]*Node{}, complexTypes: map[string]*complexType{}, simpleTypes: map[string]*simpleType{}}
-	rootElement, err := c.define(root)
+	rootElement, err := c.collectDefinitions(root)
 	if err != nil {
 		return nil, err
 	}
@@ -38,32 +38,32 @@
 	return &Schema{root.Attributes["targetNamespace"], rootElement.Attributes["name"], rootType}, nil
 }
 
-// define collects the definitions of types, and returns the declaration of the root element.
-func (c *compiler) define(schema *Node) (rootElement *Node, err error) {
+// collectDefinitions stores the definitions of types by name, and returns the declaration of the root element.
+func (c *compiler) collectDefinitions(schema *Node) (rootElement *Node, err error) {
 	for _, n := range schema.Children {
 		name := n.Attributes["name"]
 		switch n.Name {
 		case "element":
 			if rootElement != nil {
-				return nil, &ValidationError{n.Line, "element", "a second root", "one"}
+				return nil, &ValidationError{n.Line, "element", "a second root element", "only one"}
 			}
 			rootElement = n
 		case "complexType", "simpleType":
 			if c.definitions[name] != nil {
-				return nil, &ValidationError{n.Line, n.Name, "a second " + name, "one"}
+				return nil, &ValidationError{n.Line, n.Name, "a second definition of " + name, "only one"}
 			}
 			c.definitions[name] = n
 		default:
-			return nil, unsupported(n)
+			return nil, unsupportedError(n)
 		}
 	}
 	if rootElement == nil {
-		return nil, &ValidationError{schema.Line, "schema", "no element", "a root"}
+		return nil, &ValidationError{schema.Line, "schema", "no element", "the declaration of the root element"}
 	}
 	return rootElement, nil
 }
 
-// compileAll compiles the definitions that nothing refers to as well, so that they cannot contain anything unsupported.
+// compileAll also compiles the definitions that nothing refers to, so that unsupported constructs in them are rejected.
 func (c *compiler) compileAll() (err error) {
 	for name, n := range c.definitions {
 		if n.Name == "simpleType" {
@@ -78,29 +78,30 @@
 	return nil
 }
 
-func unsupported(n *Node) error {
+func unsupportedError(n *Node) error {
 	return &ValidationError{n.Line, n.Name, "an unsupported construct", "the subset of XML Schema in the documentation of package xsd"}
 }
 
-// allowAttributes rejects other attributes of a schema's element, which would be ignored otherwise.
-func allowAttributes(n *Node, names ...string) error {
+// rejectOtherAttributes returns an error if an element of the schema has attributes other than the named ones, which would
+// be ignored otherwise.
+func rejectOtherAttributes(n *Node, names ...string) error {
 	for a := range n.Attributes {
 		if !slices.Contains(names, a) {
-			return &ValidationError{n.Line, n.Name, "attribute " + a, strings.Join(names, ", ")}
+			return &ValidationError{n.Line, n.Name, "attribute " + a, "only " + strings.Join(names, ", ")}
 		}
 	}
 	return nil
 }
 
-// elementType is the type of a declared element.
+// elementType returns the compiled type of a declared element.
 func (c *compiler) elementType(n *Node) (*complexType, error) {
-	if err := allowAttributes(n, "name", "type", "minOccurs", "maxOccurs"); err != nil {
+	if err := rejectOtherAttributes(n, "name", "type", "minOccurs", "maxOccurs"); err != nil {
 		return nil, err
 	}
 	typeName := n.Attributes["type"]
 	definition := c.definitions[typeName]
 	if definition == nil || definition.Name != "complexType" || len(n.Children) > 0 {
-		return nil, &ValidationError{n.Line, n.Name, "type " + typeName, "the name of a complexType here"}
+		return nil, &ValidationError{n.Line, n.Name, "type " + typeName, "the name of a complexType in this schema"}
 	}
 	return c.complexType(definition, typeName)
 }
@@ -110,15 +111,15 @@
 		return compiled, nil
 	}
 	compiled := &complexType{}
-	c.complexTypes[name] = compiled // before its particles, which may refer to it
-	if err := allowAttributes(n, "name"); err != nil {
+	c.complexTypes[name] = compiled // before its particles are compiled, as they may refer to it
+	if err := rejectOtherAttributes(n, "name"); err != nil {
 		return nil, err
 	}
 	for _, child := range n.Children {
 		switch child.Name {
 		case "sequence", "all":
 			if compiled.particles != nil {
-				return nil, unsupported(child)
+				return nil, unsupportedError(child)
 			}
 			if err := c.compileParticles(child, compiled); err != nil {
 				return nil, err
@@ -130,16 +131,16 @@
 			}
 			compiled.attributes = append(compiled.attributes, a)
 		default:
-			return nil, unsupported(child)
+			return nil, unsupportedError(child)
 		}
 	}
 	return compiled, nil
 }
 
-// compileParticles compiles the elements of a sequence or all.
+// compileParticles compiles the elements in a sequence or all group.
 func (c *compiler) compileParticles(group *Node, into *complexType) error {
-	if allowAttributes(group) != nil {
-		return unsupported(group)
+	if rejectOtherAttributes(group) != nil {
+		return unsupportedError(group)
 	}
 	into.isSequence = group.Name == "sequence"
 	for _, n := range group.Children {
@@ -154,20 +155,20 @@
 
 func (c *compiler) particle(n *Node) (p particle, err error) {
 	if n.Name != "element" {
-		return p, unsupported(n)
+		return p, unsupportedError(n)
 	}
 	p.name = n.Attributes["name"]
 	if p.contentType, err = c.elementType(n); err != nil {
 		return p, err
 	}
-	if p.minOccurs, err = occurs(n, "minOccurs"); err != nil {
+	if p.minOccurs, err = parseOccurs(n, "minOccurs"); err != nil {
 		return p, err
 	}
-	p.maxOccurs, err = occurs(n, "maxOccurs")
+	p.maxOccurs, err = parseOccurs(n, "maxOccurs")
 	return p, err
 }
 
-func occurs(n *Node, attribute string) (int, error) {
+func parseOccurs(n *Node, attribute string) (int, error) {
 	text, found := n.Attributes[attribute]
 	if !found {
 		return 1, nil
@@ -180,12 +181,12 @@
 }
 
 func (c *compiler) attributeUse(n *Node) (a attributeUse, err error) {
-	if err := allowAttributes(n, "name", "type", "use", "default"); err != nil {
+	if err := rejectOtherAttributes(n, "name", "type", "use", "default"); err != nil {
 		return a, err
 	}
 	use := n.Attributes["use"]
 	if use != "" && use != "required" && use != "optional" || len(n.Children) > 0 {
-		return a, unsupported(n)
+		return a, unsupportedError(n)
 	}
 	a.name, a.isRequired = n.Attributes["name"], use == "required"
 	if a.valueType, err = c.attributeType(n); err != nil {
@@ -202,7 +203,7 @@
 	return a, nil
 }
 
-// attributeType is the simple type of a declared attribute, by name or built in.
+// attributeType returns the simple type of a declared attribute: a definition of the schema or a built-in type.
 func (c *compiler) attributeType(n *Node) (*simpleType, error) {
 	typeName := n.Attributes["type"]
 	if definition := c.definitions[typeName]; definition != nil && definition.Name == "simpleType" {
@@ -212,5 +213,5 @@
 		return &simpleType{kind: kind, minLength: unbounded, maxLength: unbounded}, nil
 	}
 	return nil, &ValidationError{n.Line, "attribute " + n.Attributes["name"], "type " + typeName,
-		"a simpleType here, or xs:string, boolean, integer, decimal"}
+		"a simpleType in this schema, or xs:string, xs:boolean, xs:integer or xs:decimal"}
 }
--- a/internal/xsd/document.go
+++ b/internal/xsd/document.go
@@ -22,17 +22,20 @@
 type documentParser struct {
 	decoder *xml.Decoder
 	root    *Node
-	open    []*Node // from the root to the current element
+	open    []*Node // the current element and its ancestors, from the root
 	count   int     // of elements so far
 }
 
-// parseDocument parses a well-formed document within the limits of the package. Errors: a *ValidationError.
+// parseDocument parses a document, which must be well-formed and within the limits of the package. The error is a
+// *ValidationError.
 func parseDocument(text []byte) (*Node, error) {
 	if len(text) > maxDocumentBytes {
-		return nil, &ValidationError{1, "document", fmt.Sprintf("%d bytes", len(text)), fmt.Sprintf("at most %d", maxDocumentBytes)}
+		return nil, &ValidationError{1, "document", fmt.Sprintf("%d bytes", len(text)), fmt.Sprintf("at most %d bytes", maxDocumentBytes)}
 	}
 	p := &documentParser{decoder: xml.NewDecoder(bytes.NewReader(text))}
-	p.decoder.CharsetReader = func(string, io.Reader) (io.Reader, error) { return nil, errors.New("only UTF-8 is read") }
+	p.decoder.CharsetReader = func(string, io.Reader) (io.Reader, error) {
+		return nil, errors.New("encodings other than UTF-8 are not supported")
+	}
 	for {
 		token, err := p.decoder.Token()
 		if err == io.EOF {
@@ -56,8 +59,8 @@
 	return line
 }
 
-// element is the name of the current element.
-func (p *documentParser) element() string {
+// currentElement returns the name of the current element for an error message.
+func (p *documentParser) currentElement() string {
 	if len(p.open) == 0 {
 		return "document"
 	}
@@ -67,9 +70,9 @@
 func (p *documentParser) syntaxError(err error) error {
 	var syntax *xml.SyntaxError
 	if errors.As(err, &syntax) {
-		return &ValidationError{syntax.Line, p.element(), syntax.Msg, "well-formed XML"}
+		return &ValidationError{syntax.Line, p.currentElement(), syntax.Msg, "well-formed XML"}
 	}
-	return &ValidationError{p.line(), p.element(), err.Error(), "well-formed XML"}
+	return &ValidationError{p.line(), p.currentElement(), err.Error(), "well-formed XML"}
 }
 
 func (p *documentParser) add(token xml.Token) error {
@@ -80,10 +83,10 @@
 		p.open = p.open[:len(p.open)-1]
 	case xml.CharData:
 		if text := strings.TrimSpace(string(token)); text != "" {
-			return &ValidationError{p.line(), p.element(), fmt.Sprintf("text %.40q", text), "elements only"}
+			return &ValidationError{p.line(), p.currentElement(), fmt.Sprintf("text %.40q", text), "only elements"}
 		}
 	case xml.Directive:
-		return &ValidationError{p.line(), p.element(), "a declaration <!…>", "none"}
+		return &ValidationError{p.line(), p.currentElement(), "a declaration <!...>", "none"}
 	}
 	return nil
 }
@@ -92,8 +95,8 @@
 	p.count++
 	isSecondRoot := p.root != nil && len(p.open) == 0
 	if p.count > maxElements || len(p.open) >= maxDepth || isSecondRoot {
-		return &ValidationError{p.line(), p.element(), "one element more: " + token.Name.Local,
-			fmt.Sprintf("one root, at most %d deep and %d in all", maxDepth, maxElements)}
+		return &ValidationError{p.line(), p.currentElement(), "one element too many: " + token.Name.Local,
+			fmt.Sprintf("one root element, at most %d levels and %d elements", maxDepth, maxElements)}
 	}
 	n := &Node{Name: token.Name.Local, Line: p.line(), Attributes: map[string]string{}, namespace: token.Name.Space}
 	for _, a := range token.Attr {
@@ -101,7 +104,7 @@
 			continue
 		}
 		if _, isDuplicate := n.Attributes[a.Name.Local]; isDuplicate || a.Name.Space != "" {
-			return &ValidationError{n.Line, n.Name, "attribute " + a.Name.Local, "each once, and none of another name space"}
+			return &ValidationError{n.Line, n.Name, "attribute " + a.Name.Local, "each attribute once, and none with a namespace"}
 		}
 		n.Attributes[a.Name.Local] = a.Value
 	}
--- a/internal/xsd/schema.go
+++ b/internal/xsd/schema.go
@@ -6,26 +6,27 @@
 	"strings"
 )
 
-// Schema is a compiled schema.
+// Schema is a compiled schema. It is immutable.
 type Schema struct {
 	namespace, rootName string
 	rootType            *complexType
 }
 
-// complexType is the content of an element: child elements and attributes.
+// complexType declares the child elements and attributes of an element.
 type complexType struct {
-	isSequence bool // children in the order of the particles; otherwise in any order
+	isSequence bool // the children must be in the order of the particles
 	particles  []particle
 	attributes []attributeUse
 }
 
-// particle is a child element and how often it may occur.
+// particle declares a child element and how often it may occur.
 type particle struct {
 	name                 string
 	contentType          *complexType
 	minOccurs, maxOccurs int
 }
 
+// attributeUse declares an attribute of an element.
 type attributeUse struct {
 	name         string
 	valueType    *simpleType
@@ -33,15 +34,15 @@
 	defaultValue *string // nil: none
 }
 
-// Parse parses and validates a document, and adds the defaults of missing attributes. Errors: a *ValidationError.
+// Parse parses and validates a document, and adds the defaults of missing attributes. The error is a *ValidationError.
 func (s *Schema) Parse(text []byte) (*Node, error) {
 	root, err := parseDocument(text)
 	if err != nil {
 		return nil, err
 	}
 	if root.Name != s.rootName || root.namespace != s.namespace {
-		return nil, &ValidationError{root.Line, root.Name, fmt.Sprintf("name space %.80q", root.namespace),
-			fmt.Sprintf("element %s of %s", s.rootName, s.namespace)}
+		return nil, &ValidationError{root.Line, root.Name, fmt.Sprintf("namespace %.80q", root.namespace),
+			fmt.Sprintf("element %s of namespace %s", s.rootName, s.namespace)}
 	}
 	return root, s.validate(root, s.rootType)
 }
@@ -60,7 +61,7 @@
 		case found && !a.valueType.accepts(text):
 			return &ValidationError{n.Line, n.Name, fmt.Sprintf("%s=%.60q", a.name, text), a.valueType.expectation()}
 		case !found && a.isRequired:
-			return &ValidationError{n.Line, n.Name, "no " + a.name, a.valueType.expectation()}
+			return &ValidationError{n.Line, n.Name, "no attribute " + a.name, a.valueType.expectation()}
 		case !found && a.defaultValue != nil:
 			n.Attributes[a.name] = *a.defaultValue
 		}
@@ -91,7 +92,7 @@
 		previous = index
 		p := contentType.particles[index]
 		if occurrences[index]++; occurrences[index] > p.maxOccurs {
-			return &ValidationError{child.Line, n.Name, fmt.Sprintf("element %s the %dth time", child.Name, occurrences[index]),
+			return &ValidationError{child.Line, n.Name, fmt.Sprintf("element %s %d times", child.Name, occurrences[index]),
 				fmt.Sprintf("at most %d", p.maxOccurs)}
 		}
 		if err := s.validate(child, p.contentType); err != nil {
@@ -107,29 +108,29 @@
 	return nil
 }
 
-// expectation describes the children that are allowed.
+// expectation describes the allowed child elements for an error message.
 func (c *complexType) expectation() string {
 	if len(c.particles) == 0 {
-		return "no element"
+		return "no child element"
 	}
 	var names []string
 	for _, p := range c.particles {
 		names = append(names, p.name)
 	}
 	if c.isSequence {
-		return "in this order: " + strings.Join(names, ", ")
+		return "elements in this order: " + strings.Join(names, ", ")
 	}
 	return "one of: " + strings.Join(names, ", ")
 }
 
 // Declaration is an element or attribute that a document may have.
 type Declaration struct {
-	Path         string // as a/b for an element and a/b@c for an attribute
+	Path         string // a/b for an element, a/b@c for an attribute
 	IsRepeatable bool   // an element that may occur more than once
 	Kind         Kind   // of an attribute; empty for an element
 }
 
-// Walk calls visit for every element below the root and every attribute.
+// Walk calls visit for every declared element below the root and every declared attribute, down to maxDepth.
 func (s *Schema) Walk(visit func(Declaration)) { s.rootType.walk(s.rootName, 0, visit) }
 
 func (c *complexType) walk(path string, depth int, visit func(Declaration)) {
--- a/internal/xsd/simpletype.go
+++ b/internal/xsd/simpletype.go
@@ -10,7 +10,7 @@
 	"unicode/utf8"
 )
 
-// Kind is the built-in type that a simple type restricts.
+// Kind is a built-in type of XML Schema that a simple type can restrict.
 type Kind string
 
 // The supported kinds.
@@ -22,18 +22,18 @@
 )
 
 const (
-	unbounded       = -1 // as a minimum or maximum length
-	maxNumberLength = 30 // characters of a number
+	unbounded       = -1 // as a minimum or maximum length: none
+	maxNumberLength = 30 // in characters, of a number in a document
 )
 
-// simpleType is a restriction of a kind by facets.
+// simpleType restricts a kind by facets.
 type simpleType struct {
 	kind                       Kind
 	pattern                    *regexp.Regexp // nil: none
 	patternText                string
 	enumeration                []string
-	minInclusive, maxInclusive *big.Rat // nil: unbounded
-	minLength, maxLength       int      // characters
+	minInclusive, maxInclusive *big.Rat // nil: no bound
+	minLength, maxLength       int      // in characters
 }
 
 func builtinKind(name string) (Kind, bool) {
@@ -45,31 +45,31 @@
 	if compiled := c.simpleTypes[name]; compiled != nil {
 		return compiled, nil
 	}
-	if err := allowAttributes(n, "name"); err != nil {
+	if err := rejectOtherAttributes(n, "name"); err != nil {
 		return nil, err
 	}
 	if len(n.Children) != 1 || n.Children[0].Name != "restriction" {
-		return nil, unsupported(n)
+		return nil, unsupportedError(n)
 	}
 	restriction := n.Children[0]
 	kind, ok := builtinKind(restriction.Attributes["base"])
-	if !ok || allowAttributes(restriction, "base") != nil {
-		return nil, unsupported(restriction)
+	if !ok || rejectOtherAttributes(restriction, "base") != nil {
+		return nil, unsupportedError(restriction)
 	}
 	compiled := &simpleType{kind: kind, minLength: unbounded, maxLength: unbounded}
 	for _, facet := range restriction.Children {
-		if err := allowAttributes(facet, "value"); err != nil {
+		if err := rejectOtherAttributes(facet, "value"); err != nil {
 			return nil, err
 		}
 		if !compiled.addFacet(facet.Name, facet.Attributes["value"]) {
-			return nil, unsupported(facet)
+			return nil, unsupportedError(facet)
 		}
 	}
 	c.simpleTypes[name] = compiled
 	return compiled, nil
 }
 
-// addFacet adds a constraint, and reports whether it is supported and its value valid.
+// addFacet adds a facet, and reports whether the facet is supported and its value is valid.
 func (s *simpleType) addFacet(name, value string) bool {
 	number, isNumber := new(big.Rat).SetString(value)
 	length, lengthErr := strconv.Atoi(value)
@@ -98,7 +98,7 @@
 	return false
 }
 
-// accepts reports whether a text is a value of the type.
+// accepts reports whether a text is a valid value of the type.
 func (s *simpleType) accepts(text string) bool {
 	length := utf8.RuneCountInString(text)
 	switch {
@@ -131,12 +131,12 @@
 	return (s.minInclusive == nil || number.Cmp(s.minInclusive) >= 0) && (s.maxInclusive == nil || number.Cmp(s.maxInclusive) <= 0)
 }
 
-// expectation describes the values of the type.
+// expectation describes the valid values for an error message.
 func (s *simpleType) expectation() string {
 	if s.enumeration != nil {
 		return "one of " + strings.Join(s.enumeration, ", ")
 	}
-	text := map[Kind]string{String: "a text", Boolean: "true or false", Integer: "a whole number", Decimal: "a number"}[s.kind]
+	text := map[Kind]string{String: "a string", Boolean: "true or false", Integer: "a whole number", Decimal: "a number"}[s.kind]
 	if s.minInclusive != nil {
 		text += " from " + s.minInclusive.RatString()
 	}
@@ -149,7 +149,7 @@
 		text += fmt.Sprintf(" of at most %d characters", s.maxLength)
 	}
 	if s.pattern != nil {
-		text += " like " + s.patternText
+		text += " matching " + s.patternText
 	}
 	return text
 }
--- a/internal/xsd/xsd_test.go
+++ b/internal/xsd/xsd_test.go
@@ -7,7 +7,7 @@
 
 const schemaPrefix = `<xs:schema xmlns:xs="http://www.w3.org/2001/XMLSchema" targetNamespace="u"><xs:element name="r" type="r"/>`
 
-// Unsupported constructs are rejected: a facet that is ignored would look as if it were enforced.
+// Unsupported constructs are rejected, not ignored: a document would pass although it violates them.
 func TestCompileRejectsUnsupportedSchemas(t *testing.T) {
 	for _, text := range []string{
 		`<xs:complexType name="r"><xs:choice/></xs:complexType>`,
@@ -42,13 +42,13 @@
 		n, err := s.Parse(text)
 		if err != nil {
 			if _, ok := err.(*ValidationError); !ok || strings.Contains(err.Error(), "\n") && !strings.Contains(string(text), "\n") {
-				t.Errorf("%v", err)
+				t.Errorf("got %T %v, want a *ValidationError of one line", err, err)
 			}
 			return
 		}
 		for ; n != nil; n = n.Children[0] {
 			if len(n.Attributes["n"]) == 0 || strings.Trim(n.Attributes["n"], "+0") > "8" {
-				t.Errorf("n=%q", n.Attributes["n"])
+				t.Errorf("accepted n=%q, which is outside 1 to 8", n.Attributes["n"])
 			}
 			if len(n.Children) == 0 {
 				break
