--- a/cmd/thymechute/reload_test.go
+++ b/cmd/thymechute/reload_test.go
@@ -29,8 +29,8 @@
 	again, _ := json.Marshal(env.Config)
 	env.Program.Reload(again, `"restart_keys": ["listen"]`)
 	env.Runtime.AcceptSync(0, "new", 50)
-	if task, _ := env.Runtime.ExpectCommand("start"); task != "aa01" { // its start may have been lost
-		t.Errorf("%s was started", task)
+	if task, _ := env.Runtime.ExpectCommand("start"); task != "aa01" { // started again, as its start may have been lost
+		t.Errorf("task %s was started, want aa01", task)
 	}
 	old.Shutdown()
 	oldIndex.Shutdown()
@@ -48,23 +48,24 @@
 // plannedTenants is the number of tenants that the instance is designed for.
 const plannedTenants = 60_000
 
-// tenantList returns the JSON of that many tenants, of which the one at index special has the quota, and of more by name.
-func tenantList(count, special, quota int, more ...string) json.RawMessage {
+// tenantList returns the JSON of count tenants with a quota of 1000, followed by those in extraNames. The tenant at the index
+// changed has the given quota instead.
+func tenantList(count, changed, quota int, extraNames ...string) json.RawMessage {
 	list := []byte("[")
 	for n := range count {
-		of := 1000
-		if n == special {
-			of = quota
+		tenantQuota := 1000
+		if n == changed {
+			tenantQuota = quota
 		}
-		list = fmt.Appendf(list, `{"name":"tenant-%06d","quota_per_s":%d},`, n, of)
+		list = fmt.Appendf(list, `{"name":"tenant-%06d","quota_per_s":%d},`, n, tenantQuota)
 	}
-	for _, name := range more {
+	for _, name := range extraNames {
 		list = fmt.Appendf(list, `{"name":%q,"quota_per_s":1000},`, name)
 	}
 	return append(list[:len(list)-1], ']')
 }
 
-// withTenants returns the configuration with these tenants.
+// withTenants returns the configuration, as JSON, with the given tenants.
 func withTenants(t *testing.T, config map[string]any, tenants json.RawMessage) []byte {
 	t.Helper()
 	later := map[string]any{}
@@ -81,8 +82,8 @@
 	return text
 }
 
-// isAdmitted reports whether a request of this tenant is accepted. It has a connection of its own, as one may send only a few
-// requests that are not.
+// isAdmitted reports whether a request of the tenant is admitted. It opens a new connection each time, as the program closes a
+// connection after a few invalid requests.
 func isAdmitted(env *testutil.Environment, tenant string) bool {
 	env.T.Helper()
 	stub := env.Connect()
@@ -92,12 +93,12 @@
 		now.UnixNano(), now.UnixMilli(), tenant)
 	r, closed := stub.Receive()
 	if closed || r.Code() != 0 && r.Code() != -32602 {
-		env.T.Fatalf("%s: %+v, closed %v", tenant, r, closed)
+		env.T.Fatalf("request of tenant %s: got %+v, closed %v", tenant, r, closed)
 	}
 	return r.Code() == 0
 }
 
-// residentMB returns a field of the process's status in MB: VmRSS is its resident memory, VmHWM the maximum of that.
+// residentMB returns a field of /proc/PID/status in MB. VmRSS is the resident memory of the process, VmHWM its maximum.
 func residentMB(t *testing.T, pid int, field string) float64 {
 	t.Helper()
 	status, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", pid))
@@ -113,21 +114,21 @@
 			return kb / 1024
 		}
 	}
-	t.Fatalf("no %s", field)
+	t.Fatalf("no field %s in the status of the process", field)
 	return 0
 }
 
 // reloadLimits are the upper limits of what TestReloadOfOneTenantKeepsLatency measures.
 type reloadLimits struct {
-	startup time.Duration // from exec until the runtime link is up
+	startup time.Duration // from the start of the program until the runtime link is established
 	apply   time.Duration // from SIGHUP until a new tenant is admitted
-	p99     time.Duration // of the health checks' latencies
-	latency time.Duration // the longest one
+	p99     time.Duration // 99th percentile of the latency of health checks
+	latency time.Duration // maximum latency of health checks
 }
 
-// Each reload of a complete file changes, adds and removes one tenant of 60,000, beside health checks at fixed times: latency
-// stays low, the change applies soon, and memory does not grow. The bounds are wide, as the machine may be busy;
-// THYMECHUTE_MEASURE=20 reloads 20 times and checks the design's bounds:
+// Each reload of a file with 60,000 tenants changes, adds and removes one tenant, while health checks are sent at fixed
+// intervals. Latency stays low, the change takes effect soon, and memory stays within its bound. The bounds on time are wide, as
+// the machine may be busy. THYMECHUTE_MEASURE=20 reloads 20 times and checks the bounds of the design:
 //
 //	THYMECHUTE_MEASURE=20 go test -count=1 -v -run TestReloadOfOneTenantKeepsLatency ./cmd/thymechute
 func TestReloadOfOneTenantKeepsLatency(t *testing.T) {
@@ -149,17 +150,17 @@
 		config["limits"].(map[string]any)["memory_mb"] = 128
 		config["settings"].(map[string]any)["tenants"] = tenantList(plannedTenants, -1, 0)
 	})
-	up := time.Since(start)
+	startup := time.Since(start)
 	go env.Runtime.ServeAll(1, result)
 	pid := env.Program.Cmd.Process.Pid
 	before := residentMB(t, pid, "VmRSS")
 	baseline := env.StartHealthChecks(2500 * time.Microsecond)
 	time.Sleep(time.Second)
-	t.Logf("up in %v, %.1f MB; without a reload %+v", up, before, baseline.Stop())
+	t.Logf("startup %v, %.1f MB; latencies without a reload %+v", startup, before, baseline.Stop())
 
 	checks := env.StartHealthChecks(2500 * time.Microsecond)
-	last := ""
-	longest := time.Duration(0)
+	previous := ""
+	slowestReload := time.Duration(0)
 	for round := range rounds {
 		name := fmt.Sprint("new-", round)
 		text := withTenants(t, env.Config, tenantList(plannedTenants, 30_000+round, 5, name))
@@ -167,52 +168,53 @@
 			t.Fatalf("%s is admitted before its reload", name)
 		}
 		env.Program.WriteConfig(text)
-		from := time.Now()
+		signalled := time.Now()
 		env.Program.SignalReload()
 		for !isAdmitted(env, name) {
-			time.Sleep(10 * time.Millisecond) // seldom: each is one more connection and takes CPU time
+			time.Sleep(10 * time.Millisecond) // not more often, as each check opens a connection and takes CPU time
 		}
-		longest = max(longest, time.Since(from))
-		if last != "" && isAdmitted(env, last) {
-			t.Errorf("%s was removed, and is admitted", last)
+		slowestReload = max(slowestReload, time.Since(signalled))
+		if previous != "" && isAdmitted(env, previous) {
+			t.Errorf("%s is admitted after its removal", previous)
 		}
-		last = name
+		previous = name
 	}
 	latencies := checks.Stop()
 	after := residentMB(t, pid, "VmRSS")
 	peak := residentMB(t, pid, "VmHWM")
-	t.Logf("%d reloads: applied in %v at most, %+v, %.1f MB, %.1f at most", rounds, longest, latencies, after, peak)
-	if up > limits.startup || longest > limits.apply || latencies.P99 > limits.p99 || latencies.Max > limits.latency {
-		t.Errorf("up in %v, applied in %v, latencies %v and %v, want at most %+v",
-			up, longest, latencies.P99, latencies.Max, limits)
+	t.Logf("%d reloads: applied within %v, latencies %+v, %.1f MB, maximum %.1f MB", rounds, slowestReload, latencies, after, peak)
+	if startup > limits.startup || slowestReload > limits.apply || latencies.P99 > limits.p99 || latencies.Max > limits.latency {
+		t.Errorf("startup %v, reload applied within %v, latency p99 %v, maximum %v; want at most %+v",
+			startup, slowestReload, latencies.P99, latencies.Max, limits)
 	}
 	if os.Getenv("THYMECHUTE_BUILD") == "" && peak > maxResidentMB {
-		t.Errorf("%.1f MB, want %.0f", peak, maxResidentMB)
+		t.Errorf("maximum resident memory: %.1f MB, want at most %.0f MB", peak, maxResidentMB)
 	}
 }
 
-// A tenant over the limit is rejected by name, at startup and at a reload, and the log names the version that stays.
+// A file with more tenants than the limit is rejected at startup and on a reload. The error has the key and the limit, and on a
+// reload the log has the version that stays in effect.
 func TestTenantLimitIsReported(t *testing.T) {
 	env := testutil.StartEnvironment(t, func(config map[string]any) {
-		config["settings"].(map[string]any)["tenants"] = tenantList(1001, -1, 0) // more than could once be reloaded
+		config["settings"].(map[string]any)["tenants"] = tenantList(1001, -1, 0) // more than an earlier version could reload
 	})
 	env.Program.Reload(withTenants(t, env.Config, tenantList(1001, 1000, 5)), `"settings_changed": true, "version": 2`)
 	env.Program.Reload(withTenants(t, env.Config, tenantList(settings.MaxTenants+1, -1, 0)), "configuration rejected")
-	for _, words := range []string{`settings.tenants: found more than 100000, expected at most 100000`, `"current_version": 2`} {
+	for _, words := range []string{`settings.tenants: found more than 100000 entries, expected at most 100000`, `"current_version": 2`} {
 		if !strings.Contains(env.Program.Log(), words) {
 			t.Errorf("the log does not contain %s:\n%s", words, env.Program.Log())
 		}
 	}
 	go env.Runtime.ServeAll(1, result)
 	if !isAdmitted(env, "tenant-001000") || isAdmitted(env, "tenant-001001") {
-		t.Error("part of a rejected file was applied")
+		t.Error("the tenants in effect are not those of the last valid file")
 	}
 	other := testutil.NewEnvironment(t, func(config map[string]any) {
 		config["settings"].(map[string]any)["tenants"] = tenantList(settings.MaxTenants+1, -1, 0)
 	})
 	other.Program = testutil.StartProgram(t, other.Config)
-	if code := other.Program.AwaitExit(); code != 2 || !strings.Contains(other.Program.Log(), "settings.tenants: found more than 100000") {
-		t.Errorf("ended with %d: %s", code, other.Program.Log())
+	if code := other.Program.AwaitExit(); code != 2 || !strings.Contains(other.Program.Log(), "settings.tenants: found more than 100000 entries") {
+		t.Errorf("exit code %d, want 2 and an error for settings.tenants: %s", code, other.Program.Log())
 	}
 }
 
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -1,11 +1,11 @@
-// Package config reads the program's configuration: the JSON file named by GW_CONFIG, with GW_NAME and GW_LISTEN taking
-// precedence over the file's name and listen. It checks every value and sets the defaults.
+// Package config reads the program's configuration from the JSON file that GW_CONFIG names. GW_NAME and GW_LISTEN override
+// the keys name and listen of the file. Every value is validated, and missing keys get their defaults.
 //
-// Errors name the faulty key, what was found and what was expected. Unknown keys are ignored. The settings of the overload
+// Errors name the invalid key, what was found and what was expected. Unknown keys are ignored. The settings of the overload
 // controller are decoded by package settingsjson, which checks only their types and bounds.
 //
-// Load may run on the same core as an event loop: it reads the file in chunks and yields the processor before each, and its
-// memory is one chunk and the decoded values.
+// Load may share a core with an event loop. It therefore reads the file in chunks, yields the processor before each chunk, and
+// holds only one chunk and the decoded values in memory.
 package config
 
 import (
@@ -20,22 +20,22 @@
 	"thymechute/policy/settings"
 )
 
-// Config is the whole configuration.
+// Config is the complete configuration of the program.
 type Config struct {
 	Name        string
-	Listen      string // addresses: IP address and port
+	Listen      string // Listen, Runtime, Catalog and Index are an IP address and a port
 	Runtime     string
 	Catalog     string
 	Index       string
 	Seed        uint64
-	StopTimeout time.Duration // from SIGTERM to SIGKILL
+	StopTimeout time.Duration // from SIGTERM to SIGKILL, by the platform
 	Cores       float64
 	MemoryBytes int64
 	MaxSockets  int
 	Settings    settings.Settings
 }
 
-// ValueError is the error of one key.
+// ValueError reports the invalid value of one key.
 type ValueError = settingsjson.ValueError
 
 // Defaults of missing keys.
@@ -47,10 +47,10 @@
 	defaultSocketLimit = 1024.0
 )
 
-// Bounds of numbers. Values outside of them are rejected, as they are probably in a wrong unit.
+// Bounds of numbers. A value outside them is rejected, as it is probably given in the wrong unit.
 const (
 	minStopMillis  = 1
-	maxStopMillis  = 3.6e6 // an hour
+	maxStopMillis  = 3.6e6 // one hour
 	minCores       = 0.01
 	maxCores       = 1024
 	minMemoryMB    = 16
@@ -59,7 +59,7 @@
 	maxSocketLimit = 1e6
 )
 
-// Load reads the configuration named by the environment. The error is a *ValueError, of the first faulty key.
+// Load reads the configuration file that the environment names. The error is a *ValueError for the first invalid key.
 func Load(getenv func(string) string) (Config, error) {
 	path := getenv("GW_CONFIG")
 	if path == "" {
@@ -67,7 +67,7 @@
 	}
 	file, err := os.Open(path)
 	if err != nil {
-		return Config{}, &ValueError{Key: "GW_CONFIG", Found: err.Error(), Expected: "a file that can be read"}
+		return Config{}, &ValueError{Key: "GW_CONFIG", Found: err.Error(), Expected: "a readable file"}
 	}
 	defer file.Close()
 	d := document{values: map[string]any{}}
@@ -78,7 +78,7 @@
 	return d.config(getenv)
 }
 
-// config checks the document's values and returns the configuration.
+// config validates the document's values and returns the configuration.
 func (d *document) config(getenv func(string) string) (c Config, err error) {
 	keys := &keyReader{values: d.values}
 	limits := &keyReader{prefix: "limits.", values: keys.object("limits")}
@@ -101,7 +101,7 @@
 	return c, limits.err
 }
 
-// RestartKeys returns the sorted keys whose values differ in a later configuration but take effect only after a restart.
+// RestartKeys returns, sorted, the keys whose values differ in a later configuration and take effect only after a restart.
 func (c Config) RestartKeys(later Config) (keys []string) {
 	for key, isSame := range map[string]bool{
 		"name":    c.Name == later.Name,
@@ -117,9 +117,9 @@
 	return keys
 }
 
-// hex reads a number of up to 16 hex digits.
-func (r *keyReader) hex(key, fallback string) uint64 {
-	digits := r.text(key, "", fallback)
+// hex returns the number that a string of up to 16 hex digits stands for.
+func (r *keyReader) hex(key, defaultValue string) uint64 {
+	digits := r.text(key, "", defaultValue)
 	value, err := strconv.ParseUint(digits, 16, 64)
 	if err != nil {
 		r.fail(key, strconv.Quote(digits), "up to 16 hex digits")
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -12,7 +12,7 @@
 	"thymechute/policy/settings"
 )
 
-// load loads a complete configuration with one change.
+// load passes a complete configuration to change, and loads the result from a file.
 func load(t *testing.T, change func(file, limits map[string]any)) (Config, error) {
 	t.Helper()
 	limits := map[string]any{"cores": 0.5, "memory_mb": 64, "sockets": 128, "unheard": 1}
@@ -34,11 +34,11 @@
 	c, err := load(t, func(_, limits map[string]any) { delete(limits, "sockets") })
 	if err != nil || c.Name != "n3" || c.Listen != "127.0.0.4:8080" || c.Seed != 0x8c1f30d27a5be964 ||
 		c.StopTimeout != 3200*time.Millisecond || c.Cores != 0.5 || c.MemoryBytes != 64<<20 || c.MaxSockets != defaultSocketLimit {
-		t.Errorf("%v: %+v", err, c)
+		t.Errorf("error %v, got %+v", err, c)
 	}
 	if s := c.Settings; s.Classes[1].Name != "excursion" || s.Classes[1].Idempotency != settings.Idempotent || s.Server.Cores != settings.NumberOf(4) ||
 		s.Classes[2].MakesCalls != settings.True || s.Tenants[0].Name != "acme" || s.Server.RunnableGauge != 2 {
-		t.Errorf("%+v", s)
+		t.Errorf("settings: got %+v", s)
 	}
 }
 
@@ -69,12 +69,12 @@
 		_, err := load(t, change)
 		var invalid *ValueError
 		if !errors.As(err, &invalid) || invalid.Key != key || invalid.Expected == "" || invalid.Found == "" {
-			t.Errorf("%s: %v", key, err)
+			t.Errorf("%s: got error %v", key, err)
 		}
 	}
 	for _, path := range []string{"", "/nowhere", os.DevNull} {
 		if _, err := Load(func(name string) string { return map[string]string{"GW_CONFIG": path}[name] }); err == nil {
-			t.Errorf("%q was read", path)
+			t.Errorf("Load accepts GW_CONFIG=%q", path)
 		}
 	}
 }
--- a/internal/config/document.go
+++ b/internal/config/document.go
@@ -11,11 +11,11 @@
 	"thymechute/policy/settings"
 )
 
-// readChunkBytes is how much of the file is read between two yields: about 1,000 tenants, which take a millisecond. A yield
-// may take as long again while the loop waits for the network, as the Go scheduler detects an idle core with a delay.
+// readChunkBytes is how much of the file is read between two yields: about 1,000 tenants, which take a millisecond to decode.
+// While the loop waits for the network a yield may take as long again, as the Go scheduler detects an idle core with a delay.
 const readChunkBytes = 48 << 10
 
-// yieldingReader yields the processor before each read.
+// yieldingReader yields the processor before each read from source.
 type yieldingReader struct{ source io.Reader }
 
 func (r yieldingReader) Read(into []byte) (int, error) {
@@ -23,22 +23,22 @@
 	return r.source.Read(into)
 }
 
-// document is the content of the file.
+// document is the decoded content of the file.
 type document struct {
-	values        map[string]any // all but the settings
+	values        map[string]any // of all keys but settings
 	hasSettings   bool
 	settings      settings.Settings
-	settingsError *ValueError // of the first invalid value in them
+	settingsError *ValueError // of the first invalid value in the settings
 }
 
 var (
-	errNotAnObject  = errors.New("no object")
-	errTrailingData = errors.New("more behind the object")
+	errNotAnObject  = errors.New("a JSON value that is not an object")
+	errTrailingData = errors.New("data after the object")
 	errTruncated    = errors.New("unexpected end of JSON input")
 )
 
-// decode reads one object and the end of the file. The errors are those of invalid JSON, and a *ValueError of settings that
-// can't be read at all.
+// decode reads one object up to the end of the file. The error is that of invalid JSON, or a *ValueError if the settings
+// cannot be decoded at all.
 func (d *document) decode(in *json.Decoder) error {
 	start, err := in.Token()
 	if err != nil {
@@ -52,7 +52,7 @@
 			return err
 		}
 	}
-	if _, err := in.Token(); err != nil { // the object's end
+	if _, err := in.Token(); err != nil { // the object's closing brace
 		return err
 	}
 	if _, err := in.Token(); err != io.EOF {
@@ -78,7 +78,7 @@
 	return err
 }
 
-// fileError returns the error of a file that can't be decoded.
+// fileError returns the *ValueError for a file whose decoding failed with err.
 func fileError(err error, path string) error {
 	var invalid *ValueError
 	if errors.As(err, &invalid) {
@@ -90,7 +90,7 @@
 	return &ValueError{Key: "GW_CONFIG", Found: err.Error(), Expected: "a JSON object in " + path}
 }
 
-// checkSettings records the error of missing or invalid settings.
+// checkSettings records an error in keys if the settings are missing or invalid.
 func (d *document) checkSettings(keys *keyReader) {
 	hasName := func(class settings.Class) bool { return class.Name != "" }
 	switch {
--- a/internal/config/keys.go
+++ b/internal/config/keys.go
@@ -8,12 +8,12 @@
 	"strconv"
 )
 
-// maxTextBytes bounds names and addresses.
-const maxTextBytes = 200
+// maxStringBytes is the maximum length of a name or address.
+const maxStringBytes = 200
 
-// keyReader reads the values of one object and records the first error.
+// keyReader reads and validates the values of one object, and records the first error.
 type keyReader struct {
-	prefix string // of the keys in errors
+	prefix string // of the keys in error messages
 	values map[string]any
 	err    error // a *ValueError
 }
@@ -24,7 +24,7 @@
 	}
 }
 
-// describe returns a value as an error shows it.
+// describe formats a value for an error message, cut to 60 characters.
 func describe(value any) string {
 	if value == nil {
 		return "nothing"
@@ -33,7 +33,7 @@
 	return fmt.Sprintf("%.60s", text)
 }
 
-// object reads an object; nil if it is missing.
+// object returns the object under a key; nil if it is missing or invalid.
 func (r *keyReader) object(key string) map[string]any {
 	value, isPresent := r.values[key]
 	object, isObject := value.(map[string]any)
@@ -43,27 +43,27 @@
 	return object
 }
 
-// text reads a text that is not empty. The override takes precedence, unless it is empty; the fallback stands for a missing
-// key, unless it is empty.
-func (r *keyReader) text(key, override, fallback string) string {
+// text returns the non-empty string under a key. A non-empty override takes precedence over the key, and a non-empty
+// default value replaces a missing key.
+func (r *keyReader) text(key, override, defaultValue string) string {
 	if override != "" {
 		return override
 	}
 	value, isPresent := r.values[key]
-	if !isPresent && fallback != "" {
-		return fallback
+	if !isPresent && defaultValue != "" {
+		return defaultValue
 	}
 	text, isText := value.(string)
-	if !isText || text == "" || len(text) > maxTextBytes {
-		r.fail(key, describe(value), "a text")
+	if !isText || text == "" || len(text) > maxStringBytes {
+		r.fail(key, describe(value), fmt.Sprintf("a string of 1 to %d bytes", maxStringBytes))
 	}
 	return text
 }
 
-// address reads an IP address with a port.
+// address returns the IP address and port under a key, as one string.
 func (r *keyReader) address(key, override string) string {
 	text := r.text(key, override, "")
-	if text == "" { // text has recorded the error
+	if text == "" { // an error, which text has recorded
 		return text
 	}
 	if address, err := netip.ParseAddrPort(text); err != nil || address.Port() == 0 {
@@ -72,11 +72,11 @@
 	return text
 }
 
-// number reads a number within its bounds; the fallback stands for a missing key.
-func (r *keyReader) number(key string, fallback, minimum, maximum float64) float64 {
+// number returns the number under a key, which must be within the bounds; the default value replaces a missing key.
+func (r *keyReader) number(key string, defaultValue, minimum, maximum float64) float64 {
 	value, isPresent := r.values[key]
 	if !isPresent {
-		return fallback
+		return defaultValue
 	}
 	number, isNumber := value.(float64)
 	if !isNumber || math.IsNaN(number) || number < minimum || number > maximum {
--- a/internal/settingsjson/classes.go
+++ b/internal/settingsjson/classes.go
@@ -9,19 +9,19 @@
 	"thymechute/policy/settings"
 )
 
-// decodeClasses decodes the list of classes.
+// decodeClasses decodes the list of classes into d.classes.
 func (d *decoder) decodeClasses() error {
 	d.classes = nil
 	names := newNameChecker(d, "classes", func(name string) bool {
 		return slices.ContainsFunc(d.classes, func(class settings.Class) bool { return class.Name == name })
 	})
-	var entry section // reused for each entry
+	var entry section // reused for all entries
 	return d.decodeList("classes", settings.MaxClasses, func(index int) error {
 		clear(entry)
 		err := d.in.Decode(&entry)
 		var mismatch *json.UnmarshalTypeError
 		if errors.As(err, &mismatch) {
-			d.fail(fmt.Sprint("classes.", index), "a "+mismatch.Value, "an object")
+			d.fail(fmt.Sprint("classes.", index), "a JSON "+mismatch.Value, "an object")
 		} else if err != nil {
 			return err
 		}
@@ -32,11 +32,11 @@
 	})
 }
 
-// class returns the class of an entry.
+// class returns the class that an entry of the list describes; prefix is the key of the entry.
 func (d *decoder) class(prefix string, entry section) settings.Class {
 	class := settings.Class{
 		Name:             d.text(prefix, "name", entry),
-		Idempotency:      settings.Idempotency(d.word(prefix, "repeat", entry, "repeatable", "by_key", "once")),
+		Idempotency:      settings.Idempotency(d.enum(prefix, "repeat", entry, "repeatable", "by_key", "once")),
 		Weight:           d.number(prefix, "worth", entry),
 		LatencyObjective: d.number(prefix, "aim_s", entry),
 		CallerTimeout:    d.number(prefix, "deadline_s", entry),
@@ -50,7 +50,7 @@
 	return class
 }
 
-// applyClassLists sets the fields of the classes that lists of the domain section hold, by the index of the class.
+// applyClassLists sets those fields of the classes that the domain section has in lists, with one entry for each class.
 func (d *decoder) applyClassLists(classes []settings.Class) {
 	domain := d.section("domain")
 	makesCalls := decodeEntries(d, domain, "calls_by_class", d.flag)
--- a/internal/settingsjson/decode.go
+++ b/internal/settingsjson/decode.go
@@ -1,8 +1,9 @@
-// Package settingsjson decodes the platform's settings of an instance from JSON into package settings' types and checks
-// each value. Both programs use it: thymechute for its configuration file, benchlink for the simulator's line.
+// Package settingsjson decodes the settings that the platform gives an instance, from JSON into the types of package
+// settings, and validates each value. Two programs use it: thymechute for its configuration file, and benchlink for the
+// settings line of the simulator.
 //
-// Unknown keys are ignored, and null counts as missing. The number of classes and tenants is bounded as package settings
-// says. Tenants are decoded one by one, so that a long list is in memory in one form only.
+// Unknown keys are ignored, and null counts as missing. Package settings defines the maximum number of classes and tenants.
+// Tenants are decoded one by one, so that a long list is not in memory as JSON and decoded at the same time.
 package settingsjson
 
 import (
@@ -16,9 +17,9 @@
 	"thymechute/policy/settings"
 )
 
-// ValueError is the error of one value.
+// ValueError reports an invalid value.
 type ValueError struct {
-	Key      string // in dotted form
+	Key      string // dotted path, such as settings.tenants.0.name
 	Found    string
 	Expected string
 }
@@ -27,11 +28,11 @@
 	return fmt.Sprintf("%s: found %s, expected %s", e.Key, e.Found, e.Expected)
 }
 
-// Decode decodes one object. An invalid value counts as missing, and the first one is also returned as a ValueError, by which
-// a caller can reject the settings.
+// Decode decodes one object. An invalid value counts as missing; the first one is also returned as a *ValueError, so that the
+// caller can reject the settings.
 //
-// The error is that of invalid JSON, or a *ValueError if the settings are not an object, or a list is not a list or has more
-// entries than its bound. The settings are empty then.
+// The error is that of invalid JSON, or a *ValueError if the settings are not an object, or if classes or tenants is not a list
+// or has too many entries. The settings are empty then.
 func Decode(in *json.Decoder) (settings.Settings, *ValueError, error) {
 	d := decoder{in: in}
 	if err := d.decodeObject(); err != nil {
@@ -40,7 +41,7 @@
 	return d.settings(), d.firstError, nil
 }
 
-// Parse decodes a text that holds one object and nothing else; the results are those of Decode.
+// Parse decodes a text that must hold exactly one object. Its results are those of Decode.
 func Parse(text string) (settings.Settings, *ValueError, error) {
 	in := json.NewDecoder(strings.NewReader(text))
 	s, invalid, err := Decode(in)
@@ -48,18 +49,18 @@
 		return s, invalid, err
 	}
 	if _, err := in.Token(); err != io.EOF {
-		return settings.Settings{}, nil, errors.New("more behind the object")
+		return settings.Settings{}, nil, errors.New("data after the object")
 	}
 	return s, invalid, nil
 }
 
-// decoder collects the decoded values up to the end of the object, as lists of the domain section complete the classes and
-// either may come first.
+// decoder collects the decoded values until the end of the object: lists of the domain section complete the classes, and
+// either of the two may come first.
 type decoder struct {
 	in         *json.Decoder
-	top        section // all but classes and tenants
+	topLevel   section // all keys but classes and tenants
 	classes    []settings.Class
-	tenants    [][]settings.Tenant // in chunks of tenantChunk, so that a long list is copied only once
+	tenants    [][]settings.Tenant // in chunks of tenantChunk, so that a long list is copied only once, at the end
 	firstError *ValueError
 }
 
@@ -78,7 +79,7 @@
 	if start != json.Delim('{') {
 		return &ValueError{Key: "settings", Found: describeToken(start), Expected: "an object"}
 	}
-	d.top = section{}
+	d.topLevel = section{}
 	for d.in.More() {
 		if err := d.decodeMember(); err != nil {
 			return err
@@ -102,11 +103,11 @@
 	}
 	var raw json.RawMessage
 	err = d.in.Decode(&raw)
-	d.top[key.(string)] = raw
+	d.topLevel[key.(string)] = raw
 	return err
 }
 
-// decodeList decodes a list entry by entry; null counts as empty. entry is called with the index of each.
+// decodeList decodes a list by calling entry with the index of each entry. Null counts as an empty list.
 func (d *decoder) decodeList(key string, maxEntries int, entry func(index int) error) error {
 	start, err := d.in.Token()
 	switch {
@@ -121,7 +122,7 @@
 		if index >= maxEntries {
 			return &ValueError{
 				Key:      "settings." + key,
-				Found:    fmt.Sprintf("more than %d", maxEntries),
+				Found:    fmt.Sprintf("more than %d entries", maxEntries),
 				Expected: fmt.Sprintf("at most %d", maxEntries),
 			}
 		}
@@ -133,7 +134,7 @@
 	return err
 }
 
-// settings returns the settings of all that was decoded.
+// settings assembles the settings from the decoded values.
 func (d *decoder) settings() settings.Settings {
 	s := settings.Settings{Server: d.server(), Classes: d.classes, Tenants: slices.Concat(d.tenants...)}
 	d.applyClassLists(s.Classes)
--- a/internal/settingsjson/server.go
+++ b/internal/settingsjson/server.go
@@ -6,7 +6,7 @@
 	"thymechute/policy/settings"
 )
 
-// server returns the settings that belong to neither a class nor a tenant.
+// server returns the settings of the server as a whole: those that belong to neither a class nor a tenant.
 func (d *decoder) server() settings.Server {
 	domain := d.section("domain")
 	rules := d.section("rules")
@@ -16,18 +16,18 @@
 		MemoryKB:              d.number("domain", "ram_kb", domain),
 		RunMemoryFactor:       d.number("domain", "blowup", domain),
 		KeyEntryKB:            d.number("domain", "entry_kb", domain),
-		StopMode:              settings.StopMode(d.word("domain", "halt", domain, "off", "abort", "suspend")),
-		Dependency:            settings.Dependency(d.word("domain", "depends_on", domain, "off", "shared", "tier")),
+		StopMode:              settings.StopMode(d.enum("domain", "halt", domain, "off", "abort", "suspend")),
+		Dependency:            settings.Dependency(d.enum("domain", "depends_on", domain, "off", "shared", "tier")),
 		CallQuota:             d.number("domain", "dep_share", domain),
 		CallLinger:            d.number("domain", "linger_s", domain),
 		CallQuotaWindow:       d.number("domain", "dep_window_s", domain),
-		AdvertiseMode:         settings.AdvertiseMode(d.word("domain", "say", domain, "off", "threshold", "window", "share_of")),
+		AdvertiseMode:         settings.AdvertiseMode(d.enum("domain", "say", domain, "off", "threshold", "window", "share_of")),
 		CallerCount:           d.number("domain", "clients_total", domain),
 		CallerIdleTimeout:     d.number("domain", "caller_idle_s", domain),
 		EndpointsFollowHealth: d.flag("domain", "readiness", domain),
 		SlowStart:             d.flag("domain", "cold", domain),
-		FleetSize:             d.number("", "fleet_size", d.top),
-		OverQuotaWeight:       d.number("", "over_share_worth", d.top),
+		FleetSize:             d.number("", "fleet_size", d.topLevel),
+		OverQuotaWeight:       d.number("", "over_share_worth", d.topLevel),
 		RetryAfter:            d.flag("policy_limits", "retry_after", limits),
 		MaxRetryAfter:         d.number("policy_limits", "max_retry_after_s", limits),
 		SlowStartFraction:     d.number("rules", "cold_from", rules),
@@ -35,14 +35,14 @@
 		DrainGrace:            d.number("rules", "drain_grace_s", rules),
 		MaxConcurrencyPerCore: d.number("rules", "fall_multiple", rules),
 	}
-	if unit := d.word("", "worth_by", d.top, "request", "work"); unit != "" {
+	if unit := d.enum("", "worth_by", d.topLevel, "request", "work"); unit != "" {
 		server.WeightPerWork = settings.FlagOf(unit == "work")
 	}
 	d.applyGauges(&server, domain)
 	return server
 }
 
-// applyGauges sets the positions, from 1, of the gauges in the runtime's readings.
+// applyGauges sets the positions of the known gauges in the runtime's readings, counted from 1.
 func (d *decoder) applyGauges(server *settings.Server, domain section) {
 	for index, raw := range d.list(domain, "gauges") {
 		switch strings.Trim(string(raw), `"`) {
--- a/internal/settingsjson/tenants.go
+++ b/internal/settingsjson/tenants.go
@@ -12,11 +12,11 @@
 // tenantChunk is the number of tenants in one chunk of decoder.tenants.
 const tenantChunk = 1024
 
-// decodeTenants decodes the list of tenants.
+// decodeTenants decodes the list of tenants into d.tenants.
 func (d *decoder) decodeTenants() error {
 	d.tenants = nil
 	names := newNameChecker(d, "tenants", d.hasTenant)
-	var raw json.RawMessage // reused for each entry
+	var raw json.RawMessage // reused for all entries
 	return d.decodeList("tenants", settings.MaxTenants, func(index int) error {
 		if err := d.in.Decode(&raw); err != nil {
 			return err
@@ -42,7 +42,8 @@
 	d.tenants[last] = append(d.tenants[last], tenant)
 }
 
-// tenant returns the tenant of an entry. It does not use encoding/json, which takes twice the time, as the list may be long.
+// tenant returns the tenant that an entry of the list describes. The list may be long, so it is decoded by jsonline:
+// encoding/json takes twice the time.
 func (d *decoder) tenant(index int, raw json.RawMessage) (tenant settings.Tenant) {
 	if isMissing(raw) {
 		return tenant
@@ -54,7 +55,7 @@
 	if !isMissing(name) {
 		text, err := jsonline.NewReader(name).ReadString()
 		if err != nil {
-			d.fail(fmt.Sprintf("tenants.%d.name", index), compact(name), "a text")
+			d.fail(fmt.Sprintf("tenants.%d.name", index), compact(name), "a string")
 		}
 		tenant.Name = string(text)
 	}
@@ -68,7 +69,7 @@
 	return tenant
 }
 
-// tenantFields returns the JSON of an entry's name and quota; nil: missing.
+// tenantFields returns the JSON of the name and quota in an entry; nil if missing.
 func tenantFields(raw json.RawMessage) (name, quota []byte, err error) {
 	entry := jsonline.NewReader(raw)
 	err = entry.ReadObject(func(key []byte) (err error) {
--- a/internal/settingsjson/values.go
+++ b/internal/settingsjson/values.go
@@ -14,10 +14,10 @@
 const (
 	maxNumber      = 1e12
 	expectedNumber = "a number from 0 to 1e12"
-	maxFoundBytes  = 60 // of a found value in an error
+	maxFoundBytes  = 60 // of a found value in an error message
 )
 
-// section is an object whose values are not decoded yet.
+// section is a JSON object whose values are not decoded yet.
 type section map[string]json.RawMessage
 
 // isMissing reports whether a value is absent or null.
@@ -31,16 +31,16 @@
 	return prefix + "." + key
 }
 
-// compact returns a found value on one line, cut to maxFoundBytes.
+// compact formats a value on one line for an error message, cut to maxFoundBytes.
 func compact(raw []byte) string {
 	var line bytes.Buffer
 	if json.Compact(&line, raw) != nil {
-		return "no JSON"
+		return "invalid JSON"
 	}
 	return fmt.Sprintf("%.*s", maxFoundBytes, line.String())
 }
 
-// describeToken returns a token as an error shows it.
+// describeToken formats a token for an error message.
 func describeToken(token json.Token) string {
 	switch token := token.(type) {
 	case nil:
@@ -53,7 +53,8 @@
 	}
 }
 
-// parseNumber returns the number; invalid is the found value where that is none. Null is a missing number.
+// parseNumber parses a number from 0 to maxNumber; null is a missing number. If the value is invalid, the second result is that
+// value, formatted for an error message; otherwise it is empty.
 func parseNumber(raw []byte) (value settings.Number, invalid string) {
 	if string(raw) == "null" {
 		return value, ""
@@ -65,16 +66,16 @@
 	return settings.NumberOf(number), ""
 }
 
-// section decodes an object of the top level; nil where it is missing or invalid.
+// section decodes a top-level object; nil if it is missing or invalid.
 func (d *decoder) section(key string) (s section) {
-	raw := d.top[key]
+	raw := d.topLevel[key]
 	if !isMissing(raw) && json.Unmarshal(raw, &s) != nil {
 		d.fail(key, compact(raw), "an object")
 	}
 	return s
 }
 
-// list decodes a list of the domain section; nil where it is missing or invalid.
+// list decodes a list in the domain section; nil if it is missing or invalid.
 func (d *decoder) list(domain section, key string) (entries []json.RawMessage) {
 	raw := domain[key]
 	if !isMissing(raw) && json.Unmarshal(raw, &entries) != nil {
@@ -83,7 +84,7 @@
 	return entries
 }
 
-// decodeEntries decodes all entries of a list of the domain section.
+// decodeEntries decodes each entry of a list in the domain section.
 func decodeEntries[T any](d *decoder, domain section, key string, decode func(prefix, key string, from section) T) []T {
 	var values []T
 	for index, raw := range d.list(domain, key) {
@@ -105,23 +106,23 @@
 	return value
 }
 
-// word decodes a text that is one of those allowed; empty where it is missing or invalid.
-func (d *decoder) word(prefix, key string, from section, allowed ...string) (word string) {
+// enum decodes a string that must be one of the allowed ones; empty if it is missing or invalid.
+func (d *decoder) enum(prefix, key string, from section, allowed ...string) (value string) {
 	raw := from[key]
 	if isMissing(raw) {
 		return ""
 	}
-	if json.Unmarshal(raw, &word) != nil || !slices.Contains(allowed, word) {
+	if json.Unmarshal(raw, &value) != nil || !slices.Contains(allowed, value) {
 		d.fail(joinKey(prefix, key), compact(raw), "one of "+strings.Join(allowed, ", "))
 		return ""
 	}
-	return word
+	return value
 }
 
 func (d *decoder) text(prefix, key string, from section) (text string) {
 	raw := from[key]
 	if !isMissing(raw) && json.Unmarshal(raw, &text) != nil {
-		d.fail(joinKey(prefix, key), compact(raw), "a text")
+		d.fail(joinKey(prefix, key), compact(raw), "a string")
 	}
 	return text
 }
