--- a/cmd/thymechute/amqp_faults_test.go
+++ b/cmd/thymechute/amqp_faults_test.go
@@ -14,7 +14,7 @@
 	e.publish("excursion", "k1", "a")
 	e.Runtime.SendEnd(1, e.expectStart("a"), "good", "once")
 	e.expectEvent("ack-dropped", 1)
-	e.expectEvent("acked", 1) // by the retained result, on the next connection
+	e.expectEvent("acked", 1) // from the retained result, on the next connection
 	e.expectNoEarlierStart(2)
 }
 
@@ -27,10 +27,10 @@
 	e.publish("excursion", "k2", "c")
 	third := e.expectStart("c")
 	e.broker.CutNewest()
-	e.expectEvent("delivered", 6) // all three again, on another connection, on which the same tags are of other messages
+	e.expectEvent("delivered", 6) // all three again; on the new connection the same tags belong to other messages
 	e.expectDeadLetter("", "may have run already")
 	e.Runtime.SendEnd(1, third, "good", "")
-	e.Runtime.SendEnd(2, second, "good", "") // its caller is gone and its message dead-lettered: without effect
+	e.Runtime.SendEnd(2, second, "good", "") // its caller is gone and its message dead-lettered: ignored
 	e.Runtime.SendEnd(3, first, "good", "")
 	e.expectNoEarlierStart(4)
 	if e.broker.EventCount("unknown-tag") != 0 {
@@ -41,7 +41,8 @@
 	}
 }
 
-// Nobody waits for the messages of a lost connection: a safe run is stopped, and a redelivered message runs again.
+// When the connection is lost, nothing waits for the results of its messages: a safe run is stopped, and the redelivered message
+// runs again.
 func TestSafeRunIsStoppedOnConnectionLoss(t *testing.T) {
 	e := startAMQP(t, amqpOptions{})
 	e.publish("trace", "", "a")
@@ -72,7 +73,7 @@
 	e := startAMQP(t, amqpOptions{faults: []string{"publish:2:late-confirm", "publish:3:no-confirm"}})
 	e.publishProps(broker.Props{broker.Type: "excursion", broker.MessageID: "k1", broker.ReplyTo: "nowhere"}, "a")
 	e.Runtime.SendEnd(1, e.expectStart("a"), "good", "")
-	e.expectAllSettled() // its caller is gone
+	e.expectAllSettled() // it is acked, as its caller is gone
 	e.publishProps(broker.Props{broker.Type: "excursion", broker.MessageID: "k2", broker.ReplyTo: "replies"}, "b")
 	e.Runtime.SendEnd(2, e.expectStart("b"), "good", "r")
 	e.expectQueue("replies", 1, 0)
@@ -83,7 +84,7 @@
 	e.expectAllSettled()
 	e.publishProps(broker.Props{broker.Type: "excursion", broker.MessageID: "k3", broker.ReplyTo: "replies"}, "c")
 	e.Runtime.SendEnd(3, e.expectStart("c"), "good", "r")
-	e.expectEvent("lost", 1) // a broker that never confirms is disconnected, and the retained result is sent again
+	e.expectEvent("lost", 1) // the connection to a broker that does not confirm is closed, and the retained result is sent again
 	e.expectAllSettled()
 	e.expectNoEarlierStart(4)
 }
@@ -95,7 +96,7 @@
 	e.expectDeadLetter("m", "unknown class")
 	e.expectNoEarlierStart(1)
 	if requeued, lost := e.broker.EventCount("requeued"), e.broker.EventCount("lost"); requeued != 2 || lost != 0 {
-		t.Errorf("%d requeued, %d connections lost: a closed channel must affect its publishes only", requeued, lost)
+		t.Errorf("%d requeued, %d connections lost, want 2 and 0: a closed channel affects only what was published on it", requeued, lost)
 	}
 }
 
@@ -114,7 +115,7 @@
 	e.expectAllSettled()
 }
 
-// Whatever the broker does affects its own connection alone: the RPC server goes on, and the message is served in the end.
+// A broker that violates the protocol affects only its own connection: the RPC server goes on, and later messages are served.
 func TestBrokerProtocolFaults(t *testing.T) {
 	for _, fault := range []string{"deliver:1:nonsense", "deliver:1:huge", "deliver:1:endless", "deliver:1:foreign", "deliver:1:mute",
 		"deliver:1:cut-inside", "deliver:1:cut-before", "deliver:1:restart", "deliver:1:cancel", "deliver:1:channel-error",
@@ -123,7 +124,7 @@
 			e := startAMQP(t, amqpOptions{faults: []string{fault}})
 			stub := e.Connect()
 			stub.SendRequest(1, "trace", "aa01", body, "")
-			e.publish("excursion", "k1", "a") // not known after a redelivery: not run, but not lost
+			e.publish("excursion", "k1", "a") // when redelivered, it may be unknown here; it is then dead-lettered, but not lost
 			started, got := e.Runtime.ExpectCommand("start")
 			for n := 1; got != body; n++ {
 				e.Runtime.SendEnd(n, started, "good", "")
--- a/cmd/thymechute/amqp_test.go
+++ b/cmd/thymechute/amqp_test.go
@@ -17,11 +17,11 @@
 	e.expectQueue("replies", 1, 0)
 	m := e.broker.TakeMessages("replies")[0]
 	if string(m.Body) != "result\x00" || m.Props.Text(broker.CorrelationID) != "c7" || m.Props.Header("x-thymechute-outcome") != "fulfilled" {
-		t.Errorf("%q %v", m.Body, m.Props)
+		t.Errorf("reply: got body %q, properties %v", m.Body, m.Props)
 	}
 }
 
-// To an instance that does not know it, a redelivered message may have run.
+// An instance that does not know a redelivered message must assume that it has run.
 func TestRedeliveryToRestartedInstanceIsNotRun(t *testing.T) {
 	e := startAMQP(t, amqpOptions{})
 	e.publish("excursion", "k1", "a")
@@ -32,7 +32,7 @@
 	e.expectNoEarlierStart(1)
 }
 
-// The broker redelivers to another instance while the first still runs the message: two instances, one run.
+// The broker redelivers a message to another instance while the first still runs it: it must not run twice.
 func TestRedeliveryToAnotherInstanceDuringRun(t *testing.T) {
 	e := startAMQP(t, amqpOptions{})
 	e.publish("excursion", "k1", "a")
@@ -64,11 +64,11 @@
 func TestRedeliveryIsRunWhereQueueAllowsIt(t *testing.T) {
 	e := startAMQP(t, amqpOptions{queue: `redelivered="run"`, faults: []string{"deliver:1:cut-after", "deliver:3:cut-after"}})
 	e.publish("excursion", "k1", "a")
-	task := e.expectStart("a") // of the first delivery or the second: one run of both
+	task := e.expectStart("a") // of the first or the second delivery: both share one run
 	e.expectEvent("delivered", 2)
 	e.Runtime.SendEnd(1, task, "good", "")
 	e.expectAllSettled()
-	e.publish("seal", "", "b") // not idempotent: never
+	e.publish("seal", "", "b") // not idempotent: not run when redelivered
 	e.expectEvent("delivered", 4)
 	e.expectEvent("acked", 2)
 }
@@ -93,7 +93,7 @@
 		e.expectDeadLetter(c.p.Text(broker.MessageID), c.reason)
 	}
 	e.publishProps(broker.Props{broker.Type: "trace", broker.MessageID: "big"}, strings.Repeat("x", 9000))
-	e.expectDeadLetter("big", "") // by the queue's own exchange: its body was never buffered here
+	e.expectDeadLetter("big", "") // through the dead-letter exchange of the queue: the program did not buffer the body
 	e.expectNoEarlierStart(1)
 }
 
@@ -103,7 +103,7 @@
 	task := e.expectStart("a")
 	e.publish("excursion", "k1", "another")
 	e.expectDeadLetter("k1", "another message stands under the same key")
-	e.publish("excursion", "k1", "a") // the same message joins the run
+	e.publish("excursion", "k1", "a") // the same message is coalesced with the run
 	e.expectEvent("delivered", 3)
 	e.Runtime.SendEnd(1, task, "good", "")
 	e.expectNoEarlierStart(2)
@@ -113,21 +113,21 @@
 	e := startAMQP(t, amqpOptions{})
 	e.publishProps(broker.Props{broker.Type: "trace", broker.MessageID: "old", broker.Expiration: "1000", broker.Timestamp: uint64(time.Now().Unix() - 60)}, "x")
 	e.expectDeadLetter("old", "its patience is over")
-	e.publishProps(broker.Props{broker.Type: "trace", broker.Expiration: "20000", broker.Timestamp: uint64(time.Now().Unix() + 3600)}, "ahead") // by a wrong clock
+	e.publishProps(broker.Props{broker.Type: "trace", broker.Expiration: "20000", broker.Timestamp: uint64(time.Now().Unix() + 3600)}, "ahead") // by a sender whose clock is an hour fast
 	e.Runtime.SendEnd(1, e.expectStart("ahead"), "good", "")
 	e.expectAllSettled()
 }
 
-// A rejected message is returned to its queue as a copy that counts the attempts, and not for ever.
-func TestRejectedMessageIsReturnedBoundedly(t *testing.T) {
+// A rejected message is returned to its queue as a copy with a count of returns, and dead-lettered at the limit.
+func TestRejectedMessageIsReturnedUpToLimit(t *testing.T) {
 	e := startAMQP(t, amqpOptions{amqp: `returns="2"`, change: func(config map[string]any) {
 		d := testutil.SettingsSection(config, "domain")
-		d["ram_kb"], d["entry_kb"] = 50, 100 // no idempotency entry fits
+		d["ram_kb"], d["entry_kb"] = 50, 100 // too little memory for any key entry
 	}})
 	e.publish("excursion", "k1", "a")
 	e.expectDeadLetter("k1", "turned back 3 times")
 	if n := e.broker.EventCount("requeued"); n != 0 {
-		t.Errorf("%d requeued as redelivered: another instance would assume that they ran", n)
+		t.Errorf("%d requeued as redelivered, want 0: another instance would assume that they have run", n)
 	}
 	e.expectNoEarlierStart(1)
 }
--- a/cmd/thymechute/amqp_tls_test.go
+++ b/cmd/thymechute/amqp_tls_test.go
@@ -41,7 +41,7 @@
 	return tls.Certificate{Certificate: [][]byte{der}, PrivateKey: key}
 }
 
-// startTLSProxy forwards TLS connections to a plain address until the test ends, and returns its own address.
+// startTLSProxy forwards TLS connections to a destination without TLS until the test ends, and returns its own address.
 func startTLSProxy(t *testing.T, certificate tls.Certificate, destination string) (address string) {
 	t.Helper()
 	listener, err := tls.Listen("tcp", "127.0.0.1:0", &tls.Config{Certificates: []tls.Certificate{certificate}})
@@ -75,9 +75,9 @@
 const tlsOperatorFileFormat = `<thymechute xmlns="urn:thymechute:operator:1"><amqp><broker address="%s"/><login file="%s"/>` +
 	`<tls ca="%s" name="%s"/><queue name="readings" dead-letter="given-up"/></amqp></thymechute>`
 
-// The program connects to a broker behind TLS, with a login of its own. A certificate for another name is rejected.
+// The program connects to a broker over TLS with configured credentials, and rejects a certificate for another name.
 func TestBrokerBehindTLS(t *testing.T) {
-	e := startAMQP(t, amqpOptions{}) // its plain connection goes first
+	e := startAMQP(t, amqpOptions{}) // connects without TLS first
 	e.Program.Terminate()
 	e.Program.AwaitExit()
 	certificate := newCertificate(t, "broker")
--- a/cmd/thymechute/command.go
+++ b/cmd/thymechute/command.go
@@ -11,11 +11,11 @@
 	"thymechute/internal/config"
 )
 
-const configVariable = "GW_CONFIG" // names the configuration file
+const configVariable = "GW_CONFIG" // environment variable with the path of the configuration file
 
 var errNothingToCheck = errors.New("check: found nothing, expected --settings or GW_CONFIG")
 
-// newCommand returns the root command, which serves if no sub-command is given.
+// newCommand returns the root command. Without a sub-command it does what serve does.
 func newCommand(signals <-chan os.Signal) *cobra.Command {
 	var operatorFile string
 	serve := func(*cobra.Command, []string) error { return loadAndServe(operatorFile, signals) }
@@ -23,8 +23,8 @@
 		Use:   "thymechute",
 		Short: "One service instance with its overload controller",
 		Long: "thymechute is one service instance: it serves requests, and rejects them at admission while their queueing\n" +
-			"delay is over a threshold. Without a sub-command it serves. The platform configures it by the variables\n" +
-			"GW_CONFIG, GW_NAME and GW_LISTEN, the operator of another installation by --settings.",
+			"delay exceeds a threshold. Without a sub-command it serves. The platform sets the environment variables\n" +
+			"GW_CONFIG, GW_NAME and GW_LISTEN; operators of other installations also pass --settings.",
 		Args:              expectNoArgs,
 		RunE:              serve,
 		SilenceErrors:     true,
@@ -32,7 +32,7 @@
 		CompletionOptions: cobra.CompletionOptions{HiddenDefaultCmd: true},
 	}
 	root.PersistentFlags().StringVar(&operatorFile, "settings", "",
-		"the operator's file, XML by deploy/thymechute.xsd; without it all in it is off")
+		"the operator's settings file (XML, schema deploy/thymechute.xsd); without it its features are disabled")
 	root.SetFlagErrorFunc(func(_ *cobra.Command, err error) error { return &configurationError{err} })
 	root.AddCommand(newServeCommand(serve), newCheckCommand(&operatorFile), newVersionCommand())
 	return root
@@ -43,16 +43,16 @@
 		return nil
 	}
 	return &configurationError{
-		fmt.Errorf("found %q, expected a sub-command or none: %s --help lists them", args[0], c.CommandPath())}
+		fmt.Errorf("found %q, expected a sub-command or no argument: %s --help lists the sub-commands", args[0], c.CommandPath())}
 }
 
 func newServeCommand(serve func(*cobra.Command, []string) error) *cobra.Command {
 	return &cobra.Command{
 		Use:   "serve",
 		Short: "Serve until SIGTERM",
-		Long: "Serves in the foreground and logs to standard error. SIGTERM starts a graceful shutdown, SIGHUP reads\n" +
-			"GW_CONFIG again. Exits with 0 after a shutdown, 1 if the address can't be listened on, 2 if the\n" +
-			"configuration is invalid.",
+		Long: "Serves in the foreground and logs to standard error. SIGTERM starts a graceful shutdown, SIGHUP reloads the\n" +
+			"file that GW_CONFIG names. Exits with 0 after a shutdown, 1 if the program cannot listen on its address, 2 if\n" +
+			"the configuration is invalid.",
 		Args: expectNoArgs,
 		RunE: serve,
 	}
@@ -62,8 +62,8 @@
 	return &cobra.Command{
 		Use:   "check",
 		Short: "Validate the configuration of serve without starting",
-		Long: "Reads the file of --settings with all files it names, and GW_CONFIG where that is set. Prints ok and exits\n" +
-			"with 0, or prints one line (what, where, found, expected) and exits with 2.",
+		Long: "Reads the file of --settings and all files that it names, and the file of GW_CONFIG if that is set. Prints ok\n" +
+			"and exits with 0, or prints one line (what, where, found, expected) and exits with 2.",
 		Args: expectNoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
 			if err := checkConfiguration(*operatorFile); err != nil {
@@ -101,7 +101,7 @@
 	}
 }
 
-// version returns the module's version, the commit if known, and the Go version.
+// version returns the version of the module, the commit if it is known, and the version of Go.
 func version() string {
 	info, ok := debug.ReadBuildInfo()
 	if !ok {
--- a/cmd/thymechute/command_test.go
+++ b/cmd/thymechute/command_test.go
@@ -19,7 +19,7 @@
 	env := testutil.NewEnvironment(t, nil)
 	env.Program = testutil.StartProgramWith(t, env.Config, testutil.ProgramOptions{Log: log})
 	env.Runtime.AcceptSync(0, "new", 0)
-	env.Runtime.Disconnect() // this and the sync log a line each
+	env.Runtime.Disconnect() // this and the next sync log one line each
 	env.Runtime.AcceptSync(0, "new", 50)
 	stub := env.Connect()
 	stub.SendRequest(1, "trace", "aa01", body, "")
@@ -60,7 +60,7 @@
 			code = e.ExitCode()
 		}
 		if code != c.code || !strings.Contains(string(out), c.output) || code == 2 && strings.Count(string(out), "\n") != 1 {
-			t.Errorf("%s: exit code %d, %q", c.args, code, out)
+			t.Errorf("%s: got exit code %d, output %q", c.args, code, out)
 		}
 	}
 }
--- a/cmd/thymechute/connections_test.go
+++ b/cmd/thymechute/connections_test.go
@@ -19,7 +19,7 @@
 	env.Runtime.ExpectCommand("start")
 	params := fmt.Sprintf(`"params":{"rid":"aa01","t0":%d,"peer":1,"acct":"acme","mem":10,"prio":0.5,"doc":"AA=="`, time.Now().UnixMilli())
 	ask := `{"jsonrpc":"2.0","id":1,"method":"trace",` + params + `}}`
-	for line, code := range map[string]int{ // answered by ID: the connection stays open, unless it sends too many
+	for line, code := range map[string]int{ // answered by ID: the connection stays open, up to a number of errors
 		ask[:len(ask)/2]: -32700,
 		strings.Replace(ask, "trace", "nothing", 1):                -32601,
 		strings.Replace(ask, "acme", "who", 1):                     -32602,
@@ -39,7 +39,7 @@
 		if r, closed := stub.Receive(); closed || r.Code() != code {
 			t.Errorf("%s: got %+v (closed %v), want %d", line, r, closed, code)
 		}
-		stub.SendRequest(9, "excursion", "aa09", "another body", `,"token":"5c0f"`) // never gets another's result
+		stub.SendRequest(9, "excursion", "aa09", "another body", `,"token":"5c0f"`) // another body: gets no result
 		stub.ExpectResponse(9, -32000, "")
 	}
 	for _, line := range []string{
@@ -53,9 +53,9 @@
 	}
 	expectDuplicateIDsRejected(t, env)
 	stub := env.Connect()
-	stub.SendLine("%s", strings.Repeat("x", 10000)) // longer than a line may be
+	stub.SendLine("%s", strings.Repeat("x", 10000)) // longer than the maximum line
 	if _, closed := stub.Receive(); !closed {
-		t.Error("the connection stays open after an endless line")
+		t.Error("the connection stays open after a line that is too long")
 	}
 	env.Runtime.SendEnd(3, "cc01", "good", "\x00")
 	other.ExpectResponse(1, 0, "\x00")
@@ -63,7 +63,7 @@
 	env.Runtime.AwaitCommand("start", "aa06")
 }
 
-// expectErrorsAndClose fails the test unless the program answers the line on a new connection with errors alone, if at all, and
+// expectErrorsAndClose sends the line on a new connection. It fails the test unless the program sends nothing but errors and
 // closes the connection.
 func expectErrorsAndClose(t *testing.T, env *testutil.Environment, line string) {
 	t.Helper()
@@ -80,8 +80,8 @@
 	}
 }
 
-// expectDuplicateIDsRejected sends two requests with one request ID, and two messages with one message ID. The ends of the runs
-// are the notices 1 and 2.
+// expectDuplicateIDsRejected sends two requests with the same request ID, and two messages with the same JSON-RPC ID. The ends of
+// the runs are the runtime's notices 1 and 2.
 func expectDuplicateIDsRejected(t *testing.T, env *testutil.Environment) {
 	t.Helper()
 	stub := env.Connect()
@@ -93,12 +93,12 @@
 	stub.ExpectResponse(2, 0, result)
 	stub.SendRequest(4, "trace", "aa04", body, "")
 	env.Runtime.ExpectCommand("start")
-	stub.SendRequest(4, "trace", "aa05", body, "") // its ID is in use: only this connection closes, after the response to the first
-	stub.SendRequest(5, "trace", "aa05", body, "") // is sent after the close: discarded
+	stub.SendRequest(4, "trace", "aa05", body, "") // its ID is in use: the connection closes after the response to the first
+	stub.SendRequest(5, "trace", "aa05", body, "") // comes after the error: discarded
 	env.Runtime.SendEnd(2, "aa04", "good", result)
 	stub.ExpectResponse(4, 0, result)
 	if _, closed := stub.Receive(); !closed {
-		t.Error("the connection stays open after two requests under one id")
+		t.Error("the connection stays open after two requests with the same ID")
 	}
 }
 
@@ -123,7 +123,7 @@
 	env := testutil.StartEnvironment(t, nil)
 	stub := env.Connect()
 	other := env.Connect()
-	go func() { // until the program closes this connection over its unread responses
+	go func() { // until the program closes this connection because of its unread responses
 		for {
 			if _, err := stub.Conn.Write([]byte(strings.Repeat(`{"jsonrpc":"2.0","id":1,"method":"check"}`+"\n", 1000))); err != nil {
 				return
@@ -139,8 +139,8 @@
 	}
 }
 
-// A caller may announce that it is gone by a notification, which has no ID: that is no protocol error, and the other requests of
-// its connection get their responses.
+// A notification, by which a caller may say that it has gone, has no ID. That is no protocol error, and the other requests of the
+// connection are answered.
 func TestNotificationsAreIgnored(t *testing.T) {
 	env := testutil.StartEnvironment(t, nil)
 	stub := env.Connect()
@@ -148,7 +148,7 @@
 	env.Runtime.ExpectCommand("start")
 	stub.SendLine(`{"jsonrpc":"2.0","method":"interrupt","params":{"id":7}}`)
 	stub.SendLine(`{"jsonrpc":"2.0","method":"progress"}`)
-	stub.SendRequest(2, "trace", "aa02", body, "") // proves that the notifications were received and the connection is open
+	stub.SendRequest(2, "trace", "aa02", body, "") // shows that the notifications were received and the connection is open
 	env.Runtime.ExpectCommand("start")
 	env.Runtime.SendEnd(1, "aa01", "good", result)
 	stub.ExpectResponse(1, 0, result)
@@ -156,8 +156,8 @@
 	stub.ExpectResponse(2, 0, result)
 }
 
-// A protocol error that can't be answered by ID closes the connection, but not before its pending requests have their responses;
-// requests after the error are not run.
+// A protocol error without an ID to respond to closes the connection after the responses to its pending requests. Requests after
+// the error are not run.
 func TestProtocolErrorWithoutIDClosesAfterPendingResponses(t *testing.T) {
 	env := testutil.StartEnvironment(t, nil)
 	for n, invalid := range []string{`{"jsonrpc":"2.0","method":`, `{"jsonrpc":"2.0","method":"trace","params":{}}`, `{"jsonrpc":"2.0","method":"check"}`,
@@ -174,7 +174,7 @@
 			t.Errorf("after %.30s %s was started", invalid, task)
 		}
 		env.Runtime.SendEnd(2*n+1, rid, "good", result)
-		if r, closed := stub.Receive(); !closed && r.ID == nil { // the response to the error, without ID
+		if r, closed := stub.Receive(); !closed && r.ID == nil { // the response to the error has no ID
 			stub.ExpectResponse(1, 0, result)
 		} else if closed || r.ID != 1.0 || r.Doc() != result {
 			t.Fatalf("after %.30s got %+v, closed %v", invalid, r, closed)
@@ -185,8 +185,8 @@
 	}
 }
 
-// A partial line that is never completed closes the connection; its pending request is answered first, and the rest of the line
-// comes too late to be run.
+// A partial line that is not completed in time closes the connection after the response to its pending request. The rest of the
+// line, if it arrives later, is not run.
 func TestPartialLineClosesAfterPendingResponses(t *testing.T) {
 	env := testutil.StartEnvironment(t, nil)
 	stub := env.Connect()
@@ -196,7 +196,7 @@
 	if _, err := stub.Conn.Write([]byte(line[:40])); err != nil {
 		t.Fatal(err)
 	}
-	silent := env.Connect() // sent nothing either: its close shows that the timeout is over
+	silent := env.Connect() // sends nothing: its close shows that the timeout has passed
 	silent.ExpectClosing()
 	silent.ExpectEnd()
 	if _, err := stub.Conn.Write([]byte(line[40:])); err != nil {
@@ -209,11 +209,12 @@
 	other := env.Connect()
 	other.SendRequest(1, "trace", "bb01", body, "")
 	if task, _ := env.Runtime.ExpectCommand("start"); task != "bb01" {
-		t.Errorf("%s was started", task)
+		t.Errorf("task %s was started, want bb01", task)
 	}
 }
 
-// A line that takes long to arrive gets a closing notification, and is served if its rest crosses that.
+// A connection with a line that arrives slowly gets a closing notification. The request is served if the rest of the line
+// crosses the notification.
 func TestSlowRequestCrossingClosingIsServed(t *testing.T) {
 	env := testutil.StartEnvironment(t, nil)
 	stub := env.Connect()
@@ -232,10 +233,10 @@
 	stub.ExpectEnd()
 }
 
-// At the limit the least needed connection is evicted; a request that crosses its closing notification is served.
+// At the connection limit an idle connection is evicted. A request that crosses its closing notification is served.
 func TestRequestCrossingEvictionIsServed(t *testing.T) {
 	env := testutil.StartEnvironment(t, func(config map[string]any) { config["limits"].(map[string]any)["sockets"] = 64 })
-	const maxConns = (64 - reservedDescriptors) / 8 * stubDescriptorParts
+	const maxConns = (64 - reservedDescriptors) / 8 * stubDescriptorShares
 	var stubs []*testutil.Stub
 	for range maxConns {
 		stub := env.Connect()
@@ -243,7 +244,7 @@
 		stub.Receive()
 		stubs = append(stubs, stub)
 	}
-	late := env.Connect() // replaces the first
+	late := env.Connect() // evicts the first
 	stub := stubs[0]
 	stub.ExpectClosing()
 	stub.SendRequest(2, "seal", "aa01", body, "")
@@ -257,10 +258,10 @@
 	}
 }
 
-// An idle connection gets a closing notification first; a request that crosses it is served.
+// An idle connection gets a closing notification before it is closed. A request that crosses the notification is served.
 func TestRequestCrossingIdleCloseIsServed(t *testing.T) {
 	env := testutil.StartEnvironment(t, func(config map[string]any) {
-		testutil.SettingsSection(config, "domain")["caller_idle_s"] = 4 // the timeout starts at a tenth of it
+		testutil.SettingsSection(config, "domain")["caller_idle_s"] = 4 // the idle timeout starts at a tenth of this
 	})
 	stub := env.Connect()
 	stub.SendHealthCheck(1)
@@ -273,7 +274,7 @@
 	stub.ExpectEnd()
 }
 
-// The descriptors of a flood of connections are released.
+// The file descriptors of many short connections are released, whichever side closes them and however.
 func TestDescriptorsAreReleased(t *testing.T) {
 	env := testutil.StartEnvironment(t, nil)
 	count := func() int {
@@ -295,14 +296,14 @@
 		if n%3 == 0 {
 			_ = c.Conn.(*net.TCPConn).SetLinger(0)
 		}
-		if n%3 != 1 { // these send nothing, and are closed by the program
+		if n%3 != 1 { // the others send nothing, and the program closes them
 			c.Conn.Close()
 		}
 	}
 	testutil.Eventually(t, "the descriptors are released", func() bool { return count() <= before })
 }
 
-// A flood by one caller affects that caller alone.
+// A flood of requests by one caller affects only that caller.
 func TestFloodAffectsOnlyItsSender(t *testing.T) {
 	env := testutil.StartEnvironment(t, nil)
 	flood := bytes.Repeat([]byte(`{"jsonrpc":"2.0","method":"note"}`+"\n"+`{"jsonrpc":"2.0","id":1,"method":"check"}`+"\n"), 500)
@@ -311,14 +312,14 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		go func() { // reads nothing, until its connection is closed over that or the test ends
+		go func() { // reads nothing; ends when the program or the test closes the connection
 			for err := error(nil); err == nil; {
 				_, err = c.Write(flood)
 			}
 		}()
 		t.Cleanup(func() { c.Close() })
 	}
-	full := env.Connect() // one caller with 32 pending requests
+	full := env.Connect() // a caller with 32 pending requests, which is the limit
 	for id := 1; id <= 33; id++ {
 		full.SendRequest(id, "seal", fmt.Sprintf("ff%d", id), "x", "")
 	}
--- a/cmd/thymechute/consensus.go
+++ b/cmd/thymechute/consensus.go
@@ -16,30 +16,33 @@
 )
 
 const (
-	maxClockDrift   = 0.01
-	bootstrapWindow = time.Minute            // before and after the configured time, in which a start bootstraps the log
-	bootstrapDelay  = 2 * time.Second        // after joining the fleet, for a member with a log to appear in the view
-	publishInterval = 250 * time.Millisecond // of the applied index, in the membership record
-	maxPublishLag   = 16                     // entries applied since the last publication; a follower up to 64 behind counts as caught up
+	maxClockDrift   = 0.01                   // relative error of a clock's rate up to which leases exclude each other
+	bootstrapWindow = time.Minute            // a start up to this long before or after the configured time bootstraps the log
+	bootstrapDelay  = 2 * time.Second        // from the start until the bootstrap, for members that have a log to appear in the view
+	publishInterval = 250 * time.Millisecond // of the applied index in the membership record
+
+	// maxPublishLag is the number of entries applied since the last publication at which the index is published again. The leader
+	// regards a follower up to 64 entries behind as caught up, so that this lag does not matter.
+	maxPublishLag = 16
 )
 
-// duties are the names of the leases that the log grants. They must be the same in all members. A member's position among the
-// claimants of each lease is one after its position for the lease before, so that different members acquire them.
+// duties are the names of the leases that the log grants, which must be the same in all members. A member's claim position for
+// each duty is one after its position for the previous duty, so that different members acquire the leases.
 var duties = []string{"ring", "roll"}
 
-// consensusNode is this process's replica of the fleet's log, which runs if the operator's file has the element log in
-// fleet. It logs changes of the leader, the voters and the leases, and updates the fields of the membership record that describe
-// this replica.
+// consensusNode is this process's replica of the fleet's replicated log. It runs if the element fleet of the operator's settings
+// has an element log. It logs changes of the leader, the voters and the leases, and updates the fields of the membership record
+// that describe the replica.
 type consensusNode struct {
 	log         *zap.Logger
 	member      *membership.Member
 	process     string
 	driver      atomic.Pointer[consensus.Driver]
-	bootstrapAt time.Time // zero: never
-	leader      string    // last logged; owned by fleet.maintainRecord
+	bootstrapAt time.Time // zero: this process does not bootstrap the log
+	leader      string    // as last logged; owned by fleet.maintainRecord
 }
 
-// newConsensusNode prepares a replica: the membership record names this process and its log's address.
+// newConsensusNode returns a replica that is not started, and sets the process and the log's address in the membership record.
 func newConsensusNode(settings *operator.Log, record *membership.Record, name string, log *zap.Logger) *consensusNode {
 	c := &consensusNode{log: log, process: fmt.Sprintf("%s#%x", name, record.Epoch)}
 	record.Process = c.process
@@ -54,7 +57,7 @@
 	return c
 }
 
-// start starts the replica. Errors: an address that cannot be bound or resolved.
+// start starts the replica. It fails if an address cannot be bound or resolved.
 func (c *consensusNode) start(settings *operator.Log, m *membership.Member, incarnation uint64) error {
 	c.member = m
 	duration := time.Duration(settings.LeaseDurationMS) * time.Millisecond
@@ -78,13 +81,14 @@
 	return nil
 }
 
-// send sends a message to the member that is a process.
+// send sends a message to the member that runs as the process.
 func (c *consensusNode) send(process string, message []byte) error {
 	name := process[:strings.LastIndexByte(process, '#')]
 	return c.member.Send(name, message)
 }
 
-// receive handles another member's message, on memberlist's goroutine. It is safe on nil and before start.
+// receive handles a message from another member. It runs on a goroutine of memberlist, and ignores messages on a nil receiver
+// and before start.
 func (c *consensusNode) receive(message []byte) {
 	if c == nil {
 		return
@@ -94,7 +98,7 @@
 	}
 }
 
-// peers returns the membership view.
+// peers returns the members in the view, in the form that package consensus takes.
 func (c *consensusNode) peers() (peers []consensus.Peer) {
 	for _, r := range c.member.View() {
 		peers = append(peers, consensus.Peer{
@@ -109,7 +113,7 @@
 	return peers
 }
 
-// logVoterChange logs a change of the voters, or that none can be made because the quorum is lost. The leader alone calls it.
+// logVoterChange logs a change of the voters, or that the lost quorum prevents any change. It is called only at the leader.
 func (c *consensusNode) logVoterChange(change quorum.Change) {
 	process := zap.String("process", change.Process)
 	reason := zap.String("reason", change.Reason)
@@ -127,8 +131,8 @@
 	}
 }
 
-// refresh bootstraps the log when that is due, logs changes of the leader, and updates the applied index in the membership
-// record. It reports whether the record changed.
+// refresh bootstraps the log when that is due, logs a change of the leader, and updates the applied index in the membership
+// record. It reports whether the record was changed.
 func (c *consensusNode) refresh(record *membership.Record) (isChanged bool) {
 	driver := c.driver.Load()
 	if !c.bootstrapAt.IsZero() && time.Now().After(c.bootstrapAt) {
@@ -156,7 +160,7 @@
 	c.log.Info("fleet log: leader", zap.String("process", c.leader))
 }
 
-// bootstrap starts a new log with this process, unless another member has one.
+// bootstrap creates the log with this process as its only voter, unless another member has a log.
 func (c *consensusNode) bootstrap(driver *consensus.Driver) {
 	for _, r := range c.member.View() {
 		if r.AppliedIndex > 0 && r.Process != c.process {
@@ -171,7 +175,7 @@
 	c.log.Info("fleet log: bootstrapped", zap.String("process", c.process))
 }
 
-// setClaimPosition sets this member's position as a claimant, by its rank in the fleet.
+// setClaimPosition sets this member's claim position for each duty, which follows from its rank in the fleet.
 func (c *consensusNode) setClaimPosition(rank int) {
 	for n, duty := range duties {
 		c.driver.Load().SetClaimPosition(duty, rank+n)
--- a/cmd/thymechute/consensus_test.go
+++ b/cmd/thymechute/consensus_test.go
@@ -14,14 +14,14 @@
 	"thymechute/internal/testutil"
 )
 
-// logFleet is several programs with a replicated log, behind the fault network.
+// logFleet is several programs with a replicated log, connected through the fault network.
 type logFleet struct {
 	t            *testing.T
 	net          *faultnet.Network
 	names        []string
 	environments map[string]*testutil.Environment
-	settings     map[string]string
-	earlierLogs  map[string]string // of the processes before this one under the name
+	settings     map[string]string // by member: the path of its settings file
+	earlierLogs  map[string]string // by member: the logs of its earlier processes
 }
 
 // location is the zone and region of a member, as attributes of the element fleet.
@@ -34,7 +34,7 @@
 	return fmt.Sprintf("zone=%q region=%q", l.zone, l.region)
 }
 
-// startLogFleet starts one at each location; the first bootstraps the log.
+// startLogFleet starts one member for each location; the first member bootstraps the log.
 func startLogFleet(t *testing.T, subnet int, locations []location) *logFleet {
 	f := &logFleet{
 		t:            t,
@@ -58,7 +58,7 @@
 		a := all[n]
 		seed := all[0]
 		bootstrap := ""
-		if n == 0 { // its seed is for when it starts again
+		if n == 0 { // it has a seed for when it is restarted
 			seed = all[1]
 			bootstrap = ` found="` + time.Now().Format(time.RFC3339) + `"`
 		}
@@ -69,24 +69,24 @@
 		if err := os.WriteFile(f.settings[name], []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
-		f.environments[name] = testutil.NewEnvironment(t, func(given map[string]any) { given["name"] = name })
+		f.environments[name] = testutil.NewEnvironment(t, func(config map[string]any) { config["name"] = name })
 		f.start(name)
 	}
 	return f
 }
 
-// start starts a member without state, with the file it had.
+// start starts a member with its settings file; it has no state of earlier processes.
 func (f *logFleet) start(name string) {
-	w := f.environments[name]
-	if w.Program != nil {
-		f.earlierLogs[name] += w.Program.Log()
+	env := f.environments[name]
+	if env.Program != nil {
+		f.earlierLogs[name] += env.Program.Log()
 	}
-	w.Program = testutil.StartProgramWith(f.t, w.Config, testutil.ProgramOptions{Args: []string{"--settings", f.settings[name]}})
+	env.Program = testutil.StartProgramWith(f.t, env.Config, testutil.ProgramOptions{Args: []string{"--settings", f.settings[name]}})
 }
 
 func (f *logFleet) log(name string) string { return f.environments[name].Program.Log() }
 
-// logLine is a line of a program's log.
+// logLine is a line of a member's log, with the fields that the tests use.
 type logLine struct {
 	name, message string
 	at            time.Time
@@ -99,23 +99,24 @@
 
 var leaderPattern = regexp.MustCompile(`fleet log: (?:no leader|leader\t\{"process": "([^"]*)")`)
 
-// lines returns those of all programs whose message begins so, each program's in its order.
-func (f *logFleet) lines(message string) (out []logLine) {
+// lines returns the lines of all members whose message starts with "fleet log: " and the given prefix. The lines of each member
+// are in order.
+func (f *logFleet) lines(prefix string) (matching []logLine) {
 	for _, name := range f.names {
 		for _, m := range logLinePattern.FindAllStringSubmatch(f.earlierLogs[name]+f.log(name), -1) {
-			if !strings.HasPrefix(m[3], "fleet log: "+message) {
+			if !strings.HasPrefix(m[3], "fleet log: "+prefix) {
 				continue
 			}
 			l := logLine{name: name, message: m[3]}
 			l.at, _ = time.Parse("2006-01-02T15:04:05.000Z", m[1])
 			_ = json.Unmarshal([]byte(m[4]), &l)
-			out = append(out, l)
+			matching = append(matching, l)
 		}
 	}
-	return out
+	return matching
 }
 
-// holder returns the line with the highest token of a duty.
+// holder returns the line about the lease with the highest token for a duty.
 func (f *logFleet) holder(duty string) (highest logLine) {
 	for _, l := range f.lines("lease acquired") {
 		if l.Duty == duty && l.Token > highest.Token {
@@ -128,26 +129,26 @@
 func (f *logFleet) eventually(what string, holds func() bool) {
 	f.t.Helper()
 	testutil.Eventually(f.t, what, func() bool {
-		time.Sleep(20 * time.Millisecond) // logs grow, and are read whole
+		time.Sleep(20 * time.Millisecond) // the condition reads the complete logs, which grow
 		return holds()
 	})
 }
 
-// nextHolder waits for a holder of the duty after the one of that line.
+// nextHolder waits for a holder of the duty with a higher token than in the line last.
 func (f *logFleet) nextHolder(duty string, last logLine) logLine {
 	f.t.Helper()
 	f.eventually("a new holder of "+duty, func() bool { return f.holder(duty).Token > last.Token })
 	return f.holder(duty)
 }
 
-// voterCount returns the number of voters, by the leaders' lines.
+// voterCount returns the number of voters according to the lines of the leaders.
 func (f *logFleet) voterCount() int {
 	added := len(f.lines("bootstrapped")) + len(f.lines("voter added"))
 	return added - len(f.lines("server removed"))
 }
 
-// Five real programs agree on one holder per duty: through a kill, a partition, a drain and a restart of the bootstrapping
-// member with its old file, which must not bootstrap a second log.
+// Five programs agree on one holder per duty, through a kill, a partition, a drain, and a restart of the bootstrapping member,
+// which must not bootstrap a second log although its settings file is unchanged.
 func TestProgramsAgreeOnOneHolder(t *testing.T) {
 	f := startLogFleet(t, 70, []location{{zone: "z0"}, {zone: "z1"}, {zone: "z0"}, {zone: "z1"}, {zone: "z0"}})
 	ring := f.nextHolder("ring", logLine{})
@@ -159,7 +160,7 @@
 	killed := ring.name
 	ring = f.nextHolder("ring", ring)
 	f.start(killed)
-	f.eventually("its next incarnation votes in place of the dead one", func() bool {
+	f.eventually("the restarted process votes in place of the killed one", func() bool {
 		return f.voterCount() == 5 && strings.Count(f.log(killed), "fleet log: leader") > 0
 	})
 
@@ -169,15 +170,15 @@
 	next := f.nextHolder("ring", ring)
 	lost := f.lostAt(isolated, "ring")
 	if lost.IsZero() || lost.After(next.at) {
-		t.Errorf("%s was isolated and lost the lease at %v, and %s had it from %v", isolated, lost, next.name, next.at)
+		t.Errorf("isolated member %s lost the lease at %v, want before %s acquired it at %v", isolated, lost, next.name, next.at)
 	}
 	f.net.Heal()
-	f.eventually("the one cut off has a leader again", func() bool {
+	f.eventually("the isolated member has a leader again", func() bool {
 		log := f.log(isolated)
 		return strings.LastIndex(log, "fleet log: leader") > strings.LastIndex(log, "fleet log: no leader")
 	})
 
-	for _, name := range []string{f.holder("ring").name, "m0"} { // a holder that drains, and the bootstrapping member, which restarts
+	for _, name := range []string{f.holder("ring").name, "m0"} { // restart a lease holder, and the bootstrapping member
 		f.restart(name)
 		f.eventually(name+" follows again", func() bool { return strings.Contains(f.log(name), "fleet log: leader") })
 	}
@@ -195,7 +196,7 @@
 	f.expectOneHolderPerToken()
 }
 
-// lostAt returns the time at which the member last logged the loss of the lease; zero: never.
+// lostAt returns the time at which the member last logged the loss of the lease; zero if it never did.
 func (f *logFleet) lostAt(name, duty string) (lost time.Time) {
 	for _, l := range f.lines("lease lost") {
 		if l.name == name && l.Duty == duty {
@@ -211,15 +212,15 @@
 	p := f.environments[name].Program
 	p.Terminate()
 	if code := p.AwaitExit(); code != 0 {
-		f.t.Errorf("%s: exit code %d", name, code)
+		f.t.Errorf("member %s: exit code %d, want 0", name, code)
 	}
 	if !strings.Contains(p.Log(), "fleet left") {
-		f.t.Errorf("%s did not leave", name)
+		f.t.Errorf("%s did not leave the fleet", name)
 	}
 	f.start(name)
 }
 
-// expectOneHolderPerToken fails the test if two members acquired a lease under the same token.
+// expectOneHolderPerToken fails the test if two members acquired the lease of a duty with the same token.
 func (f *logFleet) expectOneHolderPerToken() {
 	f.t.Helper()
 	type grant struct {
@@ -230,13 +231,13 @@
 	for _, l := range f.lines("lease acquired") {
 		acquired := grant{l.Duty, l.Token}
 		if other, ok := holders[acquired]; ok && other != l.name {
-			f.t.Errorf("%s and %s both acquired %+v", other, l.name, acquired)
+			f.t.Errorf("both %s and %s acquired the lease %+v", other, l.name, acquired)
 		}
 		holders[acquired] = l.name
 	}
 }
 
-// voters returns the processes that vote, by the leaders' last line of each.
+// voters returns the processes that vote, according to the last line of a leader about each process.
 func (f *logFleet) voters() (processes []string) {
 	last := map[string]logLine{}
 	for _, l := range append(append(f.lines("bootstrapped"), f.lines("voter added")...), f.lines("server removed")...) {
@@ -252,13 +253,13 @@
 	return processes
 }
 
-// Seven real programs in three regions, by the attribute region of their files: the regions have two, two and one of the five
-// voters, though the first region's four members are in the most zones; so the log outlives the loss of that region.
+// Seven programs are in three regions. The regions have two, two and one of the five voters, although the four members of the
+// first region are in the most zones. The log therefore survives the loss of the first region.
 func TestLostRegionLeavesHolders(t *testing.T) {
 	f := startLogFleet(t, 72, []location{{"z1", "a"}, {"z2", "a"}, {"z3", "a"}, {"z4", "a"}, {"z0", "b"}, {"z0", "b"}, {"z0", "c"}})
 	region := func(process string) string {
 		name, _, _ := strings.Cut(process, "#")
-		return map[string]string{"m4": "b", "m5": "b", "m6": "c"}[name] // "": the first
+		return map[string]string{"m4": "b", "m5": "b", "m6": "c"}[name] // "": region a
 	}
 	f.eventually("two voters in each of two regions and one in the third", func() bool {
 		count := map[string]int{}
@@ -271,7 +272,7 @@
 		f.environments[name].Program.Cmd.Process.Kill()
 		f.environments[name].Program.AwaitExit()
 	}
-	f.eventually("all that are left have a leader among them", func() bool {
+	f.eventually("all remaining members have a leader among them", func() bool {
 		for _, name := range f.names[4:] {
 			leaders := leaderPattern.FindAllStringSubmatch(f.log(name), -1)
 			if len(leaders) == 0 || region(leaders[len(leaders)-1][1]) == "" {
@@ -280,7 +281,7 @@
 		}
 		return true
 	})
-	f.eventually("both duties are held by members that are left", func() bool {
+	f.eventually("both duties are held by remaining members", func() bool {
 		return region(f.holder("ring").name) != "" && region(f.holder("roll").name) != ""
 	})
 }
--- a/cmd/thymechute/descriptors_test.go
+++ b/cmd/thymechute/descriptors_test.go
@@ -15,12 +15,12 @@
 	socketLimit            = 128
 	idleClientCount        = 4 * socketLimit
 	requestDeadlineSeconds = 2
-	// reportDeadline is the lifetime of an entry at the catalog, in which ten reports are sent.
+	// reportDeadline is the lifetime of an entry in the catalog, in which the program sends ten reports.
 	reportDeadline = 3 * time.Second
 )
 
-// openIdleConnection opens a connection that ignores closing notifications; every second one has sent a complete request, so
-// that it does not count as stalled.
+// openIdleConnection opens connection n, which ignores closing notifications. Every second connection sends a complete request
+// first, so that it does not count as stalled.
 func openIdleConnection(t *testing.T, env *testutil.Environment, n int) {
 	t.Helper()
 	c, err := net.DialTimeout("tcp", env.ListenAddress, 5*time.Second)
@@ -33,7 +33,7 @@
 	}
 }
 
-// expectServed sends a request on a new connection, which must be answered within the class's deadline.
+// expectServed sends a request on a new connection. It must be answered within the deadline of its class.
 func expectServed(t *testing.T, env *testutil.Environment, notice *int, rid string) {
 	t.Helper()
 	start := time.Now()
@@ -44,14 +44,14 @@
 	env.Runtime.SendEnd(*notice, rid, "good", result)
 	stub.ExpectResponse(1, 0, result)
 	if took := time.Since(start); took > requestDeadlineSeconds*time.Second {
-		t.Errorf("%s: answered after %v, its deadline is %d s", rid, took, requestDeadlineSeconds)
+		t.Errorf("request %s: answered after %v, want at most %d s", rid, took, requestDeadlineSeconds)
 	}
 	stub.Conn.Close()
 }
 
-// Idle clients open four times as many connections as the process may have descriptors, with the catalog down; the kernel
-// limits the process to limits.sockets. A request on a new connection is served in time, the call and the runtime link that were
-// established before go on, a new call is made, and the restarted catalog receives a report with the clients still connected.
+// Idle clients open four times as many connections as the process may have file descriptors, while the catalog is down. The
+// kernel enforces limits.sockets. Requests on new connections are still served in time, the earlier call and the runtime link
+// continue, a new call is made, and the restarted catalog receives a report while the clients are still connected.
 func TestIdleClientsExhaustDescriptorsWithCatalogDown(t *testing.T) {
 	env := testutil.NewEnvironment(t, func(config map[string]any) {
 		config["limits"].(map[string]any)["sockets"] = socketLimit
@@ -59,7 +59,7 @@
 		trace["aim_s"], trace["deadline_s"] = requestDeadlineSeconds, requestDeadlineSeconds
 	})
 	catalog := env.Catalog.LocalAddr().String()
-	env.Catalog.Close() // each report from now on fails, and its socket is replaced
+	env.Catalog.Close() // from now on each report fails and opens a new socket
 	env.Program = testutil.StartProgram(t, env.Config)
 	limit := unix.Rlimit{Cur: socketLimit, Max: socketLimit}
 	if err := unix.Prlimit(env.Program.Cmd.Process.Pid, unix.RLIMIT_NOFILE, &limit, nil); err != nil {
@@ -110,13 +110,13 @@
 	expectLimitReached(t, env)
 }
 
-// expectLimitReached fails unless the idle clients use all connections that stubs may have.
+// expectLimitReached fails the test unless the clients use all connections that stubs may have.
 func expectLimitReached(t *testing.T, env *testutil.Environment) {
 	t.Helper()
-	stubConns := stubDescriptorParts * ((socketLimit - reservedDescriptors) / 8)
+	stubConns := stubDescriptorShares * ((socketLimit - reservedDescriptors) / 8)
 	open := env.Program.OpenDescriptors()
 	t.Logf("%d of %d descriptors open", open, socketLimit)
 	if open < stubConns {
-		t.Errorf("only %d of %d descriptors are open, but stubs may have %d: the limit was not reached", open, socketLimit, stubConns)
+		t.Errorf("%d of %d descriptors are open, want at least the %d that stubs may have", open, socketLimit, stubConns)
 	}
 }
--- a/cmd/thymechute/fleet.go
+++ b/cmd/thymechute/fleet.go
@@ -13,17 +13,17 @@
 )
 
 const (
-	// minClaimInterval is the time between two evaluations of the view. A burst of changes leads to one claim, and the
-	// "fleet view" lines remain below maxAlikeLines per second, above which the log would drop the last ones of a burst.
+	// minClaimInterval is the minimum time between two evaluations of the view. A burst of changes thus leads to few claims, and
+	// there are fewer than maxLinesPerMessage "fleet view" lines per second: above that the log drops the last ones of a burst.
 	minClaimInterval = 100 * time.Millisecond
 
-	noRank               = -1          // of a member that has not claimed its rank
-	maxLeaveStep         = time.Second // for each step of leaving
-	leaveStepsBeforeStop = 3           // steps of leaving that must fit between the drain notice and the kill
+	noRank               = -1          // rank of a member that has not claimed one
+	maxLeaveTimeout      = time.Second // of each step of leaving the fleet
+	leaveStepsBeforeKill = 3           // steps of leaving that must fit in the time between SIGTERM and SIGKILL
 )
 
-// fleet is this process's membership in a fleet: the member, its record, and its replica of the fleet's log. It is nil in an
-// instance without a fleet.
+// fleet is this process's membership in a fleet: the member, its record, and its replica of the replicated log. It is nil in an
+// instance that belongs to no fleet.
 type fleet struct {
 	name      string
 	member    *membership.Member
@@ -31,17 +31,17 @@
 	view      *fleetView
 	log       *zap.Logger
 
-	record     membership.Record // owned by maintainRecord until maintained is closed
-	loggedView viewSummary       // logged last; owned by maintainRecord
-	stop       chan struct{}     // ends maintainRecord
-	maintained chan struct{}     // closed when maintainRecord has ended
+	record       membership.Record // owned by maintainRecord until maintainDone is closed
+	loggedView   viewSummary       // as last logged; owned by maintainRecord
+	stop         chan struct{}     // ends maintainRecord
+	maintainDone chan struct{}     // closed when maintainRecord has ended
 
 	leaveTimeout time.Duration // of each step of leaving
 	leaveOnce    sync.Once
 }
 
-// startFleet joins the fleet of the operator's file; it returns nil if the file has none. stopTimeout is the time from the drain
-// notice to the kill. Errors: an address can't be bound, or the settings are invalid.
+// startFleet joins the fleet that the settings describe; it returns nil if settings is nil. stopTimeout is the time from SIGTERM
+// to SIGKILL. It fails if an address cannot be bound or the settings are invalid.
 func startFleet(name string, settings *operator.Fleet, stopTimeout time.Duration, log *zap.Logger) (*fleet, error) {
 	if settings == nil {
 		return nil, nil
@@ -56,9 +56,9 @@
 			Rank:   noRank,
 			Epoch:  uint64(time.Now().UnixMilli()),
 		},
-		leaveTimeout: min(stopTimeout/leaveStepsBeforeStop, maxLeaveStep),
+		leaveTimeout: min(stopTimeout/leaveStepsBeforeKill, maxLeaveTimeout),
 		stop:         make(chan struct{}),
-		maintained:   make(chan struct{}),
+		maintainDone: make(chan struct{}),
 	}
 	if settings.Log != nil {
 		f.consensus = newConsensusNode(settings.Log, &f.record, name, log)
@@ -82,7 +82,7 @@
 	return f, nil
 }
 
-// memberConfig returns the configuration of the member from the operator's file.
+// memberConfig returns the configuration of the member according to the operator's settings.
 func (f *fleet) memberConfig(settings *operator.Fleet) membership.Config {
 	seeds := make([]string, len(settings.Seeds))
 	for n, seed := range settings.Seeds {
@@ -101,11 +101,11 @@
 	}
 }
 
-// maintainRecord runs on a goroutine of its own until the fleet is left. It claims the member's rank after changes of the view,
-// and publishes how far the replicated log has been applied. The watcher can't do this, as memberlist calls it with its lock
-// locked.
+// maintainRecord runs on a goroutine of its own until the member leaves the fleet. After changes of the view it claims the
+// member's rank, and it publishes how far the replicated log has been applied. The watcher can't do this, as memberlist holds
+// its lock while it calls the watcher.
 func (f *fleet) maintainRecord() {
-	defer close(f.maintained)
+	defer close(f.maintainDone)
 	var publish <-chan time.Time // nil, so never ready, without a replicated log
 	if f.consensus != nil {
 		ticker := time.NewTicker(publishInterval)
@@ -118,7 +118,7 @@
 			return
 		case <-publish:
 			if f.consensus.refresh(&f.record) {
-				_ = f.member.SetRecord(f.record) // if it fails, the next one publishes more
+				_ = f.member.SetRecord(f.record) // on failure the next update publishes a later index
 			}
 			continue
 		case <-f.view.changed:
@@ -132,7 +132,7 @@
 	}
 }
 
-// evaluateView claims the rank that the present view gives this member, and logs the view if it changed.
+// evaluateView claims the rank that the current view assigns to this member, and logs the view if it changed.
 func (f *fleet) evaluateView() {
 	members := f.member.View()
 	if rank, ok := assignedRank(f.name, members); ok && rank != f.record.Rank {
@@ -149,7 +149,7 @@
 		zap.String("names", summary.names))
 }
 
-// assignedRank returns the rank of a member in a view.
+// assignedRank returns the rank that a view assigns to a member; ok is false if the member is not in the view.
 func assignedRank(name string, members map[string]membership.Record) (rank int, ok bool) {
 	claims := make([]subset.Claim, 0, len(members))
 	for _, record := range members {
@@ -159,27 +159,27 @@
 	return rank, ok
 }
 
-// claimRank publishes a new rank, which also determines the member's position among the claimants of the leases.
+// claimRank publishes a new rank, which also determines the member's claim positions for the leases.
 func (f *fleet) claimRank(rank int) {
 	f.record.Rank = rank
 	if err := f.member.SetRecord(f.record); err != nil {
-		f.log.Warn("rank not claimed", zap.Error(err))
+		f.log.Warn("publishing the claimed rank failed", zap.Error(err))
 	}
 	if f.consensus != nil {
 		f.consensus.setClaimPosition(rank)
 	}
 }
 
-// leave leaves the fleet; the instance still answers the requests that it has read. With a replicated log it first transfers the
-// member's leases and its vote. Each step takes at most leaveTimeout. Later calls wait for the first one. It may be called on
-// nil, and from any goroutine.
+// leave leaves the fleet; the instance still answers the requests that it has read. With a replicated log it first releases
+// the member's leases and hands over its vote. Each step takes at most leaveTimeout. It may be called from any goroutine and on nil, and
+// more than once: later calls wait for the first one.
 func (f *fleet) leave(log *zap.Logger) {
 	if f == nil {
 		return
 	}
 	f.leaveOnce.Do(func() {
 		close(f.stop)
-		<-f.maintained
+		<-f.maintainDone
 		if f.consensus != nil {
 			f.record.Flag = membership.FlagLeaving
 			_ = f.member.SetRecord(f.record)
--- a/cmd/thymechute/fleetview.go
+++ b/cmd/thymechute/fleetview.go
@@ -12,23 +12,23 @@
 )
 
 const (
-	maxNamedRejections = 64 // rejected peers that are logged by name; the others are only counted
-	maxNamedMembers    = 64 // members that a "fleet view" line names; a larger view is only counted
+	maxLoggedRejections = 64 // rejected peers that are logged; further ones are only counted
+	maxNamedMembers     = 64 // a "fleet view" line has the names of up to this many members; of a larger view only their number
 )
 
-// fleetView is the member's Watcher: it logs changes of the view and signals them on changed. Its methods are called on
-// memberlist's goroutines, with memberlist's lock locked, so they must not call the member.
+// fleetView is the member's Watcher: it logs changes of the view and signals them on changed. memberlist calls its methods on
+// goroutines of its own while it holds its lock, so they must not call the member.
 type fleetView struct {
 	log     *zap.Logger
-	changed chan struct{} // holds one signal: changes coalesce
+	changed chan struct{} // holds one signal, so that several changes lead to one evaluation
 
-	mu         sync.Mutex
-	rejections int
-	named      map[string]bool // rejected peers that were logged; at most maxNamedRejections
+	mu          sync.Mutex
+	rejections  int
+	loggedPeers map[string]bool // rejected peers that were logged; at most maxLoggedRejections
 }
 
 func newFleetView(log *zap.Logger) *fleetView {
-	return &fleetView{log: log, changed: make(chan struct{}, 1), named: map[string]bool{}}
+	return &fleetView{log: log, changed: make(chan struct{}, 1), loggedPeers: map[string]bool{}}
 }
 
 // Joined implements membership.Watcher.
@@ -48,22 +48,22 @@
 
 // Rejected implements membership.Watcher. It logs each peer once, so that a peer that retries does not fill the log.
 func (v *fleetView) Rejected(name string, reason error) {
-	rejections, first := v.countRejection(name)
-	if first {
+	rejections, shouldLog := v.countRejection(name)
+	if shouldLog {
 		v.log.Warn("member rejected", zap.String("member", name), zap.Int("rejections", rejections), zap.Error(reason))
 	}
 }
 
-// countRejection returns the number of rejections so far, and whether this one is to be logged.
-func (v *fleetView) countRejection(name string) (rejections int, first bool) {
+// countRejection counts a rejection, and returns the number so far and whether to log this one.
+func (v *fleetView) countRejection(name string) (rejections int, shouldLog bool) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	v.rejections++
-	first = !v.named[name] && len(v.named) < maxNamedRejections
-	if first {
-		v.named[name] = true
+	shouldLog = !v.loggedPeers[name] && len(v.loggedPeers) < maxLoggedRejections
+	if shouldLog {
+		v.loggedPeers[name] = true
 	}
-	return v.rejections, first
+	return v.rejections, shouldLog
 }
 
 func (v *fleetView) signalChange() {
@@ -77,10 +77,10 @@
 type viewSummary struct {
 	rank    int
 	members int
-	names   string // sorted, separated by commas; empty for more than maxNamedMembers
+	names   string // sorted, separated by commas; empty if there are more than maxNamedMembers
 }
 
-// summarize returns the summary of a view in which this member has the rank.
+// summarize returns the summary of a view; rank is the rank of this member.
 func summarize(rank int, members map[string]membership.Record) viewSummary {
 	summary := viewSummary{rank: rank, members: len(members)}
 	if len(members) <= maxNamedMembers {
--- a/cmd/thymechute/log.go
+++ b/cmd/thymechute/log.go
@@ -10,17 +10,17 @@
 )
 
 const (
-	maxQueuedLines   = 1024                   // log lines waiting to be written; more are dropped
-	samplingInterval = time.Second            // over which maxAlikeLines counts
-	maxAlikeLines    = 20                     // lines with the same level and message per interval; more are dropped
-	logFlushTimeout  = 200 * time.Millisecond // for writing the queued lines at the end
+	maxQueuedLines     = 1024                   // log lines waiting to be written; more are dropped
+	samplingInterval   = time.Second            // period for which maxLinesPerMessage holds
+	maxLinesPerMessage = 20                     // lines with the same level and message per samplingInterval; more are dropped
+	logFlushTimeout    = 200 * time.Millisecond // for writing the queued lines when the log is closed
 )
 
-// logWriter writes log lines from a goroutine of its own, so that a reader of the log that stops reading never blocks the
-// event loop. It queues at most maxQueuedLines.
+// logWriter writes log lines on a goroutine of its own, so that the event loop does not block if nothing reads the log. It
+// queues at most maxQueuedLines.
 type logWriter struct {
 	queue chan []byte
-	done  chan struct{} // closed once all of the queue is written
+	done  chan struct{} // closed once all queued lines are written
 }
 
 func newLogWriter(destination io.Writer) *logWriter {
@@ -48,7 +48,7 @@
 	return len(line), nil
 }
 
-// close waits up to logFlushTimeout for the queued lines to be written. Nothing may be logged after it.
+// close waits up to logFlushTimeout for the queued lines to be written. Write must not be called afterwards.
 func (w *logWriter) close() {
 	close(w.queue)
 	select {
@@ -57,12 +57,12 @@
 	}
 }
 
-// newLog returns the log of the instance with that name.
+// newLog returns the log of an instance, whose name is in each line.
 func newLog(name string, destination io.Writer) *zap.Logger {
 	encoding := zap.NewProductionEncoderConfig()
 	encoding.EncodeTime = zapcore.ISO8601TimeEncoder
 	encoding.EncodeDuration = zapcore.StringDurationEncoder
 	core := zapcore.NewCore(zapcore.NewConsoleEncoder(encoding), zapcore.AddSync(destination), zap.InfoLevel)
-	sampled := zapcore.NewSamplerWithOptions(core, samplingInterval, maxAlikeLines, 0)
+	sampled := zapcore.NewSamplerWithOptions(core, samplingInterval, maxLinesPerMessage, 0)
 	return zap.New(sampled).Named(name)
 }
--- a/cmd/thymechute/log_test.go
+++ b/cmd/thymechute/log_test.go
@@ -8,9 +8,9 @@
 	"thymechute/internal/testutil"
 )
 
-// A reader that has stopped blocks neither the lines, which are dropped over the queue's bound, nor the end.
+// If nothing reads the log, neither Write nor close blocks; lines are dropped once the queue is full.
 func TestLogWriterNeverBlocks(t *testing.T) {
-	_, destination := io.Pipe() // nobody reads it
+	_, destination := io.Pipe() // nothing reads it
 	w := newLogWriter(destination)
 	done := make(chan struct{})
 	go func() {
@@ -20,9 +20,9 @@
 		}
 		w.close()
 	}()
-	testutil.Next(t, done, "the end of the log")
+	testutil.Next(t, done, "all lines written and the log closed")
 	destination.Close()
-	testutil.Next(t, w.done, "the writer's end")
+	testutil.Next(t, w.done, "the end of the writer goroutine")
 }
 
 func TestLogWriterKeepsLinesInOrder(t *testing.T) {
--- a/cmd/thymechute/peers_test.go
+++ b/cmd/thymechute/peers_test.go
@@ -18,13 +18,13 @@
 	}
 	env.Runtime.SendEnd(1, "aa1", "good", "one")
 	stub.ExpectResponse(1, 0, "one")
-	env.Runtime.Send(`{"verb":"end","index":2,"task":"aa2","out`) // broken at any byte
+	env.Runtime.Send(`{"verb":"end","index":2,"task":"aa2","out`) // truncated
 	env.Runtime.Disconnect()
-	// Runs that ended meanwhile are not started again; the one without a notice is, as its start may have been lost.
+	// Runs that ended meanwhile are not started again. The run without a notice is, as its start may have been lost.
 	env.Runtime.AcceptSync(1, "new", 50, testutil.EndLine(1, "aa1", "good", "one"), testutil.EndLine(2, "aa2", "good", "two"))
 	stub.ExpectResponse(2, 0, "two")
 	if task, _ := env.Runtime.ExpectCommand("start"); task != "aa3" {
-		t.Errorf("%s was started again", task)
+		t.Errorf("task %s was started, want aa3", task)
 	}
 	env.Runtime.SendEnd(3, "aa3", "good", "three")
 	stub.ExpectResponse(3, 0, "three")
@@ -38,8 +38,8 @@
 	env.Runtime.Disconnect()
 	env.Runtime.AcceptSync(1, "new", 50)
 	stub.SendRequest(2, "seal", "bb01", body, "")
-	if task, _ := env.Runtime.ExpectCommand("start"); task != "bb01" { // neither start nor give of the first request
-		t.Errorf("%s was started", task)
+	if task, _ := env.Runtime.ExpectCommand("start"); task != "bb01" { // neither start nor give of the first request comes before
+		t.Errorf("task %s was started, want bb01", task)
 	}
 }
 
@@ -52,7 +52,7 @@
 	env.Runtime.ExpectCommand("start")
 	env.Runtime.Disconnect()
 	env.Runtime.AcceptSync(0, "new", 0)
-	stub.ExpectResponse(1, -32000, "") // failed: it may have run
+	stub.ExpectResponse(1, -32000, "") // failed, as it may have run
 }
 
 func TestRuntimeStartsLate(t *testing.T) {
@@ -74,7 +74,7 @@
 	env := testutil.StartEnvironment(t, nil)
 	stub := env.Connect()
 	address := env.Index.Address
-	env.Index.Shutdown() // connections are refused: nothing ran
+	env.Index.Shutdown() // connections are refused, so the call has not run
 	stub.SendRequest(1, "seal", "aa01", body, "")
 	env.Runtime.ExpectCommand("start")
 	env.Runtime.SendCall(1, "aa01", "call")
@@ -83,7 +83,7 @@
 	env.Index.ExpectCall()
 	for _, word := range []string{"SHED", "NOBODY"} {
 		env.Index.Send("aa01 %s\r\n", word)
-		env.Index.Accept() // never on the same connection
+		env.Index.Accept() // each attempt on a new connection
 		if _, got := env.Index.ExpectCall(); got != "call" {
 			t.Errorf("after %s called with %q", word, got)
 		}
@@ -107,7 +107,7 @@
 	env.Runtime.ExpectCommand("start")
 	env.Runtime.Send(`{"verb":"hum"}` + "\n" + `{"verb":"end","index":1,"task":"zz","outcome":"good"}` + "\n")
 	env.Runtime.SendCall(2, "aa01", "call")
-	env.Runtime.SendCall(2, "aa01", "another") // repeated: ignored
+	env.Runtime.SendCall(2, "aa01", "another") // a repeated notice number: ignored
 	env.Index.Accept()
 	if _, got := env.Index.ExpectCall(); got != "call" {
 		t.Errorf("called with %q", got)
@@ -122,14 +122,14 @@
 	env.Runtime.ExpectCommand("start")
 }
 
-// A catalog that restarts on the same address receives the next report.
+// A catalog that is restarted on the same address receives the next report.
 func TestReportsResumeAfterCatalogRestart(t *testing.T) {
 	env := testutil.StartEnvironment(t, nil)
 	testutil.Next(t, env.CatalogReports, "a report")
 	address := env.Catalog.LocalAddr().String()
 	env.Catalog.Close()
 	stub := env.Connect()
-	for start := time.Now(); time.Since(start) < time.Second; { // three reports fail meanwhile, on a machine that is not busy
+	for start := time.Now(); time.Since(start) < time.Second; { // three reports fail meanwhile, unless the machine is busy
 		stub.SendHealthCheck(1)
 		stub.ExpectServing()
 	}
@@ -141,11 +141,11 @@
 	_ = back.SetReadDeadline(time.Now().Add(20 * time.Second))
 	report := make([]byte, 100)
 	if n, _, err := back.ReadFrom(report); err != nil || string(report[:n]) != "alive n3 passing" {
-		t.Errorf("%q, %v", report[:n], err)
+		t.Errorf("report: got %q, error %v", report[:n], err)
 	}
 }
 
-// A link that is open but silent is replaced.
+// A link that is open but silent is closed and a new one opened.
 func TestSilentRuntimeLinkIsReconnected(t *testing.T) {
 	env := testutil.StartEnvironment(t, nil)
 	stub := env.Connect()
--- a/cmd/thymechute/reload.go
+++ b/cmd/thymechute/reload.go
@@ -11,22 +11,22 @@
 	"thymechute/policy/settings"
 )
 
-// errApplyPanicked is the result of a reload whose apply panicked; the loop logs the panic itself.
-var errApplyPanicked = errors.New("settings: found a panic, expected none")
+// errApplyPanicked is the error of a reload during which apply panicked. The loop logs the panic itself.
+var errApplyPanicked = errors.New("panic while applying the new configuration")
 
-// reloader reads the configuration again and passes its difference from the settings in effect to the loop. It runs on a
-// goroutine of its own, so that a file that is large or slow to read does not block the loop. It reads the next file only
-// once the loop has applied or rejected the one before.
+// reloader reads the configuration again, and passes the difference between its settings and those in effect to the loop. It
+// runs on a goroutine of its own, so that a file that is large or slow to read does not block the loop. It starts a reload only
+// when the loop has applied or rejected the previous one.
 type reloader struct {
 	settings settings.Settings // in effect
 	version  uint64            // of settings
-	post     func(func())      // runs a function on the loop
+	post     func(func())      // runs a function on the loop, without waiting for it
 	apply    func(config.Config, settings.Delta) error
 	log      *zap.Logger
 }
 
-// run reloads at each request, until the channel is closed. A configuration that is invalid, or that apply rejects, is logged and
-// has no other effect.
+// run reloads the configuration for each request, until the channel is closed. If the configuration is invalid or apply rejects
+// it, the error is logged and the current configuration stays in effect.
 func (r *reloader) run(requests <-chan struct{}) {
 	for range requests {
 		if err := r.reload(); err != nil {
@@ -46,7 +46,7 @@
 		return err
 	}
 	withoutSettings := reloaded
-	withoutSettings.Settings = settings.Settings{} // the loop gets the delta alone
+	withoutSettings.Settings = settings.Settings{} // the loop receives only the delta
 	if err := r.applyOnLoop(withoutSettings, delta); err != nil {
 		return err
 	}
@@ -68,7 +68,7 @@
 	return <-result
 }
 
-// deltaFields returns the log fields of an applied delta.
+// deltaFields returns the log fields that describe an applied delta.
 func deltaFields(delta settings.Delta, version uint64) []zap.Field {
 	return []zap.Field{
 		zap.Bool("settings_changed", !delta.IsEmpty()),
--- a/cmd/thymechute/reload_settings_test.go
+++ b/cmd/thymechute/reload_settings_test.go
@@ -9,7 +9,8 @@
 	"thymechute/internal/testutil"
 )
 
-// otherSettings returns the configuration of a different deployment: another class, a longer key window, and other modes.
+// otherSettings returns the configuration with different settings: another class, a longer key window, and other modes. change,
+// if not nil, changes them further.
 func otherSettings(t *testing.T, env *testutil.Environment, change func(settings map[string]any)) []byte {
 	t.Helper()
 	config := map[string]any{}
@@ -33,8 +34,8 @@
 	return text
 }
 
-// Reloads between two settings with idempotent requests in flight: each start and each response must come exactly once and in
-// order; one too many would be taken for the next.
+// Reloads switch between two settings while idempotent requests are in flight. Each start and each response must come exactly once
+// and in order: an extra one would be taken for the next and fail the test.
 func TestReloadBetweenTwoSettingsUnderLoad(t *testing.T) {
 	env := testutil.StartEnvironment(t, nil)
 	original, err := json.Marshal(env.Config)
@@ -48,7 +49,7 @@
 		t.Helper()
 		stub.SendRequest(id, class, rid, body, more)
 		if task, _ := env.Runtime.ExpectCommand("start"); task != rid {
-			t.Fatalf("%s was started, want %s", task, rid)
+			t.Fatalf("task %s was started, want %s", task, rid)
 		}
 	}
 	end := func(id int, rid string) {
@@ -69,7 +70,7 @@
 	env.Program.Reload(other, `"settings_changed": true`)
 	start(4, "issue", "bb01", `,"token":"77"`)
 	expectUnknown(5, "trace")
-	end(2, "aa02") // of a class that only the earlier settings have
+	end(2, "aa02") // of a class that only the previous settings have
 
 	for text, words := range map[string]string{
 		string(other[:len(other)/2]): "GW_CONFIG: found",
@@ -82,26 +83,26 @@
 			t.Errorf("the log does not contain %s:\n%s", words, env.Program.Log())
 		}
 	}
-	expectUnknown(6, "trace") // the later settings still apply
+	expectUnknown(6, "trace") // the last valid settings still apply
 
 	env.Program.Reload(original, `"settings_changed": true`)
 	expectUnknown(7, "issue")
 	start(8, "trace", "aa03", "")
-	stub.SendRequest(9, "excursion", "aa04", body, `,"token":"5c0f","again":1`) // joins the run from before both reloads
+	stub.SendRequest(9, "excursion", "aa04", body, `,"token":"5c0f","again":1`) // coalesced with the run that started before both reloads
 	end(4, "bb01")
 	notice++
 	env.Runtime.SendEnd(notice, "aa01", "good", "once")
 	for range 2 {
 		if r, closed := stub.Receive(); closed || r.Doc() != "once" || r.ID != 1.0 && r.ID != 9.0 {
-			t.Fatalf("%+v, closed %v", r, closed)
+			t.Fatalf("got %+v, closed %v", r, closed)
 		}
 	}
 
 	env.Program.Reload(other, `"settings_changed": true`)
-	stub.SendRequest(10, "issue", "bb02", body, `,"token":"77","again":1`) // its result was retained over both reloads
+	stub.SendRequest(10, "issue", "bb02", body, `,"token":"77","again":1`) // its result was retained through both reloads
 	stub.ExpectResponse(10, 0, "bb01")
 	end(8, "aa03")
-	start(11, "issue", "bb03", `,"token":"78"`) // and nothing else was started meanwhile
+	start(11, "issue", "bb03", `,"token":"78"`) // nothing else was started meanwhile
 	end(11, "bb03")
 	env.Program.Reload(other, `"settings_changed": false`)
 }
--- a/cmd/thymechute/requests_test.go
+++ b/cmd/thymechute/requests_test.go
@@ -47,7 +47,7 @@
 		env.Runtime.SendEnd(n+1, fmt.Sprintf("aa%d", id), "good", result)
 		stub.ExpectResponse(id, 0, result)
 	}
-	env.Runtime.SendEnd(4, "aa1", "good", result) // repeated: ignored
+	env.Runtime.SendEnd(4, "aa1", "good", result) // a run that has already ended: ignored
 	stub.SendLine(`{"jsonrpc":"2.0","id":9,"method":"check","params":{"full":true}}`)
 	if r, _ := stub.Receive(); r.ID != 9.0 || !r.Result.Serving {
 		t.Errorf("got %+v, want a passing health check", r)
@@ -73,11 +73,11 @@
 	stub.SendRequest(1, "excursion", "aa01", body, token)
 	env.Runtime.ExpectCommand("start")
 	other.SendRequest(1, "excursion", "aa02", body, token+`,"again":1`)
-	stub.SendRequest(2, "excursion", "bb01", body, `,"token":"77"`) // proves that the retry before it was not started
+	stub.SendRequest(2, "excursion", "bb01", body, `,"token":"77"`) // shows that the retry before it was not started
 	if task, _ := env.Runtime.ExpectCommand("start"); task != "bb01" {
-		t.Errorf("%s was started", task)
+		t.Errorf("task %s was started, want bb01", task)
 	}
-	stub.Conn.Close() // the first attempt's caller disconnects: its run counts all the same
+	stub.Conn.Close() // the caller of the first attempt disconnects; the result of its run is still used
 	env.Runtime.SendEnd(1, "aa01", "good", result)
 	other.ExpectResponse(1, 0, result)
 	other.SendRequest(2, "excursion", "aa03", body, token+`,"again":1`)
@@ -95,7 +95,7 @@
 	stub.ExpectResponse(2, -32000, "")
 }
 
-// A connection lost in the middle of a response affects no other: the run counts, and a retry gets its result, not a run.
+// A connection is lost in the middle of a response: a retry on another connection gets the result, and nothing runs again.
 func TestTruncatedResponseKeepsIdempotentResult(t *testing.T) {
 	env := testutil.StartEnvironment(t, nil)
 	large := strings.Repeat("r", 4<<10)
@@ -112,7 +112,7 @@
 	if _, err := stub.Conn.Read(part); err != nil {
 		t.Fatal(err)
 	}
-	stub.Conn.Close() // over unread bytes: a reset in the middle of a response
+	stub.Conn.Close() // with unread bytes: resets the connection in the middle of a response
 	other := env.Connect()
 	for id := 1; id <= 30; id++ {
 		other.SendRequest(id, "excursion", fmt.Sprintf("bb%d", id), body, fmt.Sprintf(`,"token":"k%d","again":1`, id))
@@ -120,12 +120,13 @@
 	}
 	other.SendRequest(31, "trace", "cc01", body, "")
 	if task, _ := env.Runtime.ExpectCommand("start"); task != "cc01" {
-		t.Errorf("%s was started", task)
+		t.Errorf("task %s was started, want cc01", task)
 	}
 }
 
-// A retry just before the key window expires gets the result if it has the same body, and an error otherwise. After the expiry it
-// is a new request. The window counts from the first attempt, and a retry from when it arrived, not from when it was read.
+// A retry just before the key window expires gets the retained result if it has the same body, and an error otherwise. After the
+// expiry it is a new request. The window starts at the first attempt, and what counts is when a retry arrives, not when it is
+// read.
 func TestRetriesAroundKeyWindowExpiry(t *testing.T) {
 	env := testutil.StartEnvironment(t, func(config map[string]any) {
 		testutil.SettingsClass(config, 1)["window_s"] = 1
@@ -142,7 +143,7 @@
 	go env.Runtime.ServeAll(2, "two")
 	served := 2
 	lastSent := time.Now()
-	for id, doc := 3, "one"; doc == "one"; id++ { // up to the expiry and past it
+	for id, doc := 3, "one"; doc == "one"; id++ { // until after the expiry
 		stub.SendRequest(id, "excursion", fmt.Sprintf("aa%d", id), body, token+`,"again":1`)
 		r, closed := stub.Receive()
 		doc = r.Doc()
@@ -154,19 +155,19 @@
 			lastSent = time.Now()
 		}
 	}
-	if age := time.Since(firstSent); age < time.Second { // when the last was read at the latest
-		t.Errorf("run again %v after the first attempt", age)
+	if age := time.Since(firstSent); age < time.Second { // the last retry was read at this age at the latest
+		t.Errorf("run again %v after the first attempt, want at least 1 s", age)
 	}
 	if lastSent.Sub(firstSent) > 2*time.Second {
-		t.Errorf("the result was still returned %v after the first attempt", lastSent.Sub(firstSent))
+		t.Errorf("the result was still returned %v after the first attempt, want at most 2 s", lastSent.Sub(firstSent))
 	}
 	stub.SendRequest(99999, "excursion", "bb01", "another body", token+`,"again":1`)
 	stub.ExpectResponse(99999, -32000, "")
 	t.Logf("%d served, of which one was run again", served)
 }
 
-// Settings of no real deployment: names that need escaping, one class or many, no tenant, no idempotency keys, values left out or
-// shorter than a tick.
+// The program works with unusual settings: names that need escaping, one class or many, no tenant, no idempotency keys, and values
+// that are missing or shorter than a tick.
 func TestUnusualSettings(t *testing.T) {
 	class := func(name, repeat string, more ...any) map[string]any {
 		c := map[string]any{"name": name}
--- a/cmd/thymechute/restart_test.go
+++ b/cmd/thymechute/restart_test.go
@@ -21,18 +21,18 @@
 	env.Runtime.ExpectCommand("start")
 	env.Program.Kill()
 	env.Program = testutil.StartProgram(t, env.Config)
-	env.Runtime.AcceptSync(0, "old", 5000, testutil.EndLine(1, "aa01", "good", result)) // of the incarnation before
+	env.Runtime.AcceptSync(0, "old", 5000, testutil.EndLine(1, "aa01", "good", result)) // of a run that the killed process started
 	stub = env.Connect()
 	stub.SendRequest(1, "excursion", "aa02", body, `,"token":"5c0f","again":1`)
 	stub.ExpectResponse(1, -32000, "")
 	stub.SendRequest(2, "excursion", "bb01", body, `,"token":"77"`)
 	if task, _ := env.Runtime.ExpectCommand("start"); task != "bb01" {
-		t.Errorf("%s was started", task)
+		t.Errorf("task %s was started, want bb01", task)
 	}
 }
 
-// From exec to the first report and serving takes at most a tenth of what is allowed, also for a process that restarts beside a
-// busy runtime.
+// The program reports passing and serves within 3 s of its start, a tenth of the allowed 30 s, also when only the program
+// is restarted and the runtime has been up for long.
 func TestReadyWithinStartupTarget(t *testing.T) {
 	testutil.BuildProgram(t)
 	env := testutil.NewEnvironment(t, nil)
@@ -45,11 +45,11 @@
 		stub := env.Connect()
 		stub.SendHealthCheck(1)
 		if r, closed := stub.Receive(); closed || !r.Result.Serving {
-			t.Errorf("%s: %+v, closed %v", state, r, closed)
+			t.Errorf("runtime state %s: health check %+v, closed %v", state, r, closed)
 		}
-		t.Logf("%s: reported after %v, serving after %v", state, reported, time.Since(start))
+		t.Logf("runtime state %s: reported after %v, serving after %v", state, reported, time.Since(start))
 		if took := time.Since(start); took > 3*time.Second {
-			t.Errorf("%s: ready after %v, a tenth of the allowed is 3 s", state, took)
+			t.Errorf("runtime state %s: ready after %v, want at most 3 s", state, took)
 		}
 		env.Program.Kill()
 		for len(env.CatalogReports) > 0 {
@@ -62,20 +62,20 @@
 	restartTenants = 60000
 	restartCount   = 10
 	readyDeadline  = 10 * time.Second
-	unfinishedRuns = 2 // at each kill
+	unfinishedRuns = 2 // number of them at each kill
 
-	unfinishedPrefix = "unfinished" // of tasks that the runtime never completes
+	unfinishedPrefix = "unfinished" // of the names of tasks that the runtime does not complete
 )
 
-// runtimeDriver serves as the runtime over all incarnations of the program: it completes all runs but those of tasks whose
-// name begins with unfinishedPrefix.
+// runtimeDriver is the runtime for all processes of the program in turn. It completes all runs except those of tasks whose name
+// starts with unfinishedPrefix.
 type runtimeDriver struct {
 	env          *testutil.Environment
-	unfinished   chan string
+	unfinished   chan string   // started tasks that it does not complete
 	disconnected chan struct{} // closed once the current link is closed
 }
 
-// serve completes the runs of this incarnation, whose last missed notice had this number.
+// serve completes the runs of the current process. missed is the number of the last notice in its sync.
 func (d *runtimeDriver) serve(missed int) {
 	disconnected := make(chan struct{})
 	d.disconnected = disconnected
@@ -91,7 +91,7 @@
 	}()
 }
 
-// startBackgroundLoad starts clients that send requests until the end of the test, even while the program is not running.
+// startBackgroundLoad starts clients that send requests until the end of the test, also while the program is not running.
 func startBackgroundLoad(env *testutil.Environment, clients int) {
 	done := make(chan struct{})
 	env.T.Cleanup(func() { close(done) })
@@ -109,7 +109,7 @@
 	}
 }
 
-// sendBackgroundRequest sends a request on a new connection, and reads one line if one comes.
+// sendBackgroundRequest sends a request on a new connection, and waits up to a second for one line.
 func sendBackgroundRequest(address, rid string) {
 	c, err := net.DialTimeout("tcp", address, time.Second)
 	if err != nil {
@@ -123,14 +123,14 @@
 	}
 }
 
-// retryUntil sends requests until a response matches.
+// retryUntil sends requests, each after the response to the previous one, until a response matches.
 func retryUntil(t *testing.T, stub *testutil.Stub, send func(id int), matches func(testutil.Response) bool) {
 	t.Helper()
 	for id := 1; ; id++ {
 		send(id)
 		r, closed := stub.Receive()
 		if closed {
-			t.Fatal("the connection closed over a request")
+			t.Fatal("the connection was closed before a response matched")
 		}
 		if matches(r) {
 			return
@@ -139,9 +139,9 @@
 	}
 }
 
-// Nine in ten restarted processes must be ready within 10 s. Here all of ten are: each is killed in the middle of its work
-// beside a runtime that stays up, has all its cores busy, and has runs that the next incarnation does not know; with 60,000
-// tenants configured, under background load. Ready means that a health check reports serving and a request is served.
+// Nine in ten restarted processes must be ready within 10 s; this test requires it of all ten. Each is killed in the middle of its
+// work while the runtime stays up, has all cores busy and has runs that the next process does not know. 60,000 tenants are
+// configured, and there is background load. Ready means that a health check reports serving and a request is served.
 func TestRestartsBesideBusyRuntimeAreReadyInTime(t *testing.T) {
 	testutil.BuildProgram(t)
 	env := testutil.NewEnvironment(t, func(config map[string]any) {
@@ -171,7 +171,7 @@
 			testutil.Next(t, runtime.unfinished, "a start of an unfinished run")
 		}
 		env.Program.Kill()
-		testutil.Next(t, runtime.disconnected, "the end of the link")
+		testutil.Next(t, runtime.disconnected, "the close of the runtime link")
 
 		start := time.Now()
 		env.Program = testutil.StartProgramFromFile(t, file)
@@ -187,7 +187,7 @@
 		served := time.Since(start)
 		t.Logf("restart %d: serving after %v, a request served after %v", incarnation, serving.Round(time.Millisecond), served.Round(time.Millisecond))
 		if served > readyDeadline {
-			t.Errorf("restart %d: ready after %v, allowed %v", incarnation, served, readyDeadline)
+			t.Errorf("restart %d: ready after %v, want at most %v", incarnation, served, readyDeadline)
 		}
 	}
 }
--- a/cmd/thymechute/serve.go
+++ b/cmd/thymechute/serve.go
@@ -22,22 +22,22 @@
 
 const dialTimeout = time.Second
 
-// host is the loop.Host: the server accepts connections and the instance ticks.
+// host implements loop.Host: the server accepts connections, and the instance handles the ticks.
 type host struct {
 	*rpc.Server
 	*node.Instance
 }
 
-// service is one running instance with the parts that its configuration connects.
+// service is one running instance with its server and its links to other programs.
 type service struct {
-	config   config.Config // in effect; without the settings, which the reloader has
+	config   config.Config // in effect, except for the settings, which the reloader has
 	operator *operator.Settings
 	log      *zap.Logger
 	instance *node.Instance
 	server   *rpc.Server
-	fleet    *fleet // nil if the operator's file has none
+	fleet    *fleet // nil if the operator's settings have none
 
-	descriptorPart int // number of file descriptors in one part; see descriptorPart
+	descriptorShare int // see the function descriptorShare
 
 	// The links to other programs, created on the loop.
 	runtime *runtimelink.Link
@@ -45,10 +45,10 @@
 	catalog *catalog.Reporter
 }
 
-// serve runs one instance until its graceful shutdown is complete. It returns an error if an address can't be listened on.
+// serve runs one instance until its graceful shutdown is complete. It fails if the program cannot listen on an address.
 func serve(c config.Config, o *operator.Settings, signals <-chan os.Signal) error {
 	limitRuntime(c)
-	signal.Ignore(syscall.SIGPIPE) // standard error may be closed by its reader
+	signal.Ignore(syscall.SIGPIPE) // sent when the reader of standard error has closed it
 	writer := newLogWriter(os.Stderr)
 	defer writer.close()
 	log := newLog(c.Name, writer)
@@ -60,12 +60,12 @@
 	defer fleet.leave(log)
 
 	s := &service{
-		config:         c,
-		operator:       o,
-		log:            log,
-		instance:       node.New(c.Settings, c.Seed, c.StopTimeout, c.MemoryBytes, log),
-		fleet:          fleet,
-		descriptorPart: descriptorPart(c),
+		config:          c,
+		operator:        o,
+		log:             log,
+		instance:        node.New(c.Settings, c.Seed, c.StopTimeout, c.MemoryBytes, log),
+		fleet:           fleet,
+		descriptorShare: descriptorShare(c),
 	}
 	s.config.Settings = settings.Settings{}
 	return s.run(&reloader{settings: c.Settings, version: s.instance.Version(), log: log}, signals)
@@ -74,15 +74,15 @@
 func (s *service) run(r *reloader, signals <-chan os.Signal) error {
 	s.server = rpc.NewServer(rpc.Config{
 		Admission:  s.instance,
-		MaxConns:   stubDescriptorParts * s.descriptorPart,
-		SpareConns: s.descriptorPart,
+		MaxConns:   stubDescriptorShares * s.descriptorShare,
+		SpareConns: s.descriptorShare,
 		Log:        s.log,
 	})
 	return loop.Run(loop.Config{
 		Address:      s.config.Listen,
 		Host:         host{s.server, s.instance},
 		MemoryLimit:  s.config.MemoryBytes,
-		MaxLingering: s.descriptorPart,
+		MaxLingering: s.descriptorShare,
 		Log:          s.log,
 		OnStart: func(l *loop.Loop) {
 			s.connect(l)
@@ -91,10 +91,10 @@
 	})
 }
 
-// connect creates the links to the other programs and connects them to the instance.
+// connect creates the links to the other programs and passes them to the instance.
 func (s *service) connect(l *loop.Loop) {
 	s.runtime = runtimelink.NewLink(s.instance, dialer(l, "tcp", &s.config.Runtime), l.After, s.config.Seed, s.log)
-	s.index = index.NewPool(s.instance, dialer(l, "tcp", &s.config.Index), s.descriptorPart, s.log)
+	s.index = index.NewPool(s.instance, dialer(l, "tcp", &s.config.Index), s.descriptorShare, s.log)
 	s.catalog = catalog.New(s.config.Name, dialer(l, "udp", &s.config.Catalog))
 	fronts := []node.Front{s.server}
 	if s.operator.AMQP != nil {
@@ -105,16 +105,16 @@
 	s.runtime.Open()
 }
 
-// dialer returns a function that connects a handler to the address, which a reload may change.
+// dialer returns a function that connects a handler to the address. It takes a pointer, as a reload may change the address.
 func dialer(l *loop.Loop, network string, address *string) func(loop.Handler) {
 	return func(handler loop.Handler) { l.Dial(network, *address, dialTimeout, handler) }
 }
 
-// handleSignals starts reloading at SIGHUP, and the graceful shutdown at all other signals.
+// handleSignals starts a reload on SIGHUP, and the graceful shutdown on all other signals.
 func (s *service) handleSignals(l *loop.Loop, r *reloader, signals <-chan os.Signal) {
 	r.post = l.Post
 	r.apply = s.applyReload
-	requests := make(chan struct{}, 1) // signals that arrive during a reload lead to one more reload
+	requests := make(chan struct{}, 1) // all signals that arrive during a reload lead to one more reload
 	go r.run(requests)
 	go func() {
 		for received := range signals {
@@ -123,7 +123,7 @@
 				continue
 			}
 			l.Post(s.instance.Drain)
-			go s.fleet.leave(s.log) // off the loop: it waits up to a second for the other members
+			go s.fleet.leave(s.log) // not on the loop, as each of its steps waits up to a second for the other members
 		}
 	}()
 }
@@ -135,8 +135,8 @@
 	}
 }
 
-// applyReload applies a reloaded configuration, whose settings differ from those in effect by delta. It runs on the loop.
-// On error nothing of the configuration takes effect.
+// applyReload applies a reloaded configuration. delta is the difference between its settings and those in effect. It runs on the
+// loop. On an error nothing of the configuration takes effect.
 func (s *service) applyReload(reloaded config.Config, delta settings.Delta) error {
 	if !delta.IsEmpty() {
 		if err := s.instance.Apply(delta); err != nil {
@@ -155,7 +155,7 @@
 	return nil
 }
 
-// switchAddress sets the address and calls reconnect, if the new one differs.
+// switchAddress sets the address and calls reconnect if the new address differs.
 func switchAddress(address *string, reloaded string, reconnect func()) {
 	if *address == reloaded {
 		return
--- a/cmd/thymechute/shutdown_test.go
+++ b/cmd/thymechute/shutdown_test.go
@@ -28,16 +28,17 @@
 	}
 	env.Runtime.SendEnd(1, "aa01", "good", result)
 	stub.ExpectResponse(1, 0, result)
-	stub.ExpectResponse(2, -32000, "") // it never ends: failed before the shutdown deadline
+	stub.ExpectResponse(2, -32000, "") // its run does not end: it fails before the shutdown deadline
 	env.Program.ExpectExit(0)
 	if c, err := net.Dial("tcp", env.ListenAddress); err == nil {
 		c.Close()
-		t.Error("still listening")
+		t.Error("the program still accepts connections")
 	}
 	testutil.NextMatching(t, env.CatalogReports, "a report that it shuts down", func(report string) bool { return report == "alive n3 critical" })
 }
 
-// Requests are rejected, nothing is started when the runtime comes up during the shutdown, and a second SIGTERM changes nothing.
+// The runtime link is established during the shutdown: requests are still rejected and nothing is started. A second SIGTERM has no
+// effect.
 func TestShutdownBeforeRuntimeIsUp(t *testing.T) {
 	env := testutil.NewEnvironment(t, nil)
 	env.Program = testutil.StartProgram(t, env.Config)
@@ -49,7 +50,7 @@
 	stub.ExpectClosing()
 	env.Program.Terminate()
 	env.Runtime.Send(`{"verb":"ready","outcome":"old","spent":3600000}` + "\n")
-	testutil.Eventually(t, "the runtime is up", func() bool { return strings.Contains(env.Program.Log(), "runtime link established") })
+	testutil.Eventually(t, "the link is up", func() bool { return strings.Contains(env.Program.Log(), "runtime link established") })
 	stub.SendRequest(2, "trace", "aa02", body, "")
 	stub.ExpectResponse(2, -32001, "")
 	stub.ExpectEnd()
@@ -57,7 +58,7 @@
 	env.Program.ExpectExit(0)
 }
 
-// namedPipeConfig is a configuration file that blocks its reader, as it is a named pipe.
+// namedPipeConfig is a configuration file that blocks the program while it reads, as it is a named pipe.
 type namedPipeConfig struct {
 	t    *testing.T
 	path string
@@ -77,7 +78,7 @@
 	return &namedPipeConfig{t, path, text}
 }
 
-// open waits until the program has opened the file for reading, which ends when the returned file is closed.
+// open waits until the program has opened the file for reading. For the program the file ends when the returned file is closed.
 func (s *namedPipeConfig) open() *os.File {
 	f, err := os.OpenFile(s.path, os.O_WRONLY, 0)
 	if err != nil {
@@ -88,7 +89,7 @@
 
 func (s *namedPipeConfig) write(f *os.File) { _, _ = f.Write(s.text) }
 
-// SIGTERM takes effect while a new configuration is read, from a file that does not end.
+// SIGTERM takes effect while a reload is still reading the file.
 func TestShutdownDuringReload(t *testing.T) {
 	env := testutil.NewEnvironment(t, nil)
 	file := newNamedPipeConfig(t, env.Config)
@@ -103,7 +104,7 @@
 	stub.SendRequest(1, "trace", "aa01", body, "")
 	env.Runtime.ExpectCommand("start")
 	env.Program.SignalReload()
-	f := file.open() // the program reads, and the file does not end yet
+	f := file.open() // the program reads a file that does not end yet
 	defer f.Close()
 	file.write(f)
 	env.Program.Terminate()
@@ -114,7 +115,7 @@
 	env.Program.ExpectExit(0)
 }
 
-// Requests received before SIGTERM are answered; those after the grace period are rejected and not run.
+// Requests received before SIGTERM are answered. Requests received after the grace period are rejected and not run.
 func TestShutdownRejectsRequestsAfterGracePeriod(t *testing.T) {
 	env := testutil.StartEnvironment(t, func(config map[string]any) {
 		testutil.SettingsSection(config, "rules")["drain_grace_s"] = 0
@@ -145,7 +146,7 @@
 	env.Program.ExpectExit(0)
 }
 
-// A stub that reads nothing before the shutdown still gets all its responses, also those that the kernel did not take.
+// A stub that reads nothing before the shutdown still gets all its responses, also those that do not fit in the socket buffers.
 func TestShutdownWaitsForSlowReader(t *testing.T) {
 	env := testutil.StartEnvironment(t, nil)
 	stub := env.ConnectSlow()
@@ -161,16 +162,16 @@
 		env.Runtime.SendEnd(n, task, "good", large)
 	}
 	env.Program.Terminate()
-	testutil.Eventually(t, "no longer listening", func() bool { return strings.Contains(env.Program.Log(), "no longer listening") })
+	testutil.Eventually(t, "the listener closes", func() bool { return strings.Contains(env.Program.Log(), "no longer listening") })
 	select {
 	case <-env.Program.Exited:
-		t.Fatal("ended over unread responses")
-	case <-time.After(300 * time.Millisecond): // without the unread responses it would have ended after 100 ms
+		t.Fatal("the program exited before all responses were read")
+	case <-time.After(300 * time.Millisecond): // without unread responses it exits after 100 ms
 	}
 	got := 0
 	for got < 30 {
 		if r, closed := stub.Receive(); closed {
-			t.Fatalf("closed after %d responses", got)
+			t.Fatalf("closed after %d responses, want 30", got)
 		} else if r.Doc() == large {
 			got++
 		}
@@ -179,13 +180,13 @@
 	env.Program.ExpectExit(0)
 }
 
-// Requests pending shortly before the deadline are answered then, and the connection closes without a reset, though input
-// arrives up to the last moment.
+// Requests that are pending shortly before the shutdown deadline are answered then. The connection is closed without a reset,
+// which would discard the response, although input arrives until the end.
 func TestResponsesAtShutdownDeadlineAreNotReset(t *testing.T) {
 	env := testutil.StartEnvironment(t, nil)
 	stub := env.Connect()
 	stub.SendRequest(1, "seal", "aa01", body, "")
-	env.Runtime.ExpectCommand("start") // which never ends
+	env.Runtime.ExpectCommand("start") // the run does not end
 	env.Program.Terminate()
 	stub.ExpectClosing()
 	flood := bytes.Repeat([]byte(`{"jsonrpc":"2.0","method":"note"}`+"\n"), 1000)
@@ -200,12 +201,12 @@
 	env.Program.ExpectExit(0)
 }
 
-// SIGTERM before the program has read its configuration: it starts, has nothing pending, and exits.
+// After a SIGTERM that arrives before the program has read its configuration, the program starts, has nothing pending and exits.
 func TestShutdownDuringStartup(t *testing.T) {
 	env := testutil.NewEnvironment(t, nil)
 	file := newNamedPipeConfig(t, env.Config)
 	env.Program = testutil.StartProgramFromFile(t, file.path)
-	f := file.open() // the program has opened it and waits
+	f := file.open() // the program has opened the file and waits for its content
 	env.Program.Terminate()
 	env.Program.Terminate()
 	file.write(f)
