--- a/policy/class.go
+++ b/policy/class.go
@@ -8,42 +8,42 @@
 )
 
 const (
-	// firstEstimatePart is the part of the latency objective that a run is expected to take before any run of
-	// the class has ended.
-	firstEstimatePart = 0.25
-	// minFirstEstimate bounds the first estimate, in seconds.
-	minFirstEstimate = 1e-3
-	// baseLearningRuns is the number of first runs that raise or lower the base latency; later runs only lower
-	// it.
-	baseLearningRuns = 8
+	// initialRunFraction is the estimated run time of a class of which no run has ended yet, as a fraction of
+	// the latency objective.
+	initialRunFraction = 0.25
+	// minInitialRunSeconds is the minimum of this first estimate, in seconds.
+	minInitialRunSeconds = 1e-3
+	// baseLatencyLearningRuns is the number of first runs that may raise or lower the base latency. Later runs
+	// only lower it.
+	baseLatencyLearningRuns = 8
 )
 
-// class is a class of requests: its settings, and the estimates from its past runs.
+// class is a class of requests: its settings and the estimates from its past runs.
 type class struct {
-	isFree bool // no class uses the index at present
+	isFree bool // the index is not in use by any class
 
 	weight           float64
-	degradedWeight   float64 // part of the weight that an answer without its call is worth; 0: the call is required
+	degradedWeight   float64 // weight of an answer without its call, as a fraction of weight; 0: call required
 	latencyObjective time.Duration
 	callerTimeout    time.Duration
 	keyWindow        time.Duration
 	makesCalls       bool
 	isSafe           bool
-	isIdempotent     bool // through idempotency keys
+	isIdempotent     bool // idempotency keys prevent a second run
 
-	runLatencies
+	runEstimates
 }
 
-// runLatencies are the estimates of a class, in seconds.
-type runLatencies struct {
-	baseLatency   float64 // the least run time seen, drifting to the recent one
-	runTime       float64 // recent run time less calls
-	responseTime  float64 // recent run time with calls
-	workPerHint   float64 // run time over the cost hint; 0: unknown
-	completedRuns float64 // runs seen
+// runEstimates are the run time estimates of a class; times are in seconds.
+type runEstimates struct {
+	baseLatency    float64 // shortest average run time so far, drifting toward the current one
+	runTime        float64 // moving average of run time without calls
+	responseTime   float64 // moving average of run time with calls
+	runTimePerHint float64 // ratio of run time to cost hint; 0: unknown
+	completedRuns  float64 // number of completed runs
 }
 
-// configure puts the settings in force; the estimates stay.
+// configure applies the settings; the estimates are retained.
 func (c *class) configure(s settings.Class) {
 	c.isSafe = s.Idempotency == settings.Safe
 	c.isIdempotent = s.Idempotency == settings.Idempotent
@@ -55,43 +55,44 @@
 	c.keyWindow = s.KeyWindow.Seconds(10)
 }
 
-// initialLatencies are the estimates of a class of which no run has ended.
-func initialLatencies(latencyObjective time.Duration) runLatencies {
-	first := max(latencyObjective.Seconds()*firstEstimatePart, minFirstEstimate)
-	return runLatencies{baseLatency: first, runTime: first, responseTime: first}
+// initialEstimates returns the estimates of a class of which no run has ended yet.
+func initialEstimates(latencyObjective time.Duration) runEstimates {
+	initialRun := max(latencyObjective.Seconds()*initialRunFraction, minInitialRunSeconds)
+	return runEstimates{baseLatency: initialRun, runTime: initialRun, responseTime: initialRun}
 }
 
 // canDegrade reports whether an answer without its call has any value.
 func (c *class) canDegrade() bool { return c.degradedWeight > 0 }
 
 // expectedRunSeconds returns the expected run time in seconds, without calls. With a cost hint it is the
-// geometric mean of the class's run time and the hint's estimate.
+// geometric mean of the average run time of the class and the estimate from the hint.
 func (c *class) expectedRunSeconds(costHint time.Duration) float64 {
-	if costHint > 0 && c.workPerHint > 0 {
-		return math.Sqrt(costHint.Seconds() * c.workPerHint * c.runTime)
+	if costHint > 0 && c.runTimePerHint > 0 {
+		return math.Sqrt(costHint.Seconds() * c.runTimePerHint * c.runTime)
 	}
 	return c.runTime
 }
 
-// recordCompletedRun updates the estimates with a run that has ended; runSeconds is without calls.
+// recordCompletedRun updates the estimates with a completed run. runSeconds excludes calls, responseTime
+// includes them.
 func (c *class) recordCompletedRun(runSeconds float64, responseTime, costHint time.Duration) {
 	updateAverage(&c.runTime, runSeconds, c.completedRuns+3)
 	updateAverage(&c.responseTime, responseTime.Seconds(), c.completedRuns+3)
 	if costHint > 0 {
-		updateAverage(&c.workPerHint, runSeconds/costHint.Seconds(), c.completedRuns)
+		updateAverage(&c.runTimePerHint, runSeconds/costHint.Seconds(), c.completedRuns)
 	}
 	c.completedRuns++
-	if c.completedRuns <= baseLearningRuns || c.runTime < c.baseLatency {
+	if c.completedRuns <= baseLatencyLearningRuns || c.runTime < c.baseLatency {
 		c.baseLatency = c.runTime
 	}
 }
 
-// recordTimedOutRun updates the estimates with a run that was answered by an error before its end. The
-// complete run would have taken at least elapsedSeconds, so a time below the estimate says nothing.
+// recordTimedOutRun updates the estimates with a run that was answered with an error before its end. The
+// complete run would have taken at least elapsedSeconds, so a time below the estimate gives no information.
 func (c *class) recordTimedOutRun(elapsedSeconds, callSeconds float64) {
 	if elapsedSeconds <= c.responseTime {
 		return
 	}
-	updateAverage(&c.runTime, max(elapsedSeconds-callSeconds, c.runTime), maxAverageWindow)
-	updateAverage(&c.responseTime, elapsedSeconds, maxAverageWindow)
+	updateAverage(&c.runTime, max(elapsedSeconds-callSeconds, c.runTime), maxAverageSamples)
+	updateAverage(&c.responseTime, elapsedSeconds, maxAverageSamples)
 }
