--- a/cmd/thymechute/fleet.go
+++ b/cmd/thymechute/fleet.go
@@ -171,8 +171,8 @@
 }
 
 // leave leaves the fleet; the instance still answers the requests that it has read. With a replicated log it first releases
-// the member's leases and hands over its vote. Each step takes at most leaveTimeout. It may be called from any goroutine and on nil, and
-// more than once: later calls wait for the first one.
+// the member's leases and hands over its vote. Each step takes at most leaveTimeout. It may be called on nil, from any goroutine,
+// and more than once: later calls wait for the first one.
 func (f *fleet) leave(log *zap.Logger) {
 	if f == nil {
 		return
--- a/internal/operator/amqp.go
+++ b/internal/operator/amqp.go
@@ -17,7 +17,7 @@
 	Queues                []Queue       `xml:"queue"`
 	Fields                *FieldMapping `xml:"fields"`
 	HeartbeatSeconds      int           `xml:"heartbeat-s,attr"`
-	MinCredit             int           `xml:"least-credit,attr"` // bounds of the prefetch count of each queue
+	MinCredit             int           `xml:"least-credit,attr"` // MinCredit and MaxCredit bound the prefetch count of each queue
 	MaxCredit             int           `xml:"most-credit,attr"`
 	MaxBodyBytes          int           `xml:"largest-body,attr"`
 	MaxReturns            int           `xml:"returns,attr"` // returns of one message to its queue before it is dead-lettered
@@ -27,7 +27,7 @@
 	TLSConfig          *tls.Config `xml:"-"` // from the files of TLS; nil: no TLS
 }
 
-// Endpoint is the address of a server.
+// Endpoint is the address of a broker or a seed member.
 type Endpoint struct {
 	Address string `xml:"address,attr"`
 }
