--- a/internal/fleet/consensus/driver.go
+++ b/internal/fleet/consensus/driver.go
@@ -11,59 +11,59 @@
 )
 
 const (
-	workQueueSize     = 256 // raft blocks while the queue is full
-	sendQueueSize     = 64  // proposals to the leader; more are lost, and proposed again
+	workQueueSize     = 256 // functions for the driver's goroutine; raft blocks while the queue is full
+	proposalQueueSize = 64  // proposals to be sent to the leader; more are dropped, and the elector proposes again
 	ticksPerLease     = 32
 	drainPollInterval = 20 * time.Millisecond
 )
 
-// Watcher receives the changes of leases and the entries, on the driver's goroutine.
+// Watcher receives this member's lease changes and the log's entries, on the driver's goroutine.
 type Watcher interface {
 	LeaseAcquired(duty string, token uint64)
 	LeaseLost(duty string)
 	// EntryApplied is called for each entry, in order.
 	EntryApplied(index uint64, c lease.Command, o lease.Outcome)
-	// SnapshotRestored is called when a snapshot replaced all earlier entries; state is the state machine's.
+	// SnapshotRestored is called after a snapshot has replaced all earlier entries. state is the encoded StateMachine.
 	SnapshotRestored(state []byte)
-	// Tick is called many times within a lease.
+	// Tick is called ticksPerLease times in the duration of a lease. now is the time by Driver.Now.
 	Tick(now time.Duration)
 }
 
-// DriverConfig is what a Driver is started with.
+// DriverConfig configures a Driver.
 type DriverConfig struct {
 	Log         Config
 	Leases      lease.Config // the same in all members
-	Incarnation uint64       // differs from that of every earlier process of this member
+	Incarnation uint64       // must differ from that of every earlier process of this member
 	Watcher     Watcher
-	// Send sends a message to the member that is this process, which calls ReceiveProposal there. It may block; a message
-	// that is lost, or that it fails to send, is proposed again.
+	// Send sends a message to the named process, where it must be passed to ReceiveProposal. Send may block and messages may
+	// be lost, as lost proposals are repeated.
 	Send func(process string, message []byte) error
-	// OnReady receives the driver before the first entry comes, and before StartDriver returns; nil for none.
+	// OnReady is called with the driver before the first entry is applied and before StartDriver returns; nil for none.
 	OnReady func(*Driver)
 }
 
-// Driver runs one member's elector over its replica of the log. It owns two goroutines until Stop, and those of
-// ManageVoters: one calls the elector and the Watcher, and entries, ticks and calls from other goroutines reach it through
-// a bounded queue; the other sends proposals to the leader. Its methods are safe for concurrent use unless they say
-// otherwise.
+// Driver runs one member's elector on its replica of the log. The driver's goroutine calls the elector and the Watcher;
+// entries and calls from other goroutines reach it through a bounded queue. A second goroutine sends proposals to the
+// leader, and ManageVoters starts a third. All of them run until Stop. A Driver's methods are safe for concurrent use unless
+// they say otherwise.
 type Driver struct {
-	Log      *Log
-	elector  *lease.Elector
-	watcher  Watcher
-	process  string
-	interval time.Duration // between ticks
-	start    time.Time
-	work     chan func()
-	outbox   chan message
-	send     func(process string, message []byte) error
-	stop     chan struct{}
-	running  sync.WaitGroup // the driver's goroutines
+	Log           *Log
+	elector       *lease.Elector
+	watcher       Watcher
+	process       string
+	interval      time.Duration // between ticks
+	startedAt     time.Time
+	workQueue     chan func()
+	proposalQueue chan outgoingProposal
+	send          func(process string, message []byte) error
+	stop          chan struct{}
+	goroutines    sync.WaitGroup // all that Stop waits for
 }
 
-// message is a proposal on its way to the leader.
-type message struct {
-	process string // the leader's
-	body    []byte
+// outgoingProposal is a proposal to be sent to the leader.
+type outgoingProposal struct {
+	leader string // its process
+	body   []byte
 }
 
 // StartDriver starts a replica and its driver. Errors: those of Start.
@@ -73,14 +73,14 @@
 		return nil, fmt.Errorf("consensus: %w", err)
 	}
 	d := &Driver{
-		watcher:  c.Watcher,
-		process:  c.Log.Process,
-		interval: c.Leases.Duration / ticksPerLease,
-		start:    time.Now(),
-		work:     make(chan func(), workQueueSize),
-		outbox:   make(chan message, sendQueueSize),
-		send:     c.Send,
-		stop:     make(chan struct{}),
+		watcher:       c.Watcher,
+		process:       c.Log.Process,
+		interval:      c.Leases.Duration / ticksPerLease,
+		startedAt:     time.Now(),
+		workQueue:     make(chan func(), workQueueSize),
+		proposalQueue: make(chan outgoingProposal, proposalQueueSize),
+		send:          c.Send,
+		stop:          make(chan struct{}),
 	}
 	d.elector = lease.NewElector(d, table, c.Leases, c.Log.Process, c.Incarnation)
 	if c.OnReady != nil {
@@ -89,18 +89,18 @@
 	if d.Log, err = Start(c.Log, d); err != nil {
 		return nil, err
 	}
-	d.running.Go(d.run)
-	d.running.Go(d.deliver)
+	d.goroutines.Go(d.run)
+	d.goroutines.Go(d.sendProposals)
 	return d, nil
 }
 
 // Now returns the time since the driver's start, which is its elector's clock.
-func (d *Driver) Now() time.Duration { return time.Since(d.start) }
+func (d *Driver) Now() time.Duration { return time.Since(d.startedAt) }
 
-// enqueue hands work to the driver's goroutine; after Stop it is dropped.
+// enqueue has the driver's goroutine call f. After Stop f may be dropped.
 func (d *Driver) enqueue(f func()) {
 	select {
-	case d.work <- f:
+	case d.workQueue <- f:
 	case <-d.stop:
 	}
 }
@@ -113,7 +113,7 @@
 		select {
 		case <-d.stop:
 			return
-		case f := <-d.work:
+		case f := <-d.workQueue:
 			f()
 		case <-ticker.C:
 			d.tick()
@@ -129,14 +129,14 @@
 	d.watcher.Tick(d.Now())
 }
 
-// deliver is the goroutine that sends proposals to the leader. Errors are ignored: the elector proposes again.
-func (d *Driver) deliver() {
+// sendProposals is the goroutine that sends proposals to the leader. Errors are ignored, as the elector proposes again.
+func (d *Driver) sendProposals() {
 	for {
 		select {
 		case <-d.stop:
 			return
-		case m := <-d.outbox:
-			_ = d.send(m.process, m.body)
+		case m := <-d.proposalQueue:
+			_ = d.send(m.leader, m.body)
 		}
 	}
 }
@@ -154,7 +154,8 @@
 	})
 }
 
-// Propose implements lease.Host. It appends the command to the log if this process leads, and else sends it to the leader.
+// Propose implements lease.Host. It appends the command to the log if this process is the leader, and otherwise queues it to
+// be sent to the leader. Without a known leader, or with a full queue, the command is dropped.
 func (d *Driver) Propose(c lease.Command) {
 	if d.Log.Propose(c) == nil {
 		return
@@ -165,7 +166,7 @@
 		return
 	}
 	select {
-	case d.outbox <- message{leader, b}:
+	case d.proposalQueue <- outgoingProposal{leader, b}:
 	default:
 	}
 }
@@ -176,8 +177,8 @@
 // LeaseLost implements lease.Host.
 func (d *Driver) LeaseLost(duty string) { d.watcher.LeaseLost(duty) }
 
-// ReceiveProposal appends another member's proposal to the log. It is dropped if it cannot be decoded, or if this process
-// does not lead any more: its sender proposes again.
+// ReceiveProposal appends another member's proposal to the log. The proposal is dropped if it cannot be decoded or if this
+// process is no longer the leader: its sender proposes again.
 func (d *Driver) ReceiveProposal(b []byte) {
 	var c lease.Command
 	if json.Unmarshal(b, &c) == nil {
@@ -185,23 +186,24 @@
 	}
 }
 
-// Decide proposes a decision if this member is the duty's holder. Whether it did is reported to done, on the driver's
-// goroutine.
+// Decide proposes a decision if this member holds the duty's lease. done is called on the driver's goroutine with whether the
+// decision was proposed.
 func (d *Driver) Decide(duty, body string, done func(isProposed bool)) {
 	d.enqueue(func() { done(d.DecideNow(duty, body)) })
 }
 
-// DecideNow is Decide for the Watcher: it must be called on the driver's goroutine.
+// DecideNow proposes a decision if this member holds the duty's lease, and returns whether it did. It must be called on the
+// driver's goroutine, as by the Watcher.
 func (d *Driver) DecideNow(duty, body string) (isProposed bool) {
 	_, isProposed = d.elector.Decide(d.Now(), duty, body)
 	return isProposed
 }
 
-// Announce proposes a message of this member's own. It comes back as an entry with this sequence number, or is lost. It
+// Announce proposes an entry that needs no lease. The entry carries the returned sequence number; it may be lost. Announce
 // must be called on the driver's goroutine.
 func (d *Driver) Announce(duty, body string) (seq uint64) { return d.elector.Announce(duty, body) }
 
-// Resign releases the lease of a duty for another member to acquire. It must be called on the driver's goroutine.
+// Resign releases the lease of a duty, so that another member can acquire it. It must be called on the driver's goroutine.
 func (d *Driver) Resign(duty string) { d.elector.Resign(d.Now(), duty) }
 
 // SetClaimPosition sets this member's position in the order in which members claim a vacant duty.
@@ -209,9 +211,9 @@
 	d.enqueue(func() { d.elector.SetClaimPosition(duty, position) })
 }
 
-// Drain releases all leases, and waits until another process votes in place of this one, or for the timeout: a process that
-// ends while it votes is a failure that the other voters have to tolerate. The membership record must say before that this
-// process is draining. Stop ends the replica after it.
+// Drain releases all leases, and waits until this process no longer votes, at most for the timeout: the end of a process that
+// still votes counts as a failed voter in the quorum. Before the call, the membership record must show this process as
+// draining. Stop must be called afterwards.
 func (d *Driver) Drain(timeout time.Duration) {
 	released := make(chan struct{})
 	d.enqueue(func() {
@@ -226,7 +228,7 @@
 	d.awaitVoteLoss(timeout)
 }
 
-// awaitVoteLoss returns once this process has no vote, after the timeout, or on Stop.
+// awaitVoteLoss returns once this process no longer votes, after the timeout, or on Stop.
 func (d *Driver) awaitVoteLoss(timeout time.Duration) {
 	expired := time.After(timeout)
 	ticker := time.NewTicker(drainPollInterval)
@@ -242,10 +244,10 @@
 	}
 }
 
-// Stop ends the driver and the replica, and returns once its goroutines have ended. It must be called once, and not on the
-// driver's goroutine.
+// Stop stops the driver and the replica, and returns once their goroutines have ended. It must be called exactly once, and not
+// on the driver's goroutine.
 func (d *Driver) Stop() {
 	close(d.stop)
-	d.running.Wait()
+	d.goroutines.Wait()
 	_ = d.Log.Stop()
 }
--- a/internal/fleet/consensus/fsm.go
+++ b/internal/fleet/consensus/fsm.go
@@ -11,17 +11,17 @@
 	"thymechute/internal/decide/lease"
 )
 
-// maxSnapshotBytes bounds a snapshot. The settings of 60,000 tenants and 9,800 routes take about 4 MB of it.
+// maxSnapshotBytes bounds the size of a snapshot. The settings of 60,000 tenants and 9,800 routes take about 4 MB.
 const maxSnapshotBytes = 32 << 20
 
-// ErrSnapshotTooLarge is the error of a snapshot of more than maxSnapshotBytes.
+// ErrSnapshotTooLarge reports a snapshot of more than maxSnapshotBytes.
 var ErrSnapshotTooLarge = errors.New("snapshot too large")
 
-// fsm implements raft.FSM on a Log's state.
+// fsm implements raft.FSM on the state of a Log.
 type fsm struct{ log *Log }
 
-// Apply implements raft.FSM. An entry that cannot be decoded, such as one of a later version, is skipped: all members of
-// this version skip it.
+// Apply implements raft.FSM. An entry that cannot be decoded, for example one of a later version, is skipped. All members of
+// this version skip it alike, so their states stay the same.
 func (f fsm) Apply(entry *raft.Log) any {
 	var c lease.Command
 	if err := json.Unmarshal(entry.Data, &c); err != nil {
@@ -102,7 +102,7 @@
 	return nil
 }
 
-// snapshot implements raft.FSMSnapshot.
+// snapshot is an encoded snapshotData. It implements raft.FSMSnapshot.
 type snapshot []byte
 
 // Persist implements raft.FSMSnapshot.
--- a/internal/fleet/consensus/fsm_test.go
+++ b/internal/fleet/consensus/fsm_test.go
@@ -12,38 +12,38 @@
 	"thymechute/internal/testutil"
 )
 
-// fixedState is a StateMachine with a given state.
+// fixedState is a StateMachine whose state no entry changes.
 type fixedState struct{ state []byte }
 
 func (s *fixedState) Apply(uint64, lease.Command, lease.Outcome) {}
 func (s *fixedState) Encode() ([]byte, error)                    { return s.state, nil }
 func (s *fixedState) Decode(state []byte) error                  { s.state = bytes.Clone(state); return nil }
 
-// sink is a raft.SnapshotSink in memory.
+// sink is an in-memory raft.SnapshotSink.
 type sink struct{ bytes.Buffer }
 
 func (*sink) ID() string    { return "" }
 func (*sink) Close() error  { return nil }
 func (*sink) Cancel() error { return nil }
 
-// A follower that joins late receives a snapshot, which is some megabytes at the planned size. An earlier bound of one
-// megabyte truncated it, so that no further member could join.
+// A member that joins late receives a snapshot, which takes some megabytes in a fleet of the planned size. With an earlier
+// bound of one megabyte the snapshot was truncated, and no further member could join.
 func TestSnapshotOfPlannedSizeIsRestored(t *testing.T) {
 	table := func() *lease.Table {
-		made, err := lease.NewTable("ring")
+		created, err := lease.NewTable("ring")
 		if err != nil {
 			t.Fatal(err)
 		}
-		return made
+		return created
 	}
 	const planned = 4 << 20
 	from, to := &fixedState{bytes.Repeat([]byte("tenant"), planned/6)}, &fixedState{}
-	made, err := fsm{&Log{table: table(), stateMachine: from}}.Snapshot()
+	created, err := fsm{&Log{table: table(), stateMachine: from}}.Snapshot()
 	if err != nil {
 		t.Fatal(err)
 	}
 	var persisted sink
-	if err := made.Persist(&persisted); err != nil {
+	if err := created.Persist(&persisted); err != nil {
 		t.Fatal(err)
 	}
 	if err := (fsm{&Log{table: table(), stateMachine: to, subscriber: discardSubscriber{}}}).Restore(io.NopCloser(&persisted)); err != nil {
@@ -55,26 +55,27 @@
 }
 
 func TestOversizedSnapshotIsRejected(t *testing.T) {
-	made, err := lease.NewTable("ring")
+	created, err := lease.NewTable("ring")
 	if err != nil {
 		t.Fatal(err)
 	}
 	oversized := &fixedState{make([]byte, maxSnapshotBytes)} // its encoding is longer still
-	if _, err := (fsm{&Log{table: made, stateMachine: oversized}}).Snapshot(); err == nil {
-		t.Error("a snapshot over its bound was made: no member could restore it")
+	if _, err := (fsm{&Log{table: created, stateMachine: oversized}}).Snapshot(); err == nil {
+		t.Error("a snapshot over maxSnapshotBytes was created; no member could restore it")
 	}
 	long := io.LimitReader(zeros{}, maxSnapshotBytes+2)
-	if err := (fsm{&Log{table: made, subscriber: discardSubscriber{}}}).Restore(io.NopCloser(long)); err == nil {
-		t.Error("a snapshot over its bound was restored")
+	if err := (fsm{&Log{table: created, subscriber: discardSubscriber{}}}).Restore(io.NopCloser(long)); err == nil {
+		t.Error("a snapshot over maxSnapshotBytes was restored")
 	}
 }
 
+// zeros is an endless io.Reader of zero bytes.
 type zeros struct{}
 
 func (zeros) Read(b []byte) (int, error) { clear(b); return len(b), nil }
 
-// fixtureLog returns a replica that can restore testdata/snapshot.json, with its state machines. The files of testdata were
-// encoded by the build d489d24.
+// fixtureLog returns a replica that can restore testdata/snapshot.json, and its state machines. The files in testdata were
+// written by the build of commit d489d24.
 func fixtureLog(t *testing.T) (*Log, StateMachines) {
 	t.Helper()
 	table, err := lease.NewTable("ring", "roll")
@@ -90,31 +91,31 @@
 	ring := states["ring"].(*fixedState).state
 	roll := states["roll"].(*fixedState).state
 	if string(ring) != "ring state" || !bytes.Equal(roll, []byte{0, 1, 2, 255}) {
-		t.Errorf("states %q and %v", ring, roll)
+		t.Errorf("state of ring %q, of roll %v; want \"ring state\" and [0 1 2 255]", ring, roll)
 	}
 }
 
-func TestSnapshotOfFirstBuildRoundTrips(t *testing.T) {
+func TestSnapshotOfEarlierBuildRoundTrips(t *testing.T) {
 	encoded := testutil.ReadFixture(t, "snapshot.json")
 	log, states := fixtureLog(t)
 	if err := (fsm{log}).Restore(io.NopCloser(bytes.NewReader(encoded))); err != nil {
 		t.Fatal(err)
 	}
 	checkFixtureStates(t, states)
-	made, err := fsm{log}.Snapshot()
+	created, err := fsm{log}.Snapshot()
 	if err != nil {
 		t.Fatal(err)
 	}
 	var again sink
-	if err := made.Persist(&again); err != nil {
+	if err := created.Persist(&again); err != nil {
 		t.Fatal(err)
 	}
 	if !bytes.Equal(again.Bytes(), encoded) {
-		t.Errorf("encodes to %s, want %s", again.Bytes(), encoded)
+		t.Errorf("snapshot encoded again: %s, want %s", again.Bytes(), encoded)
 	}
 }
 
-func TestStatesOfFirstBuildRoundTrip(t *testing.T) {
+func TestStatesOfEarlierBuildRoundTrip(t *testing.T) {
 	encoded := testutil.ReadFixture(t, "states.json")
 	_, states := fixtureLog(t)
 	if err := states.Decode(encoded); err != nil {
@@ -122,14 +123,14 @@
 	}
 	checkFixtureStates(t, states)
 	if again, err := states.Encode(); err != nil || !bytes.Equal(again, encoded) {
-		t.Errorf("encodes to %s, %v; want %s", again, err, encoded)
+		t.Errorf("states encoded again: %s, %v; want %s", again, err, encoded)
 	}
 	if _, err := DecodeStates([]byte("{")); !errors.Is(err, ErrInvalidState) {
-		t.Errorf("truncated states: %v", err)
+		t.Errorf("truncated states: error %v, want ErrInvalidState", err)
 	}
 }
 
-func TestEntriesOfFirstBuildGiveTheSameSnapshot(t *testing.T) {
+func TestEntriesOfEarlierBuildProduceTheSameSnapshot(t *testing.T) {
 	log, states := fixtureLog(t)
 	states["ring"] = &fixedState{[]byte("ring state")}
 	states["roll"] = &fixedState{[]byte{0, 1, 2, 255}}
--- a/internal/fleet/consensus/heartbeats.go
+++ b/internal/fleet/consensus/heartbeats.go
@@ -8,24 +8,24 @@
 )
 
 const (
-	// newLeaderPeriod is for how long a leader changes no voters: by then, each heartbeat to an ended process has failed.
+	// newLeaderPeriod is how long a new leader changes no voters. After it, a heartbeat to each ended process has failed.
 	newLeaderPeriod = dialTimeout + reconcileInterval
-	// failedHeartbeatTTL is for how long a failed heartbeat counts. The next failure comes well within it, while one that is
-	// left from an earlier term expires by itself.
+	// failedHeartbeatTTL is how long a server counts as failing after a failed heartbeat. While it does not answer, the next
+	// heartbeat fails well before that; a failure left over from an earlier term expires.
 	failedHeartbeatTTL = 2 * dialTimeout
 )
 
-// heartbeatMonitor knows which servers a leader's raft heartbeats do not reach. The membership layer detects failures only
-// seconds later, and with a voter added meanwhile beside failed ones the quorum could be lost
-// permanently. It holds at most one entry
-// per server of raft's configuration, and is cleared when this process becomes or ceases to be the leader.
+// heartbeatMonitor records which servers do not answer the leader's raft heartbeats. The membership layer detects a failure
+// only seconds later; if a voter were added before that, while others have failed, the quorum could be lost permanently.
+// The monitor holds at most one entry per server of raft's configuration, and is cleared whenever raft's state at this
+// process changes.
 type heartbeatMonitor struct {
-	mu           sync.Mutex // raft's goroutines write, the voter manager reads
+	mu           sync.Mutex // guards the fields below: raft's goroutines write them, the voter manager reads them
 	failed       map[raft.ServerID]time.Time
-	stateChanged time.Time // when raft's state last changed: since when a leader leads
+	stateChanged time.Time // when raft's state last changed; at a leader, when it was elected
 }
 
-// observe subscribes to raft's observations. They are handled within raft's call, so that nothing queues up.
+// observe subscribes to raft's observations. They are handled in raft's filter callback, so that none are queued.
 func (m *heartbeatMonitor) observe(r *raft.Raft) {
 	m.failed = map[raft.ServerID]time.Time{}
 	r.RegisterObserver(raft.NewObserver(nil, false, func(o *raft.Observation) bool {
@@ -58,7 +58,7 @@
 	return hasFailed && now.Sub(failedAt) < failedHeartbeatTTL
 }
 
-// isNewLeader reports whether this leader has led for too short a time to know whom its heartbeats do not reach.
+// isNewLeader reports whether this leader was elected too recently for heartbeats to all failed servers to have failed.
 func (m *heartbeatMonitor) isNewLeader(now time.Time) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/internal/fleet/consensus/log.go
+++ b/internal/fleet/consensus/log.go
@@ -1,16 +1,17 @@
-// Package consensus replicates the fleet's log with hashicorp/raft, and drives each member's part in the leases of that
-// log. Log is one process's replica, Driver its elector, and the leader's Driver also manages who follows the log and who
-// votes, by internal/decide/quorum. What an entry means is left to internal/decide/lease and to the StateMachines.
+// Package consensus replicates the fleet's log with hashicorp/raft, and runs the leader election for each duty on that log.
+// Log is one process's replica, and Driver runs its elector. At raft's leader the Driver also manages raft's servers, that
+// is, which processes replicate the log and which of them vote, as internal/decide/quorum decides. The meaning of an entry
+// is defined by internal/decide/lease and by the StateMachines.
 //
-// The transport is raft's own over TCP. A member that does not lead sends its proposals to the leader as reliable messages
-// of the membership layer.
+// The transport is raft's own over TCP. A member that is not the leader sends its proposals to the leader as reliable
+// messages of the membership layer.
 //
-// Nothing is written to disk. A process is therefore a raft server of its own, identified by its name and incarnation: a
-// restarted process is another server, so it cannot vote where its predecessor has voted. Exactly one process, once,
-// bootstraps the log.
+// Nothing is written to disk. A raft server is therefore one process, identified by its name and incarnation: a restarted
+// process is another server, and cannot vote again in a term in which its predecessor has voted. The log is bootstrapped
+// by exactly one process, once.
 //
-// Bounds: raft keeps trailingEntries entries behind a snapshot of at most maxSnapshotBytes. Proposals wait in raft's own
-// bounded queue.
+// Bounds: raft keeps trailingEntries entries from before a snapshot, which is at most maxSnapshotBytes long. Proposals wait
+// in raft's own bounded queue.
 package consensus
 
 import (
@@ -32,32 +33,32 @@
 	snapshotThreshold       = 4096 // entries
 	snapshotInterval        = 10 * time.Second
 	defaultHeartbeatTimeout = 500 * time.Millisecond
-	applyTimeout            = 200 * time.Millisecond // for which a proposal may block the driver
-	configurationTimeout    = 2 * time.Second        // of one change of raft's configuration
+	applyTimeout            = 200 * time.Millisecond // how long a proposal may block the driver
+	configurationTimeout    = 2 * time.Second        // for one change of raft's configuration
 	dialTimeout             = time.Second
-	maxIdleConnections      = 2 // to each other server
+	maxIdleConnections      = 2 // per other server
 )
 
-// Config of a Log.
+// Config configures a Log.
 type Config struct {
-	Process   string   // identity of this process, unique to its incarnation
-	Bind      string   // host:port, TCP; connections are dialed from the same host
-	Advertise string   // host:port at which the others reach it; empty: Bind
-	Bootstrap bool     // starts a new log with this process as its only server: once in a fleet's life, never again
-	Duties    []string // whose leases the log grants; the same in all members
-	// StateMachine receives each entry after the table of leases, and is part of snapshots; nil for none.
+	Process   string   // ID of this process, unique to its incarnation
+	Bind      string   // host:port of the TCP listener; outgoing connections use the same host
+	Advertise string   // host:port at which the others reach this process; empty for Bind
+	Bootstrap bool     // starts a new log, as Log.Bootstrap does
+	Duties    []string // the duties whose leases the log grants; the same in all members
+	// StateMachine applies each entry after the lease table has, and is part of snapshots; nil for none.
 	StateMachine StateMachine
-	// HeartbeatTimeout is after how long a silent leader is replaced: at least 50 ms; 0 stands for 500 ms.
+	// HeartbeatTimeout is how long a follower waits for the leader before it starts an election: at least 50 ms; 0 for 500 ms.
 	HeartbeatTimeout time.Duration
-	LogOutput        io.Writer // for raft's own log lines; nil for none
-	// WrapConn replaces each connection, for example with one that counts or delays what passes; nil for none.
+	LogOutput        io.Writer // receives raft's own log lines; nil discards them
+	// WrapConn may replace each connection, for example with one that counts bytes or adds delay; nil for none.
 	WrapConn func(net.Conn) net.Conn
 }
 
-// Subscriber receives the log on raft's goroutine, in the order of the entries.
+// Subscriber receives the log's entries, in order, on raft's goroutine.
 type Subscriber interface {
 	EntryApplied(index uint64, c lease.Command)
-	// SnapshotRestored is called when a snapshot replaced all earlier entries.
+	// SnapshotRestored is called after a snapshot has replaced all earlier entries. state is the encoded StateMachine.
 	SnapshotRestored(t *lease.Table, state []byte)
 }
 
@@ -66,13 +67,13 @@
 	raft         *raft.Raft
 	self         raft.Server
 	subscriber   Subscriber
-	table        *lease.Table // for snapshots; used on raft's goroutine alone, as is stateMachine
+	table        *lease.Table // for snapshots; it and stateMachine are used on raft's goroutine only
 	stateMachine StateMachine // nil for none
 
 	heartbeats heartbeatMonitor
 }
 
-// ErrNotLeader is returned for a proposal at a process that is not the leader.
+// ErrNotLeader is returned by Propose if this process is not the leader.
 var ErrNotLeader = errors.New("not the leader")
 
 // Start starts a replica. Errors: an address that cannot be bound or resolved, invalid duties, a failed bootstrap.
@@ -103,7 +104,7 @@
 	return l, nil
 }
 
-// raftConfig derives raft's settings from the heartbeat timeout.
+// raftConfig returns raft's configuration. All of raft's timeouts are derived from the heartbeat timeout.
 func raftConfig(c Config) *raft.Config {
 	output := c.LogOutput
 	if output == nil {
@@ -126,8 +127,8 @@
 	return config
 }
 
-// Bootstrap starts a new log with this process as its only server: once in a fleet's life, never again. It fails if this
-// process already belongs to a log.
+// Bootstrap starts a new log with this process as its only server. It must be called only once in the lifetime of a fleet.
+// It fails if this process already belongs to a log.
 func (l *Log) Bootstrap() error {
 	configuration := raft.Configuration{Servers: []raft.Server{l.self}}
 	if err := l.raft.BootstrapCluster(configuration).Error(); err != nil {
@@ -136,8 +137,8 @@
 	return nil
 }
 
-// Propose appends a command if this process leads; ErrNotLeader otherwise. It does not wait for the outcome: if the
-// proposal is not lost, the Subscriber receives it as an entry.
+// Propose appends a command to the log, or returns ErrNotLeader if this process is not the leader. It does not wait until
+// the entry is committed. The entry may be lost; otherwise the Subscriber receives it.
 func (l *Log) Propose(c lease.Command) error {
 	if l.raft.State() != raft.Leader {
 		return ErrNotLeader
@@ -150,13 +151,14 @@
 	return nil
 }
 
-// Leader returns the process that leads, empty if none is known, and whether it is this one.
+// Leader returns raft's leader, empty if none is known, and whether this process is the leader.
 func (l *Log) Leader() (process string, isSelf bool) {
 	_, id := l.raft.LeaderWithID()
 	return string(id), l.raft.State() == raft.Leader
 }
 
-// Applied returns the last entry that the Subscriber has received, and whether it is the last known to be committed.
+// Applied returns the index of the last entry that raft has passed on to be applied, and whether that is the last entry
+// known to be committed.
 func (l *Log) Applied() (index uint64, isCurrent bool) {
 	index = l.raft.AppliedIndex()
 	_, leader := l.raft.LeaderWithID()
@@ -166,7 +168,7 @@
 // Term returns raft's current term.
 func (l *Log) Term() uint64 { return l.raft.CurrentTerm() }
 
-// Voters returns the processes that vote, as far as this one knows.
+// Voters returns the processes that vote, according to the latest configuration that this process knows.
 func (l *Log) Voters() (voters []string) {
 	servers, err := l.servers()
 	if err != nil {
@@ -188,8 +190,8 @@
 	return future.Configuration().Servers, nil
 }
 
-// AddNonvoter adds a process, reachable at host:port, to the log as a server without a vote. It must be called at the leader, and
-// waits until the change is committed, or fails with raft's error after configurationTimeout.
+// AddNonvoter adds a process, reachable at host:port, as a server without a vote. It must be called at the leader. It waits
+// until the change is committed, or fails with raft's error after configurationTimeout.
 func (l *Log) AddNonvoter(process, address string) error {
 	return l.raft.AddNonvoter(raft.ServerID(process), serverAddress(address, process), 0, configurationTimeout).Error()
 }
@@ -199,7 +201,7 @@
 	return l.raft.AddVoter(raft.ServerID(process), serverAddress(address, process), 0, configurationTimeout).Error()
 }
 
-// removeServer removes a process from the log. It waits and fails as AddNonvoter does.
+// removeServer removes a process from raft's servers. It waits and fails as AddNonvoter does.
 func (l *Log) removeServer(process string) error {
 	return l.raft.RemoveServer(raft.ServerID(process), 0, configurationTimeout).Error()
 }
--- a/internal/fleet/consensus/log_test.go
+++ b/internal/fleet/consensus/log_test.go
@@ -18,16 +18,16 @@
 	zoneCount     = 3
 	ringDuty      = "ring"
 
-	minorityPartition = "in a minority" // name of a fault
+	minorityPartition = "in a minority" // name of the fault that leaves the holder in a minority
 )
 
-// logCluster is members that agree on a log, each behind its proxies.
+// logCluster is a cluster of members that replicate a log, each reached through its proxies.
 type logCluster struct {
 	*testutil.Cluster[memberEvent]
 	t *testing.T
 }
 
-// startLogCluster starts five members, and waits until all vote.
+// startLogCluster starts five members and waits until all of them vote.
 func startLogCluster(t *testing.T) *logCluster {
 	c := &logCluster{testutil.NewCluster(t, 6, member.Ports, func(e *memberEvent, name string) { e.member = name }), t}
 	t.Cleanup(c.logOnFailure)
@@ -44,7 +44,7 @@
 	return c
 }
 
-// logOnFailure logs who led and voted: a failure is mostly about that.
+// logOnFailure logs the changes of leaders, voters and leases if the test has failed, as most failures are caused by them.
 func (c *logCluster) logOnFailure() {
 	if !c.t.Failed() {
 		return
@@ -59,26 +59,26 @@
 
 func isLeadership(e memberEvent) bool { return e.Event == eventLeads }
 
-// isRingHolder matches the acquisition of the ring's lease under a token over this one.
-func isRingHolder(over uint64) func(memberEvent) bool {
+// isRingHolder matches the acquisition of the ring's lease with a token above the given one.
+func isRingHolder(above uint64) func(memberEvent) bool {
 	return func(e memberEvent) bool {
-		return e.Event == eventLeaseAcquired && e.Duty == ringDuty && e.Token > over
+		return e.Event == eventLeaseAcquired && e.Duty == ringDuty && e.Token > above
 	}
 }
 
-// isEntryAt matches an entry that a member has applied.
+// isEntryAt matches any entry applied by the named member.
 func isEntryAt(name string) func(memberEvent) bool {
 	return func(e memberEvent) bool { return e.Event == eventEntry && e.member == name }
 }
 
-// isRingDecision matches a decision's entry of the ring.
+// isRingDecision matches an entry with a decision of the ring's holder, accepted or not.
 func isRingDecision(e memberEvent) bool {
 	return e.Event == eventEntry && e.Kind == lease.Decide && e.Duty == ringDuty
 }
 
-// The five members are partitioned in three ways: the holder isolated in both directions, in its outbound direction only,
-// and in a minority of two. Each time another member acquires the lease once it has expired, and what the old holder proposes
-// after the partition has healed is rejected.
+// The holder of a lease is cut off from the five members in three ways: isolated in both directions, isolated in its outbound
+// direction only, and with one other in a minority. Each time another member must acquire the lease after its expiry, and
+// proposals of the old holder must be rejected after the partition has healed.
 func TestOneHolderThroughPartitions(t *testing.T) {
 	c := startLogCluster(t)
 	c.WaitFor("a holder", 0, isRingHolder(0))
@@ -102,12 +102,12 @@
 		start := time.Now()
 		fault.cut(holder.member, others)
 		next := c.WaitFor("a successor of the holder "+fault.name, first, isRingHolder(holder.Token))
-		t.Logf("%s, replaced after %v", fault.name, time.Since(start).Round(time.Millisecond))
+		t.Logf("holder %s: replaced after %v", fault.name, time.Since(start).Round(time.Millisecond))
 		if next.member == holder.member {
-			t.Errorf("%s: %s is its own successor", fault.name, holder.member)
+			t.Errorf("holder %s: %s acquired the lease again", fault.name, holder.member)
 		}
 		if fault.name == minorityPartition && next.member == others[0] {
-			t.Errorf("the minority has a holder of its own: %s", next.member)
+			t.Errorf("%s acquired the lease in a minority", next.member)
 		}
 		c.Net.Heal()
 		first = c.EventCount()
@@ -118,9 +118,9 @@
 	c.checkLog(0)
 }
 
-// The faults of five processes over raft: the holder of a lease is suspended for longer than the lease and resumed; its
-// successor is killed; the log's leader and another voter are killed during the election and restarted without their state.
-func TestOneHolderThroughPauseKillAndRestarts(t *testing.T) {
+// In a cluster of five processes the holder of a lease is suspended for longer than the lease and resumed. Then its successor
+// is killed and restarted, and then the log's leader and another voter at once, all without their state.
+func TestOneHolderThroughSuspensionKillAndRestarts(t *testing.T) {
 	c := startLogCluster(t)
 	c.WaitFor("a holder", 0, isRingHolder(0))
 	next := c.suspendHolder()
@@ -129,7 +129,7 @@
 	c.checkLog(1)
 }
 
-// suspendHolder suspends the ring's holder past its lease, and returns its successor.
+// suspendHolder suspends the ring's holder until after its lease has expired, and returns its successor.
 func (c *logCluster) suspendHolder() (next memberEvent) {
 	holder := c.Last(isRingHolder(0))
 	first := c.EventCount()
@@ -137,15 +137,15 @@
 	suspendedAt := time.Now()
 	next = c.WaitFor("a successor of the suspended holder", first, isRingHolder(holder.Token))
 	c.t.Logf("suspended holder replaced after %v", time.Since(suspendedAt).Round(time.Millisecond))
-	time.Sleep(time.Second - min(time.Since(suspendedAt), time.Second)) // for more than a lease in any case
+	time.Sleep(time.Second - min(time.Since(suspendedAt), time.Second)) // suspended for longer than a lease in any case
 	c.Signal(holder.member, syscall.SIGCONT)
-	c.WaitFor("the late command in the log", first, func(e memberEvent) bool {
+	c.WaitFor("rejection of the resumed holder's late command", first, func(e memberEvent) bool {
 		return isRingDecision(e) && e.Token == holder.Token && !e.IsAccepted
 	})
 	return next
 }
 
-// killHolder kills the ring's holder and starts it again, and waits until its new incarnation votes in place of the old.
+// killHolder kills and restarts the ring's holder, and waits until five processes vote without the killed one.
 func (c *logCluster) killHolder(holder memberEvent) {
 	first := c.EventCount()
 	killedAt, killed := time.Now(), ""
@@ -158,16 +158,17 @@
 	c.WaitFor("a successor of the killed holder", first, isRingHolder(holder.Token))
 	c.t.Logf("killed holder replaced after %v", time.Since(killedAt).Round(time.Millisecond))
 	c.Start(holder.member)
-	c.WaitFor("the restarted one's entries", c.EventCount(), isEntryAt(holder.member))
-	c.WaitFor("the killed voter removed", first, func(e memberEvent) bool {
+	c.WaitFor("entries applied by the restarted holder", c.EventCount(), isEntryAt(holder.member))
+	c.WaitFor("removal of the killed voter", first, func(e memberEvent) bool {
 		return e.Event == eventVoters && !slices.Contains(e.voters(), killed)
 	})
-	c.WaitFor("five good voters again", first, func(e memberEvent) bool { // with three of five gone no quorum is left, and rightly so
+	// Two more are killed next: with three of five voters failed there would be no quorum.
+	c.WaitFor("five voters without the killed one", first, func(e memberEvent) bool {
 		return len(e.voters()) == votingMembers && !slices.Contains(e.voters(), killed)
 	})
 }
 
-// killLeaderAndVoter kills the log's leader and another voter, in the middle of the election, and starts both again.
+// killLeaderAndVoter kills the log's leader and another voter at once, and restarts both.
 func (c *logCluster) killLeaderAndVoter() {
 	leader := c.Last(isLeadership)
 	other := "m1"
@@ -181,13 +182,13 @@
 	c.Start(leader.member)
 	c.Start(other)
 	c.WaitFor("a leader after the restarts", first, isLeadership)
-	c.WaitFor("a decision after them", first, func(e memberEvent) bool {
+	c.WaitFor("an accepted decision after the restarts", first, func(e memberEvent) bool {
 		return isRingDecision(e) && e.IsAccepted && e.Token >= token
 	})
 }
 
-// checkLog checks all events: the same log in all members, no stale command accepted, no decision of a holder after its
-// successor's first, one leader a term, and so many late proposals at least.
+// checkLog checks all events: every member has the same log, no stale command was accepted, no holder decided after its
+// successor's first decision, each term had one leader, and there were at least minLateProposals late proposals.
 func (c *logCluster) checkLog(minLateProposals int) {
 	entries, leaders := map[uint64]memberEvent{}, map[uint64]string{}
 	firstDecision, lastDecision := map[string]int64{}, map[string]int64{}
@@ -201,14 +202,14 @@
 				e.At = known.At
 			}
 			if isKnown && known != e {
-				c.t.Errorf("entry %d differs: %+v and %+v", e.Index, known, e)
+				c.t.Errorf("entry %d differs between members: %+v and %+v", e.Index, known, e)
 			}
 			entries[e.Index] = e
 		case eventLateProposal:
 			lateProposals++
 		case eventLeads:
 			if other := leaders[e.Index]; other != "" && other != e.member {
-				c.t.Errorf("%s and %s lead term %d", other, e.member, e.Index)
+				c.t.Errorf("%s and %s are both leaders in term %d", other, e.member, e.Index)
 			}
 			leaders[e.Index] = e.member
 		case eventDecides:
@@ -224,10 +225,10 @@
 	if lateProposals < minLateProposals || accepted < 20 {
 		c.t.Errorf("%d late commands proposed, %d decisions accepted; want at least %d and 20", lateProposals, accepted, minLateProposals)
 	}
-	c.t.Logf("%d late commands proposed, %d decisions accepted, %d leaders' terms", lateProposals, accepted, len(leaders))
+	c.t.Logf("%d late commands proposed, %d decisions accepted, %d terms with a leader", lateProposals, accepted, len(leaders))
 }
 
-// checkTokens checks that accepted decisions have rising tokens, and returns how many there are.
+// checkTokens checks that the tokens of accepted decisions never decrease, and returns the number of those decisions.
 func (c *logCluster) checkTokens(entries map[uint64]memberEvent) (accepted int) {
 	highest := map[string]uint64{}
 	for index := uint64(0); index <= uint64(1<<20); index++ {
@@ -243,14 +244,14 @@
 	return accepted
 }
 
-// checkSuccessions checks that nobody decided after its successor had.
+// checkSuccessions checks that no holder decided after its successor's first decision.
 func (c *logCluster) checkSuccessions(firstDecision, lastDecision map[string]int64) {
 	for key, last := range lastDecision {
 		var duty string
 		var token uint64
 		_, _ = fmt.Sscan(key, &duty, &token)
 		if next := firstDecision[decisionKey(duty, token+1)]; next != 0 && next < last {
-			c.t.Errorf("%s: token %d still decided %d ms after the next had", duty, token, last-next)
+			c.t.Errorf("%s: the holder with token %d decided %d ms after its successor had", duty, token, last-next)
 		}
 	}
 }
--- a/internal/fleet/consensus/member_test.go
+++ b/internal/fleet/consensus/member_test.go
@@ -19,9 +19,9 @@
 	zoneVariable = "CONSENSUS_ZONE" // a member's zone, in its environment
 
 	pollInterval        = 20 * time.Millisecond
-	releaseDelay        = 300 * time.Millisecond // for released leases to reach the leader; no check depends on it
+	releaseDelay        = 300 * time.Millisecond // until released leases have reached the leader; no check depends on it
 	pollsPerDecision    = 5
-	lateProposals       = 20 // enough for one to reach a leader
+	lateProposals       = 20 // so many that one reaches a leader
 	lateProposalsPeriod = 50 * time.Millisecond
 )
 
@@ -39,7 +39,7 @@
 
 var duties = []string{"ring", "roll"}
 
-// memberEvent is an event of a member.
+// memberEvent is an event that a member's process emits.
 type memberEvent struct {
 	Event        string
 	Duty, Text   string
@@ -50,7 +50,7 @@
 	member       string
 }
 
-// voters are the processes that vote, as the member knows them; none of another kind of event.
+// voters returns the processes that vote, as known to the member; none for an event of another kind.
 func (e memberEvent) voters() []string {
 	if e.Event != eventVoters {
 		return nil
@@ -60,10 +60,11 @@
 
 func TestMain(m *testing.M) { member.Main(m, runMember) }
 
-// testMember is a member's process, until its standard input closes or its time is up. It is the log's Watcher.
+// testMember runs in a member's process, until its standard input is closed or its maximal lifetime is over. It is the log's
+// Watcher.
 type testMember struct {
 	*member.Member
-	tokens sync.Map // by duty, of the last lease that it held
+	tokens sync.Map // by duty: the token of the last lease that it held
 }
 
 func runMember(process *member.Member) {
@@ -109,8 +110,8 @@
 
 var _ consensus.Watcher = (*testMember)(nil)
 
-// poll emits an event for each change of the leadership and of the voters, and decides under the leases it holds, until
-// the process ends.
+// poll emits an event whenever this member becomes the leader and whenever the voters change, and proposes decisions under
+// the leases that it holds, until the process ends.
 func (m *testMember) poll() {
 	var term uint64
 	var voters string
@@ -137,8 +138,8 @@
 	}
 }
 
-// proposeLate proposes decisions under the leases held last without checking them again, like a process that was suspended
-// between its check and its proposal.
+// proposeLate proposes decisions under the leases last held without checking that they are still valid, like a process that
+// was suspended between checking its lease and proposing.
 func (m *testMember) proposeLate() {
 	m.tokens.Range(func(duty, token any) bool {
 		c := lease.Command{Kind: lease.Decide, Duty: duty.(string), Member: m.Process, Incarnation: m.Incarnation,
--- a/internal/fleet/consensus/peers.go
+++ b/internal/fleet/consensus/peers.go
@@ -9,38 +9,39 @@
 // Peer is one process as the membership layer knows it.
 type Peer struct {
 	Process  string
-	Address  string // host:port of its log
+	Address  string // host:port of its log transport
 	Zone     string
-	Region   string // zones that may fail together; empty if it names none
-	Applied  uint64 // last entry that it has applied, by its own account
+	Region   string // zones that may fail together; empty if the process names none
+	Applied  uint64 // index of the last entry that it has applied, as it last published
 	Draining bool
 }
 
 const (
-	maxCatchUpLag    = 64               // entries behind the log at which a follower counts as caught up
-	followerTimeout  = 30 * time.Second // after which an unreachable follower is removed from the log
-	peerRetention    = 2 * followerTimeout
-	reachableTimeout = 2 * reconcileInterval // within which a peer must be in the view to count as reachable
-	// caughtUpTTL is for how long a peer counts as caught up after it last was. In a large fleet a member publishes its
-	// Applied minutes apart, and a server that the leader replicates to stays caught up meanwhile.
+	maxCatchUpLag    = 64               // entries by which a server may be behind and still count as caught up
+	nonvoterTimeout  = 30 * time.Second // after which an unreachable nonvoter is removed from raft's servers
+	peerRetention    = 2 * nonvoterTimeout
+	reachableTimeout = 2 * reconcileInterval // how long a peer counts as reachable after it was last in the view
+	// caughtUpTTL is how long a peer counts as caught up after its published index was. In a large fleet a member publishes
+	// its applied index only every few minutes; a server that the leader replicates to stays caught up in between.
 	caughtUpTTL = 10 * time.Minute
 )
 
-// peerState is a peer with what the leader has learned of it.
+// peerState is a peer and what this process has observed of it.
 type peerState struct {
 	Peer
 	firstSeen, lastSeen time.Time
-	isReplaced          bool // a later process runs at its address
+	isReplaced          bool // another process was first seen later at its address
 
-	judgedApplied uint64    // the last Applied that was compared with the leader's log
-	caughtUpAt    time.Time // when that was within maxCatchUpLag; zero if it was not
+	comparedApplied uint64    // the value of Applied that was last compared with the leader's log
+	caughtUpAt      time.Time // when that value was found within maxCatchUpLag; zero if it was not
 }
 
-// isCaughtUp reports whether the peer has caught up with the committed entries, or had when it last published Applied.
+// isCaughtUp reports whether the peer has caught up with the committed entries, or had within caughtUpTTL by the index that
+// it last published.
 func (p *peerState) isCaughtUp(committed uint64, now time.Time) bool {
 	isWithinLag := p.Applied+maxCatchUpLag >= committed
-	if p.Applied != p.judgedApplied {
-		p.judgedApplied, p.caughtUpAt = p.Applied, time.Time{}
+	if p.Applied != p.comparedApplied {
+		p.comparedApplied, p.caughtUpAt = p.Applied, time.Time{}
 		if isWithinLag {
 			p.caughtUpAt = now
 		}
@@ -48,12 +49,12 @@
 	return isWithinLag || (!p.caughtUpAt.IsZero() && now.Sub(p.caughtUpAt) < caughtUpTTL)
 }
 
-// isGone reports whether a follower is to be removed from the log.
-func (p *peerState) isGone(now time.Time) bool {
-	return p.isReplaced || now.Sub(p.lastSeen) > followerTimeout
+// isRemovable reports whether the peer, if it is a nonvoter, is to be removed from raft's servers.
+func (p *peerState) isRemovable(now time.Time) bool {
+	return p.isReplaced || now.Sub(p.lastSeen) > nonvoterTimeout
 }
 
-// unreachableFor returns for how long the peer has been missing from the view; 0 if that is a moment.
+// unreachableFor returns how long the peer has been missing from the view; 0 up to reachableTimeout.
 func (p *peerState) unreachableFor(now time.Time) time.Duration {
 	if missing := now.Sub(p.lastSeen); missing >= reachableTimeout {
 		return missing
@@ -61,16 +62,16 @@
 	return 0
 }
 
-// member returns the peer as a candidate for the quorum, reachable and not caught up.
-func (p *peerState) member(now time.Time) quorum.Member {
+// quorumMember returns the peer as a member for package quorum, without UnreachableFor and CaughtUp.
+func (p *peerState) quorumMember(now time.Time) quorum.Member {
 	return quorum.Member{Process: p.Process, Zone: p.Zone, Region: p.Region, Age: now.Sub(p.firstSeen), Draining: p.Draining,
 		Replaced: p.isReplaced}
 }
 
-// peerTable is all peers by process: at most those in the membership view, and those that were within peerRetention.
+// peerTable holds peers by process: those in the membership view, and those that were in it within peerRetention.
 type peerTable map[string]*peerState
 
-// update takes over the present view.
+// update merges the current membership view into the table, and forgets peers after peerRetention.
 func (t peerTable) update(view []Peer, now time.Time) {
 	for _, p := range view {
 		if p.Process == "" {
@@ -90,7 +91,7 @@
 	}
 }
 
-// markReplaced marks all but the latest process at each address.
+// markReplaced marks a process as replaced if another one at its address was first seen later.
 func (t peerTable) markReplaced() {
 	latest := map[string]time.Time{}
 	for _, p := range t {
--- a/internal/fleet/consensus/peers_test.go
+++ b/internal/fleet/consensus/peers_test.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// In a large fleet a member publishes its applied index only every few minutes, and the log grows meanwhile.
+// In a large fleet a member publishes its applied index only every few minutes while the log grows. The last published index
+// must therefore count for caughtUpTTL, unless it shows that the member is behind.
 func TestCaughtUpPeerStaysSoUntilItLagsOrExpires(t *testing.T) {
 	now := time.Unix(1_800_000_000, 0)
 	p := &peerState{}
@@ -21,13 +22,13 @@
 		t.Error("not caught up 10 entries behind")
 	}
 	if !p.isCaughtUp(2000, now.Add(caughtUpTTL/2)) {
-		t.Error("no longer caught up, though it has published nothing else")
+		t.Error("not caught up, though it has published no other index since")
 	}
 	if p.isCaughtUp(2000, now.Add(caughtUpTTL)) {
-		t.Error("one record counts as caught up for longer than caughtUpTTL")
+		t.Error("caught up, though the published index is older than caughtUpTTL")
 	}
 	p.Applied = 1500
 	if p.isCaughtUp(2000, now.Add(caughtUpTTL/2)) {
-		t.Error("caught up though it has published that it is behind")
+		t.Error("caught up, though the last published index is 500 entries behind")
 	}
 }
--- a/internal/fleet/consensus/statemachine.go
+++ b/internal/fleet/consensus/statemachine.go
@@ -10,21 +10,21 @@
 	"thymechute/internal/decide/lease"
 )
 
-// StateMachine is a state that every member builds alike from the entries, on raft's goroutine. Its encoding replaces all
-// entries so far in a member that joins late.
+// StateMachine is replicated state: every member derives the same state from the log's entries. Its methods are called on
+// raft's goroutine. A snapshot holds its encoding, so that a member that joins late need not replay the entries before it.
 type StateMachine interface {
 	Apply(index uint64, c lease.Command, o lease.Outcome)
 	Encode() ([]byte, error)
 	Decode(b []byte) error
 }
 
-// StateMachines are state machines by name. Each applies every entry, and sees its own encoding alone.
+// StateMachines combines state machines by name. Each applies every entry, and decodes only its own part of the encoding.
 type StateMachines map[string]StateMachine
 
-// ErrInvalidState is the error of bytes that StateMachines did not encode.
+// ErrInvalidState reports bytes that are not an encoding of StateMachines.
 var ErrInvalidState = errors.New("invalid encoding of state machines")
 
-// Apply implements StateMachine, in the order of the names.
+// Apply implements StateMachine. The state machines apply the entry in the order of their names.
 func (m StateMachines) Apply(index uint64, c lease.Command, o lease.Outcome) {
 	for _, name := range slices.Sorted(maps.Keys(m)) {
 		m[name].Apply(index, c, o)
@@ -58,7 +58,7 @@
 	return nil
 }
 
-// DecodeStates splits what StateMachines encoded into the states by name. Errors: ErrInvalidState.
+// DecodeStates splits an encoding of StateMachines into the encoded state of each, by name. Errors: ErrInvalidState.
 func DecodeStates(b []byte) (map[string][]byte, error) {
 	states := map[string][]byte{}
 	if err := json.Unmarshal(b, &states); err != nil {
--- a/internal/fleet/consensus/transport.go
+++ b/internal/fleet/consensus/transport.go
@@ -14,20 +14,20 @@
 
 const (
 	maxProcessName   = 200         // bytes
-	handshakeTimeout = time.Second // within which an accepted connection names its target
+	handshakeTimeout = time.Second // from accepting a connection until its handshake line has been read
 )
 
-// errWrongProcess is the error of a connection meant for another process, most likely a predecessor at this address.
-var errWrongProcess = errors.New("consensus: connection for another process")
+// errWrongProcess reports a connection intended for another process, most likely for the predecessor at this address.
+var errWrongProcess = errors.New("consensus: handshake does not name this process")
 
-// serverAddress returns raft's address of a process: host:port/process. raft identifies a peer by its address alone, and a
-// restarted process has the address of its predecessor, whose votes and entries it has lost. So each dialer first sends a
-// line that names the process it wants, and any other process closes the connection.
+// serverAddress returns the address under which raft knows a process: host:port/process. raft connects to a peer by its
+// address alone, and a restarted process has the address of its predecessor but not its votes and entries. Therefore each
+// dialer first sends a line that names the intended process, and any other process closes the connection.
 func serverAddress(address, process string) raft.ServerAddress {
 	return raft.ServerAddress(address + "/" + process)
 }
 
-// streamLayer implements raft.StreamLayer. Connections are dialed from the bound host, by which the others identify them.
+// streamLayer implements raft.StreamLayer. Outgoing connections use the bound host, so that the others can tell their origin.
 type streamLayer struct {
 	net.Listener
 	process   string
@@ -66,7 +66,7 @@
 	return streamAddr(serverAddress(l.advertise.String(), l.process))
 }
 
-// streamAddr implements net.Addr for an address of raft.
+// streamAddr is a raft.ServerAddress as a net.Addr.
 type streamAddr raft.ServerAddress
 
 // Network implements net.Addr.
@@ -92,8 +92,8 @@
 	return conn, nil
 }
 
-// Accept implements net.Listener. The handshake is read with the connection's first bytes, so that a slow dialer does not
-// block the others.
+// Accept implements net.Listener. It does not wait for the handshake, which the first Read reads, so that a slow dialer does
+// not block the others.
 func (l *streamLayer) Accept() (net.Conn, error) {
 	conn, err := l.Listener.Accept()
 	if err != nil {
@@ -104,11 +104,11 @@
 	return &acceptedConn{Conn: conn, reader: bufio.NewReaderSize(conn, maxProcessName), process: l.process}, nil
 }
 
-// acceptedConn is an accepted connection. raft reads it on one goroutine.
+// acceptedConn is an accepted connection that checks the handshake. raft reads it on one goroutine.
 type acceptedConn struct {
 	net.Conn
 	reader  *bufio.Reader
-	process string // expected in the handshake; empty after it
+	process string // expected in the handshake; empty once it has been read
 }
 
 // Read implements io.Reader.
--- a/internal/fleet/consensus/transport_test.go
+++ b/internal/fleet/consensus/transport_test.go
@@ -27,8 +27,8 @@
 	return l
 }
 
-// A process that starts without state at an address where another has voted must not vote, nor acknowledge an entry, in its
-// place: entries that the predecessor has lost would count as committed, and one vote could be given twice in a term.
+// A process that restarts without its state at the same address must neither vote nor acknowledge entries as its predecessor:
+// entries that were lost with the predecessor would count as committed, and two votes could be cast in one term.
 func TestRestartedProcessDoesNotAnswerForItsPredecessor(t *testing.T) {
 	address := testutil.FreeAddressOn(t, "127.0.60.2")
 	a := startLog(t, Config{Process: "a#1", Bind: testutil.FreeAddressOn(t, "127.0.60.1"), Bootstrap: true})
@@ -48,9 +48,9 @@
 	defer func() { _ = restarted.Stop() }()
 	testutil.Eventually(t, "the leader steps down", func() bool { return a.raft.State() != raft.Leader })
 	if err := a.raft.Barrier(time.Second).Error(); err == nil {
-		t.Error("an entry is committed though half of the voters have lost their log")
+		t.Error("an entry was committed, though one of the two voters has lost its log")
 	}
 	if n := restarted.raft.LastIndex(); n != 0 {
-		t.Errorf("the restarted process has %d entries, though nobody added it to the log", n)
+		t.Errorf("the restarted process has %d entries, though it was not added to raft's servers", n)
 	}
 }
--- a/internal/fleet/consensus/voters.go
+++ b/internal/fleet/consensus/voters.go
@@ -11,23 +11,23 @@
 
 const reconcileInterval = 250 * time.Millisecond
 
-// voterManager is the leader's management of who follows the log and who votes, by internal/decide/quorum. It makes one
-// change of the voters at a time, and waits until each is committed. One goroutine uses it.
+// voterManager manages raft's servers at the leader: every reachable member is one, and internal/decide/quorum decides which
+// of them vote. It makes one change of the voters at a time, and waits until that is committed. It is used by one goroutine.
 type voterManager struct {
 	log        *Log
 	config     quorum.Config
 	onChange   func(quorum.Change)
 	peers      peerTable
-	learner    string // chosen to be promoted; empty if none is
-	lastReason string // of the last change or NoChange as the leader
+	learner    string // nonvoter chosen to be promoted; empty if none is
+	lastReason string // of the last change, or for the last NoChange, at the leader
 }
 
-// ManageVoters starts a goroutine that manages the log's servers until Stop. It runs at every member, and acts at the leader
-// alone. view returns the membership view; onChange is called with each change and each new reason for none. Both are
-// called on that goroutine. It must be called at most once, before Stop.
+// ManageVoters starts a goroutine that manages raft's servers until Stop. It must be called at every member, and has an effect
+// only at the leader. view returns the membership view; onChange is called with each change, and with NoChange whenever its
+// reason is new. Both are called on that goroutine. ManageVoters must be called at most once, before Stop.
 func (d *Driver) ManageVoters(view func() []Peer, config quorum.Config, onChange func(quorum.Change)) {
 	m := &voterManager{log: d.Log, config: config, onChange: onChange, peers: peerTable{}}
-	d.running.Go(func() {
+	d.goroutines.Go(func() {
 		ticker := time.NewTicker(reconcileInterval)
 		defer ticker.Stop()
 		for {
@@ -41,7 +41,8 @@
 	})
 }
 
-// tick takes over the membership view, reconciles the servers with it at the leader, and reports what is new.
+// tick merges the membership view into the peers. At the leader it then reconciles the servers with them, and reports the
+// change, or the reason for none if that is new.
 func (m *voterManager) tick(view []Peer, now time.Time) {
 	m.peers.update(view, now)
 	if _, isLeader := m.log.Leader(); !isLeader {
@@ -55,47 +56,47 @@
 	m.lastReason = change.Reason
 }
 
-// reconcile makes all peers follow the log, and makes at most one other change of the servers.
+// reconcile adds all reachable peers as nonvoters, and makes at most one other change of the servers.
 func (m *voterManager) reconcile(now time.Time) quorum.Change {
 	servers, err := m.log.servers()
 	if err != nil {
 		return quorum.Change{}
 	}
-	voters, followers := classifyServers(servers)
-	for _, process := range followers {
-		if p := m.peers[process]; p == nil || p.isGone(now) {
-			const reason = "a follower that is unreachable or was replaced"
-			return m.commit(quorum.Change{Kind: quorum.RemoveServer, Process: process, Reason: reason})
+	voters, nonvoters := classifyServers(servers)
+	for _, process := range nonvoters {
+		if p := m.peers[process]; p == nil || p.isRemovable(now) {
+			const reason = "nonvoter is unreachable or was replaced"
+			return m.changeConfiguration(quorum.Change{Kind: quorum.RemoveServer, Process: process, Reason: reason})
 		}
 	}
 	committed := m.log.raft.CommitIndex()
-	followErr := m.addFollowers(servers, now)
-	members := m.members(followers, committed, now)
+	addErr := m.addNonvoters(servers, now)
+	members := m.quorumMembers(nonvoters, committed, now)
 	if m.log.heartbeats.isNewLeader(now) {
-		return quorum.Change{Reason: "the leader was elected just now"}
+		return quorum.Change{Reason: "the leader was elected too recently to know which servers have failed"}
 	}
 	fleet := quorum.Fleet{Members: members, Voters: voters, Learners: m.learners()}
 	change := quorum.NextChange(fleet, m.config)
-	if change.Kind == quorum.NoChange && followErr != nil {
-		change.Reason += "; a follower was not added: " + followErr.Error()
+	if change.Kind == quorum.NoChange && addErr != nil {
+		change.Reason += "; a nonvoter could not be added: " + addErr.Error()
 	}
 	return m.execute(change)
 }
 
-func classifyServers(servers []raft.Server) (voters, followers []string) {
+func classifyServers(servers []raft.Server) (voters, nonvoters []string) {
 	for _, s := range servers {
 		if s.Suffrage == raft.Voter {
 			voters = append(voters, string(s.ID))
 		} else {
-			followers = append(followers, string(s.ID))
+			nonvoters = append(nonvoters, string(s.ID))
 		}
 	}
-	return voters, followers
+	return voters, nonvoters
 }
 
-// addFollowers makes all reachable peers follow the log. It returns the last error, so that one peer does not hold up the
-// others.
-func (m *voterManager) addFollowers(servers []raft.Server, now time.Time) (lastErr error) {
+// addNonvoters adds all reachable peers that are not servers yet. A failure does not keep it from adding the others; the last
+// error is returned.
+func (m *voterManager) addNonvoters(servers []raft.Server, now time.Time) (lastErr error) {
 	for process, p := range m.peers {
 		isServer := slices.ContainsFunc(servers, func(s raft.Server) bool { return string(s.ID) == process })
 		if isServer || p.unreachableFor(now) > 0 || p.Draining || p.isReplaced {
@@ -108,16 +109,16 @@
 	return lastErr
 }
 
-// members returns all peers as candidates. A peer that the heartbeats do not reach is unreachable, but for no longer than
-// a moment: whether it has failed is for the membership layer to detect.
-func (m *voterManager) members(followers []string, committed uint64, now time.Time) (members []quorum.Member) {
+// quorumMembers returns all peers as members for package quorum. A peer that does not answer heartbeats counts as unreachable,
+// but only for reconcileInterval: whether it has failed is for the membership layer to detect.
+func (m *voterManager) quorumMembers(nonvoters []string, committed uint64, now time.Time) (members []quorum.Member) {
 	for process, p := range m.peers {
-		member := p.member(now)
+		member := p.quorumMember(now)
 		member.UnreachableFor = p.unreachableFor(now)
 		if member.UnreachableFor == 0 && m.log.heartbeats.isFailing(process, now) {
 			member.UnreachableFor = reconcileInterval
 		}
-		member.CaughtUp = p.isCaughtUp(committed, now) && slices.Contains(followers, process)
+		member.CaughtUp = p.isCaughtUp(committed, now) && slices.Contains(nonvoters, process)
 		members = append(members, member)
 	}
 	return members
@@ -130,7 +131,7 @@
 	return []string{m.learner}
 }
 
-// execute carries out a change. All peers follow the log already, so to add a learner is only to choose it.
+// execute makes a change. All peers are nonvoters already, so that adding a learner only means to choose it.
 func (m *voterManager) execute(change quorum.Change) quorum.Change {
 	switch change.Kind {
 	case quorum.AddLearner:
@@ -146,11 +147,11 @@
 	default:
 		return change
 	}
-	return m.commit(change)
+	return m.changeConfiguration(change)
 }
 
-// commit changes raft's configuration, and returns NoChange with the reason if that fails.
-func (m *voterManager) commit(change quorum.Change) quorum.Change {
+// changeConfiguration changes raft's configuration. If that fails it returns NoChange, with the error in the reason.
+func (m *voterManager) changeConfiguration(change quorum.Change) quorum.Change {
 	var err error
 	if change.Kind == quorum.PromoteVoter {
 		err = m.log.AddVoter(change.Process, m.peers[change.Process].Address)
--- a/internal/fleet/consensus/voters_test.go
+++ b/internal/fleet/consensus/voters_test.go
@@ -10,8 +10,8 @@
 	"thymechute/internal/decide/quorum"
 )
 
-// votersByRegion returns the number of voters of each region once there is nothing left to change. The first peer bootstraps
-// the log and each other joins after the one before it; all are followers that have caught up.
+// votersByRegion returns the number of voters in each region once there is nothing left to change. The first peer bootstraps
+// the log and the others join one after another; all are servers that have caught up.
 func votersByRegion(t *testing.T, peers []Peer) map[string]int {
 	t.Helper()
 	now := time.Unix(1_800_000_000, 0)
@@ -23,7 +23,7 @@
 	now = now.Add(time.Hour)
 	var members []quorum.Member
 	for _, p := range known {
-		member := p.member(now)
+		member := p.quorumMember(now)
 		member.CaughtUp = true
 		members = append(members, member)
 	}
@@ -51,10 +51,10 @@
 	return nil
 }
 
-// Voters are chosen by the region in each record. By zones alone all would be of the first region, whose members joined first
-// and are each in a zone of their own.
+// Voters are spread over the regions named in the records. If only zones counted, all voters would be in the first region,
+// whose members joined first and are each in a zone of their own.
 func TestVotersFollowRecordedRegions(t *testing.T) {
-	inRegions := func(regions ...string) (peers []Peer) { // those of other regions than the first share one zone
+	inRegions := func(regions ...string) (peers []Peer) { // members outside the first region share one zone
 		for n, region := range regions {
 			zone := fmt.Sprint("z", n)
 			if region != regions[0] {
@@ -70,10 +70,10 @@
 		want  map[string]int
 	}{
 		{"three regions", inRegions("a", "a", "a", "a", "b", "b", "c"), map[string]int{"a": 2, "b": 2, "c": 1}},
-		{"two regions: one of them has a quorum", inRegions("a", "a", "a", "a", "b", "b", "b"), map[string]int{"a": 3, "b": 2}},
+		{"two regions, of which one must have the quorum", inRegions("a", "a", "a", "a", "b", "b", "b"), map[string]int{"a": 3, "b": 2}},
 		{"four regions", inRegions("a", "a", "a", "a", "b", "c", "d"), map[string]int{"a": 2, "b": 1, "c": 1, "d": 1}},
 		{"records of an older build count as one region", inRegions("a", "a", "a", "a", "", "b", ""), map[string]int{"a": 2, "": 2, "b": 1}},
-		{"no region named", inRegions("", "", "", "", "", "", ""), map[string]int{"": 5}},
+		{"no member names a region", inRegions("", "", "", "", "", "", ""), map[string]int{"": 5}},
 	} {
 		if got := votersByRegion(t, c.peers); !maps.Equal(got, c.want) {
 			t.Errorf("%s: voters %v, want %v", c.name, got, c.want)
