--- a/internal/fleet/membership/delegates.go
+++ b/internal/fleet/membership/delegates.go
@@ -7,11 +7,11 @@
 	"github.com/hashicorp/memberlist"
 )
 
-// MaxMessageSize is the longest message that Send accepts, in bytes.
+// MaxMessageSize is the maximum size of a message, in bytes.
 const MaxMessageSize = 16 << 10
 
-// Send sends a message to one member over a memberlist stream. Errors: *MessageTooLongError, *UnknownMemberError, or
-// that the member was not reached.
+// Send sends a message to the named member over a memberlist stream. Errors: *MessageTooLongError, *UnknownMemberError, or
+// memberlist's error if the member cannot be reached.
 func (m *Member) Send(name string, message []byte) error {
 	if len(message) > MaxMessageSize {
 		return &MessageTooLongError{Member: name, Bytes: len(message)}
@@ -24,8 +24,8 @@
 	return &UnknownMemberError{Member: name}
 }
 
-// delegate supplies the node metadata and receives messages. memberlist holds its lock while it calls a delegate, so none
-// of the delegates may call memberlist back.
+// delegate supplies the node metadata and receives messages. memberlist holds its lock while it calls a delegate, so no
+// delegate may call memberlist.
 type delegate struct{ m *Member }
 
 // NodeMeta implements memberlist.Delegate.
@@ -55,13 +55,13 @@
 // MergeRemoteState implements memberlist.Delegate.
 func (delegate) MergeRemoteState([]byte, bool) {}
 
-// aliveDelegate decides which peers memberlist takes in.
+// aliveDelegate decides which peers memberlist admits.
 type aliveDelegate struct{ m *Member }
 
 // NotifyAlive implements memberlist.AliveDelegate.
 func (a aliveDelegate) NotifyAlive(node *memberlist.Node) error { return a.m.admit(node) }
 
-// eventDelegate maintains the view.
+// eventDelegate updates the view and notifies the Watcher.
 type eventDelegate struct{ m *Member }
 
 // NotifyJoin implements memberlist.EventDelegate.
@@ -83,8 +83,8 @@
 	}
 }
 
-// store puts a node's record into the view; known tells whether the node was there before. A record that became invalid
-// after its member was admitted is rejected and not stored.
+// store stores a node's record in the view; known reports whether the view contained the node before. A record that became
+// invalid after its member was admitted is rejected and not stored.
 func (e eventDelegate) store(node *memberlist.Node) (record Record, known, ok bool) {
 	record, err := DecodeRecord(node.Name, node.Meta)
 	if err != nil {
@@ -99,8 +99,8 @@
 	return record, known, true
 }
 
-// NotifyLeave implements memberlist.EventDelegate. The state of the node that memberlist passes does not tell a departure
-// from a death, so the record does: a member sets FlagLeaving before it leaves.
+// NotifyLeave implements memberlist.EventDelegate. The node's state that memberlist passes does not distinguish a member that
+// left from a dead one. The last record does: a member sets FlagLeaving before it leaves.
 func (e eventDelegate) NotifyLeave(node *memberlist.Node) {
 	e.m.mu.Lock()
 	last, known := e.m.view[node.Name]
--- a/internal/fleet/membership/errors.go
+++ b/internal/fleet/membership/errors.go
@@ -5,10 +5,10 @@
 	"fmt"
 )
 
-// ErrViewFull is the reason for which a peer is rejected once the view holds Config.MaxMembers members.
+// ErrViewFull reports that a peer was rejected because the view holds Config.MaxMembers members.
 var ErrViewFull = errors.New("view full")
 
-// ConfigError reports a setting with which a member can't be started.
+// ConfigError reports an invalid setting.
 type ConfigError struct {
 	Setting         string
 	Found, Expected string
@@ -17,7 +17,7 @@
 
 // Error implements error.
 func (e *ConfigError) Error() string {
-	text := fmt.Sprintf("fleet %s: found %s, expected %s", e.Setting, e.Found, e.Expected)
+	text := fmt.Sprintf("fleet setting %s: found %s, expected %s", e.Setting, e.Found, e.Expected)
 	if e.Err != nil {
 		text += fmt.Sprintf(" (%v)", e.Err)
 	}
@@ -29,7 +29,7 @@
 
 // RecordError reports an invalid Record.
 type RecordError struct {
-	Member          string // whose record it is
+	Member          string // the member that published the record
 	Field           string // empty for the record as a whole
 	Found, Expected string
 	Err             error // the cause; may be nil
@@ -37,9 +37,9 @@
 
 // Error implements error.
 func (e *RecordError) Error() string {
-	text := fmt.Sprintf("record of %q:", e.Member)
+	text := fmt.Sprintf("record of member %q:", e.Member)
 	if e.Field != "" {
-		text += " " + e.Field
+		text += " field " + e.Field
 	}
 	text += fmt.Sprintf(" found %s, expected %s", e.Found, e.Expected)
 	if e.Err != nil {
@@ -59,7 +59,7 @@
 
 // Error implements error.
 func (e *MessageTooLongError) Error() string {
-	return fmt.Sprintf("message to %q: found %d bytes, expected at most %d", e.Member, e.Bytes, MaxMessageSize)
+	return fmt.Sprintf("message to member %q: found %d bytes, expected at most %d", e.Member, e.Bytes, MaxMessageSize)
 }
 
 // UnknownMemberError reports a recipient that is not in the view.
@@ -67,5 +67,5 @@
 
 // Error implements error.
 func (e *UnknownMemberError) Error() string {
-	return fmt.Sprintf("message to %q: found no such member", e.Member)
+	return fmt.Sprintf("message to member %q: no such member in the view", e.Member)
 }
--- a/internal/fleet/membership/leave_test.go
+++ b/internal/fleet/membership/leave_test.go
@@ -25,8 +25,8 @@
 	return m.Transport.WriteToAddress(b, address)
 }
 
-// If gossip reaches only members that leave as well, the staying members learn of a departure by its last push/pull, and not
-// by their health checks some seconds later.
+// If gossip reaches only members that leave as well, the members that stay must learn of a departure by the last push/pull,
+// and not by their health checks some seconds later.
 func TestLeaveReachesStayingMembersByPushPull(t *testing.T) {
 	staying, _ := startAlone(t)
 	var transport *mutedTransport
@@ -41,10 +41,10 @@
 	waitFor(t, "both see each other", 20*time.Second, func() bool { return len(staying.View()) == 2 && len(leaving.View()) == 2 })
 	transport.isMuted.Store(true)
 	if err := leaving.Leave(time.Second); err != nil {
-		t.Log("gossip reached no member, as intended: ", err)
+		t.Log("gossip reached no member, as intended:", err)
 	}
-	// Health checks take five seconds at least: one until the first that fails, and four of suspicion.
-	waitFor(t, "the staying member knows of the departure", 2*time.Second, func() bool { return len(staying.View()) == 1 })
+	// Health checks take at least five seconds: one until the first failed check, and four of suspicion.
+	waitFor(t, "the staying member learns of the departure", 2*time.Second, func() bool { return len(staying.View()) == 1 })
 }
 
 func waitFor(t *testing.T, what string, timeout time.Duration, isMet func() bool) {
--- a/internal/fleet/membership/member.go
+++ b/internal/fleet/membership/member.go
@@ -11,18 +11,18 @@
 	"github.com/hashicorp/memberlist"
 )
 
-// Watcher receives the changes of the view, each once and in the order in which memberlist found them. Its methods are
-// called on memberlist's goroutines and must not block, nor call the Member.
+// Watcher receives the changes of the view, each once, in the order in which memberlist detects them. Its methods are called
+// on memberlist's goroutines. They must neither block nor call the Member.
 type Watcher interface {
 	Joined(record Record)
 	Updated(record Record)
 	Left(name string)
-	// Rejected reports a peer that was not admitted. It may repeat, as memberlist tries again with its next gossip.
+	// Rejected reports a peer whose record was not accepted, and why. It is repeated with each further gossip about the peer.
 	Rejected(name string, reason error)
 }
 
-// Member is a running member of a fleet. Its methods are safe for concurrent use, except that Leave and Shutdown are
-// called once and nothing may be called after them.
+// Member is a running member of a fleet. Its methods are safe for concurrent use, except that either Leave or
+// Shutdown must be the last call.
 type Member struct {
 	list       *memberlist.Memberlist
 	maxMembers int
@@ -30,21 +30,21 @@
 	onMessage  func([]byte)
 	stop       chan struct{} // closed by Leave and Shutdown; ends the background loops
 
-	gossipMutex sync.Mutex // serializes the announcements of the own record
+	gossipMutex sync.Mutex // serializes announcements of this member's record
 
 	mu                sync.Mutex // guards the fields below
-	self              Record
+	self              Record     // this member's own
 	view              map[string]Record
-	dead              map[string]deadMember // declared dead, not left; at most maxMembers, each for reconnectTimeout
-	reconnectAttempts int                   // number of attempts to reach a dead member
-	lastGossiped      time.Time             // when the own record was announced last
-	pendingGossip     *time.Timer           // announces a deferred update; nil for none
+	dead              map[string]deadMember // declared dead without having left; at most maxMembers, each for reconnectTimeout
+	reconnectAttempts int                   // number of attempts to contact a dead member
+	lastGossiped      time.Time             // when this member's record was last announced
+	pendingGossip     *time.Timer           // announces a deferred update; nil if none is deferred
 	isStopped         bool
 }
 
-// Start starts a member and joins the fleet by the seeds. If no seed answers, the member is alone, keeps trying the
-// seeds, and others may join it. Its two background goroutines end after Leave or Shutdown, which do not wait for them.
-// Errors: a *ConfigError, a *RecordError, or that an address can't be bound.
+// Start starts a member and joins the fleet through the seeds. If no seed answers, the member is alone; it continues to try
+// the seeds, and others may join it. Its two background goroutines end after Leave or Shutdown, which do not wait for them.
+// Errors: a *ConfigError, a *RecordError, or memberlist's error if an address can't be bound.
 func Start(config Config, watcher Watcher) (*Member, error) {
 	if config.MaxMembers < 1 || config.MaxMembers > maxMembersLimit {
 		return nil, &ConfigError{Setting: "most", Found: strconv.Itoa(config.MaxMembers), Expected: fmt.Sprintf("1 to %d", maxMembersLimit)}
@@ -107,8 +107,7 @@
 	return maps.Clone(m.view)
 }
 
-// Leave flags the record as leaving, announces the departure to the others and stops. It takes at most seven quarters
-// of timeout.
+// Leave sets FlagLeaving in the record, announces the departure to the others and stops. It takes at most 7/4 of timeout.
 func (m *Member) Leave(timeout time.Duration) error {
 	m.stopBackground()
 	m.mu.Lock()
@@ -116,19 +115,19 @@
 	m.mu.Unlock()
 	m.gossipMutex.Lock()
 	defer m.gossipMutex.Unlock()
-	_ = m.list.UpdateNode(timeout / 2) // the flag keeps the others from contacting it as a dead member
+	_ = m.list.UpdateNode(timeout / 2) // with the flag, the others do not contact this member again as a dead one
 	err := m.list.Leave(timeout)
 	m.pushPullBeforeLeave(timeout / 4)
 	return errors.Join(err, m.list.Shutdown())
 }
 
-// Shutdown stops at once without announcing it; the others declare the member dead.
+// Shutdown stops at once without an announcement; the others declare the member dead.
 func (m *Member) Shutdown() error {
 	m.stopBackground()
 	return m.list.Shutdown()
 }
 
-// stopBackground ends the background loops and drops a deferred update of the record.
+// stopBackground stops the background loops and discards a deferred update of the record.
 func (m *Member) stopBackground() {
 	close(m.stop)
 	m.mu.Lock()
@@ -137,10 +136,10 @@
 	m.cancelPendingGossip()
 }
 
-// admit checks a peer before memberlist takes it in.
+// admit checks a peer's record before memberlist admits the peer, and reports a rejection to the Watcher.
 func (m *Member) admit(node *memberlist.Node) error {
 	_, err := DecodeRecord(node.Name, node.Meta)
-	if err == nil && m.lacksCapacityFor(node.Name) {
+	if err == nil && m.isViewFullFor(node.Name) {
 		err = fmt.Errorf("member %q: %w at %d members", node.Name, ErrViewFull, m.maxMembers)
 	}
 	if err != nil {
@@ -149,8 +148,8 @@
 	return err
 }
 
-// lacksCapacityFor reports whether the view has no capacity for the named member.
-func (m *Member) lacksCapacityFor(name string) bool {
+// isViewFullFor reports whether the view is full and does not contain the named member.
+func (m *Member) isViewFullFor(name string) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	_, known := m.view[name]
--- a/internal/fleet/membership/member_test.go
+++ b/internal/fleet/membership/member_test.go
@@ -20,28 +20,28 @@
 	"thymechute/internal/testutil"
 )
 
-// Environment of a member process.
+// Environment variables of a member process.
 const (
 	childVariable   = "MEMBER_CHILD" // set: the test binary runs one member
 	nameVariable    = "MEMBER_NAME"
 	bindVariable    = "MEMBER_BIND"
 	seedsVariable   = "MEMBER_SEEDS"   // separated by commas
-	invalidVariable = "MEMBER_INVALID" // set: the member has an invalid record
+	invalidVariable = "MEMBER_INVALID" // set: the member publishes an invalid record
 	debugVariable   = "MEMBER_DEBUG"   // set: events and memberlist's log go to standard error
 )
 
-// Lines that a member process prints: one of these words and its argument.
+// Lines that a member process prints start with one of these words, followed by an argument.
 const (
 	viewLine     = "view"     // the names in its view, sorted and separated by commas
 	rejectedLine = "rejected" // the name of a rejected peer
-	errorLine    = "error"
+	errorLine    = "error"    // the error that ends the process
 )
 
-// maxChildLifetime bounds a member process whose parent does not end it.
+// maxChildLifetime bounds the lifetime of a member process that its parent does not end.
 const maxChildLifetime = 60 * time.Second
 
-// TestMain runs the tests or, with childVariable set, a member on loopback. That prints its view after every change, until
-// its standard input is closed or maxChildLifetime is over.
+// TestMain runs the tests or, with childVariable set, a member on loopback. The member prints its view after every change,
+// until its standard input is closed or maxChildLifetime is over.
 func TestMain(m *testing.M) {
 	if os.Getenv(childVariable) != "" {
 		runChild()
@@ -97,7 +97,7 @@
 	}
 }
 
-// debugLog returns where memberlist logs to; nil discards its log.
+// debugLog returns the output for memberlist's log lines; nil discards them.
 func debugLog() io.Writer {
 	if os.Getenv(debugVariable) != "" {
 		return os.Stderr
@@ -123,7 +123,7 @@
 	})
 }
 
-// runMember runs a member until its standard input is closed, and leaves then.
+// runMember runs a member until its standard input is closed, and then leaves.
 func runMember(config Config) {
 	printer := &viewPrinter{ready: make(chan struct{})}
 	member, err := Start(config, printer)
@@ -135,7 +135,7 @@
 	_ = member.Leave(time.Second)
 }
 
-// runInvalidMember runs memberlist itself with an invalid record: the others must reject it.
+// runInvalidMember runs memberlist directly, with an invalid record that the others must reject.
 func runInvalidMember(name, bind string, seeds []string) {
 	host, port, _ := net.SplitHostPort(bind)
 	config := memberlist.DefaultLocalConfig()
@@ -152,7 +152,7 @@
 	_ = list.Shutdown()
 }
 
-// exitOn ends a member process on an error.
+// exitOn ends a member process if err is not nil.
 func exitOn(err error) {
 	if err != nil {
 		fmt.Println(errorLine, err)
@@ -160,7 +160,7 @@
 	}
 }
 
-// invalidDelegate is a memberlist.Delegate whose metadata is another member's record.
+// invalidDelegate is a memberlist.Delegate that publishes another member's record.
 type invalidDelegate struct{}
 
 func (invalidDelegate) NodeMeta(int) []byte             { return []byte(`{"v":1,"name":"someone else"}`) }
@@ -169,18 +169,18 @@
 func (invalidDelegate) LocalState(bool) []byte          { return nil }
 func (invalidDelegate) MergeRemoteState([]byte, bool)   {}
 
-// memberProcess is one member process as the parent sees it.
+// memberProcess is a member process, in its parent.
 type memberProcess struct {
 	bind  string
 	cmd   *exec.Cmd
 	stdin io.WriteCloser
 }
 
-// processFleet is the member processes of a test, which are killed at its end, and what they have printed.
+// processFleet holds the member processes of a test, which are killed when the test ends, and what they have printed.
 type processFleet struct {
 	t         *testing.T
 	processes map[string]*memberProcess // by name
-	changed   chan struct{}             // has an element after a further line
+	changed   chan struct{}             // signals that another line was read
 
 	mu       sync.Mutex        // guards the fields below
 	views    map[string]string // by name, as last printed
@@ -199,13 +199,13 @@
 	return f
 }
 
-// freeAddress returns an address free for TCP and UDP on the n-th member's own loopback IP, 127.0.5.n: its listeners and its
-// outgoing connections do not take a port of 127.0.0.1 that another test has picked and is about to bind.
+// freeAddress returns an address that is free for TCP and UDP on the n-th member's own loopback IP, 127.0.5.n. Thus neither
+// its listeners nor its outgoing connections take a port of 127.0.0.1 that another test has chosen and is about to bind.
 func freeAddress(t *testing.T, n int) string {
 	return testutil.FreeAddressOn(t, fmt.Sprintf("127.0.5.%d", n))
 }
 
-// start starts a member process. environment is added to the test's own.
+// start starts a member process. environment is added to that of the test.
 func (f *processFleet) start(name, bind string, seeds []string, environment ...string) {
 	f.t.Helper()
 	cmd := exec.Command(os.Args[0], "-test.run=^$")
@@ -222,7 +222,7 @@
 	go f.readLines(name, stdout)
 }
 
-// readLines takes in what a member process prints, until it ends.
+// readLines reads what a member process prints, until the process ends.
 func (f *processFleet) readLines(name string, stdout io.Reader) {
 	lines := bufio.NewScanner(stdout)
 	for lines.Scan() {
@@ -246,7 +246,7 @@
 	}
 }
 
-// waitFor waits until a condition on what the members printed is met, and returns how long that took. The test fails
+// waitFor waits until a condition on what the members have printed is met, and returns how long that took. The test fails
 // after the timeout.
 func (f *processFleet) waitFor(what string, timeout time.Duration, isMet func(views map[string]string, rejected map[string]bool) bool) time.Duration {
 	f.t.Helper()
@@ -268,14 +268,14 @@
 	}
 }
 
-// haveView returns the condition that each named member's view is exactly want.
+// haveView returns the condition that the view of each named member is exactly want.
 func haveView(names []string, want string) func(map[string]string, map[string]bool) bool {
 	return func(views map[string]string, _ map[string]bool) bool {
 		return !slices.ContainsFunc(names, func(name string) bool { return views[name] != want })
 	}
 }
 
-func TestMembersConvergeThroughKillStopInvalidMemberAndRestart(t *testing.T) {
+func TestMembersConvergeThroughKillSuspensionInvalidMemberAndRestart(t *testing.T) {
 	if testing.Short() {
 		t.Skip("starts processes")
 	}
@@ -300,11 +300,11 @@
 	t.Logf("a killed member was declared dead by all in %v", took)
 
 	_ = f.processes["m3"].cmd.Process.Signal(syscall.SIGSTOP)
-	took = f.waitFor("m3 dead while stopped", 10*time.Second, haveView(names[:3], "m0,m1,m2"))
-	t.Logf("a stopped member was declared dead by all in %v", took)
+	took = f.waitFor("m3 dead while suspended", 10*time.Second, haveView(names[:3], "m0,m1,m2"))
+	t.Logf("a suspended member was declared dead by all in %v", took)
 	_ = f.processes["m3"].cmd.Process.Signal(syscall.SIGCONT)
 	took = f.waitFor("m3 back after SIGCONT", 15*time.Second, haveView(names[:4], "m0,m1,m2,m3"))
-	t.Logf("it was back in %v", took)
+	t.Logf("the resumed member was back in all views in %v", took)
 
 	_ = f.processes["m4"].cmd.Wait()
 	f.start("m4", f.processes["m4"].bind, seeds)
@@ -317,7 +317,7 @@
 	}
 }
 
-// checkNotInAnyView fails the test if a member has admitted the named peer.
+// checkNotInAnyView checks that no member has admitted the named peer.
 func (f *processFleet) checkNotInAnyView(peer string) {
 	f.t.Helper()
 	f.mu.Lock()
--- a/internal/fleet/membership/pushpull.go
+++ b/internal/fleet/membership/pushpull.go
@@ -7,12 +7,12 @@
 )
 
 const (
-	seedPushPullEvery  = 4 // of this many push/pulls the first is followed by one with a seed that is not in the view
-	leavePushPullCount = 2 // members with which a leaving member exchanges state last
+	seedPushPullEvery  = 4 // one in this many push/pulls is followed by one with a seed that is not in the view
+	leavePushPullCount = 2 // push/pulls with members that stay, before a member leaves
 )
 
-// pushPullLoop runs until the member stops. Each wait is jittered; the first ones are short and grow to the interval for
-// the size of the fleet, so that a new member soon learns of others that joined with it.
+// pushPullLoop exchanges state at intervals until the member stops. The intervals have jitter. The first ones are short and
+// grow to that for the size of the fleet, so that a new member soon learns of others that joined at the same time.
 func (m *Member) pushPullLoop(base time.Duration, seeds []string) {
 	wait := base
 	for round := 0; ; round++ {
@@ -27,27 +27,27 @@
 			m.pushPullWithUnknownSeed(seeds)
 		}
 		if wait < interval {
-			wait *= firstPushPullGrowth
+			wait *= initialPushPullGrowth
 		}
 	}
 }
 
-// PushPull exchanges the full state with a random member, in addition to the exchanges that the member begins by itself,
-// and returns when that has ended. A member that is not reached is no error.
+// PushPull exchanges the full state with a random member, in addition to the regular exchanges, and returns after the
+// exchange. If the other member cannot be reached, nothing happens.
 func (m *Member) PushPull() {
 	if addresses := m.otherAddresses(); len(addresses) > 0 {
 		m.pushPullWith(randomAddress(addresses))
 	}
 }
 
-// pushPullWith exchanges the full state with the member at an address; it returns false if that was not reached.
+// pushPullWith exchanges the full state with the member at an address. It returns false if that cannot be reached.
 func (m *Member) pushPullWith(address string) bool {
 	reached, _ := m.list.Join([]string{address})
 	return reached > 0
 }
 
-// pushPullWithUnknownSeed exchanges state with a seed that is not in the view, if there is one, so that groups that grew
-// from different seeds merge.
+// pushPullWithUnknownSeed exchanges state with a seed that is not in the view, if there is one, so that groups that formed
+// around different seeds merge.
 func (m *Member) pushPullWithUnknownSeed(seeds []string) {
 	known := m.otherAddresses()
 	unknown := slices.DeleteFunc(slices.Clone(seeds), func(seed string) bool { return slices.Contains(known, seed) })
@@ -56,9 +56,9 @@
 	}
 }
 
-// pushPullBeforeLeave exchanges state with some members that stay, for at most timeout. If many members leave at once,
-// gossip may have announced this one's departure only to others that leave too, and those that stay would have to
-// detect it by health checks.
+// pushPullBeforeLeave exchanges state with some members that stay, for at most timeout. If many members leave at once, gossip
+// may have announced this departure only to others that leave too. The members that stay would then detect it only by
+// health checks.
 func (m *Member) pushPullBeforeLeave(timeout time.Duration) {
 	staying := m.stayingAddresses()
 	rand.Shuffle(len(staying), func(a, b int) { staying[a], staying[b] = staying[b], staying[a] })
--- a/internal/fleet/membership/reconnect.go
+++ b/internal/fleet/membership/reconnect.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// reconnectTimeout is how long a dead member is contacted again. It is the only way in which a partition heals that
-// lasted longer than memberlist's gossip to the dead (15 s locally): each side has declared the other dead.
+// reconnectTimeout is how long after its death a dead member is contacted again. If a partition lasts longer than memberlist
+// gossips to dead members (15 s with its local defaults), each side has declared the other dead, and only this rejoins them.
 const reconnectTimeout = 10 * time.Minute
 
 // deadMember is a member that was declared dead.
@@ -17,7 +17,7 @@
 	since   time.Time
 }
 
-// reconnectLoop runs until the member stops.
+// reconnectLoop calls reconnect at each reconnectInterval until the member stops.
 func (m *Member) reconnectLoop(seeds []string) {
 	ticker := time.NewTicker(reconnectInterval)
 	defer ticker.Stop()
@@ -31,8 +31,8 @@
 	}
 }
 
-// reconnect tries the seeds while no other member is known, as they may start later or all be down for a while.
-// Otherwise it tries one dead member, with the probability for the size of the fleet.
+// reconnect contacts the seeds while no other member is known, as they may start later or be down for a while. Otherwise it
+// contacts one dead member, with a probability that depends on the size of the fleet.
 func (m *Member) reconnect(seeds []string) {
 	members := m.list.NumMembers()
 	if len(seeds) > 0 && members <= 1 {
@@ -47,8 +47,8 @@
 	}
 }
 
-// joinAnySeed joins by the first seed that answers, starting at a random one, as each join costs its seed a transfer of
-// the whole view.
+// joinAnySeed joins through the first seed that answers. It starts at a random one to spread the load, as each join costs the
+// seed a transfer of the whole view.
 func (m *Member) joinAnySeed(seeds []string) {
 	first := rand.IntN(len(seeds))
 	for n := range seeds {
@@ -58,8 +58,8 @@
 	}
 }
 
-// nextDeadAddress returns the address of the dead member that is next in turn, "" for none, and forgets those that have
-// been dead for longer than reconnectTimeout.
+// nextDeadAddress forgets members that have been dead for longer than reconnectTimeout, and returns the address of the dead
+// member whose turn is next, or "" if there is none.
 func (m *Member) nextDeadAddress() string {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/internal/fleet/membership/record.go
+++ b/internal/fleet/membership/record.go
@@ -8,18 +8,18 @@
 	"github.com/hashicorp/memberlist"
 )
 
-// RecordVersion is the version of Record; members with another version are rejected.
+// RecordVersion is the version of the Record format; members with another version are rejected.
 const RecordVersion = 1
 
-// Bounds of a record's texts, in bytes.
+// Maximum sizes of a record's string fields, in bytes.
 const (
-	maxPlaceBytes      = 64 // zone and region
+	maxLocationBytes   = 64 // zone and region
 	maxProcessBytes    = 96
 	maxLogAddressBytes = 64
 	maxReleaseBytes    = 64
 )
 
-// Flag marks a member that is in a special state.
+// Flag marks a member that is leaving or overloaded.
 type Flag string
 
 // The flags.
@@ -29,25 +29,25 @@
 	FlagOverloaded Flag = "overloaded"
 )
 
-// Record is what a member gossips about itself, encoded as JSON of at most memberlist.MetaMaxSize (512) bytes.
+// Record is what a member publishes about itself by gossip, encoded as JSON of at most memberlist.MetaMaxSize (512) bytes.
 type Record struct {
 	Version      int     `json:"v"`
-	Name         string  `json:"name"`               // the member's name, so that no other member can use the record
+	Name         string  `json:"name"`               // the member's name; a record under another member's name is rejected
 	Zone         string  `json:"zone"`               // at most 64 bytes
-	Region       string  `json:"region,omitempty"`   // at most 64 bytes; builds that do not know it ignore it
+	Region       string  `json:"region,omitempty"`   // at most 64 bytes; older builds ignore it
 	Epoch        uint64  `json:"epoch"`              // when the member joined; equal epochs are ordered by name
-	Rank         int     `json:"rank"`               // the rank that it holds, -1 for none (internal/decide/subset)
+	Rank         int     `json:"rank"`               // the member's rank, -1 for none (internal/decide/subset)
 	Capacity     float64 `json:"capacity,omitempty"` // work items per second, at least 0
 	LagMS        int     `json:"lag_ms,omitempty"`   // scheduling lag in milliseconds, at least 0
 	Flag         Flag    `json:"flag,omitempty"`
 	ShedQuota    float64 `json:"share,omitempty"`   // its quota of the load that the fleet sheds, 0 to 1
-	Process      string  `json:"process,omitempty"` // identity of this incarnation in the replicated log; at most 96 bytes
+	Process      string  `json:"process,omitempty"` // ID of this incarnation in the replicated log; at most 96 bytes
 	LogAddress   string  `json:"log,omitempty"`     // host:port of the replicated log's transport; at most 64 bytes
-	AppliedIndex uint64  `json:"applied,omitempty"` // last log index known to be applied; may lag behind
-	Release      string  `json:"release,omitempty"` // the release that it runs; at most 64 bytes
+	AppliedIndex uint64  `json:"applied,omitempty"` // log index up to which the member has applied entries; may be outdated
+	Release      string  `json:"release,omitempty"` // the release that the member runs; at most 64 bytes
 }
 
-// validate checks a record that was received under a member's name.
+// validate checks a record that is published by the named member.
 func (r Record) validate(name string) error {
 	invalid := func(field, found, expected string) error {
 		return &RecordError{Member: name, Field: field, Found: found, Expected: expected}
@@ -56,7 +56,7 @@
 		return invalid("version", strconv.Itoa(r.Version), strconv.Itoa(RecordVersion))
 	}
 	if r.Name != name {
-		return invalid("name", strconv.Quote(r.Name), "its own")
+		return invalid("name", strconv.Quote(r.Name), strconv.Quote(name))
 	}
 	for _, text := range []struct {
 		field, value string
@@ -65,8 +65,8 @@
 		{"process", r.Process, maxProcessBytes},
 		{"log", r.LogAddress, maxLogAddressBytes},
 		{"release", r.Release, maxReleaseBytes},
-		{"zone", r.Zone, maxPlaceBytes},
-		{"region", r.Region, maxPlaceBytes},
+		{"zone", r.Zone, maxLocationBytes},
+		{"region", r.Region, maxLocationBytes},
 	} {
 		if len(text.value) > text.maxBytes {
 			return invalid(text.field, fmt.Sprintf("%d bytes", len(text.value)), fmt.Sprintf("at most %d", text.maxBytes))
@@ -76,7 +76,7 @@
 	case r.Capacity < 0:
 		return invalid("capacity", fmt.Sprint(r.Capacity), "at least 0")
 	case r.LagMS < 0:
-		return invalid("lag", strconv.Itoa(r.LagMS), "at least 0")
+		return invalid("lag_ms", strconv.Itoa(r.LagMS), "at least 0")
 	case r.ShedQuota < 0 || r.ShedQuota > 1:
 		return invalid("share", fmt.Sprint(r.ShedQuota), "0 to 1")
 	case r.Rank < -1:
@@ -116,7 +116,7 @@
 		Expected: fmt.Sprintf("at most %d", memberlist.MetaMaxSize)}
 }
 
-// withoutLoad returns the record without the fields that only report load.
+// withoutLoad returns the record with the fields that a load update may change set to zero.
 func (r Record) withoutLoad() Record {
 	r.Capacity = 0
 	r.LagMS = 0
--- a/internal/fleet/membership/record_test.go
+++ b/internal/fleet/membership/record_test.go
@@ -21,15 +21,15 @@
 	return b
 }
 
-func TestRegionIsCarriedWithinItsBound(t *testing.T) {
+func TestRegionIsLimitedTo64Bytes(t *testing.T) {
 	for _, region := range []string{"", "eu-west", strings.Repeat("r", 64)} {
 		want := Record{Version: RecordVersion, Name: "a", Zone: "z1", Region: region, Rank: -1}
 		if got, err := DecodeRecord("a", encoded(t, want)); err != nil || got != want {
-			t.Errorf("%q: %+v, %v", region, got, err)
+			t.Errorf("region %q: decoded %+v, %v", region, got, err)
 		}
 	}
 	_, err := DecodeRecord("a", encoded(t, Record{Version: RecordVersion, Name: "a", Zone: "z1", Region: strings.Repeat("r", 65), Rank: -1}))
-	if err == nil || !strings.Contains(err.Error(), "region found 65 bytes, expected at most 64") {
+	if err == nil || !strings.Contains(err.Error(), `record of member "a": field region found 65 bytes, expected at most 64`) {
 		t.Errorf("a region of 65 bytes: %v", err)
 	}
 	if m, err := Start(Config{Name: "a", Bind: freeAddress(t, 21), MaxMembers: 4, Record: Record{Region: strings.Repeat("r", 65)}}, &updateCounter{}); err == nil {
@@ -38,18 +38,18 @@
 	}
 }
 
-// The longest texts within the bounds, with wide numbers, fit into node metadata.
-func TestRecordAtItsBoundsFits(t *testing.T) {
-	name := strings.Repeat("n", 96-len("#0123456789a")) // a process is the name and its incarnation
+// A record with all strings at their maximum sizes, and with long numbers, fits into the node metadata.
+func TestRecordOfMaximumSizeFitsIntoMetadata(t *testing.T) {
+	name := strings.Repeat("n", 96-len("#0123456789a")) // a process is named by the member's name and the incarnation
 	r := Record{Version: RecordVersion, Name: name, Zone: strings.Repeat("z", 64), Region: strings.Repeat("r", 64), Epoch: 1_800_000_000_000, Rank: 9999,
 		Flag: "leaving", Process: name + "#0123456789a", LogAddress: strings.Repeat("l", 64), AppliedIndex: 1 << 40}
 	b := encoded(t, r)
 	if got, err := DecodeRecord(name, b); err != nil || got != r {
-		t.Errorf("%d bytes of %d: %+v, %v", len(b), memberlist.MetaMaxSize, got, err)
+		t.Errorf("record of %d bytes, at most %d fit: decoded %+v, %v", len(b), memberlist.MetaMaxSize, got, err)
 	}
 }
 
-// recordWithoutRegion is the record of builds before Region; encoding/json ignores fields that it does not know.
+// recordWithoutRegion is the record of builds that do not have Region; encoding/json ignores unknown fields.
 type recordWithoutRegion struct {
 	V        int     `json:"v"`
 	Name     string  `json:"name"`
@@ -66,7 +66,8 @@
 	Release  string  `json:"release,omitempty"`
 }
 
-// One fleet may run both builds: each accepts the other's records, and a record without a region is encoded as before, byte by byte.
+// A fleet may run builds with and without Region: each accepts the other's records, and a record without a region is encoded
+// to the same bytes by both.
 func TestRecordsWithAndWithoutRegionAreCompatible(t *testing.T) {
 	before := recordWithoutRegion{V: RecordVersion, Name: "a", Zone: "z1", Epoch: 7, Rank: 3, Capacity: 2, LagMS: 4, Flag: "overloaded", Share: 0.5, Process: "a#7",
 		Log: "10.0.0.5:7947", Applied: 9, Release: "r1"}
@@ -76,15 +77,15 @@
 	}
 	read, err := DecodeRecord("a", written)
 	if err != nil || read.Region != "" {
-		t.Fatalf("an older record: %+v, %v", read, err)
+		t.Fatalf("record of an older build: decoded %+v, %v", read, err)
 	}
 	if now := encoded(t, read); string(now) != string(written) {
-		t.Errorf("without a region:\n%s, before\n%s", now, written)
+		t.Errorf("record without a region is encoded as\n%s, by the older build as\n%s", now, written)
 	}
 	read.Region = "eu"
 	var received recordWithoutRegion
 	if err := json.Unmarshal(encoded(t, read), &received); err != nil || received != before {
-		t.Errorf("the older build reads %+v, %v, want %+v", received, err, before)
+		t.Errorf("the older build decodes %+v, %v, want %+v", received, err, before)
 	}
 }
 
@@ -97,12 +98,12 @@
 		t.Fatal(err)
 	}
 	if got := m.View()["a"]; got.Region != "eu" || watcher.updates.Load() != 1 {
-		t.Errorf("view %+v after %d changes, want the region announced once", got, watcher.updates.Load())
+		t.Errorf("view %+v after %d updates, want the region announced by one", got, watcher.updates.Load())
 	}
 }
 
-// The files were written by the build of commit d489d24. Its records are read as they were meant, and encoded to the same
-// bytes.
+// Records written by an older build (commit d489d24) must be decoded to the same values, and the same records must be encoded
+// to the same bytes.
 func TestRecordsOfEarlierBuild(t *testing.T) {
 	for file, want := range map[string]Record{
 		"record-full.json": {Version: RecordVersion, Name: "checkout-01", Zone: "east-1", Region: "east", Epoch: 1_790_000_123_456, Rank: 17,
@@ -123,18 +124,18 @@
 	}
 }
 
-// Errors name the member and the field, and have types by which callers distinguish them.
+// An error names the member and the field, and is a *RecordError.
 func TestDecodeRecordErrors(t *testing.T) {
 	for metadata, want := range map[string]string{
-		`{`:                                `record of "a": found invalid JSON, expected a JSON object (unexpected end of JSON input)`,
-		`{"v":2,"name":"a"}`:               `record of "a": version found 2, expected 1`,
-		`{"v":1,"name":"b"}`:               `record of "a": name found "b", expected its own`,
-		`{"v":1,"name":"a","flag":"x"}`:    `record of "a": flag found "x", expected leaving, overloaded or none`,
-		`{"v":1,"name":"a","rank":-2}`:     `record of "a": rank found -2, expected -1 or more`,
-		`{"v":1,"name":"a","share":1.5}`:   `record of "a": share found 1.5, expected 0 to 1`,
-		`{"v":1,"name":"a","lag_ms":-1}`:   `record of "a": lag found -1, expected at least 0`,
-		`{"v":1,"name":"a","capacity":-1}`: `record of "a": capacity found -1, expected at least 0`,
-		strings.Repeat(" ", 513):           `record of "a": found 513 bytes, expected at most 512`,
+		`{`:                                `record of member "a": found invalid JSON, expected a JSON object (unexpected end of JSON input)`,
+		`{"v":2,"name":"a"}`:               `record of member "a": field version found 2, expected 1`,
+		`{"v":1,"name":"b"}`:               `record of member "a": field name found "b", expected "a"`,
+		`{"v":1,"name":"a","flag":"x"}`:    `record of member "a": field flag found "x", expected leaving, overloaded or none`,
+		`{"v":1,"name":"a","rank":-2}`:     `record of member "a": field rank found -2, expected -1 or more`,
+		`{"v":1,"name":"a","share":1.5}`:   `record of member "a": field share found 1.5, expected 0 to 1`,
+		`{"v":1,"name":"a","lag_ms":-1}`:   `record of member "a": field lag_ms found -1, expected at least 0`,
+		`{"v":1,"name":"a","capacity":-1}`: `record of member "a": field capacity found -1, expected at least 0`,
+		strings.Repeat(" ", 513):           `record of member "a": found 513 bytes, expected at most 512`,
 	} {
 		_, err := DecodeRecord("a", []byte(metadata))
 		var invalid *RecordError
--- a/internal/fleet/membership/transport.go
+++ b/internal/fleet/membership/transport.go
@@ -12,11 +12,11 @@
 // Transport carries a member's datagrams and streams.
 type Transport = memberlist.NodeAwareTransport
 
-// boundTransport is memberlist's network transport, with outgoing TCP connections from the bound host: on a multi-homed
-// host the others then see the address that they know, and tests can tell members apart by it.
+// boundTransport is memberlist's network transport, but with outgoing TCP connections from the bound host. On a multi-homed
+// host the others then see the address that they know, and tests can identify members by it.
 type boundTransport struct {
 	*memberlist.NetTransport
-	localIP net.IP // nil or unspecified: the kernel chooses
+	localIP net.IP // if nil or unspecified, the kernel chooses
 }
 
 // newTransport listens for TCP and UDP at an address.
--- a/internal/fleet/membership/update.go
+++ b/internal/fleet/membership/update.go
@@ -2,17 +2,17 @@
 
 import "time"
 
-// gossipTimeout is how long an update waits for memberlist to have passed it on: not at all, as callers must not wait
-// for rounds of gossip. 0 would mean no limit.
+// gossipTimeout is how long memberlist.UpdateNode waits until an update has been sent: practically not at all, as callers
+// must not wait for rounds of gossip. 0 would mean without limit.
 const gossipTimeout = time.Nanosecond
 
-// SetRecord replaces this member's own record and hands it to gossip, without waiting for the others to receive it.
+// SetRecord replaces this member's record and announces it by gossip, without waiting until the others have received it.
 // Name and Version are kept. An invalid or too long record is an error and changes nothing.
 //
-// An update that changes only load (Capacity, LagMS, ShedQuota, AppliedIndex) costs every member of the fleet as much as
-// any other and may come at any rate, so those are announced at most once per loadUpdateInterval; of the updates in
-// between only the last is announced, at the end of the interval. Every other update is announced at once, together with
-// one that was deferred.
+// An update that changes only the load (Capacity, LagMS, ShedQuota, AppliedIndex) costs every member of the fleet as much as
+// any other, and may be made at any rate. Load updates are therefore announced at most once per loadUpdateInterval; of those
+// in between only the last is announced, at the end of the interval. Every other update is announced at once, together
+// with load changes that were deferred.
 func (m *Member) SetRecord(record Record) error {
 	announce, err := m.replaceRecord(record)
 	if err == nil && announce {
@@ -21,7 +21,7 @@
 	return err
 }
 
-// replaceRecord stores the record and tells whether it is to be announced now.
+// replaceRecord stores the record and reports whether it must be announced now.
 func (m *Member) replaceRecord(record Record) (announce bool, err error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -50,8 +50,8 @@
 	return false, nil
 }
 
-// gossipRecord announces the present record. Announcements are serialized: memberlist reads the record before it
-// increments the incarnation, so that of two at once the older could win.
+// gossipRecord announces the current record. Announcements are serialized: memberlist reads the record before it increments
+// the incarnation, so that with two at once the older record could get the higher incarnation and replace the newer.
 func (m *Member) gossipRecord() {
 	m.gossipMutex.Lock()
 	defer m.gossipMutex.Unlock()
@@ -63,10 +63,10 @@
 	if stopped {
 		return
 	}
-	_ = m.list.UpdateNode(gossipTimeout) // its only error is the timeout; the update is queued by then
+	_ = m.list.UpdateNode(gossipTimeout) // the only error is the timeout, after which the update is already queued
 }
 
-// cancelPendingGossip drops a deferred update. mu must be held.
+// cancelPendingGossip discards a deferred update. m.mu must be held.
 func (m *Member) cancelPendingGossip() {
 	if m.pendingGossip != nil {
 		m.pendingGossip.Stop()
--- a/internal/fleet/membership/update_test.go
+++ b/internal/fleet/membership/update_test.go
@@ -17,6 +17,7 @@
 func (*updateCounter) Left(string)            {}
 func (*updateCounter) Rejected(string, error) {}
 
+// startAlone starts the first member of a fleet, named a, until the end of the test.
 func startAlone(t *testing.T) (*Member, *updateCounter) {
 	t.Helper()
 	watcher := &updateCounter{}
@@ -37,17 +38,17 @@
 		}
 	}
 	if announced := watcher.updates.Load(); announced > 1 {
-		t.Errorf("%d updates at once: announced %d times, want once and later the last", changes, announced)
+		t.Errorf("%d load updates in a row were announced %d times, want once, and the last one later", changes, announced)
 	}
 	deadline := time.Now().Add(10 * minLoadUpdateInterval)
 	for m.View()["a"].LagMS != changes {
 		if time.Now().After(deadline) {
-			t.Fatalf("the last change was lost: lag %d", m.View()["a"].LagMS)
+			t.Fatalf("the last load update was not announced: lag %d", m.View()["a"].LagMS)
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
 	if announced := watcher.updates.Load(); announced > 2 {
-		t.Errorf("announced %d times, want twice", announced)
+		t.Errorf("load updates were announced %d times, want twice", announced)
 	}
 }
 
@@ -70,15 +71,15 @@
 		t.Fatal(err)
 	}
 	if got := m.View()["a"]; got.LagMS != 4 || got.Flag != "overloaded" {
-		t.Errorf("view %+v, want all that was deferred", got)
+		t.Errorf("view %+v, want the flag and the deferred load", got)
 	}
 	if announced := watcher.updates.Load(); announced != 4 {
-		t.Errorf("announced %d times, want 4", announced)
+		t.Errorf("updates were announced %d times, want 4", announced)
 	}
 }
 
-// A member that claims one new rank after another as others leave must not wait for gossip in between: memberlist takes four
-// rounds of 200 ms to count an update as passed on.
+// While others leave, a member claims one new rank after another and must not wait for gossip in between: memberlist needs four
+// rounds of 200 ms before it counts an update as sent.
 func TestSetRecordDoesNotWaitForGossip(t *testing.T) {
 	m, _ := startAlone(t)
 	other, err := Start(Config{Name: "b", Bind: freeAddress(t, 21), Seeds: []string{m.list.LocalNode().Address()}, MaxMembers: 4,
@@ -96,7 +97,7 @@
 		}
 	}
 	if took := time.Since(start); took > changes*200*time.Millisecond {
-		t.Errorf("%d changes took %v, a round of gossip each at least", changes, took)
+		t.Errorf("%d updates took %v, at least a round of gossip each", changes, took)
 	}
 	testutil.Eventually(t, "the last update arrives", func() bool { return other.View()["a"].Rank == changes-1 })
 }
@@ -107,6 +108,6 @@
 		t.Fatal("a zone of more than 64 bytes was accepted")
 	}
 	if got := m.View()["a"]; got.Zone != "z1" || watcher.updates.Load() != 0 {
-		t.Errorf("view %+v after %d changes, want none", got, watcher.updates.Load())
+		t.Errorf("view %+v after %d updates, want it unchanged", got, watcher.updates.Load())
 	}
 }
