--- a/internal/fleet/slots/apply.go
+++ b/internal/fleet/slots/apply.go
@@ -10,7 +10,7 @@
 	"thymechute/internal/decide/ring"
 )
 
-// Apply applies one entry of the log, with its outcome. Entries of other duties are ignored.
+// Apply applies an entry of the log, whose outcome is given. Entries of other duties are ignored.
 func (c *Controller) Apply(now time.Duration, entry lease.Command, outcome lease.Outcome) {
 	cmd, ok := decodeCommand(entry, outcome)
 	if !ok {
@@ -26,7 +26,7 @@
 	}
 }
 
-// applyDecision applies a command of the leader.
+// applyDecision applies a command that the leader decided.
 func (c *Controller) applyDecision(now time.Duration, cmd command) {
 	switch {
 	case cmd.Freeze != nil:
@@ -62,7 +62,7 @@
 	if c.migrator != nil {
 		c.migrator.Activated(version)
 	}
-	c.config.Notify(fmt.Sprintf("ring: table %d active", version))
+	c.config.Notify(fmt.Sprintf("ring: table version %d is active", version))
 }
 
 func (c *Controller) applyGrant(now time.Duration, grant ring.Grant) {
@@ -75,7 +75,7 @@
 	}
 }
 
-// applyAnnouncement applies a command of any member.
+// applyAnnouncement applies a command that a member announced.
 func (c *Controller) applyAnnouncement(now time.Duration, entry lease.Command, cmd command) {
 	switch {
 	case cmd.Ack != 0:
@@ -105,7 +105,8 @@
 	}
 }
 
-// extendLease extends this member's lease by its own acknowledgement, and drops the pending ones up to it.
+// extendLease extends this member's lease from the time at which it sent the acknowledgement with this sequence number, and
+// drops the pending ones up to it.
 func (c *Controller) extendLease(seq uint64) {
 	n := slices.IndexFunc(c.pendingAcks, func(a pendingAck) bool { return a.seq == seq })
 	if n < 0 {
--- a/internal/fleet/slots/backend_test.go
+++ b/internal/fleet/slots/backend_test.go
@@ -13,7 +13,7 @@
 	"thymechute/internal/decide/ring"
 )
 
-// setWantedBackends replaces the file in which the members read the wanted backends.
+// setWantedBackends atomically replaces the file from which the members read the wanted backends.
 func setWantedBackends(t *testing.T, file string, backends []ring.Backend) {
 	t.Helper()
 	b, _ := json.Marshal(backends)
@@ -25,8 +25,8 @@
 	}
 }
 
-// listenForLines hands each connection's first line to handle, in a goroutine of its own, and closes it afterwards. It
-// ends with the test.
+// listenForLines accepts connections until the end of the test. It passes the first line of each to handle, on a goroutine of
+// its own, and then closes the connection.
 func listenForLines(t *testing.T, handle func(line string)) (address string) {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -50,11 +50,11 @@
 	return listener.Addr().String()
 }
 
-// recordingBackends are the backends of makeKeyedCalls, in the parent process. They count the calls whose key was in work at
-// another backend.
+// recordingBackends are the backends that makeKeyedCalls calls, in the parent process. They count violations: calls that arrive
+// while another backend works on a call with the same key.
 type recordingBackends struct {
 	mu         sync.Mutex
-	active     map[string]map[string]int // calls by key and backend
+	active     map[string]map[string]int // calls in progress by key and backend
 	violations int
 	calls      int
 }
@@ -99,14 +99,14 @@
 	return s.calls, s.violations
 }
 
-// arrival is a call at a countingBackend, by its clock.
+// arrival is a call that has arrived at a countingBackend.
 type arrival struct {
 	at          time.Time
 	from        string
-	isWarmingUp bool // as its sender's table has the backend
+	isWarmingUp bool // the backend is warming up in the sender's table
 }
 
-// countingBackend is the backend of callAsOftenAsAdmitted, in the parent.
+// countingBackend records the calls of callAsOftenAsAdmitted to one backend, in the parent process.
 type countingBackend struct {
 	mu       sync.Mutex
 	arrivals []arrival
@@ -125,7 +125,7 @@
 	})
 }
 
-func (b *countingBackend) all() []arrival {
+func (b *countingBackend) copyArrivals() []arrival {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return append([]arrival(nil), b.arrivals...)
--- a/internal/fleet/slots/calls.go
+++ b/internal/fleet/slots/calls.go
@@ -6,19 +6,19 @@
 	"thymechute/internal/decide/ring"
 )
 
-// Call is the answer to BeginCall.
+// Call is the result of BeginCall.
 type Call struct {
 	Decision ring.Decision
 	Backend  *ring.Backend // nil unless the call is allowed
 	Slot     int
-	Deadline time.Duration // by which the call must have ended, by the log's clock; 0 for none
+	Deadline time.Duration // by which the call must have ended, in terms of Log.Now; 0 for none
 }
 
 // IsAllowed reports whether the call may be made.
 func (c Call) IsAllowed() bool { return c.Decision == ring.Allow || c.Decision == ring.AllowStale }
 
-// BeginCall asks to call the owner of a key now. EndCall must follow each call that is allowed. A draining or diverged
-// member gets RejectLeaseExpired, as does one with MaxCalls in flight.
+// BeginCall decides whether the owner of a key may be called now. EndCall must follow each call that is allowed. The decision
+// is RejectLeaseExpired while this member drains, has diverged, or has MaxCalls in flight.
 func (c *Controller) BeginCall(key string, idempotency ring.Idempotency) Call {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -35,7 +35,7 @@
 	return call
 }
 
-// EndCall notes the end of a call on a slot that BeginCall allowed.
+// EndCall records the end of a call that BeginCall allowed on a slot.
 func (c *Controller) EndCall(slot int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -45,8 +45,8 @@
 	c.inFlightTotal--
 }
 
-// Drain rejects all further calls. It returns true once none is in flight; the other members then know that they need
-// not wait for this member's lease.
+// Drain makes BeginCall reject all further calls. Once no call is in flight it announces that this member has left, so that
+// the others need not wait for its lease to expire, and returns true.
 func (c *Controller) Drain() (isDrained bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/fleet/slots/command.go
+++ b/internal/fleet/slots/command.go
@@ -9,16 +9,16 @@
 	"thymechute/internal/decide/ring"
 )
 
-// command is the body of a log entry; exactly one field is set. The keys are part of the log's format.
+// command is the body of a log entry; exactly one field is set. The JSON keys are part of the log's format.
 type command struct {
 	Freeze   *freeze     `json:"freeze,omitempty"`
-	Activate uint64      `json:"open,omitempty"` // a version
-	Ack      uint64      `json:"ack,omitempty"`  // the version that the sender uses
-	Left     bool        `json:"ends,omitempty"` // the sender has ended its calls and makes no more
+	Activate uint64      `json:"open,omitempty"` // the version of the table to activate
+	Ack      uint64      `json:"ack,omitempty"`  // the newest table version that the sender has
+	Left     bool        `json:"ends,omitempty"` // the sender has ended all calls and makes no more
 	Grant    *ring.Grant `json:"lot,omitempty"`
 }
 
-// freeze starts the migration to a table that every member plans for itself.
+// freeze starts the migration to a new table, which every member plans from these fields.
 type freeze struct {
 	Version  uint64         `json:"version"`
 	Backends []ring.Backend `json:"backends"`
@@ -27,11 +27,11 @@
 }
 
 func (c command) encode() string {
-	encoded, _ := json.Marshal(c) // numbers, strings and slices of them can't fail
+	encoded, _ := json.Marshal(c) // cannot fail for numbers, strings and slices of them
 	return string(encoded)
 }
 
-// decodeCommand returns the command of an accepted entry of the ring.
+// decodeCommand returns the command in an entry; ok is false unless that is an accepted entry of the ring.
 func decodeCommand(entry lease.Command, outcome lease.Outcome) (c command, ok bool) {
 	if entry.Duty != Duty || !outcome.Accepted || entry.Body == "" {
 		return c, false
@@ -40,23 +40,23 @@
 	return c, ok
 }
 
-// errFreezeIgnored is a freeze that does not apply: out of order, or of backends that are not valid.
-var errFreezeIgnored = errors.New("ring: freeze does not apply to the active table")
+// errFreezeIgnored reports a freeze that cannot be applied: it is out of order, or its backends are invalid.
+var errFreezeIgnored = errors.New("ring: freeze out of order or with invalid backends")
 
-// DigestMismatchError is a plan that differs from the leader's.
+// DigestMismatchError reports that a member's plan differs from the leader's.
 type DigestMismatchError struct {
 	Version         uint64
 	Found, Expected uint64
 }
 
-// Error names the version and both digests.
+// Error implements error.
 func (e *DigestMismatchError) Error() string {
-	return fmt.Sprintf("ring: table %d: digest found %#x, expected %#x as planned by the leader; no calls by it (another build?)",
+	return fmt.Sprintf("ring: table version %d: digest found %#x, expected %#x as planned by the leader (another build?); no more calls",
 		e.Version, e.Found, e.Expected)
 }
 
-// applyFreeze plans the table that a freeze asks for, and starts the migration to it. It returns the slots that migrate.
-// It fails with errFreezeIgnored or a *DigestMismatchError, and then changes nothing.
+// applyFreeze plans the table that a freeze specifies, and starts the migration to it. It returns the table and the slots that
+// migrate. Errors are errFreezeIgnored and *DigestMismatchError; they leave the state unchanged.
 func applyFreeze(state *ring.ReplicatedState, f freeze) (next *ring.Table, slots []int, err error) {
 	next, migrations, _, err := state.Active.Plan(f.Backends, ring.BalanceBound{Slack: f.Slack}, nil)
 	if err != nil || next.Version != f.Version || state.Pending != nil {
--- a/internal/fleet/slots/command_test.go
+++ b/internal/fleet/slots/command_test.go
@@ -11,7 +11,7 @@
 	"thymechute/internal/testutil"
 )
 
-// storedCommands are the commands of testdata/commands.jsonl.
+// storedCommands returns the commands that testdata/commands.jsonl contains.
 func storedCommands(t *testing.T) []command {
 	t.Helper()
 	backends := []ring.Backend{{Name: "b0", Zone: "z0", Weight: 1}, {Name: "b1", Zone: "z1", Weight: 0.25, WarmingUp: true}}
@@ -30,8 +30,8 @@
 	}
 }
 
-// Commands written by an older build (commit d489d24) must be read, and the same commands must be written as the same bytes.
-func TestCommandsOfOlderBuildsAreReadAndWrittenAlike(t *testing.T) {
+// Commands written by an older build (commit d489d24) must be decoded, and the same commands must be encoded to the same bytes.
+func TestCommandsOfOlderBuildRoundTrip(t *testing.T) {
 	stored := testutil.ReadFixture(t, "commands.jsonl")
 	lines := strings.Split(strings.TrimSpace(string(stored)), "\n")
 	commands := storedCommands(t)
@@ -49,8 +49,8 @@
 	}
 }
 
-// The stored commands lead to the same snapshot as in the build that wrote them.
-func TestStoredCommandsAreApplied(t *testing.T) {
+// The stored commands must lead to the same snapshot as in the build that wrote them.
+func TestStoredCommandsProduceTheSameSnapshot(t *testing.T) {
 	s, err := NewSnapshotState(Config{Slots: 8})
 	if err != nil {
 		t.Fatal(err)
@@ -75,7 +75,8 @@
 	}
 }
 
-// Another digest than the leader's is a typed error, reported once by the message that the tests of processes look for.
+// A digest that differs from the leader's must give a *DigestMismatchError, which is reported once, with the text by which the
+// tests of processes recognize it. The member then makes no more calls.
 func TestPlanThatDiffersIsReported(t *testing.T) {
 	var reports []memberEvent
 	c, err := New(Config{Slots: 8, Notify: func(message string) {
@@ -88,15 +89,15 @@
 	differing.Freeze.Digest++
 	var mismatch *DigestMismatchError
 	if _, _, err := applyFreeze(&c.state, *differing.Freeze); !errors.As(err, &mismatch) || mismatch.Expected != differing.Freeze.Digest {
-		t.Errorf("found %v, expected a digest mismatch", err)
+		t.Errorf("error %v, expected a *DigestMismatchError", err)
 	}
 	for range 2 {
 		c.Apply(0, lease.Command{Kind: lease.Decide, Duty: Duty, Body: differing.encode()}, lease.Outcome{Accepted: true})
 	}
 	if len(reports) != 1 || !isDigestMismatch(reports[0]) {
-		t.Errorf("found %+v, expected one report of a digest mismatch", reports)
+		t.Errorf("reports %+v, expected one of a digest mismatch", reports)
 	}
 	if call := c.BeginCall("key", ring.Idempotent); call.IsAllowed() {
-		t.Errorf("a diverged member calls: %+v", call)
+		t.Errorf("a call of a diverged member was allowed: %+v", call)
 	}
 }
--- a/internal/fleet/slots/leader.go
+++ b/internal/fleet/slots/leader.go
@@ -28,14 +28,14 @@
 	c.warmUp = nil
 }
 
-// lead continues the migration in progress, or starts the next one, and proposes grants.
-func (c *Controller) lead(now time.Duration) {
+// tickLeader continues the migration in progress or starts the next one, and proposes grants.
+func (c *Controller) tickLeader(now time.Duration) {
 	c.migrator.Tick(now)
 	c.startMigration(now)
 	c.proposeGrant(now)
 }
 
-// startMigration starts the migration that the wanted backends require, unless one is in progress.
+// startMigration starts the migration that the wanted backends require, if any, unless one is in progress.
 func (c *Controller) startMigration(now time.Duration) {
 	if c.migrator.InProgress() || c.state.Pending != nil || len(c.wanted) == 0 {
 		return
@@ -67,7 +67,7 @@
 	}
 }
 
-// proposer is the migrator's access to the log. It proposes an entry again if that is lost.
+// proposer proposes the migrator's entries to the log. The migrator proposes an entry again if it is lost.
 type proposer struct{ controller *Controller }
 
 // ProposeFreeze implements ring.MigrationProposer.
--- a/internal/fleet/slots/member_test.go
+++ b/internal/fleet/slots/member_test.go
@@ -20,13 +20,13 @@
 	"thymechute/internal/testutil/member"
 )
 
-// Settings of a member, in its environment.
+// Environment variables of a member, and settings of its process.
 const (
 	wantedFileVariable  = "SLOTS_WANTED"   // file with the wanted backends
-	overstayVariable    = "SLOTS_OVERSTAY" // set: the member calls for longer than its lease
-	warmUpVariable      = "SLOTS_WARM_UP"  // set: the member calls the backend in slow start as often as admitted
-	cutInboundVariable  = "SLOTS_CUT"      // file; once it exists the member applies no entry
-	withoutQuotas       = "without quotas" // value of warmUpVariable
+	overstayVariable    = "SLOTS_OVERSTAY" // set: the member continues calls after its lease has expired
+	warmUpVariable      = "SLOTS_WARM_UP"  // set: the member calls the backend in slow start as often as the Controller allows
+	cutInboundVariable  = "SLOTS_CUT"      // file; once it exists, the member applies no more entries
+	withoutQuotas       = "without quotas" // value of warmUpVariable: grants exceed any demand
 	keyCount            = 48
 	callerCount         = 8
 	pollInterval        = 20 * time.Millisecond
@@ -45,17 +45,17 @@
 
 var terms = ring.LeaseTerms{Duration: time.Second, MaxDrift: 0.01, CancelDelay: 20 * time.Millisecond}
 
-// memberEvent is an event of a member.
+// memberEvent is an event that a member's process emits.
 type memberEvent struct {
 	Kind    string
-	Version uint64 // of eventTableActive; of eventCallCount: the calls
+	Version uint64 // of the table, for eventTableActive; the number of calls, for eventCallCount
 	Text    string
 	member  string
 }
 
 func isLeaseAcquired(e memberEvent) bool { return e.Kind == eventLeaseAcquired }
 
-// isTableAt matches the activation of a version, or a later one, at a member.
+// isTableAt matches the activation of this table version, or a later one, at the named member.
 func isTableAt(name string, version uint64) func(memberEvent) bool {
 	return func(e memberEvent) bool {
 		return e.Kind == eventTableActive && e.Version >= version && e.member == name
@@ -69,11 +69,11 @@
 
 func TestMain(m *testing.M) { member.Main(m, runMember) }
 
-// testMember is a member's process. It is the log's Watcher, and the Controller's Log.
+// testMember runs in a member's process. It is the log's Watcher and the Controller's Log.
 type testMember struct {
 	*member.Member
 	controller   *Controller
-	isInboundCut atomic.Bool // it applies no entry
+	isInboundCut atomic.Bool // the member applies no more entries
 	calls        atomic.Int64
 	rejections   atomic.Int64
 }
@@ -81,7 +81,7 @@
 func runMember(process *member.Member) {
 	m := &testMember{Member: process}
 	if os.Getenv(overstayVariable) != "" {
-		terms.CancelDelay = -5 * time.Second // members call for five seconds longer than leaders wait
+		terms.CancelDelay = -5 * time.Second // calls continue for five seconds after leaders consider the lease expired
 	}
 	config := Config{Process: m.Process, Incarnation: m.Incarnation, Slots: 64, Terms: terms, Bound: ring.BalanceBound{Slack: 0.05},
 		Notify: func(message string) { m.Emit(memberEvent{Kind: eventNotified, Text: message}) }}
@@ -145,7 +145,7 @@
 
 var _ consensus.Watcher = (*testMember)(nil)
 
-// poll reads the wanted backends, and reports what has changed.
+// poll reads the wanted backends, publishes the applied index, and emits events for the active table and the number of calls.
 func (m *testMember) poll() {
 	version := uint64(0)
 	for n := 0; ; n++ {
@@ -167,8 +167,8 @@
 	}
 }
 
-// makeKeyedCalls makes one call after the other, each with a key and a duration. The backend works for that duration even if
-// this process ends.
+// makeKeyedCalls makes one call after another, each with a random key and duration. The backend works on a call for that
+// duration even if this process ends.
 func (m *testMember) makeKeyedCalls(random *rand.Rand) {
 	for {
 		key := fmt.Sprint("k", random.IntN(keyCount))
@@ -179,8 +179,8 @@
 			continue
 		}
 		duration := min(time.Duration(5+random.IntN(60))*time.Millisecond, call.Deadline-m.Now())
-		if connection, err := net.DialTimeout("tcp", call.Backend.Zone, time.Second); err == nil { // the zone is its address here
-			if call.Deadline-m.Now() >= duration && duration > 0 { // dialling took its time, or this process was suspended
+		if connection, err := net.DialTimeout("tcp", call.Backend.Zone, time.Second); err == nil { // in these tests the zone holds the address
+			if call.Deadline-m.Now() >= duration && duration > 0 { // not if dialing took too long or this process was suspended
 				fmt.Fprintf(connection, "%s %d\n", key, duration.Milliseconds())
 				_, _ = io.Copy(io.Discard, connection)
 				m.calls.Add(1)
--- a/internal/fleet/slots/migration_test.go
+++ b/internal/fleet/slots/migration_test.go
@@ -12,36 +12,38 @@
 	"thymechute/internal/testutil/member"
 )
 
-// Five processes call the backends of a ring that grows from four to six and shrinks to three. Meanwhile a member is
-// suspended and then isolated, and the leader is killed during a migration and restarted without its state.
+// Five processes call the backends of a ring that grows from four backends to six and shrinks to three. Meanwhile a member is
+// suspended and then isolated, and the leader is killed during a migration and restarted without its state. No two backends
+// may ever work on the same key at the same time.
 func TestNoKeyIsCalledAtTwoBackendsThroughFaults(t *testing.T) {
 	if calls, violations := runMigrationScript(t, 8); violations != 0 || calls < 1000 {
-		t.Errorf("%d of %d calls found their key at another backend", violations, calls)
+		t.Errorf("%d of %d calls arrived while another backend worked on their key; want none, of at least 1000", violations, calls)
 	}
 }
 
-// Members that call for longer than their lease must be detected, which proves the check.
+// Shows that the check of the previous test is effective: it must detect members that continue calls after their lease.
 func TestCallsPastTheLeaseAreDetected(t *testing.T) {
 	if calls, violations := runMigrationScript(t, 10, overstayVariable+"=1"); violations == 0 {
-		t.Errorf("none of %d calls found its key at another backend: the check detects nothing", calls)
+		t.Errorf("none of %d calls arrived while another backend worked on its key: the check is ineffective", calls)
 	}
 }
 
-// migrationScript is the cluster of runMigrationScript.
+// migrationScript is the cluster on which runMigrationScript runs.
 type migrationScript struct {
 	*testutil.Cluster[memberEvent]
-	t          *testing.T
-	backends   *recordingBackends
-	all        []ring.Backend
-	wantedFile string
+	t           *testing.T
+	backends    *recordingBackends
+	allBackends []ring.Backend
+	wantedFile  string
 }
 
-// runMigrationScript returns the number of calls, and of those that found their key in work at another backend. environment
-// is added to that of each member; with one, the script ends after the isolation, whose effect is what it tests.
+// runMigrationScript returns the number of calls, and the number of those that arrived while another backend worked on their
+// key. environment is added to that of each member. If it is not empty, the script ends after the isolation, which is what
+// it affects.
 func runMigrationScript(t *testing.T, subnet int, environment ...string) (calls, violations int) {
 	s := startMigrationScript(t, subnet, environment)
-	s.setWanted(s.all[:5]...)
-	s.awaitTable("all connected", 2, "")
+	s.setWanted(s.allBackends[:5]...)
+	s.awaitTable("without faults", 2, "")
 	faulty := s.suspendMember()
 	s.isolateMember(faulty)
 	if len(environment) > 0 {
@@ -49,12 +51,12 @@
 		return s.backends.counts()
 	}
 	s.Net.Heal()
-	s.awaitTable("healed", 4, "")
+	s.awaitTable("after the partition", 4, "")
 	s.killLeader()
-	time.Sleep(time.Second) // calls by the last table
+	time.Sleep(time.Second) // for calls under the last table
 
 	calls, violations = s.backends.counts()
-	t.Logf("%d calls, %d at two backends", calls, violations)
+	t.Logf("%d calls, %d while another backend worked on the key", calls, violations)
 	for _, e := range s.Events() {
 		if isDigestMismatch(e) {
 			t.Errorf("%s: %s", e.member, e.Text)
@@ -63,16 +65,16 @@
 	return calls, violations
 }
 
-// startMigrationScript starts five members, with variables added to their environment, and waits until all vote and use a
-// table of four backends.
+// startMigrationScript starts five members, with variables added to their environment, and waits until all of them vote and
+// use a table of four backends.
 func startMigrationScript(t *testing.T, subnet int, variables []string) *migrationScript {
 	s := &migrationScript{t: t, backends: &recordingBackends{active: map[string]map[string]int{}},
 		wantedFile: filepath.Join(t.TempDir(), "want.json")}
 	for n := range 6 {
 		name := fmt.Sprint("b", n)
-		s.all = append(s.all, ring.Backend{Name: name, Zone: s.backends.serve(t, name), Weight: 1})
+		s.allBackends = append(s.allBackends, ring.Backend{Name: name, Zone: s.backends.serve(t, name), Weight: 1})
 	}
-	s.setWanted(s.all[:4]...)
+	s.setWanted(s.allBackends[:4]...)
 	s.Cluster = testutil.NewCluster(t, subnet, member.Ports, func(e *memberEvent, name string) { e.member = name })
 	for n := range 5 {
 		environment := append([]string{wantedFileVariable + "=" + s.wantedFile}, variables...)
@@ -98,7 +100,7 @@
 	setWantedBackends(s.t, s.wantedFile, backends)
 }
 
-// awaitTable waits until all members but one use a version.
+// awaitTable waits until all members use at least this table version, except for the named one, if any.
 func (s *migrationScript) awaitTable(when string, version uint64, except string) {
 	s.t.Helper()
 	for _, name := range s.Names() {
@@ -108,7 +110,8 @@
 	}
 }
 
-// suspendMember suspends a member during a migration until its lease has expired, and resumes it.
+// suspendMember suspends a member during a migration, and resumes it once the others use the next table, which requires that
+// its lease has expired.
 func (s *migrationScript) suspendMember() (name string) {
 	name = "m4"
 	if s.Last(isLeaseAcquired).member == name {
@@ -116,31 +119,31 @@
 	}
 	s.Signal(name, syscall.SIGSTOP)
 	start := time.Now()
-	s.setWanted(s.all...)
-	s.awaitTable("one suspended", 3, name)
+	s.setWanted(s.allBackends...)
+	s.awaitTable("with one suspended", 3, name)
 	s.t.Logf("with one member suspended the table was active after %v", time.Since(start).Round(time.Millisecond))
 	s.Signal(name, syscall.SIGCONT)
-	s.awaitTable("it is back", 3, "")
+	s.awaitTable("after it was resumed", 3, "")
 	return name
 }
 
-// isolateMember isolates a member during a migration: it continues to call until its lease has expired.
+// isolateMember isolates a member during a migration. The member continues to call until its lease has expired.
 func (s *migrationScript) isolateMember(name string) {
 	s.Net.Isolate(name, s.Names())
-	s.setWanted(s.all[1:]...)
-	s.awaitTable("one cut off", 4, name)
+	s.setWanted(s.allBackends[1:]...)
+	s.awaitTable("with one isolated", 4, name)
 }
 
-// killLeader kills the leader during a migration or just before it, and restarts it.
+// killLeader kills the leader during a migration or just before, and restarts it.
 func (s *migrationScript) killLeader() {
 	first := s.EventCount()
 	killed := s.Last(isLeaseAcquired).member
-	s.setWanted(s.all[1:4]...)
+	s.setWanted(s.allBackends[1:4]...)
 	time.Sleep(30 * time.Millisecond)
 	s.Kill(killed)
 	s.WaitFor("a new leader", first, isLeaseAcquired)
-	s.awaitTable("the leader killed", 5, killed)
+	s.awaitTable("with the leader killed", 5, killed)
 	first = s.EventCount()
 	s.Start(killed, wantedFileVariable+"="+s.wantedFile)
-	s.WaitFor("the restarted one's table", first, isTableAt(killed, 5))
+	s.WaitFor("table at the restarted leader", first, isTableAt(killed, 5))
 }
--- a/internal/fleet/slots/slots.go
+++ b/internal/fleet/slots/slots.go
@@ -1,13 +1,13 @@
-// Package slots replicates the ring (internal/decide/ring) over the agreed log (internal/fleet/consensus). The leader of
-// the ring plans and migrates; every member builds the same tables from the log's entries, acknowledges them, and calls
-// by them under its lease.
+// Package slots replicates the ring (internal/decide/ring) through the fleet's log (internal/fleet/consensus). The leader of
+// the ring plans tables and migrates slots. Every member builds the same tables from the log's entries, acknowledges them,
+// and under its lease calls the backends that own slots in the active table.
 //
-// No table is sent: a freeze entry names the backends, every member computes the same plan from it, and a digest shows
-// whether it did. A member whose plan differs, such as one of another build, uses no table any more.
+// Entries contain no tables: a freeze entry lists the backends, from which every member plans the same table, and a digest to
+// verify that it is the same. A member whose plan differs, for example one of another build, makes no more calls.
 //
 // Bounds: at most MaxCalls calls in flight, each removed by EndCall, and at most maxPendingAcks acknowledgements in
-// flight, the oldest dropped first. A Controller's methods are called on the log driver's goroutine, except BeginCall,
-// EndCall, Drain, TableVersion and SetBackends, which are safe for concurrent use.
+// flight, of which the oldest is dropped first. A Controller's methods must be called on the log driver's goroutine, except
+// BeginCall, EndCall, Drain, TableVersion and SetBackends, which are safe for concurrent use.
 package slots
 
 import (
@@ -23,62 +23,63 @@
 const Duty = "ring"
 
 const (
-	// MaxCalls bounds the calls in flight at one member.
+	// MaxCalls is the maximum number of calls in flight at one member.
 	MaxCalls = 1 << 16
 
 	maxPendingAcks     = 16
-	ackPerLease        = 5 // acknowledgements sent in a lease
-	memberExpiryLeases = 2 // leases without an acknowledgement after which a member is forgotten
+	acksPerLease       = 5 // acknowledgements sent in the duration of a lease
+	memberExpiryLeases = 2 // durations of a lease after which a member that sends no acknowledgements is forgotten
 )
 
-// Log is where a Controller proposes its entries.
+// Log is the replicated log to which a Controller proposes entries; see consensus.Driver.
 type Log interface {
 	DecideNow(duty, body string) bool
 	Announce(duty, body string) (seq uint64)
 	Now() time.Duration
 }
 
-// Config of a Controller. It is the same in all members, except for Process, Incarnation and Notify.
+// Config configures a Controller. It must be the same in all members, except for Process, Incarnation and Notify.
 type Config struct {
 	Process     string
 	Incarnation uint64
 	Slots       int // a power of two, as for ring.New
 	Terms       ring.LeaseTerms
 	Bound       ring.BalanceBound
-	SlowStart   ring.SlowStart       // of backends that warm up on joining
+	SlowStart   ring.SlowStart       // of backends that are warming up
 	Budget      ring.CallBudget      // of backends in slow start; the zero value disables slow start
-	Notify      func(message string) // reports one line to the operators
+	Notify      func(message string) // reports a message of one line to the operators
 }
 
-// Controller is one member's part of the ring.
+// Controller runs one member's part in the replication of the ring: its calls, its acknowledgements and, at the leader, the
+// migrations.
 type Controller struct {
 	config Config
 	log    Log
 
-	mu            sync.Mutex // guards all below
+	mu            sync.Mutex // guards the fields below
 	state         ring.ReplicatedState
 	gate          *ring.CallGate
-	inFlight      map[int]int // calls by slot
+	inFlight      map[int]int // number of calls by slot
 	inFlightTotal int
-	isDiverged    bool // its plan differs from the leader's
+	isDiverged    bool // this member's plan differs from the leader's, or its snapshot was invalid
 	isDraining    bool
 
-	wanted           []ring.Backend
-	migrator         *ring.Migrator         // nil unless this member leads
-	warmUp           *ring.WarmUpController // nil unless this member leads and there is a budget
-	lastAcknowledged map[string]time.Duration
+	wanted           []ring.Backend           // by SetBackends
+	migrator         *ring.Migrator           // nil unless this member is the leader
+	warmUp           *ring.WarmUpController   // nil unless this member is the leader and there is a budget
+	lastAcknowledged map[string]time.Duration // by process
 	pendingAcks      []pendingAck
 	nextAck          time.Duration
 }
 
-// pendingAck is an acknowledgement that is not in the log yet.
+// pendingAck is an acknowledgement of this member that it has not yet received as an entry.
 type pendingAck struct {
 	seq    uint64
 	sentAt time.Duration
 }
 
-// New returns the controller of a process that has just started. It has no table until it has applied one. It fails on
-// a number of slots that ring.New rejects, and on an invalid budget or, if there is a budget, an invalid slow start.
+// New returns the controller of a process that has just started. It has no table until it has applied an activation or a
+// snapshot. Errors: a number of slots that ring.New rejects, an invalid budget or, if there is a budget, an invalid slow start.
 func New(config Config, log Log) (*Controller, error) {
 	if config.Budget != (ring.CallBudget{}) {
 		if err := errors.Join(config.Budget.Validate(), config.SlowStart.Validate()); err != nil {
@@ -99,7 +100,8 @@
 	}, nil
 }
 
-// SetBackends sets the backends that should own slots, and which of them warm up first. The leader acts on its own.
+// SetBackends sets the backends that should own slots, and which of them warm up first. The leader uses only its own; those
+// of the other members have no effect.
 func (c *Controller) SetBackends(backends []ring.Backend) {
 	c.mu.Lock()
 	c.wanted = slices.Clone(backends)
@@ -113,7 +115,7 @@
 	return c.state.Active.Version
 }
 
-// Restore replaces the state by a snapshot's. If that is not valid, this member has no table.
+// Restore replaces the state by that of a snapshot. If the snapshot is invalid, this member counts as diverged.
 func (c *Controller) Restore(snapshot []byte) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -137,11 +139,12 @@
 		}
 	}
 	if c.migrator != nil {
-		c.lead(now)
+		c.tickLeader(now)
 	}
 }
 
-// acknowledge sends an acknowledgement of the newest version, if one is due and nothing forbids it.
+// acknowledge announces an acknowledgement of the newest table version if one is due. It sends none while this member drains,
+// has diverged, or has a call in flight on a migrating slot.
 func (c *Controller) acknowledge(now time.Duration) {
 	if now < c.nextAck || c.isDraining || c.isDiverged || c.hasCallOnMigratingSlot() {
 		return
@@ -158,7 +161,7 @@
 	if len(c.pendingAcks) > maxPendingAcks {
 		c.pendingAcks = slices.Delete(c.pendingAcks, 0, 1)
 	}
-	c.nextAck = now + c.config.Terms.Duration/ackPerLease
+	c.nextAck = now + c.config.Terms.Duration/acksPerLease
 }
 
 func (c *Controller) hasCallOnMigratingSlot() bool {
--- a/internal/fleet/slots/snapshot.go
+++ b/internal/fleet/slots/snapshot.go
@@ -5,13 +5,14 @@
 	"thymechute/internal/decide/ring"
 )
 
-// SnapshotState is the replicated state on raft's goroutine, kept for snapshots. It holds nothing of a single member.
+// SnapshotState is a copy of the replicated state on raft's goroutine, from which snapshots are taken. It contains no state of
+// a single member.
 type SnapshotState struct {
 	state ring.ReplicatedState
 }
 
-// NewSnapshotState returns the consensus.StateMachine that goes with a Controller of the same Config. It fails on a number
-// of slots that ring.New rejects.
+// NewSnapshotState returns the consensus.StateMachine for a Controller with the same Config. Errors: a number of slots that
+// ring.New rejects.
 func NewSnapshotState(config Config) (*SnapshotState, error) {
 	empty, err := ring.New(config.Slots)
 	return &SnapshotState{state: ring.ReplicatedState{Active: empty}}, err
@@ -20,7 +21,7 @@
 // Apply implements consensus.StateMachine.
 func (s *SnapshotState) Apply(_ uint64, entry lease.Command, outcome lease.Outcome) {
 	if entry.Kind == lease.Announce && !s.state.Active.HasWarmingUp() {
-		return // announcements matter to the participants of grants alone
+		return // announcements only change the participants of grants, and there are none
 	}
 	cmd, ok := decodeCommand(entry, outcome)
 	if !ok {
@@ -37,7 +38,7 @@
 func (s *SnapshotState) applyDecision(cmd command) {
 	switch {
 	case cmd.Freeze != nil:
-		_, _, _ = applyFreeze(&s.state, *cmd.Freeze) // a freeze that fails changes nothing; the Controller reports it
+		_, _, _ = applyFreeze(&s.state, *cmd.Freeze) // after an error the state is unchanged; the Controller reports it
 	case cmd.Activate != 0:
 		s.state.Activate(cmd.Activate)
 	case cmd.Grant != nil:
--- a/internal/fleet/slots/warm_up_test.go
+++ b/internal/fleet/slots/warm_up_test.go
@@ -17,7 +17,7 @@
 	"thymechute/internal/testutil/member"
 )
 
-// A backend in slow start takes a tenth of 200 calls a second at first.
+// A backend in slow start at first receives a tenth of 200 calls per second.
 var (
 	warmUpSlowStart = ring.SlowStart{InitialFraction: 0.1, Increment: 0.3, StepInterval: 1500 * time.Millisecond,
 		BackoffFactor: 0.5, MaxLatency: time.Second, MaxErrorRate: 0.5}
@@ -29,7 +29,7 @@
 	warmUpCallerCount = 3
 )
 
-// warmUpConfig adds the slow start to a member's config. With withoutQuotas the grants are larger than any demand.
+// warmUpConfig adds the slow start to a member's config. With withoutQuotas, the grants are larger than any demand.
 func warmUpConfig(c Config) Config {
 	c.Slots, c.SlowStart, c.Budget = 256, warmUpSlowStart, warmUpBudget
 	if os.Getenv(warmUpVariable) == withoutQuotas {
@@ -38,7 +38,7 @@
 	return c
 }
 
-// startWarmUpCallers starts callers that call as often as the Controller admits, all of it at the backend in slow start.
+// startWarmUpCallers starts callers that call the backend in slow start as often as the Controller allows.
 func (m *testMember) startWarmUpCallers() {
 	for n := range warmUpCallerCount {
 		go m.callAsOftenAsAdmitted(rand.New(rand.NewPCG(m.Incarnation, uint64(n))))
@@ -48,7 +48,7 @@
 	}
 }
 
-// cutInboundFrom makes the member apply no entry once a file exists.
+// cutInboundFrom makes the member apply no more entries once the file exists.
 func (m *testMember) cutInboundFrom(file string) {
 	for ; ; time.Sleep(pollInterval) {
 		if _, err := os.Stat(file); err == nil {
@@ -58,8 +58,8 @@
 	}
 }
 
-// callAsOftenAsAdmitted draws keys until the owner of one is warming up, and then stays with that key as long as it is.
-// Every second call is idempotent: that must not get round the quotas.
+// callAsOftenAsAdmitted draws random keys until the owner of one is warming up, and uses that key as long as its owner is. A
+// call is idempotent with a probability of one half, which must not circumvent the quotas.
 func (m *testMember) callAsOftenAsAdmitted(random *rand.Rand) {
 	for key := ""; ; {
 		if key == "" {
@@ -72,7 +72,7 @@
 		if call.Decision == ring.Allow {
 			m.callBackend(call)
 		}
-		if call.IsAllowed() { // AllowStale is for an existing connection, and there is none
+		if call.IsAllowed() { // AllowStale permits only existing connections, and there are none
 			m.controller.EndCall(call.Slot)
 		}
 		time.Sleep(time.Duration(2+random.IntN(6)) * time.Millisecond)
@@ -85,41 +85,41 @@
 		return
 	}
 	defer connection.Close()
-	if m.Now() < call.Deadline { // dialling took its time, or this process was suspended
+	if m.Now() < call.Deadline { // not if dialing took too long or this process was suspended
 		fmt.Fprintln(connection, m.Name, call.Backend.WarmingUp)
 		_, _ = io.Copy(io.Discard, connection)
 	}
 }
 
-// maxCallsAfter is the most calls that the slow start can allow in a window so long after the backend was wanted, by the
-// terms alone: the leader cannot have started sooner.
+// maxCallsAfter returns the maximum number of calls that the slow start allows in a window that ends this long after the
+// backend was added. It assumes the earliest possible start: the leader cannot have started before that.
 func maxCallsAfter(since time.Duration) int {
 	steps := float64(since / warmUpSlowStart.StepInterval)
 	return int(float64(warmUpBudget.CallsPerWindow)*min(warmUpSlowStart.InitialFraction+warmUpSlowStart.Increment*steps, 1) + 1e-9)
 }
 
-// slowStartDuration is when the backend may have its full weight, and no budget any more.
+// slowStartDuration returns the time after which the backend may have its full weight and is no longer limited by the budget.
 func slowStartDuration() time.Duration {
 	return time.Duration(math.Ceil((1-warmUpSlowStart.InitialFraction)/warmUpSlowStart.Increment-1e-9)) * warmUpSlowStart.StepInterval
 }
 
 // worstWindow checks every window that ends with an arrival during the slow start, that is, before slowStartDuration or from
-// a sender whose table has the backend in slow start. It returns the number of windows checked, and by how many calls the
-// worst one exceeds N + 2√N + 2, N being the calls allowed; negative if it is below.
-func worstWindow(got []arrival, wantedAt time.Time) (judged, over int) {
+// a sender in whose table the backend is warming up. It returns the number of windows checked, and by how many calls the
+// worst one exceeds N + 2√N + 2, where N is the number of calls allowed; 0 or less if no window does.
+func worstWindow(got []arrival, addedAt time.Time) (checked, over int) {
 	over = math.MinInt
-	for last, first := 0, 0; last < len(got) && (got[last].isWarmingUp || got[last].at.Sub(wantedAt) < slowStartDuration()); last++ {
+	for last, first := 0, 0; last < len(got) && (got[last].isWarmingUp || got[last].at.Sub(addedAt) < slowStartDuration()); last++ {
 		for got[last].at.Sub(got[first].at) >= warmUpBudget.Window {
 			first++
 		}
-		n := maxCallsAfter(got[last].at.Sub(wantedAt))
+		n := maxCallsAfter(got[last].at.Sub(addedAt))
 		over = max(over, last-first+1-int(float64(n)+2*math.Sqrt(float64(n))+2))
-		judged++
+		checked++
 	}
-	return judged, over
+	return checked, over
 }
 
-// warmUpFleet is members that call a backend in slow start as often as they are admitted.
+// warmUpFleet is a cluster of members that call a backend in slow start as often as their Controllers allow.
 type warmUpFleet struct {
 	*testutil.Cluster[memberEvent]
 	t           *testing.T
@@ -128,7 +128,7 @@
 	backends    []ring.Backend // four at full weight
 }
 
-// startWarmUpFleet starts the members, and waits until all use a table of four backends. mode is warmUpVariable's value.
+// startWarmUpFleet starts the members and waits until all use a table of four backends. mode is the value of warmUpVariable.
 func startWarmUpFleet(t *testing.T, subnet, members int, mode string) *warmUpFleet {
 	f := &warmUpFleet{t: t, wantedFile: filepath.Join(t.TempDir(), "want.json")}
 	f.environment = []string{wantedFileVariable + "=" + f.wantedFile, warmUpVariable + "=" + mode}
@@ -148,26 +148,26 @@
 	return f
 }
 
-// addWarmingBackend adds a backend in slow start, and returns it and the time from which it was wanted.
-func (f *warmUpFleet) addWarmingBackend() (backend *countingBackend, wantedAt time.Time) {
+// addWarmingBackend adds a backend in slow start to the wanted backends, and returns it and the time at which it was added.
+func (f *warmUpFleet) addWarmingBackend() (backend *countingBackend, addedAt time.Time) {
 	backend = &countingBackend{}
-	wantedAt = time.Now()
+	addedAt = time.Now()
 	setWantedBackends(f.t, f.wantedFile, append(slices.Clone(f.backends),
 		ring.Backend{Name: warmingBackend, Zone: backend.serve(f.t), Weight: 1, WarmingUp: true}))
-	return backend, wantedAt
+	return backend, addedAt
 }
 
-// 24 processes call a backend in slow start as often as they are admitted. One of them no longer receives the log, but
-// continues to acknowledge and to call; another joins during the slow start. In each window all calls that arrive are
-// checked against the budget.
+// 24 processes call a backend in slow start as often as their Controllers allow. One of them stops receiving the log, but
+// continues to acknowledge and to call; another joins during the slow start. In no window may more calls arrive than the
+// budget allows.
 func TestProcessesStayWithinBudgetOfWarmingUpBackend(t *testing.T) {
 	const cutName, lateName = "m22", "m23"
 	cutFile := filepath.Join(t.TempDir(), "cut")
 	f := startWarmUpFleet(t, 16, 22, "1")
 	f.Start(cutName, append(f.environment, cutInboundVariable+"="+cutFile)...)
 	f.WaitFor("table at "+cutName, 0, isTableAt(cutName, 0))
-	backend, wantedAt := f.addWarmingBackend()
-	testutil.Eventually(t, "calls from the member that will receive no log", func() bool { return hasCallFrom(backend.all(), cutName, time.Time{}) })
+	backend, addedAt := f.addWarmingBackend()
+	testutil.Eventually(t, "calls from the member before its log is cut", func() bool { return hasCallFrom(backend.copyArrivals(), cutName, time.Time{}) })
 	if err := os.WriteFile(cutFile, nil, 0o600); err != nil {
 		t.Fatal(err)
 	}
@@ -175,18 +175,18 @@
 	f.Start(lateName, f.environment...)
 	f.WaitFor("table at the late member", 0, isTableAt(lateName, 0))
 	testutil.Eventually(t, "calls from the late member, and the end of the slow start", func() bool {
-		got := backend.all()
+		got := backend.copyArrivals()
 		return hasCallFrom(got, lateName, time.Time{}) && !got[len(got)-1].isWarmingUp
 	})
 
-	got := backend.all()
-	judged, over := worstWindow(got, wantedAt)
-	t.Logf("%d calls judged of %d, the worst window %d under what is allowed", judged, len(got), -over)
-	if over > 0 || judged < 20 {
-		t.Errorf("the worst window exceeds the budget and its tolerance by %d calls, %d windows checked", over, judged)
+	got := backend.copyArrivals()
+	checked, over := worstWindow(got, addedAt)
+	t.Logf("%d windows checked for %d calls, the worst window %d calls below the limit", checked, len(got), -over)
+	if over > 0 || checked < 20 {
+		t.Errorf("the worst window exceeds the limit by %d calls, %d windows checked; want at most 0, at least 20", over, checked)
 	}
-	if hasCallFrom(got, cutName, cutAt.Add(2*terms.Duration)) { // its lease, and as much again for a machine that is busy
-		t.Error("the member that receives no log still calls")
+	if hasCallFrom(got, cutName, cutAt.Add(2*terms.Duration)) { // its lease, and as much again in case the machine is busy
+		t.Error("the member that stopped receiving the log still calls after its lease")
 	}
 	for _, e := range f.Events() {
 		if isDigestMismatch(e) {
@@ -195,15 +195,16 @@
 	}
 }
 
-// Without quotas only the number of the backend's slots limits its calls, which must exceed the budget: it proves the check.
+// Shows that the check of the previous test is effective: without quotas only the number of the backend's slots limits its
+// calls, and the budget must be exceeded.
 func TestBudgetIsExceededWithoutQuotas(t *testing.T) {
 	f := startWarmUpFleet(t, 18, 8, withoutQuotas)
-	backend, wantedAt := f.addWarmingBackend()
-	testutil.Eventually(t, "the end of the slow start", func() bool { return time.Since(wantedAt) > slowStartDuration() })
-	if judged, over := worstWindow(backend.all(), wantedAt); over <= 0 {
-		t.Errorf("%d calls judged, no window over the budget (%d under): the check detects nothing", judged, -over)
+	backend, addedAt := f.addWarmingBackend()
+	testutil.Eventually(t, "the end of the slow start", func() bool { return time.Since(addedAt) > slowStartDuration() })
+	if checked, over := worstWindow(backend.copyArrivals(), addedAt); over <= 0 {
+		t.Errorf("%d windows checked, none exceeds the limit (the worst is %d calls below): the check is ineffective", checked, -over)
 	} else {
-		t.Logf("%d calls judged, the worst window %d over", judged, over)
+		t.Logf("%d windows checked, the worst exceeds the limit by %d calls", checked, over)
 	}
 }
 
@@ -215,7 +216,7 @@
 	}{"neither": {isValid: true}, "both": {warmUpBudget, warmUpSlowStart, true}, "no slow start": {budget: warmUpBudget},
 		"half a budget": {ring.CallBudget{CallsPerWindow: 1}, warmUpSlowStart, false}} {
 		if _, err := New(Config{Slots: 64, SlowStart: c.slowStart, Budget: c.budget}, nil); (err == nil) != c.isValid {
-			t.Errorf("%s: %v", name, err)
+			t.Errorf("%s: error %v", name, err)
 		}
 	}
 }
