--- a/internal/fleet/rolling/command.go
+++ b/internal/fleet/rolling/command.go
@@ -8,19 +8,19 @@
 	"thymechute/internal/decide/rollout"
 )
 
-// command is the body of a log entry: another release, or the drain of a process. The keys are part of the log's format.
+// command is the body of a log entry: it changes the release or drains a process. The JSON keys are part of the log's format.
 type command struct {
-	Release     *string `json:"want,omitempty"`
-	Drain       string  `json:"drain,omitempty"`
-	Incarnation uint64  `json:"life,omitempty"`
+	Release     *string `json:"want,omitempty"`  // that all should run; nil if the entry drains a process
+	Drain       string  `json:"drain,omitempty"` // name of the member to drain
+	Incarnation uint64  `json:"life,omitempty"`  // of the process to drain
 }
 
 func (c command) encode() string {
-	encoded, _ := json.Marshal(c) // strings and numbers can't fail
+	encoded, _ := json.Marshal(c) // cannot fail for strings and numbers
 	return string(encoded)
 }
 
-// decodeCommand returns the command of an accepted entry of the rollout.
+// decodeCommand returns the command in an entry; ok is false unless that is an accepted decision of the rollout's leader.
 func decodeCommand(entry lease.Command, outcome lease.Outcome) (c command, ok bool) {
 	if entry.Duty != Duty || entry.Kind != lease.Decide || !outcome.Accepted {
 		return c, false
@@ -29,7 +29,7 @@
 	return c, ok
 }
 
-// apply applies the command to a rollout, and reports whether it drains a process for the first time. All members
+// apply applies the command to a rollout, and reports whether it drains a process that was not drained before. All members
 // change their rollouts in the same way.
 func (c command) apply(r *rollout.Rollout, now time.Duration) (isNewDrain bool) {
 	if c.Release != nil {
--- a/internal/fleet/rolling/command_test.go
+++ b/internal/fleet/rolling/command_test.go
@@ -8,8 +8,8 @@
 	"thymechute/internal/testutil"
 )
 
-// Commands written by an older build (commit d489d24) must be read, and the same commands must be written as the same bytes.
-func TestCommandsOfOlderBuildsAreReadAndWrittenAlike(t *testing.T) {
+// Commands written by an older build (commit d489d24) must be decoded, and the same commands must be encoded to the same bytes.
+func TestCommandsOfOlderBuildRoundTrip(t *testing.T) {
 	stored := testutil.ReadFixture(t, "commands.jsonl")
 	release, none := "2026.12.01-1", ""
 	commands := []command{{Release: &release}, {Release: &none}, {Drain: "m1", Incarnation: 0x18f3a2b4c5000001}}
--- a/internal/fleet/rolling/member_test.go
+++ b/internal/fleet/rolling/member_test.go
@@ -16,9 +16,9 @@
 	"thymechute/internal/testutil/member"
 )
 
-// Settings of a member, in its environment.
+// Environment variables of a member, and settings of its process.
 const (
-	wantedFileVariable = "ROLLING_WANTED"  // file with the wanted release
+	wantedFileVariable = "ROLLING_WANTED"  // file with the release that all should run
 	zoneVariable       = "ROLLING_ZONE"    // the member's zone
 	releaseVariable    = "ROLLING_RELEASE" // the release that the member runs
 
@@ -37,7 +37,7 @@
 var limits = rollout.Limits{MinCapacityFraction: 0.3, MaxUnavailable: 2, ReplaceTimeout: 20 * time.Second,
 	InitialCapacityFraction: 0.2, WarmUpTime: time.Second}
 
-// memberEvent is an event of a member.
+// memberEvent is an event that a member's process emits.
 type memberEvent struct {
 	Kind, Release, Text string
 	Incarnation         uint64
@@ -47,15 +47,15 @@
 
 func TestMain(m *testing.M) { member.Main(m, runMember) }
 
-// testMember is a member's process. It is the log's Watcher.
+// testMember runs in a member's process. It is the log's Watcher.
 type testMember struct {
 	*member.Member
 	controller *Controller
 	release    string
 	startedAt  uint64                      // Unix ms; its incarnation in the rollout
-	known      map[string]rollout.Instance // all ever seen: an unreachable one counts as unavailable
-	draining   chan struct{}               // closed by the drain
-	announced  chan struct{}               // closed once the membership shows the drain
+	known      map[string]rollout.Instance // all instances ever seen, as an unreachable one counts as unavailable
+	draining   chan struct{}               // closed by Config.Drain
+	announced  chan struct{}               // closed once the membership record shows the drain
 }
 
 func runMember(process *member.Member) {
@@ -113,7 +113,7 @@
 
 var _ consensus.Watcher = (*testMember)(nil)
 
-// fleet is the fleet as the member sees it, without any load.
+// fleet returns the fleet as this member knows it, and no load.
 func (m *testMember) fleet() (fleet []rollout.Instance, load map[string]float64) {
 	voters, view := m.Driver().Log.Voters(), m.Membership.View()
 	for name, r := range view {
@@ -143,7 +143,7 @@
 	return unreachable
 }
 
-// poll reads the wanted release, and announces what has changed, until the member drains.
+// poll reads the wanted release and publishes the applied index until the member drains, and then announces that.
 func (m *testMember) poll() {
 	for {
 		time.Sleep(pollInterval)
--- a/internal/fleet/rolling/rolling.go
+++ b/internal/fleet/rolling/rolling.go
@@ -1,9 +1,9 @@
-// Package rolling replicates a rolling restart (internal/decide/rollout) over the agreed log (internal/fleet/consensus).
-// The leader of the rollout evaluates the fleet and proposes the drains, one entry for each. Every member applies the same
+// Package rolling replicates a rolling restart (internal/decide/rollout) through the fleet's log (internal/fleet/consensus).
+// The leader of the rollout evaluates the fleet and proposes drains, one entry per process. Every member applies the same
 // entries, and the process that an entry names drains as on a shutdown signal.
 //
-// A Controller's methods are called on the log driver's goroutine, except SetRelease, which is safe for concurrent use. Its
-// only table is the rollout's.
+// A Controller's methods must be called on the log driver's goroutine, except SetRelease, which is safe for concurrent use.
+// A Controller holds no state that grows, except for the rollout, which has a bound of its own.
 package rolling
 
 import (
@@ -18,44 +18,45 @@
 // Duty is the name of the rollout's lease in the log.
 const Duty = "roll"
 
-// stepInterval is the time between two evaluations of the fleet by the leader. A lost proposal is repeated after it.
+// stepInterval is the time between two evaluations of the fleet by the leader. A lost proposal is repeated at the next one.
 const stepInterval = 250 * time.Millisecond
 
-// Config of a Controller.
+// Config configures a Controller.
 type Config struct {
 	Name        string
 	Incarnation uint64
 	Limits      rollout.Limits
-	// Fleet returns the fleet as this member knows it now, and each zone's load in work items a second.
+	// Fleet returns the fleet as this member currently knows it, and each zone's load in work items per second.
 	Fleet func() (fleet []rollout.Instance, load map[string]float64)
-	// UnreachableVoters returns the processes that vote in the log and are not in the fleet, including ended incarnations
-	// of names that are back. Until the log has removed one it counts as an unavailable voter.
+	// UnreachableVoters returns the processes that vote in the log but are not in the fleet, including earlier incarnations
+	// of members that have restarted. Such a process counts as an unavailable voter until it is removed from the log.
 	UnreachableVoters func() []string
-	Propose           func(body string) bool // to the log, as the leader
-	Resign            func()                 // gives the leadership up
+	Propose           func(body string) bool // proposes an entry to the log, as the leader
+	Resign            func()                 // releases the leader's lease
 	Drain             func()                 // drains this process; called once
-	Notify            func(message string)   // reports one line to the operators, each new reason once
+	Notify            func(message string)   // reports one line to the operators, not the same twice in a row
 }
 
-// Controller is one member's part of the rollout.
+// Controller runs one member's part in the rollout: it applies the entries and, at the leader, proposes them.
 type Controller struct {
 	config Config
 
 	mu     sync.Mutex // guards wanted
-	wanted string     // release
+	wanted string     // the release that all should run, by SetRelease
 
 	rollout        *rollout.Rollout
 	isLeader       bool
 	nextStep       time.Duration
-	plannedRelease string // last release for which a plan was possible
-	lastMessage    string // last reported by notify
-	isDrained      bool   // Config.Drain was called
+	plannedRelease string // last release whose rollout was found possible
+	lastMessage    string // the last message that notify reported
+	isDrained      bool   // whether Config.Drain was called
 }
 
 // New returns the controller of a process that has just started.
 func New(config Config) *Controller { return &Controller{config: config, rollout: rollout.New("")} }
 
-// SetRelease sets the release that all should run; "" for none. The leader acts on its own.
+// SetRelease sets the release that all members should run; "" for none. The leader uses only its own; that of the other
+// members has no effect.
 func (c *Controller) SetRelease(release string) {
 	c.mu.Lock()
 	c.wanted = release
@@ -77,7 +78,7 @@
 	c.plannedRelease = ""
 }
 
-// Apply applies one entry of the log, with its outcome. Entries of other duties are ignored.
+// Apply applies an entry of the log, whose outcome is given. Entries of other duties are ignored.
 func (c *Controller) Apply(now time.Duration, entry lease.Command, outcome lease.Outcome) {
 	cmd, ok := decodeCommand(entry, outcome)
 	if !ok {
@@ -91,14 +92,14 @@
 	}
 }
 
-// Restore replaces the rollout by a snapshot's.
+// Restore replaces the rollout by that of a snapshot.
 func (c *Controller) Restore(now time.Duration, snapshot []byte) {
 	if err := c.rollout.Decode(now, snapshot); err != nil {
 		c.config.Notify(err.Error())
 	}
 }
 
-// Tick carries out the rollout's next step, at the leader.
+// Tick executes the rollout's next step if this member is the leader and a step is due.
 func (c *Controller) Tick(now time.Duration) {
 	if !c.isLeader || now < c.nextStep {
 		return
@@ -116,7 +117,7 @@
 	c.execute(c.rollout.Next(now, fleet, load, c.config.Limits))
 }
 
-// fleet is the known fleet with the unreachable voters.
+// fleet returns the known fleet, to which it adds the unreachable voters, and the load of each zone.
 func (c *Controller) fleet() (fleet []rollout.Instance, load map[string]float64) {
 	fleet, load = c.config.Fleet()
 	for _, process := range c.config.UnreachableVoters() {
@@ -125,7 +126,7 @@
 	return fleet, load
 }
 
-// plan reports whether the whole rollout is possible; if not, nobody is drained.
+// plan plans the whole rollout, and reports whether it is possible; if not, no process is drained.
 func (c *Controller) plan(fleet []rollout.Instance, load map[string]float64, release string) (isPossible bool) {
 	waves, minWaves, err := rollout.Plan(fleet, load, release, c.config.Limits)
 	if err != nil {
@@ -133,26 +134,26 @@
 		return false
 	}
 	c.plannedRelease = release
-	c.notify(fmt.Sprintf("rollout of %s: %d waves, at least %d", release, len(waves), minWaves))
+	c.notify(fmt.Sprintf("rollout of release %s: planned in %d waves, at least %d are necessary", release, len(waves), minWaves))
 	return true
 }
 
-// execute carries out a step.
+// execute executes a step.
 func (c *Controller) execute(step rollout.Step) {
 	switch {
 	case step.TransferLeadership:
-		c.notify("rollout: only the leader is left; it resigns")
+		c.notify("rollout: all other members are done, the leader resigns")
 		c.config.Resign()
 	case step.BlockedBy != rollout.NotBlocked:
 		c.notify("rollout blocked: " + step.BlockedReason)
 	}
 	for _, i := range step.Drain {
-		c.notify("rollout: " + i.Name + " drains")
+		c.notify("rollout: member " + i.Name + " drains")
 		c.propose(command{Drain: i.Name, Incarnation: i.Incarnation})
 	}
 }
 
-// notify reports a message unless it is the last one again.
+// notify reports a message to the operators, unless it is the same as the last one.
 func (c *Controller) notify(message string) {
 	if message != c.lastMessage {
 		c.lastMessage = message
--- a/internal/fleet/rolling/rolling_test.go
+++ b/internal/fleet/rolling/rolling_test.go
@@ -27,20 +27,20 @@
 func isDrain(e memberEvent) bool         { return e.Kind == eventDrains }
 func isLeaseAcquired(e memberEvent) bool { return e.Kind == eventLeaseAcquired }
 
-// rolloutCluster is members under a supervisor, which restarts each that ends with the installed release, as an init system
-// does.
+// rolloutCluster is a cluster of supervised members. As an init system does, a supervisor restarts a member that has ended,
+// with the release that is installed by then.
 type rolloutCluster struct {
 	*testutil.Cluster[memberEvent]
 	t           *testing.T
 	wantedFile  string
-	installed   atomic.Value // release
-	isOver      chan struct{}
+	installed   atomic.Value  // release
+	done        chan struct{} // closed to stop the supervisors
 	supervisors sync.WaitGroup
 }
 
-// startRolloutCluster starts all members at the old release.
+// startRolloutCluster starts all members with the old release.
 func startRolloutCluster(t *testing.T, subnet int) *rolloutCluster {
-	c := &rolloutCluster{t: t, wantedFile: filepath.Join(t.TempDir(), "want"), isOver: make(chan struct{})}
+	c := &rolloutCluster{t: t, wantedFile: filepath.Join(t.TempDir(), "want"), done: make(chan struct{})}
 	c.setWanted("")
 	c.installed.Store(oldRelease)
 	c.Cluster = testutil.NewCluster(t, subnet, member.Ports, func(e *memberEvent, name string) { e.member = name })
@@ -67,7 +67,7 @@
 	defer c.supervisors.Done()
 	for {
 		select {
-		case <-c.isOver:
+		case <-c.done:
 			return
 		case <-c.Exited(name):
 			c.Start(name, c.environment(n)...)
@@ -75,9 +75,9 @@
 	}
 }
 
-// stopSupervisors ends the restarts.
+// stopSupervisors ends the restarting of members.
 func (c *rolloutCluster) stopSupervisors() {
-	close(c.isOver)
+	close(c.done)
 	c.supervisors.Wait()
 }
 
@@ -87,12 +87,12 @@
 	}
 }
 
-// killOther kills a member that has not drained and does not lead, other than the one of an event.
-func (c *rolloutCluster) killOther(than memberEvent) {
+// killOtherThan kills a member that has not drained and is not the leader, other than the member of the given event.
+func (c *rolloutCluster) killOtherThan(excluded memberEvent) {
 	victim := ""
 	for _, name := range c.Names() {
 		hasDrained := c.Last(func(e memberEvent) bool { return isDrain(e) && e.member == name }).Kind != ""
-		if name != than.member && name != c.Last(isLeaseAcquired).member && !hasDrained {
+		if name != excluded.member && name != c.Last(isLeaseAcquired).member && !hasDrained {
 			victim = name
 		}
 	}
@@ -104,20 +104,20 @@
 	suspended := c.Last(isLeaseAcquired).member
 	c.Signal(suspended, syscall.SIGSTOP)
 	c.WaitFor("a new leader", c.EventCount(), isLeaseAcquired)
-	time.Sleep(500 * time.Millisecond) // suspended well beyond its lease
+	time.Sleep(500 * time.Millisecond) // so that it is resumed well after its lease has expired
 	c.Signal(suspended, syscall.SIGCONT)
 }
 
 // Eight processes in two zones are updated to a new release. Meanwhile one is killed, and the leader is suspended during a wave
-// and resumed.
+// and resumed. No member may drain twice, and each zone must keep at least three of its four members ready.
 func TestRolloutThroughKillAndSuspendedLeader(t *testing.T) {
 	c := startRolloutCluster(t, 12)
 	defer c.stopSupervisors()
-	time.Sleep(2 * time.Second) // for warm-up and the spread of the votes; no check depends on it
+	time.Sleep(2 * time.Second) // until members have warmed up and voters are spread over the zones; no check depends on it
 	c.installed.Store(newRelease)
 	c.setWanted(newRelease)
 	first := c.WaitFor("the first drain", 0, isDrain)
-	c.killOther(first)
+	c.killOtherThan(first)
 	from := c.EventCount()
 	c.WaitFor("a drain after the kill", from, isDrain)
 	c.suspendLeader()
@@ -129,7 +129,8 @@
 	checkDrains(t, c.Events())
 }
 
-// checkDrains checks that no member drained twice, and that at least three were ready in each zone at any time.
+// checkDrains checks that no member drained twice, and that from the first drain on each zone had at least three ready members.
+// A member that was killed still counts as ready.
 func checkDrains(t *testing.T, events []memberEvent) {
 	slices.SortStableFunc(events, func(x, y memberEvent) int { return int(x.At - y.At) })
 	drains := map[string]int{}                     // by member
@@ -146,18 +147,18 @@
 			hasStarted = true
 			delete(zone, e.member)
 			if drains[e.member]++; drains[e.member] > 1 || e.Release == newRelease {
-				t.Errorf("%s, release %s, drains again", e.member, e.Release)
+				t.Errorf("%s drains with release %s, again or needlessly", e.member, e.Release)
 			}
 		}
 		if hasStarted {
 			minReady = min(minReady, len(ready[0]), len(ready[1]))
 		}
 	}
-	t.Logf("%d drained, at least %d of %d ready in each zone, the killed one counted as ready", len(drains), minReady, zoneSize)
+	t.Logf("%d members drained, at least %d of %d ready in each zone, if the killed member counts as ready", len(drains), minReady, zoneSize)
 	if minReady < 3 {
-		t.Errorf("a zone had %d ready because of drains, want at least 3", minReady)
+		t.Errorf("drains left a zone with %d ready members, want at least 3", minReady)
 	}
-	if len(drains) < 7 { // all but the killed one, which was restarted with the new release
-		t.Errorf("%d drained, expected 7 or 8", len(drains))
+	if len(drains) < 7 { // all but the killed member, which was restarted with the new release
+		t.Errorf("%d members drained, want 7 or 8", len(drains))
 	}
 }
--- a/internal/fleet/rolling/snapshot.go
+++ b/internal/fleet/rolling/snapshot.go
@@ -5,10 +5,11 @@
 	"thymechute/internal/decide/rollout"
 )
 
-// SnapshotState is the rollout on raft's goroutine, kept for snapshots. It uses no clock: its drains are all at time 0.
+// SnapshotState is a copy of the rollout on raft's goroutine, from which snapshots are taken. It uses no clock and records all
+// drains at time 0.
 type SnapshotState struct{ rollout *rollout.Rollout }
 
-// NewSnapshotState returns the consensus.StateMachine that goes with a Controller.
+// NewSnapshotState returns the consensus.StateMachine for a Controller.
 func NewSnapshotState() *SnapshotState { return &SnapshotState{rollout.New("")} }
 
 // Apply implements consensus.StateMachine.
--- a/internal/state/disk/os.go
+++ b/internal/state/disk/os.go
@@ -12,7 +12,7 @@
 // filePermissions let only the owner read and write a file.
 const filePermissions = 0o600
 
-// osDirectory is a directory of the operating system, by its path.
+// osDirectory is the path of a directory of the operating system. It implements Directory.
 type osDirectory string
 
 // Open returns the existing directory at a path. Errors: an *os.PathError.
@@ -84,7 +84,7 @@
 	return errors.Join(dir.Sync(), dir.Close())
 }
 
-// Lock implements Directory. It locks the directory itself, so that a crash leaves no lock file.
+// Lock implements Directory. It locks the directory itself, so that no lock file is left behind after a crash.
 func (d osDirectory) Lock() (unlock func() error, err error) {
 	dir, err := os.Open(string(d))
 	if err != nil {
@@ -100,7 +100,7 @@
 	return dir.Close, nil
 }
 
-// osFile is a file of the operating system, open for appending.
+// osFile is a file of the operating system, open for appending. It implements File.
 type osFile struct{ *os.File }
 
 // Size implements File.
