--- a/internal/front/amqp/commands.go
+++ b/internal/front/amqp/commands.go
@@ -8,23 +8,23 @@
 	amqp "github.com/rabbitmq/amqp091-go"
 )
 
-// command is an operation that a session executes for the front, on one of its goroutines. An error ends the session.
+// command is an operation that the front submits and the session executes on one of its goroutines. An error ends the session.
 type command func(*session) error
 
-// errDrained ends a session after its connection was closed in order.
+// errDrained is the error with which serve ends after closeConnection has closed the connection.
 var errDrained = errors.New("drained")
 
-// consume starts consumers on all queues, each with the credit, and replaces the running ones.
+// consume replaces the active consumers by new ones on all queues, each with the credit.
 func consume(credit int) command {
 	return func(s *session) error {
 		if err := s.cancelConsumers(); err != nil {
 			return err
 		}
-		s.guard.allow(credit * len(s.config.Queues))
+		s.socket.addCredit(credit * len(s.config.Queues))
 		if err := s.consumer.channel.Qos(credit, 0, false); err != nil {
 			return err
 		}
-		s.consumer.starts++
+		s.consumer.startCount++
 		for queue := range s.config.Queues {
 			if err := s.startConsumer(queue); err != nil {
 				return err
@@ -35,7 +35,7 @@
 	}
 }
 
-// startConsumer starts a consumer on the queue with an index, and a goroutine that reports its deliveries.
+// startConsumer starts a consumer on the configured queue with the index, and a goroutine that emits its deliveries.
 func (s *session) startConsumer(index int) error {
 	queue := s.config.Queues[index]
 	arguments := amqp.Table{}
@@ -56,17 +56,17 @@
 	return nil
 }
 
-// consumerTag returns a tag that differs for each start, so that the last deliveries of a cancelled consumer are not taken for
-// those of the next one.
+// consumerTag returns a tag that is different after each start, so that the last deliveries for a cancelled consumer are not
+// attributed to its successor.
 func (s *session) consumerTag(index int) string {
 	prefix := s.config.Queues[index].ConsumerTag
 	if prefix == "" {
 		prefix = s.name
 	}
-	return prefix + "-" + strconv.Itoa(index) + "-" + strconv.Itoa(s.consumer.starts)
+	return prefix + "-" + strconv.Itoa(index) + "-" + strconv.Itoa(s.consumer.startCount)
 }
 
-// stopConsumers cancels the consumers; the event follows their last delivery.
+// stopConsumers cancels the consumers and emits eventConsumersEnded after their last delivery.
 func stopConsumers(s *session) error {
 	if err := s.cancelConsumers(); err != nil {
 		return err
@@ -75,7 +75,7 @@
 	return nil
 }
 
-// cancelConsumers cancels the consumers and waits until their last deliveries are reported.
+// cancelConsumers cancels the consumers and waits until the events of their last deliveries have been emitted.
 func (s *session) cancelConsumers() error {
 	for _, tag := range s.consumer.tags {
 		if err := s.consumer.channel.Cancel(tag, false); err != nil {
@@ -84,36 +84,37 @@
 	}
 	s.consumer.tags = s.consumer.tags[:0]
 	s.consumer.readers.Wait()
-	s.guard.allowNone()
+	s.socket.revokeCredit()
 	return nil
 }
 
-// ack acknowledges a message, so that the broker may deliver another one.
+// ack acknowledges a message. Like every settlement, it permits the broker to deliver one more message.
 func ack(tag uint64) command {
 	return func(s *session) error {
-		s.guard.allow(1)
+		s.socket.addCredit(1)
 		return s.consumer.channel.Ack(tag, false)
 	}
 }
 
-// returnToQueue returns a message to its queue, which delivers it again, marked as redelivered.
-func returnToQueue(tag uint64) command {
+// nackAndRequeue returns a message to its queue. The broker delivers it again, marked as redelivered.
+func nackAndRequeue(tag uint64) command {
 	return func(s *session) error {
-		s.guard.allow(1)
+		s.socket.addCredit(1)
 		return s.consumer.channel.Nack(tag, false, true)
 	}
 }
 
-// discard rejects a message, which the broker publishes to the queue's own dead-letter exchange, if it has one.
-func discard(tag uint64) command {
+// nackAndDiscard removes a message from its queue. The broker dead-letters it if the queue itself is set up with a dead-letter
+// exchange.
+func nackAndDiscard(tag uint64) command {
 	return func(s *session) error {
-		s.guard.allow(1)
+		s.socket.addCredit(1)
 		return s.consumer.channel.Nack(tag, false, false)
 	}
 }
 
-// publish publishes a message; its confirm is reported with the publish number. If the broker has just closed the publishing
-// channel, the message counts as not confirmed.
+// publish publishes a message. Its confirm is reported by an event with the publish number. If the broker has just closed the
+// publishing channel, the publish is reported as not accepted.
 func publish(number uint64, exchange, key string, publishing amqp.Publishing) command {
 	return func(s *session) error {
 		publishing.Headers[publishNumberHeader] = int64(number)
@@ -124,16 +125,16 @@
 			s.emit(event{kind: eventConfirmed, publishNumber: number})
 			return nil
 		}
-		s.publisher.published++
-		s.publisher.numbers[s.publisher.published] = number
+		s.publisher.publishedCount++
+		s.publisher.publishNumbers[s.publisher.publishedCount] = number
 		return nil
 	}
 }
 
-// closeConnection closes the connection in order: the broker has processed all settlements when it confirms that.
+// closeConnection performs the AMQP close handshake. Once the broker replies, it has processed all earlier settlements.
 func closeConnection(s *session) error {
-	s.guard.uncork()
-	timeout := time.AfterFunc(closeTimeout, func() { s.guard.Close() })
+	s.socket.uncork()
+	timeout := time.AfterFunc(closeTimeout, func() { s.socket.Close() })
 	defer timeout.Stop()
 	if err := s.connection.Close(); err != nil {
 		return err
--- a/internal/front/amqp/connect.go
+++ b/internal/front/amqp/connect.go
@@ -14,16 +14,16 @@
 
 const locale = "en_US"
 
-// connect sets up the session: the connection, the channels, and a check that all queues and exchanges exist. The failure
-// classifies an error for the controller.
+// connect opens the connection and its channels, and checks that all queues and exchanges exist. On an error, the returned
+// failure classifies it for the controller.
 func (s *session) connect(address string) (intake.Failure, error) {
 	conn, err := s.dial(address)
 	if err != nil {
 		return intake.ConnectFailed, err
 	}
-	s.guard = newGuard(conn, s.config.MaxBodyBytes, s.confirmTimeout())
-	stopTimeout := time.AfterFunc(connectTimeout, func() { conn.Close() })
-	defer stopTimeout.Stop()
+	s.socket = newCheckedConn(conn, s.config.MaxBodyBytes, s.confirmTimeout())
+	timeout := time.AfterFunc(connectTimeout, func() { conn.Close() })
+	defer timeout.Stop()
 	if failure, err := s.login(); err != nil {
 		return failure, err
 	}
@@ -37,23 +37,23 @@
 	return time.Duration(s.config.ConfirmTimeoutSeconds) * time.Second
 }
 
-// dial connects over TCP, and TLS if it is configured.
+// dial opens a TCP connection, with TLS if that is configured.
 func (s *session) dial(address string) (net.Conn, error) {
 	conn, err := net.DialTimeout("tcp", address, connectTimeout)
 	if err != nil || s.config.TLSConfig == nil {
 		return conn, err
 	}
-	secure := s.config.TLSConfig.Clone()
-	if secure.ServerName == "" {
-		secure.ServerName, _, _ = net.SplitHostPort(address)
+	tlsConfig := s.config.TLSConfig.Clone()
+	if tlsConfig.ServerName == "" {
+		tlsConfig.ServerName, _, _ = net.SplitHostPort(address)
 	}
-	return tls.Client(conn, secure), nil
+	return tls.Client(conn, tlsConfig), nil
 }
 
-// login opens the AMQP connection.
+// login performs the AMQP handshake and authentication.
 func (s *session) login() (intake.Failure, error) {
 	var err error
-	s.connection, err = amqp.Open(s.guard, amqp.Config{
+	s.connection, err = amqp.Open(s.socket, amqp.Config{
 		Vhost:      s.config.Credentials.Vhost,
 		ChannelMax: maxChannels,
 		FrameSize:  maxFrameSize,
@@ -65,26 +65,26 @@
 	switch {
 	case err == nil:
 		return 0, nil
-	case s.guard.wasClosedByBroker():
+	case s.socket.wasClosedByBroker():
 		return failureOf(err), err
 	default:
-		return intake.ConnectFailed, fmt.Errorf("at the login: %v", err)
+		return intake.ConnectFailed, fmt.Errorf("AMQP login failed: %v", err)
 	}
 }
 
-// openChannels opens the channels for consuming and publishing.
+// openChannels opens one channel for consuming and one for publishing, after it has checked the queues and exchanges.
 func (s *session) openChannels() (err error) {
 	s.consumer.channel, err = s.connection.Channel()
 	if err != nil {
 		return err
 	}
-	if err := s.checkNames(); err != nil {
+	if err := s.checkQueuesAndExchanges(); err != nil {
 		return err
 	}
 	return s.openPublisher()
 }
 
-// failureOf returns RejectedByBroker for errors that a retry will not change, and ConnectFailed for all others.
+// failureOf returns RejectedByBroker for errors that are likely to recur on a retry, and ConnectFailed for all others.
 func failureOf(err error) intake.Failure {
 	var brokerError *amqp.Error
 	if errors.As(err, &brokerError) {
@@ -96,8 +96,9 @@
 	return intake.ConnectFailed
 }
 
-// checkNames checks that all queues and exchanges exist. It uses a channel of its own, as a missing one closes the channel.
-func (s *session) checkNames() error {
+// checkQueuesAndExchanges checks that all configured queues and exchanges exist. It uses a separate channel because the broker
+// closes the channel when one is missing.
+func (s *session) checkQueuesAndExchanges() error {
 	channel, err := s.connection.Channel()
 	if err != nil {
 		return err
@@ -105,10 +106,10 @@
 	defer channel.Close()
 	for _, queue := range s.config.Queues {
 		if _, err := channel.QueueDeclarePassive(queue.Name, true, false, false, false, nil); err != nil {
-			return fmt.Errorf("queue %s: %w", queue.Name, err)
+			return fmt.Errorf("check that queue %q exists: %w", queue.Name, err)
 		}
 		if err := channel.ExchangeDeclarePassive(queue.DeadLetterExchange, amqp.ExchangeDirect, true, false, false, false, nil); err != nil {
-			return fmt.Errorf("exchange %s: %w", queue.DeadLetterExchange, err)
+			return fmt.Errorf("check that exchange %q exists: %w", queue.DeadLetterExchange, err)
 		}
 	}
 	return nil
--- a/internal/front/amqp/decode.go
+++ b/internal/front/amqp/decode.go
@@ -12,17 +12,17 @@
 )
 
 const (
-	maxCallerTimeout = 24 * time.Hour // a longer one counts as none
+	maxCallerTimeout = 24 * time.Hour // a longer timeout counts as unknown
 	minMemoryKB      = 0.1
 	bytesPerKB       = 1024
 
-	redeliveredRun = "run" // the setting of a queue whose redelivered messages may be processed
+	onRedeliveryRun = "run" // value of operator.Queue.OnRedelivery: redelivered idempotent messages may be processed again
 )
 
-// FieldError is the error of a property or header that can't be decoded. Its text becomes the reason of a dead letter.
+// FieldError is the error for a property or header that can't be decoded. Its text is part of the dead letter's reason.
 type FieldError struct {
-	Field    string // as the operator's file names it
-	Found    string // empty if the value is not shown
+	Field    string // name as in operator.FieldMapping
+	Found    string // description of the value; may be empty
 	Expected string
 }
 
@@ -34,8 +34,8 @@
 	return e.Field + ": found " + e.Found + ", expected " + e.Expected
 }
 
-// Decode returns the request in a message that was received at that time. The operator's file names the fields that hold
-// its values. idempotency returns the idempotency of a class. The error is a *FieldError.
+// Decode returns the request in a message that was received at receivedAt. fields names the properties and headers that hold
+// the request's values, and idempotency returns the idempotency of a class. An error is a *FieldError.
 func Decode(d *amqp.Delivery, fields *operator.FieldMapping, queue *operator.Queue, receivedAt time.Time,
 	idempotency func(class string) settings.Idempotency) (node.Request, error) {
 	request := node.Request{
@@ -59,7 +59,7 @@
 	return request, err
 }
 
-// decodeTexts sets the fields of the request that are texts. Only the class is required.
+// decodeTexts sets the string fields of the request. Only the class is required.
 func decodeTexts(d *amqp.Delivery, fields *operator.FieldMapping, request *node.Request) error {
 	for _, text := range []struct {
 		target *string
@@ -82,8 +82,9 @@
 	return nil
 }
 
-// mayHaveRunElsewhere reports whether an earlier delivery may have been processed by another instance. Without an
-// idempotency key that can be ruled out for the first delivery only.
+// mayHaveRunElsewhere reports whether the message must be treated as possibly processed by another instance. It need not be on
+// its first delivery, if its class is safe, or if its class is idempotent and the queue is set to run redelivered messages. An
+// idempotent class requires a key.
 func mayHaveRunElsewhere(d *amqp.Delivery, fields *operator.FieldMapping, queue *operator.Queue, request *node.Request,
 	idempotency settings.Idempotency) (bool, error) {
 	switch idempotency {
@@ -97,12 +98,12 @@
 				Expected: "a key, as band " + request.Class + " must not run twice",
 			}
 		}
-		return d.Redelivered && queue.OnRedelivery != redeliveredRun, nil
+		return d.Redelivered && queue.OnRedelivery != onRedeliveryRun, nil
 	}
 	return d.Redelivered, nil
 }
 
-// priority returns the number in a field, 0 if there is none.
+// priority returns the number in the field, 0 if there is none.
 func priority(d *amqp.Delivery, field string) (float64, error) {
 	value, _, err := numberField(d, field)
 	if err != nil || value < 0 || value >= 1 || math.IsNaN(value) {
@@ -111,8 +112,8 @@
 	return value, nil
 }
 
-// callerTimeout returns the remaining time for which the caller waits; 0 if it is unknown. The time counts from the message's
-// origin if that is known, and from the receipt if the origin is in the future, as the clocks of two machines may differ.
+// callerTimeout returns how much longer the caller waits, 0 if that is unknown. The timeout counts from the origin time in the
+// message. It counts from receivedAt if the origin is unknown, or in the future because clocks of machines differ.
 func callerTimeout(d *amqp.Delivery, fields *operator.FieldMapping, receivedAt time.Time) (time.Duration, error) {
 	milliseconds, ok, err := numberField(d, fields.CallerTimeout)
 	if err != nil || milliseconds < 0 || math.IsNaN(milliseconds) {
--- a/internal/front/amqp/decode_test.go
+++ b/internal/front/amqp/decode_test.go
@@ -14,7 +14,7 @@
 	"thymechute/policy/settings"
 )
 
-var usualFields = &operator.FieldMapping{
+var testFields = &operator.FieldMapping{
 	Class:          "type",
 	Tenant:         "header:customer",
 	IdempotencyKey: "message-id",
@@ -40,7 +40,7 @@
 func expectRequest(t *testing.T, got, want node.Request, err error) {
 	t.Helper()
 	if err != nil || !reflect.DeepEqual(got, want) {
-		t.Errorf("%+v, %v, want %+v", got, err, want)
+		t.Errorf("request %+v, error %v, want %+v", got, err, want)
 	}
 }
 
@@ -54,7 +54,7 @@
 		Body:       []byte("body"),
 		Headers:    amqp.Table{"customer": "acme", "subject": "s1", "rank": float32(0.5)},
 	}
-	request, err := Decode(d, usualFields, &operator.Queue{}, now, idempotencyOf)
+	request, err := Decode(d, testFields, &operator.Queue{}, now, idempotencyOf)
 	expectRequest(t, request, node.Request{
 		Class:         "excursion",
 		Key:           "k",
@@ -95,7 +95,8 @@
 	}, err)
 }
 
-// The clock of the origin's machine may be wrong: it can shorten the caller timeout, but neither lengthen nor remove it.
+// The origin time comes from another machine, whose clock may be wrong. A wrong clock may shorten the caller timeout but must
+// not lengthen or remove it.
 func TestCallerTimeoutByAnotherClock(t *testing.T) {
 	now := time.Unix(1700000000, 0)
 	for _, c := range []struct {
@@ -113,18 +114,18 @@
 			Type:       "trace",
 			Expiration: "1000",
 			Timestamp:  c.origin,
-		}, usualFields, &operator.Queue{}, now, idempotencyOf)
+		}, testFields, &operator.Queue{}, now, idempotencyOf)
 		if err != nil || request.CallerTimeout != c.want {
-			t.Errorf("from %v: %v, want %v (%v)", c.origin, request.CallerTimeout, c.want, err)
+			t.Errorf("origin %v: caller timeout %v, want %v (error %v)", c.origin, request.CallerTimeout, c.want, err)
 		}
 	}
-	request, err := Decode(&amqp.Delivery{Type: "trace"}, usualFields, &operator.Queue{}, now, idempotencyOf)
+	request, err := Decode(&amqp.Delivery{Type: "trace"}, testFields, &operator.Queue{}, now, idempotencyOf)
 	if err != nil || request.CallerTimeout != 0 {
-		t.Errorf("%v, though there is none", request.CallerTimeout)
+		t.Errorf("message without expiration: caller timeout %v, want 0 (error %v)", request.CallerTimeout, err)
 	}
 }
 
-// A redelivered message may have run elsewhere unless its class is safe, or it has a key and the queue is set to run it.
+// A redelivered message may have run elsewhere, unless its class is safe, or idempotent and the queue is set to run it again.
 func TestRedeliveredMayHaveRunElsewhere(t *testing.T) {
 	for _, c := range []struct {
 		class        string
@@ -139,9 +140,9 @@
 	} {
 		d := &amqp.Delivery{Type: c.class, MessageId: "k", Redelivered: true}
 		queue := &operator.Queue{OnRedelivery: c.onRedelivery}
-		request, err := Decode(d, usualFields, queue, time.Now(), idempotencyOf)
+		request, err := Decode(d, testFields, queue, time.Now(), idempotencyOf)
 		if err != nil || request.MayHaveRunElsewhere != c.want {
-			t.Errorf("%s, %s: %v, want %v (%v)", c.class, c.onRedelivery, request.MayHaveRunElsewhere, c.want, err)
+			t.Errorf("class %s, on redelivery %s: %v, want %v (error %v)", c.class, c.onRedelivery, request.MayHaveRunElsewhere, c.want, err)
 		}
 	}
 }
@@ -155,20 +156,21 @@
 		Headers:    amqp.Table{"customer": "acme"},
 		Body:       []byte("x"),
 	}
-	p := requeuedCopy(d, returnCount(d)+1)
-	if p.UserId != "" || p.Headers[userIDHeader] != "acme" || p.Expiration != "5000" || p.MessageId != "k" || d.Headers[returnsHeader] != nil {
-		t.Errorf("%+v of %+v", p, d)
+	p := requeuedCopy(d, requeueCount(d)+1)
+	if p.UserId != "" || p.Headers[userIDHeader] != "acme" || p.Expiration != "5000" || p.MessageId != "k" ||
+		d.Headers[requeueCountHeader] != nil {
+		t.Errorf("copy %+v, changed or incomplete, of %+v", p, d)
 	}
 	again := &amqp.Delivery{Headers: p.Headers}
-	if returnCount(again) != 1 || textOf(again, "user-id") != "acme" {
-		t.Errorf("%d returns, user %q", returnCount(again), textOf(again, "user-id"))
+	if requeueCount(again) != 1 || textOf(again, "user-id") != "acme" {
+		t.Errorf("requeue count %d, user-id %q, want 1, acme", requeueCount(again), textOf(again, "user-id"))
 	}
 	if p := deadLetterCopy(d, "failed"); p.Expiration != "" {
-		t.Error("a dead letter expires")
+		t.Errorf("dead letter has expiration %q, want none", p.Expiration)
 	}
-	for _, odd := range []any{"many", int64(-1), 1e9, true} {
-		if n := returnCount(&amqp.Delivery{Headers: amqp.Table{returnsHeader: odd}}); n != 0 {
-			t.Errorf("%v counts as %d", odd, n)
+	for _, invalid := range []any{"many", int64(-1), 1e9, true} {
+		if n := requeueCount(&amqp.Delivery{Headers: amqp.Table{requeueCountHeader: invalid}}); n != 0 {
+			t.Errorf("requeue count header %v: count %d, want 0", invalid, n)
 		}
 	}
 }
@@ -192,21 +194,21 @@
 			Redelivered: true,
 			Headers:     amqp.Table{"customer": tenant, "rank": priority},
 		}
-		request, err := Decode(d, usualFields, &operator.Queue{}, time.Unix(1700000000, 0), idempotencyOf)
+		request, err := Decode(d, testFields, &operator.Queue{}, time.Unix(1700000000, 0), idempotencyOf)
 		if err != nil {
 			return
 		}
 		idempotency := idempotencyOf(class)
 		for violation, isViolated := range map[string]bool{
-			"no class":                  request.Class == "",
-			"key too long":              len(request.Key) > maxTextBytes,
-			"no key":                    idempotency == settings.Idempotent && request.Key == "",
-			"tenant too long":           len(request.Tenant) > maxTextBytes,
-			"tenant with a line break":  strings.ContainsAny(request.Tenant, "\r\n\x00"),
-			"priority out of bounds":    !(request.Priority >= 0 && request.Priority < 1),
-			"caller timeout negative":   request.CallerTimeout < 0,
-			"caller timeout too long":   request.CallerTimeout > maxCallerTimeout,
-			"redelivery not considered": !request.MayHaveRunElsewhere && idempotency != settings.Safe,
+			"no class":                 request.Class == "",
+			"key too long":             len(request.Key) > maxTextBytes,
+			"no key":                   idempotency == settings.Idempotent && request.Key == "",
+			"tenant too long":          len(request.Tenant) > maxTextBytes,
+			"tenant with a line break": strings.ContainsAny(request.Tenant, "\r\n\x00"),
+			"priority out of bounds":   !(request.Priority >= 0 && request.Priority < 1),
+			"caller timeout negative":  request.CallerTimeout < 0,
+			"caller timeout too long":  request.CallerTimeout > maxCallerTimeout,
+			"redelivery ignored":       !request.MayHaveRunElsewhere && idempotency != settings.Safe,
 		} {
 			if isViolated {
 				t.Errorf("%s: %+v", violation, request)
--- a/internal/front/amqp/events.go
+++ b/internal/front/amqp/events.go
@@ -9,36 +9,36 @@
 	"thymechute/internal/decide/intake"
 )
 
-// eventKind is the kind of an event.
+// eventKind says what happened on a session.
 type eventKind uint8
 
 const (
 	eventDelivered       eventKind = iota
-	eventConfirmed                 // a publish was acknowledged, refused, or lost
-	eventReturned                  // a publish was not routed to any queue; its confirm follows
-	eventConnected                 // the session is set up
-	eventConsuming                 // the consumers are started
-	eventConsumersEnded            // the consumers are cancelled; no delivery of theirs follows
-	eventBlocked                   // the broker stops or resumes accepting publishes
+	eventConfirmed                 // the broker accepted a publish, refused it, or it was lost (see isAcked)
+	eventReturned                  // the broker routed a publish to no queue; its confirm follows
+	eventConnected                 // the session has logged in and opened its channels
+	eventConsuming                 // all consumers are started
+	eventConsumersEnded            // all consumers are cancelled, and none of their deliveries follows
+	eventBlocked                   // the broker stopped or resumed accepting publishes (see isBlocked)
 	eventCancelled                 // the broker cancelled a consumer
-	eventPublisherClosed           // the broker closed the publishing channel; it is opened again
-	eventClosed                    // the connection has ended, or was never set up
+	eventPublisherClosed           // the broker closed the publishing channel, which is opened again
+	eventClosed                    // the connection ended or could not be set up
 )
 
-// event is something that happened on a session.
+// event is one occurrence on a session, passed from its goroutines to the front.
 type event struct {
 	kind          eventKind
-	delivery      amqp.Delivery // of eventDelivered
-	receivedAt    time.Time     // of eventDelivered
-	queue         int           // of eventDelivered: index of the configured queue
-	publishNumber uint64        // of eventConfirmed and eventReturned
-	isAcked       bool          // of eventConfirmed
-	isBlocked     bool          // of eventBlocked
-	failure       intake.Failure
-	err           error // of eventPublisherClosed and eventClosed; may be nil
+	delivery      amqp.Delivery  // of eventDelivered
+	receivedAt    time.Time      // of eventDelivered
+	queue         int            // of eventDelivered: index in the configured queues
+	publishNumber uint64         // of eventConfirmed and eventReturned
+	isAcked       bool           // of eventConfirmed: the broker accepted the publish
+	isBlocked     bool           // of eventBlocked
+	failure       intake.Failure // of eventClosed
+	err           error          // of eventPublisherClosed and eventClosed; may be nil
 }
 
-// handleEvents handles a batch of events. Events of a dropped session are ignored, as the broker delivers its messages again.
+// handleEvents handles a batch of events. It ignores those of a dropped session, whose messages the broker redelivers.
 func (f *Front) handleEvents(s *session, events []event) {
 	for n := range events {
 		if f.session != s {
@@ -70,7 +70,7 @@
 		f.controller.SetBlocked(now, e.isBlocked)
 	case eventCancelled:
 		f.controller.ConsumerCancelled(now)
-	case eventPublisherClosed: // its publishes follow as not confirmed
+	case eventPublisherClosed: // eventConfirmed follows for each unconfirmed publish
 		f.log.Error("amqp: publishing channel closed by the broker", zap.Error(e.err))
 	case eventClosed:
 		f.dropSession(s)
@@ -78,13 +78,13 @@
 	}
 }
 
-// handleConsumersEnded requeues the bounced messages, which can no longer be delivered to this instance.
+// handleConsumersEnded requeues the messages in loopedBack, which can no longer be delivered to this instance.
 func (f *Front) handleConsumersEnded(now time.Duration) {
 	f.consumersStopped = true
-	for _, m := range f.bounced {
-		f.requeue(m, returnCount(&m.delivery))
+	for _, m := range f.loopedBack {
+		f.requeue(m, requeueCount(&m.delivery))
 	}
-	f.bounced = nil
+	f.loopedBack = nil
 	f.controller.ResponseReceived(now)
 	f.closeIfDrained()
 }
--- a/internal/front/amqp/fields.go
+++ b/internal/front/amqp/fields.go
@@ -15,12 +15,12 @@
 	maxUnixMilliseconds = 1e14
 	headerFieldPrefix   = "header:"
 
-	// Message priorities are 0 to 9 in AMQP; as a field they are numbers from 0 to under 1.
+	// AMQP message priorities are 0 to 9. fieldValue scales them to numbers from 0 to under 1.
 	maxMessagePriority = 9
 	priorityLevels     = 10
 )
 
-// fieldValue returns the value of a property or, with the prefix "header:", of a header; nil if there is none.
+// fieldValue returns the value of the property with that name or, after the prefix "header:", of the header; nil if there is none.
 func fieldValue(d *amqp.Delivery, field string) any {
 	if header, ok := strings.CutPrefix(field, headerFieldPrefix); ok {
 		return d.Headers[header]
@@ -40,7 +40,7 @@
 	return nil
 }
 
-// textProperty returns the value of a property that is a text; empty if there is none.
+// textProperty returns the value of a string property, empty if there is none.
 func textProperty(d *amqp.Delivery, name string) string {
 	switch name {
 	case "type":
@@ -63,7 +63,7 @@
 	return ""
 }
 
-// textField returns a text of one line, empty if there is none.
+// textField returns the value of a field that must be a string of one line; empty if there is none.
 func textField(d *amqp.Delivery, field string) (string, error) {
 	switch value := fieldValue(d, field).(type) {
 	case nil:
@@ -76,7 +76,7 @@
 	return "", &FieldError{Field: field, Expected: fmt.Sprintf("a text of at most %d bytes in one line", maxTextBytes)}
 }
 
-// numberField returns a number of any numeric type, or of a text; ok is false if there is none.
+// numberField returns the value of a field that holds any numeric type or a decimal string; ok is false if there is none.
 func numberField(d *amqp.Delivery, field string) (number float64, ok bool, err error) {
 	invalid := &FieldError{Field: field, Expected: "a number"}
 	switch value := fieldValue(d, field).(type) {
@@ -107,7 +107,7 @@
 	return number, true, nil
 }
 
-// timeField returns a timestamp, or a number of Unix milliseconds; ok is false if there is none.
+// timeField returns the value of a field that holds a timestamp or a number of Unix milliseconds; ok is false if there is none.
 func timeField(d *amqp.Delivery, field string) (at time.Time, ok bool, err error) {
 	if at, ok := fieldValue(d, field).(time.Time); ok {
 		return at, true, nil
--- a/internal/front/amqp/frames.go
+++ b/internal/front/amqp/frames.go
@@ -5,22 +5,22 @@
 	"fmt"
 )
 
-// Layout of a frame: kind, channel, size of the payload; the payload; the end mark.
+// A frame consists of its type (1 byte), channel (2), payload size (4), payload, and end octet (1).
 const (
 	frameHeaderSize = 7
 	frameOverhead   = frameHeaderSize + 1
 	frameEnd        = 0xCE
 )
 
-// Kinds of frames.
+// Frame types.
 const (
-	kindMethod    = 1
-	kindHeader    = 2
-	kindBody      = 3
-	kindHeartbeat = 8
+	frameTypeMethod    = 1
+	frameTypeHeader    = 2
+	frameTypeBody      = 3
+	frameTypeHeartbeat = 8
 )
 
-// Methods that the guard has to know: class in the upper, number in the lower 16 bits.
+// Methods that checkedConn interprets, as they are encoded: class id in the upper, method id in the lower 16 bits.
 const (
 	methodBasicDeliver    = 60<<16 | 60
 	methodBasicReturn     = 60<<16 | 50
@@ -28,51 +28,53 @@
 
 	methodIDSize      = 4
 	deliveryTagSize   = 8
-	bodySizeOffset    = 4 // in a content header, after class and weight
+	bodySizeOffset    = 4 // in a content header, after the class id and weight
 	minContentHeader  = 14
-	consumerTagOffset = methodIDSize // in basic.deliver: a length of one byte, and the text
+	consumerTagOffset = methodIDSize // in basic.deliver: one byte of length, then the text
 )
 
-// protocolError is the error of a broker that violates the protocol. It ends the connection.
+// protocolError is the error for a broker that violates the protocol. It ends the connection.
 type protocolError string
 
 // Error implements error.
 func (e protocolError) Error() string { return string(e) }
 
-// checkFrameHeader checks a frame before memory is allocated for its payload.
-func checkFrameHeader(kind byte, size uint32) error {
-	switch kind {
-	case kindMethod, kindHeader, kindBody, kindHeartbeat:
+// checkFrameHeader checks the type and size of a frame before memory is allocated for its payload.
+func checkFrameHeader(frameType byte, size uint32) error {
+	switch frameType {
+	case frameTypeMethod, frameTypeHeader, frameTypeBody, frameTypeHeartbeat:
 	default:
-		return protocolError(fmt.Sprintf("broker sends what is no frame: kind %d", kind))
+		return protocolError(fmt.Sprintf(
+			"broker sent a frame of unknown type %d, expected 1 (method), 2 (header), 3 (body) or 8 (heartbeat)", frameType))
 	}
 	if size > maxFrameSize-frameOverhead {
-		return protocolError(fmt.Sprintf("broker sends a frame of %d bytes, expected at most %d", size, maxFrameSize-frameOverhead))
+		return protocolError(fmt.Sprintf("broker sent a frame with %d bytes of payload, expected at most %d", size, maxFrameSize-frameOverhead))
 	}
 	return nil
 }
 
-// check checks the payload of a frame and reports whether the frame is passed on to the library. It sets the body size in the
-// content header of an oversized message to 0.
-func (g *guard) check(kind byte, channel uint16, payload []byte) (isPassedOn bool, err error) {
-	switch kind {
-	case kindMethod:
-		return true, g.checkMethod(channel, payload)
-	case kindHeader:
-		return true, g.checkContentHeader(channel, payload)
-	case kindBody:
-		return g.checkBody(channel, payload)
+// checkFrame checks the payload of a frame and reports whether to forward the frame to the library. It sets the body size in
+// the content header of an oversized message to 0.
+func (c *checkedConn) checkFrame(frameType byte, channel uint16, payload []byte) (forward bool, err error) {
+	switch frameType {
+	case frameTypeMethod:
+		return true, c.checkMethod(channel, payload)
+	case frameTypeHeader:
+		return true, c.checkContentHeader(channel, payload)
+	case frameTypeBody:
+		return c.checkBody(channel, payload)
 	}
 	return true, nil
 }
 
-// checkMethod checks a method frame. A delivery or a return starts a content, whose header and body follow.
-func (g *guard) checkMethod(channel uint16, payload []byte) error {
-	if g.contents[channel] != nil {
-		return protocolError("broker sends a method inside a content")
+// checkMethod checks a method frame. basic.deliver and basic.return start a content, whose header and body frames follow.
+func (c *checkedConn) checkMethod(channel uint16, payload []byte) error {
+	if c.partialContents[channel] != nil {
+		return protocolError(fmt.Sprintf("broker sent a method frame on channel %d inside a message, expected its header or body", channel))
 	}
 	if len(payload) < methodIDSize {
-		return protocolError("broker sends a method without its number")
+		return protocolError(fmt.Sprintf("broker sent a method frame of %d bytes, expected at least %d for its class and method ids",
+			len(payload), methodIDSize))
 	}
 	switch binary.BigEndian.Uint32(payload) {
 	case methodBasicDeliver:
@@ -80,90 +82,95 @@
 		if err != nil {
 			return err
 		}
-		if err := g.countDelivery(); err != nil {
+		if err := c.countDelivery(); err != nil {
 			return err
 		}
-		return g.beginContent(channel, &content{deliveryTag: tag})
+		return c.beginContent(channel, &partialContent{deliveryTag: tag})
 	case methodBasicReturn:
-		return g.beginContent(channel, &content{})
+		return c.beginContent(channel, &partialContent{})
 	case methodConnectionClose:
-		g.mu.Lock()
-		defer g.mu.Unlock()
-		g.closedByBroker = true
+		c.mu.Lock()
+		defer c.mu.Unlock()
+		c.closedByBroker = true
 	}
 	return nil
 }
 
-// deliveryTag returns the tag of a basic.deliver, which follows the consumer tag.
+// deliveryTag returns the delivery tag of a basic.deliver payload, which follows the consumer tag.
 func deliveryTag(payload []byte) (uint64, error) {
 	if len(payload) <= consumerTagOffset {
-		return 0, protocolError("broker sends a delivery without its tag")
+		return 0, protocolError("broker sent a basic.deliver frame that ends before its delivery tag")
 	}
 	offset := consumerTagOffset + 1 + int(payload[consumerTagOffset])
 	if len(payload) < offset+deliveryTagSize {
-		return 0, protocolError("broker sends a delivery without its tag")
+		return 0, protocolError("broker sent a basic.deliver frame that ends before its delivery tag")
 	}
 	return binary.BigEndian.Uint64(payload[offset:]), nil
 }
 
-// countDelivery returns an error for a delivery beyond the credit, as the library buffers deliveries without a bound.
-func (g *guard) countDelivery() error {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	g.delivered++
-	if g.delivered > g.allowed {
-		return protocolError("broker sends more messages than it was given credit for")
+// countDelivery returns an error for a delivery beyond the credit, because the library buffers deliveries without a limit.
+func (c *checkedConn) countDelivery() error {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.deliveryCount++
+	if c.deliveryCount > c.deliveryLimit {
+		return protocolError(fmt.Sprintf("broker exceeded the credit: sent delivery %d of the connection, expected at most %d",
+			c.deliveryCount, c.deliveryLimit))
 	}
 	return nil
 }
 
-func (g *guard) beginContent(channel uint16, c *content) error {
-	if len(g.contents) >= maxChannels {
-		return protocolError("broker sends contents on too many channels")
+func (c *checkedConn) beginContent(channel uint16, partial *partialContent) error {
+	if len(c.partialContents) >= maxChannels {
+		return protocolError(fmt.Sprintf("broker interleaves messages on more than %d channels", maxChannels))
 	}
-	g.contents[channel] = c
+	c.partialContents[channel] = partial
 	return nil
 }
 
-// checkContentHeader records the size of the body that follows, and sets it to 0 in the frame if the body is oversized.
-func (g *guard) checkContentHeader(channel uint16, payload []byte) error {
-	c := g.contents[channel]
-	if c == nil || c.left > 0 || len(payload) < minContentHeader {
-		return protocolError("broker sends a content header out of place")
+// checkContentHeader records the size of the body that follows. If the body is oversized, it sets the size in the frame to 0.
+func (c *checkedConn) checkContentHeader(channel uint16, payload []byte) error {
+	partial := c.partialContents[channel]
+	if partial == nil || partial.bytesLeft > 0 || len(payload) < minContentHeader {
+		return protocolError(fmt.Sprintf(
+			"broker sent a content header of %d bytes on channel %d that is too short or does not follow basic.deliver or basic.return",
+			len(payload), channel))
 	}
 	size := payload[bodySizeOffset:]
-	c.left = binary.BigEndian.Uint64(size)
-	if c.left > g.maxBody {
-		c.isDropped = true
+	partial.bytesLeft = binary.BigEndian.Uint64(size)
+	if partial.bytesLeft > c.maxBodyBytes {
+		partial.isOversized = true
 		binary.BigEndian.PutUint64(size, 0)
-		g.rememberOversized(c.deliveryTag)
+		c.recordOversized(partial.deliveryTag)
 	}
-	if c.left == 0 {
-		delete(g.contents, channel)
+	if partial.bytesLeft == 0 {
+		delete(c.partialContents, channel)
 	}
 	return nil
 }
 
-// rememberOversized records the delivery tag of an oversized message. The tag is 0 for a returned message, whose body is not
-// used.
-func (g *guard) rememberOversized(deliveryTag uint64) {
+// recordOversized records the delivery tag of an oversized message. It ignores tag 0, which stands for a returned message: its
+// body is not used.
+func (c *checkedConn) recordOversized(deliveryTag uint64) {
 	if deliveryTag == 0 {
 		return
 	}
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	g.oversized[deliveryTag] = struct{}{}
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.oversizedTags[deliveryTag] = struct{}{}
 }
 
-// checkBody checks a part of a body. Parts of an oversized body are not passed on.
-func (g *guard) checkBody(channel uint16, payload []byte) (isPassedOn bool, err error) {
-	c := g.contents[channel]
-	if c == nil || uint64(len(payload)) > c.left || len(payload) == 0 {
-		return false, protocolError("broker sends a body out of place")
+// checkBody checks a body frame. Frames of an oversized body are not forwarded.
+func (c *checkedConn) checkBody(channel uint16, payload []byte) (forward bool, err error) {
+	partial := c.partialContents[channel]
+	if partial == nil || uint64(len(payload)) > partial.bytesLeft || len(payload) == 0 {
+		return false, protocolError(fmt.Sprintf(
+			"broker sent a body frame of %d bytes on channel %d that is empty, exceeds the announced body size or has no content header",
+			len(payload), channel))
 	}
-	c.left -= uint64(len(payload))
-	if c.left == 0 {
-		delete(g.contents, channel)
+	partial.bytesLeft -= uint64(len(payload))
+	if partial.bytesLeft == 0 {
+		delete(c.partialContents, channel)
 	}
-	return !c.isDropped, nil
+	return !partial.isOversized, nil
 }
--- a/internal/front/amqp/front.go
+++ b/internal/front/amqp/front.go
@@ -15,7 +15,7 @@
 const (
 	loadCheckInterval = 100 * time.Millisecond
 
-	// extraUnsettled is how many messages may be unsettled beyond the credit in force and the one before it.
+	// extraUnsettled is how many messages may be unsettled beyond the sum of the current and the previous credit.
 	extraUnsettled = 64
 )
 
@@ -25,7 +25,7 @@
 	Admit(responder node.Responder, id node.MessageID, request node.Request) error
 	// CallerGone reports that no answer to the responder's requests can be delivered any more.
 	CallerGone(responder node.Responder)
-	// Load returns the used part of the instance's capacity.
+	// Load returns the instance's load and capacity, and whether it is ready.
 	Load() node.Load
 }
 
@@ -37,7 +37,7 @@
 	After(delay time.Duration, task func())
 }
 
-// Front consumes messages for one instance. All methods must be called on the loop, and none blocks.
+// Front consumes messages for one instance. Its methods must be called on the loop and do not block.
 type Front struct {
 	admission   Admission
 	loop        Loop
@@ -49,26 +49,27 @@
 	controller    *intake.Controller
 	start         time.Time
 	loadCheckedAt time.Time
-	tickAt        time.Duration // the earliest pending tick
+	nextTickAt    time.Duration // time of the earliest scheduled controller tick
 
 	session          *session // nil while disconnected
 	sessionCount     int
-	isConnected      bool // the session is set up
-	consumersStopped bool // the consumers are cancelled and have delivered their last messages
+	isConnected      bool // the session has logged in and opened its channels
+	consumersStopped bool // no consumer is active and all deliveries have been handled
 	draining         bool
-	closing          bool // closeConnection was submitted to the session
+	closeSubmitted   bool // closeConnection was submitted to the session
 
-	// requestPrefix begins the ids of this process's requests, as a runtime may still execute requests of an earlier process.
+	// requestPrefix starts the id of each request of this process. A runtime may still execute requests of an earlier process,
+	// so ids must differ between processes.
 	requestPrefix string
 	unsettled     map[uint64]*message // by delivery tag
 	unconfirmed   map[uint64]*message // by publish number
 	publishNumber uint64
-	bounced       []*message // requeued by this instance while it drains, and delivered to it again
+	loopedBack    []*message // messages that this instance requeued while draining and that were delivered to it again
 	counts        messageCounts
 }
 
-// New returns a front for the operator's settings, which connects once the instance is ready. name is that of the instance,
-// idempotency returns the idempotency of a class, and seed determines the jitter of the backoff and the ids of requests.
+// New returns a front with the operator's settings. It connects once the instance is ready. name is the name of the instance,
+// idempotency returns the idempotency of a class, and seed determines the backoff jitter and is part of the request ids.
 func New(admission Admission, loop Loop, config *operator.AMQP, name string, seed uint64,
 	idempotency func(class string) settings.Idempotency, log *zap.Logger) *Front {
 	f := &Front{
@@ -91,7 +92,7 @@
 	return f
 }
 
-// requestPrefix returns a prefix that is unlikely to be used by another process or after a restart.
+// requestPrefix returns a prefix that another process, or this one after a restart, is unlikely to use.
 func requestPrefix(seed uint64, now time.Time) string {
 	const (
 		seedMask = 0xffffffff
@@ -101,31 +102,31 @@
 	return "q" + strconv.FormatUint(seed&seedMask, base) + "-" + strconv.FormatInt(now.UnixMilli()&timeMask, base) + "-"
 }
 
-// now returns the time since the start, which is the controller's clock.
+// now returns the time since the front was created, which the controller uses as its clock.
 func (f *Front) now() time.Duration { return time.Since(f.start) }
 
-// maxUnsettled bounds the messages that are received and not settled.
+// maxUnsettled returns the maximum number of messages that are received and not settled.
 func (f *Front) maxUnsettled() int {
 	return 2*f.config.MaxCredit*len(f.config.Queues) + extraUnsettled
 }
 
-// SetIdleTimeout implements node.Front. It does nothing, as connections to a broker stay open while idle.
+// SetIdleTimeout implements node.Front. It does nothing because broker connections stay open while idle.
 func (f *Front) SetIdleTimeout(time.Duration) {}
 
-// Drain implements node.Front. It stops consuming at once; the connection is closed when all messages are settled.
+// Drain implements node.Front. It stops consuming at once and closes the connection when all messages are settled.
 func (f *Front) Drain() {
 	f.draining = true
 	f.controller.Drain(f.now())
-	if f.session != nil && !f.isConnected { // no message was delivered on it
+	if f.session != nil && !f.isConnected { // nothing was delivered on it yet
 		f.dropSession(f.session)
 	}
 	f.closeIfDrained()
 }
 
-// HasPending implements node.Front.
+// HasPending implements node.Front. It reports whether draining is unfinished.
 func (f *Front) HasPending() bool { return f.session != nil && f.draining }
 
-// Sweep implements node.Front. It reports the load of the instance to the controller.
+// Sweep implements node.Front. It reports the load of the instance to the controller, at most every loadCheckInterval.
 func (f *Front) Sweep(now time.Time) {
 	if now.Sub(f.loadCheckedAt) < loadCheckInterval {
 		return
@@ -135,14 +136,14 @@
 	f.controller.UpdateInstance(f.now(), intake.InstanceState{Ready: load.Ready, Items: load.Requests, Capacity: load.Capacity})
 }
 
-// dropSession drops a session and its messages, which the broker delivers again. Runs of idempotent requests continue, and
-// their results are cached.
+// dropSession ends a session and forgets its messages, which the broker will redeliver. Runs of idempotent requests continue,
+// and their results are cached for the redelivery.
 func (f *Front) dropSession(s *session) {
 	s.abandon()
 	f.session = nil
 	f.counts.callerGone += uint64(len(f.unsettled))
 	f.unsettled = nil
-	f.bounced = nil
+	f.loopedBack = nil
 	clear(f.unconfirmed)
 	f.admission.CallerGone(s)
 	if f.draining {
@@ -150,10 +151,10 @@
 	}
 }
 
-// closeIfDrained closes the connection of a draining instance once all messages are settled.
+// closeIfDrained closes the connection of a draining instance once its consumers have stopped and all messages are settled.
 func (f *Front) closeIfDrained() {
-	if f.draining && f.session != nil && f.consumersStopped && len(f.unsettled) == 0 && !f.closing {
-		f.closing = true
+	if f.draining && f.session != nil && f.consumersStopped && len(f.unsettled) == 0 && !f.closeSubmitted {
+		f.closeSubmitted = true
 		f.session.submit(closeConnection)
 	}
 }
--- a/internal/front/amqp/guard.go
+++ b/internal/front/amqp/guard.go
@@ -3,6 +3,7 @@
 import (
 	"bufio"
 	"encoding/binary"
+	"fmt"
 	"io"
 	"net"
 	"slices"
@@ -11,163 +12,164 @@
 )
 
 const (
-	maxFrameSize = 32 << 10 // bytes, offered to the broker
-	maxChannels  = 8
-	maxBuffered  = 64 << 10 // bytes of output that are buffered while it is corked
+	maxFrameSize    = 32 << 10 // bytes; negotiated with the broker as the maximum
+	maxChannels     = 8
+	maxCorkedOutput = 64 << 10 // bytes; output is sent at this size even while corked
 )
 
-// guard is a net.Conn between the socket and the client library that bounds the memory which a broker can make the library
-// use. It reads complete frames, whose size it checks before it allocates memory for them, and returns an error for more
-// deliveries than the credit and for contents out of order. An oversized message is passed on with an empty body, and its
-// delivery tag is recorded. Everything else is passed on unchanged. Output can be buffered to be sent in one write (cork).
+// checkedConn is a net.Conn between the socket and the client library that limits the memory a broker can make the library
+// use. It reads whole frames and checks their size before it allocates memory for them. Read returns an error for deliveries
+// beyond the credit and for frames out of order. An oversized message is forwarded with an empty body, and its delivery tag is
+// recorded. Everything else is forwarded unchanged. Output can be buffered and sent in one write (see cork).
 //
-// Its memory is bounded: one frame, one partial content for each of maxChannels channels, and the tags of oversized messages,
-// of which there are at most as many as the credit and which are removed when the messages are received.
+// checkedConn holds at most one frame, the state of one partial message for each of maxChannels channels, and the tags of the
+// oversized messages. There are at most as many of these as the credit permits, and the front removes each when it receives
+// the message.
 //
-// Read belongs to the library's reading goroutine. All other methods may be called from any goroutine.
-type guard struct {
+// Only the library's reading goroutine may call Read, which calls the checks. Any goroutine may call the other methods.
+type checkedConn struct {
 	net.Conn
-	reader   *bufio.Reader
-	frame    []byte              // the frame that is being passed on
-	unread   []byte              // the rest of it
-	contents map[uint16]*content // partly read contents, by channel
-	maxBody  uint64              // bytes
-
-	mu             sync.Mutex // guards the fields below
-	allowed        uint64     // number of deliveries so far and of further ones within the credit
-	delivered      uint64
-	closedByBroker bool // the broker has sent connection.close
-	oversized      map[uint64]struct{}
+	reader          *bufio.Reader
+	frame           []byte                     // the frame being forwarded; reused for each frame
+	unread          []byte                     // the part of frame that the library has not read
+	partialContents map[uint16]*partialContent // by channel: messages of which the header or body is incomplete
+	maxBodyBytes    uint64                     // limit for the body of a message; larger ones are oversized
+
+	mu             sync.Mutex // protects the fields below
+	deliveryLimit  uint64     // highest deliveryCount that the credit permits
+	deliveryCount  uint64
+	closedByBroker bool // the broker sent connection.close
+	oversizedTags  map[uint64]struct{}
 	writeTimeout   time.Duration
 	output         []byte
 	isCorked       bool
 }
 
-// content is a message of which the header or parts of the body are still to be read.
-type content struct {
+// partialContent is the state of a message whose header or body has not been read completely.
+type partialContent struct {
 	deliveryTag uint64 // 0 for a returned message
-	left        uint64 // bytes of the body
-	isDropped   bool   // its body is oversized
+	bytesLeft   uint64 // bytes of the body still to be read
+	isOversized bool   // its body is dropped, as it is larger than maxBodyBytes
 }
 
-func newGuard(conn net.Conn, maxBody int, writeTimeout time.Duration) *guard {
-	return &guard{
-		Conn:         conn,
-		reader:       bufio.NewReaderSize(conn, maxFrameSize),
-		contents:     map[uint16]*content{},
-		maxBody:      uint64(maxBody),
-		oversized:    map[uint64]struct{}{},
-		writeTimeout: writeTimeout,
+func newCheckedConn(conn net.Conn, maxBody int, writeTimeout time.Duration) *checkedConn {
+	return &checkedConn{
+		Conn:            conn,
+		reader:          bufio.NewReaderSize(conn, maxFrameSize),
+		partialContents: map[uint16]*partialContent{},
+		maxBodyBytes:    uint64(maxBody),
+		oversizedTags:   map[uint64]struct{}{},
+		writeTimeout:    writeTimeout,
 	}
 }
 
-// Read implements io.Reader. It passes on checked frames.
-func (g *guard) Read(p []byte) (int, error) {
-	for len(g.unread) == 0 {
-		if err := g.readFrame(); err != nil {
+// Read implements io.Reader. It returns only frames that were checked.
+func (c *checkedConn) Read(p []byte) (int, error) {
+	for len(c.unread) == 0 {
+		if err := c.readFrame(); err != nil {
 			return 0, err
 		}
 	}
-	n := copy(p, g.unread)
-	g.unread = g.unread[n:]
+	n := copy(p, c.unread)
+	c.unread = c.unread[n:]
 	return n, nil
 }
 
-// readFrame reads and checks one frame.
-func (g *guard) readFrame() error {
+// readFrame reads and checks one frame, and makes it available to Read if it is to be forwarded.
+func (c *checkedConn) readFrame() error {
 	var header [frameHeaderSize]byte
-	if _, err := io.ReadFull(g.reader, header[:]); err != nil {
+	if _, err := io.ReadFull(c.reader, header[:]); err != nil {
 		return err
 	}
-	kind := header[0]
+	frameType := header[0]
 	channel := binary.BigEndian.Uint16(header[1:])
 	size := binary.BigEndian.Uint32(header[3:])
-	if err := checkFrameHeader(kind, size); err != nil {
+	if err := checkFrameHeader(frameType, size); err != nil {
 		return err
 	}
 	end := frameHeaderSize + int(size)
-	g.frame = append(g.frame[:0], header[:]...)
-	g.frame = slices.Grow(g.frame, int(size)+1)[:end+1]
-	if _, err := io.ReadFull(g.reader, g.frame[frameHeaderSize:]); err != nil {
+	c.frame = append(c.frame[:0], header[:]...)
+	c.frame = slices.Grow(c.frame, int(size)+1)[:end+1]
+	if _, err := io.ReadFull(c.reader, c.frame[frameHeaderSize:]); err != nil {
 		return err
 	}
-	if g.frame[end] != frameEnd {
-		return protocolError("broker sends a frame without its end")
+	if c.frame[end] != frameEnd {
+		return protocolError(fmt.Sprintf("broker sent a frame with end octet %#02x, expected %#02x", c.frame[end], frameEnd))
 	}
-	isPassedOn, err := g.check(kind, channel, g.frame[frameHeaderSize:end])
-	if err == nil && isPassedOn {
-		g.unread = g.frame
+	forward, err := c.checkFrame(frameType, channel, c.frame[frameHeaderSize:end])
+	if err == nil && forward {
+		c.unread = c.frame
 	}
 	return err
 }
 
-// Write implements io.Writer. While the output is corked it is only buffered, up to maxBuffered.
-func (g *guard) Write(p []byte) (int, error) {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	g.output = append(g.output, p...)
-	if g.isCorked && len(g.output) < maxBuffered {
+// Write implements io.Writer. While the output is corked, it is buffered until it reaches maxCorkedOutput.
+func (c *checkedConn) Write(p []byte) (int, error) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.output = append(c.output, p...)
+	if c.isCorked && len(c.output) < maxCorkedOutput {
 		return len(p), nil
 	}
-	return len(p), g.flush()
+	return len(p), c.flush()
 }
 
-// flush sends the output. A broker that does not read it in time loses its connection. mu must be held.
-func (g *guard) flush() error {
-	if len(g.output) == 0 {
+// flush sends the output. It closes the connection if that fails or takes longer than writeTimeout. mu must be held.
+func (c *checkedConn) flush() error {
+	if len(c.output) == 0 {
 		return nil
 	}
-	_ = g.SetWriteDeadline(time.Now().Add(g.writeTimeout))
-	_, err := g.Conn.Write(g.output)
-	g.output = g.output[:0]
+	_ = c.SetWriteDeadline(time.Now().Add(c.writeTimeout))
+	_, err := c.Conn.Write(c.output)
+	c.output = c.output[:0]
 	if err != nil {
-		g.Close()
+		c.Close()
 	}
 	return err
 }
 
-// cork buffers output until uncork.
-func (g *guard) cork() {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	g.isCorked = true
+// cork starts to buffer output, until uncork.
+func (c *checkedConn) cork() {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.isCorked = true
 }
 
-// uncork sends the buffered output. An error closes the connection, which the reading goroutine then reports.
-func (g *guard) uncork() {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	g.isCorked = false
-	_ = g.flush()
+// uncork sends the buffered output and ends buffering. An error closes the connection, and Read then returns an error.
+func (c *checkedConn) uncork() {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.isCorked = false
+	_ = c.flush()
 }
 
-// allow admits more deliveries.
-func (g *guard) allow(deliveries int) {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	g.allowed += uint64(deliveries)
+// addCredit permits that many further deliveries.
+func (c *checkedConn) addCredit(deliveries int) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.deliveryLimit += uint64(deliveries)
 }
 
-// allowNone admits no more deliveries, until the next allow.
-func (g *guard) allowNone() {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	g.allowed = g.delivered
+// revokeCredit permits no further deliveries until the next addCredit.
+func (c *checkedConn) revokeCredit() {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.deliveryLimit = c.deliveryCount
 }
 
-// wasClosedByBroker reports whether the broker has closed the connection with a reason. The library reports any end of the
-// connection during the login as a rejected login.
-func (g *guard) wasClosedByBroker() bool {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	return g.closedByBroker
+// wasClosedByBroker reports whether the broker sent connection.close, which has a reason. It is needed because the library
+// reports a connection that ends during the login, for whatever cause, as a rejected login.
+func (c *checkedConn) wasClosedByBroker() bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.closedByBroker
 }
 
-// takeOversized reports whether the delivered message was oversized, and removes its tag.
-func (g *guard) takeOversized(deliveryTag uint64) bool {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	_, ok := g.oversized[deliveryTag]
-	delete(g.oversized, deliveryTag)
+// takeOversized reports whether the message with the delivery tag was oversized, and removes the tag.
+func (c *checkedConn) takeOversized(deliveryTag uint64) bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	_, ok := c.oversizedTags[deliveryTag]
+	delete(c.oversizedTags, deliveryTag)
 	return ok
 }
--- a/internal/front/amqp/headers.go
+++ b/internal/front/amqp/headers.go
@@ -6,46 +6,46 @@
 	amqp "github.com/rabbitmq/amqp091-go"
 )
 
-// Headers of the messages that are published.
+// Headers of published messages.
 const (
-	drainingHeader      = "x-thymechute-leaving" // the instance that requeued the message while it drained
-	returnsHeader       = "x-thymechute-returns" // how often the message was requeued
-	reasonHeader        = "x-thymechute-reason"  // why a message was dead-lettered
-	publishNumberHeader = "x-thymechute-publish" // number by which a returned publish is identified
-	outcomeHeader       = "x-thymechute-outcome" // of a reply
-	userIDHeader        = "x-thymechute-user-id" // of a copy: brokers accept a user-id from its own user only
+	drainingInstanceHeader = "x-thymechute-leaving" // of a requeued copy: name of the draining instance that requeued it
+	requeueCountHeader     = "x-thymechute-returns" // of a requeued copy: how often the message was requeued
+	reasonHeader           = "x-thymechute-reason"  // of a dead letter or an error reply: why the message was dead-lettered
+	publishNumberHeader    = "x-thymechute-publish" // publish number, which identifies a publish that the broker returns
+	outcomeHeader          = "x-thymechute-outcome" // of a reply: replyServed or replyFailed
+	userIDHeader           = "x-thymechute-user-id" // of a copy: original user-id; brokers accept that property from its own user only
 )
 
-const maxReturnCount = 1e6 // a larger number in a header counts as 0
+const maxRequeueCount = 1e6 // a larger count in a header is treated as 0
 
-// returnCount returns how often a message was requeued so far.
-func returnCount(d *amqp.Delivery) int {
-	count, _, err := numberField(d, headerFieldPrefix+returnsHeader)
-	if err != nil || count < 0 || count > maxReturnCount {
+// requeueCount returns how often a message was requeued so far, by its header. An invalid header counts as 0.
+func requeueCount(d *amqp.Delivery) int {
+	count, _, err := numberField(d, headerFieldPrefix+requeueCountHeader)
+	if err != nil || count < 0 || count > maxRequeueCount {
 		return 0
 	}
 	return int(count)
 }
 
-// requeuedCopy returns the message with the number of its returns, not marked as requeued by a draining instance.
-func requeuedCopy(d *amqp.Delivery, returns int) amqp.Publishing {
-	requeued := copyOf(d)
-	requeued.Headers[returnsHeader] = int64(returns)
-	delete(requeued.Headers, drainingHeader)
+// requeuedCopy returns a copy of the message with the requeue count, and without the name of a draining instance.
+func requeuedCopy(d *amqp.Delivery, requeues int) amqp.Publishing {
+	requeued := copyDelivery(d)
+	requeued.Headers[requeueCountHeader] = int64(requeues)
+	delete(requeued.Headers, drainingInstanceHeader)
 	return requeued
 }
 
-// deadLetterCopy returns the message with the reason for which it is dead-lettered. It has no expiration, so that the dead
-// letter does not expire.
+// deadLetterCopy returns a copy of the message with the reason why it is dead-lettered. The copy has no expiration, so that it
+// does not expire in the dead-letter queue.
 func deadLetterCopy(d *amqp.Delivery, reason string) amqp.Publishing {
-	letter := copyOf(d)
+	letter := copyDelivery(d)
 	letter.Headers[reasonHeader] = reason
 	letter.Expiration = ""
 	return letter
 }
 
-// copyOf returns a message as it was received, to be published again.
-func copyOf(d *amqp.Delivery) amqp.Publishing {
+// copyDelivery returns a received message as one to be published.
+func copyDelivery(d *amqp.Delivery) amqp.Publishing {
 	headers := amqp.Table{}
 	maps.Copy(headers, d.Headers)
 	if d.UserId != "" {
--- a/internal/front/amqp/message.go
+++ b/internal/front/amqp/message.go
@@ -14,36 +14,36 @@
 	"thymechute/internal/operator"
 )
 
-// message is a received message that is not settled.
+// message is a received message that is not settled yet.
 type message struct {
 	delivery     amqp.Delivery
 	tag          uint64 // delivery tag
 	queue        *operator.Queue
 	receivedAt   time.Time
-	deadline     time.Time // when its caller stops waiting; zero if unknown
+	deadline     time.Time // when the caller stops waiting; zero if unknown
 	outcome      intake.Outcome
 	retryAfter   time.Duration
-	isReply      bool // what is published for it is the reply to its caller
-	isUnroutable bool // what was published for it reached no queue
+	isReply      bool // the publish before settling is the reply to the caller, not a copy of the message
+	isUnroutable bool // the broker routed that publish to no queue
 }
 
-// isExpired reports whether its caller will have stopped waiting before a retry could be answered.
+// isExpired reports whether the caller will have stopped waiting before another attempt could be answered.
 func (m *message) isExpired() bool {
 	const margin = 100 * time.Millisecond
 	return !m.deadline.IsZero() && time.Until(m.deadline) <= margin
 }
 
-// messageCounts counts the messages since the start, by how they ended. One message may count in several fields.
+// messageCounts counts messages by outcome since the process started. One message may count in several fields.
 type messageCounts struct {
 	received     uint64
 	completed    uint64 // answered with a result
-	rejected     uint64 // by the instance
+	rejected     uint64 // by the instance; requeued or dead-lettered
 	failed       uint64 // answered with an error
 	deadLettered uint64
-	unreadable   uint64 // too large, or not decodable
-	unpublished  uint64 // left to their queue as the broker did not accept a publish
-	callerGone   uint64 // unsettled when the connection ended
-	repliesLost  uint64 // replies that were not routed to any queue
+	unreadable   uint64 // body too large, or fields that can't be decoded
+	unpublished  uint64 // returned to their queue because the broker did not accept a publish for them
+	callerGone   uint64 // unsettled when their connection ended
+	repliesLost  uint64 // replies that the broker routed to no queue
 }
 
 // MarshalLogObject implements zapcore.ObjectMarshaler.
@@ -60,7 +60,8 @@
 	return nil
 }
 
-// receive handles a delivery and submits it to the instance.
+// receive records a delivery as unsettled and submits it to the instance. It discards oversized messages and dead-letters those
+// that can't be decoded.
 func (f *Front) receive(s *session, e *event) {
 	f.counts.received++
 	m := &message{
@@ -70,18 +71,19 @@
 		receivedAt: e.receivedAt,
 	}
 	if f.unsettled[m.tag] != nil || len(f.unsettled) >= f.maxUnsettled() {
-		f.controller.ProtocolViolated(f.now(), "more messages than credit, or one tag twice")
+		f.controller.ProtocolViolated(f.now(), fmt.Sprintf("broker reused delivery tag %d or exceeded the limit of %d unsettled messages",
+			m.tag, f.maxUnsettled()))
 		return
 	}
 	f.unsettled[m.tag] = m
 	f.controller.MessagesReceived(1)
-	if s.guard.takeOversized(m.tag) {
+	if s.socket.takeOversized(m.tag) {
 		f.counts.unreadable++
-		f.log.Warn("amqp: message too large, rejected",
+		f.log.Warn("amqp: message body too large, discarded",
 			zap.String("queue", m.queue.Name),
 			zap.String("key", m.delivery.MessageId),
 			zap.Int("max_body_bytes", f.config.MaxBodyBytes))
-		f.settle(m, discard(m.tag))
+		f.settle(m, nackAndDiscard(m.tag))
 		return
 	}
 	if err := f.admit(s, m); err != nil {
@@ -93,7 +95,7 @@
 	}
 }
 
-// admit decodes a message and submits it to the instance. handleAnswer gets the answer under the delivery tag.
+// admit decodes a message and submits it to the instance, with the delivery tag as its id in handleAnswer.
 func (f *Front) admit(s *session, m *message) error {
 	const tagBase = 36
 	request, err := Decode(&m.delivery, f.config.Fields, m.queue, m.receivedAt, f.idempotency)
--- a/internal/front/amqp/outcome.go
+++ b/internal/front/amqp/outcome.go
@@ -18,7 +18,7 @@
 	replyFailed = "scrapped"
 )
 
-// Reasons of a dead letter, as its consumers see them.
+// Values of the reason header of dead letters and error replies.
 const (
 	reasonFailed      = "failed"
 	reasonKeyConflict = "another message stands under the same key"
@@ -26,7 +26,7 @@
 	reasonExpired     = "its patience is over"
 )
 
-// handleAnswer handles the instance's answer to a message that was delivered on the session.
+// handleAnswer handles the instance's answer to a message. id is the decimal delivery tag on the session.
 func (f *Front) handleAnswer(s *session, id node.MessageID, answer node.Answer) {
 	tag, err := strconv.ParseUint(string(id), 10, 64)
 	m := f.unsettled[tag]
@@ -57,14 +57,14 @@
 	return reasonFailed
 }
 
-// complete settles a processed message. If a reply is requested, that waits until the broker has confirmed the reply.
+// complete settles a processed message. If a reply is requested, the settlement waits until the broker has confirmed the reply.
 func (f *Front) complete(m *message, result []byte) {
 	if m.delivery.ReplyTo == "" {
 		f.settle(m, ack(m.tag))
 		return
 	}
 	m.isReply = true
-	f.publishFor(m, "", m.delivery.ReplyTo, amqp.Publishing{
+	f.publishBeforeSettling(m, "", m.delivery.ReplyTo, amqp.Publishing{
 		CorrelationId: m.delivery.CorrelationId,
 		Body:          result,
 		Headers:       amqp.Table{outcomeHeader: replyServed},
@@ -73,37 +73,37 @@
 
 // reject requeues or dead-letters a message that the instance rejected.
 //
-// While the instance drains, the broker may deliver messages to it that it has just requeued. These are set aside until the
-// consumers have ended, as they would otherwise be requeued and delivered in a loop.
+// While the instance drains, the broker may deliver messages to it that it has just requeued. These are held in loopedBack until
+// the consumers have ended, because they would otherwise be requeued and delivered in a loop.
 func (f *Front) reject(m *message) {
-	returns := returnCount(&m.delivery)
+	requeues := requeueCount(&m.delivery)
 	switch {
 	case m.isExpired():
 		f.deadLetter(m, reasonExpired)
-	case f.draining && !f.consumersStopped && m.delivery.Headers[drainingHeader] == f.name:
-		f.bounced = append(f.bounced, m)
-	case f.draining: // another consumer may process it at once, so this return is not counted
-		f.requeue(m, returns)
-	case returns >= f.config.MaxReturns:
-		f.deadLetter(m, fmt.Sprintf("turned back %d times", returns+1))
+	case f.draining && !f.consumersStopped && m.delivery.Headers[drainingInstanceHeader] == f.name:
+		f.loopedBack = append(f.loopedBack, m)
+	case f.draining: // not counted, because another consumer may process the copy at once
+		f.requeue(m, requeues)
+	case requeues >= f.config.MaxReturns:
+		f.deadLetter(m, fmt.Sprintf("turned back %d times", requeues+1))
 	default:
-		f.requeue(m, returns+1)
+		f.requeue(m, requeues+1)
 	}
 }
 
-// requeue publishes a copy to the end of the message's queue, with the number of its returns, and settles the message
-// once that is confirmed. A copy is not marked as redelivered, so its consumer knows that it was not processed.
-func (f *Front) requeue(m *message, returns int) {
+// requeue publishes a copy with the requeue count to the end of the message's queue, and settles the message once the copy is
+// confirmed. A copy is not marked as redelivered, so its consumer knows that the message was not processed.
+func (f *Front) requeue(m *message, requeues int) {
 	m.outcome = intake.Requeued
-	requeued := requeuedCopy(&m.delivery, returns)
+	requeued := requeuedCopy(&m.delivery, requeues)
 	if f.draining {
-		requeued.Headers[drainingHeader] = f.name
+		requeued.Headers[drainingInstanceHeader] = f.name
 	}
-	f.publishFor(m, "", m.queue.Name, requeued)
+	f.publishBeforeSettling(m, "", m.queue.Name, requeued)
 }
 
-// deadLetter publishes a copy to the queue's dead-letter exchange, with the reason, and settles the message once that is
-// confirmed. A caller that waits for a reply is notified; that publish needs no confirm.
+// deadLetter publishes a copy with the reason to the queue's configured dead-letter exchange, and settles the message once the
+// copy is confirmed. If a reply is requested, it publishes an error reply first, without waiting for its confirm.
 func (f *Front) deadLetter(m *message, reason string) {
 	f.counts.deadLettered++
 	if m.delivery.ReplyTo != "" {
@@ -113,20 +113,20 @@
 			Headers:       amqp.Table{outcomeHeader: replyFailed, reasonHeader: reason},
 		}))
 	}
-	f.publishFor(m, m.queue.DeadLetterExchange, m.queue.DeadLetterRoutingKey, deadLetterCopy(&m.delivery, reason))
+	f.publishBeforeSettling(m, m.queue.DeadLetterExchange, m.queue.DeadLetterRoutingKey, deadLetterCopy(&m.delivery, reason))
 }
 
-// publishFor publishes a message that has to be confirmed before m is settled.
-func (f *Front) publishFor(m *message, exchange, key string, publishing amqp.Publishing) {
+// publishBeforeSettling publishes a message that the broker has to confirm before m is settled.
+func (f *Front) publishBeforeSettling(m *message, exchange, key string, publishing amqp.Publishing) {
 	f.publishNumber++
 	f.unconfirmed[f.publishNumber] = m
 	f.controller.RequestSent(f.now())
 	f.session.submit(publish(f.publishNumber, exchange, key, publishing))
 }
 
-// handleConfirm settles the message for which the confirmed message was published. A reply that was not routed to any queue
-// is lost, as its caller is gone. After any other publish that the broker did not accept, the message is returned to its
-// queue, which redelivers it.
+// handleConfirm settles the message for which the confirmed publish was made. A reply that was routed to no queue is lost, as
+// its caller is gone. After any other publish that failed or was routed to no queue, the message is returned to its queue, which
+// redelivers it.
 func (f *Front) handleConfirm(e *event) {
 	m := f.unconfirmed[e.publishNumber]
 	if m == nil {
@@ -148,11 +148,11 @@
 			zap.String("queue", m.queue.Name),
 			zap.String("dead_letter_exchange", m.queue.DeadLetterExchange))
 		m.outcome = intake.PublishFailed
-		f.settle(m, returnToQueue(m.tag))
+		f.settle(m, nackAndRequeue(m.tag))
 	}
 }
 
-// settle submits the settlement of a message and removes it from the tables.
+// settle submits the settlement of a message and removes it from the unsettled messages.
 func (f *Front) settle(m *message, settlement command) {
 	delete(f.unsettled, m.tag)
 	f.session.submit(settlement)
--- a/internal/front/amqp/serve.go
+++ b/internal/front/amqp/serve.go
@@ -6,32 +6,33 @@
 	amqp "github.com/rabbitmq/amqp091-go"
 )
 
-const maxPendingNotices = 8 // of each kind; the library blocks on a full channel
+// maxPendingNotifications is the capacity of a notification channel. The library blocks while one is full.
+const maxPendingNotifications = 8
 
-// errAbandoned ends a session that the front has dropped.
+// errAbandoned is the error with which serve ends after the session was abandoned.
 var errAbandoned = errors.New("abandoned")
 
-// notices are the channels on which the library reports events of the connection and the consuming channel.
-type notices struct {
+// notifications holds the Go channels on which the library reports events of the connection and the consuming channel.
+type notifications struct {
 	connectionClosed chan *amqp.Error
 	consumerClosed   chan *amqp.Error
 	cancellations    chan string
 	blocked          chan amqp.Blocking
 }
 
-func (s *session) subscribe() notices {
-	return notices{
+func (s *session) subscribe() notifications {
+	return notifications{
 		connectionClosed: s.connection.NotifyClose(make(chan *amqp.Error, 1)),
 		consumerClosed:   s.consumer.channel.NotifyClose(make(chan *amqp.Error, 1)),
-		cancellations:    s.consumer.channel.NotifyCancel(make(chan string, maxPendingNotices)),
-		blocked:          s.connection.NotifyBlocked(make(chan amqp.Blocking, maxPendingNotices)),
+		cancellations:    s.consumer.channel.NotifyCancel(make(chan string, maxPendingNotifications)),
+		blocked:          s.connection.NotifyBlocked(make(chan amqp.Blocking, maxPendingNotifications)),
 	}
 }
 
-// serve executes commands and reports notices until the connection ends, and returns the reason. A channel that the library
-// closes is set to nil, so that select never chooses it again.
+// serve executes commands and emits an event for each notification until the connection ends. It returns the cause. A Go channel
+// that the library closes is set to nil so that select ignores it.
 func (s *session) serve() error {
-	notices := s.subscribe()
+	notifications := s.subscribe()
 	failed := make(chan error, 1)
 	go s.serveConsumerCommands(failed)
 	for {
@@ -40,23 +41,23 @@
 			return errAbandoned
 		case err := <-failed:
 			return err
-		case reason := <-notices.connectionClosed:
+		case reason := <-notifications.connectionClosed:
 			return closeError(reason)
-		case reason := <-notices.consumerClosed:
+		case reason := <-notifications.consumerClosed:
 			return closeError(reason)
 		case reason := <-s.publisher.closed:
 			if err := s.reopenPublisher(reason); err != nil {
 				return err
 			}
-		case _, ok := <-notices.cancellations:
+		case _, ok := <-notifications.cancellations:
 			if !ok {
-				notices.cancellations = nil
+				notifications.cancellations = nil
 				continue
 			}
 			s.emit(event{kind: eventCancelled})
-		case blocking, ok := <-notices.blocked:
+		case blocking, ok := <-notifications.blocked:
 			if !ok {
-				notices.blocked = nil
+				notifications.blocked = nil
 				continue
 			}
 			s.emit(event{kind: eventBlocked, isBlocked: blocking.Active})
@@ -71,7 +72,7 @@
 				s.publisher.confirms = nil
 				continue
 			}
-			s.confirm(confirmation)
+			s.reportConfirm(confirmation)
 		case c := <-s.commands:
 			if err := s.executeBatch(c); err != nil {
 				return err
@@ -80,7 +81,7 @@
 	}
 }
 
-// serveConsumerCommands executes the commands that wait for the broker.
+// serveConsumerCommands executes the commands that block on the broker. It ends at the first error, which it sends to failed.
 func (s *session) serveConsumerCommands(failed chan<- error) {
 	for {
 		select {
@@ -95,10 +96,10 @@
 	}
 }
 
-// executeBatch executes a command and those queued behind it, and sends their output at once.
+// executeBatch executes a command and those already queued behind it, and sends their output in one batch.
 func (s *session) executeBatch(execute command) error {
-	s.guard.cork()
-	defer s.guard.uncork()
+	s.socket.cork()
+	defer s.socket.uncork()
 	for queued := len(s.commands); ; queued-- {
 		if err := execute(s); err != nil || queued == 0 {
 			return err
--- a/internal/front/amqp/session.go
+++ b/internal/front/amqp/session.go
@@ -12,22 +12,22 @@
 )
 
 const (
-	connectTimeout = 5 * time.Second // until the session is set up
-	closeTimeout   = time.Second     // for the broker's close-ok
+	connectTimeout = 5 * time.Second // for dialling, and again for login and opening the channels
+	closeTimeout   = time.Second     // for the broker's reply to connection.close
 
-	maxCommandsPerMessage = 2
+	maxCommandsPerMessage = 2 // a dead letter and the reply to its caller; the settlement follows once they are executed
 	extraCommands         = 64
 	maxConsumerCommands   = 64
 )
 
-// session is one connection to a broker. Delivery tags and publish numbers are valid on one session only, and commands to a
+// session is one connection to a broker. Delivery tags and publish numbers are valid on one session only. Commands for a
 // session that has ended are dropped.
 //
-// The session owns its goroutines, which may block on the broker, unlike the loop: run, which becomes serve;
-// serveConsumerCommands; one reader for each consumer; and closeWhenAbandoned. All of them end with the connection.
+// The session has goroutines that, unlike the loop, may block on the broker: run, which calls serve; serveConsumerCommands;
+// one reader for each consumer; and closeWhenAbandoned. All of them end with the connection.
 //
-// Its command queues never fill, as each unsettled message has at most maxCommandsPerMessage commands in them. Its events are
-// passed to the loop in batches.
+// The command queues never fill, because they hold at most maxCommandsPerMessage commands for each unsettled message. Events
+// are passed to the loop in batches.
 type session struct {
 	config  *operator.AMQP
 	name    string // of the instance
@@ -35,35 +35,35 @@
 	handler sessionHandler
 
 	commands         chan command  // executed by serve
-	consumerCommands chan command  // executed by serveConsumerCommands, as they block on the broker and settlements must not wait for them
+	consumerCommands chan command  // executed by serveConsumerCommands: they block on the broker, and settlements must not wait
 	abandoned        chan struct{} // closed by abandon
 	abandonOnce      sync.Once
 
-	guard      *guard // nil until the connection is open
+	socket     *checkedConn // nil until dialled
 	connection *amqp.Connection
 	consumer   consumer
 	publisher  publisher
 
-	mu          sync.Mutex // guards the fields below
-	events      []event
-	isScheduled bool // deliverEvents was posted to the loop
+	mu               sync.Mutex // protects the fields below
+	events           []event
+	isDispatchPosted bool // dispatchEvents was posted to the loop and has not run
 }
 
-// sessionHandler receives the events of a session and the answers to its messages, on the loop.
+// sessionHandler holds the callbacks for a session's events and for the answers to its messages. They run on the loop.
 type sessionHandler struct {
 	events func(*session, []event)
 	answer func(s *session, id node.MessageID, answer node.Answer)
 }
 
-// consumer is the consuming side of a session. After the set-up only the goroutine that runs serveConsumerCommands uses it.
+// consumer is the consuming side of a session. Once the session is connected, the serveConsumerCommands goroutine owns it.
 type consumer struct {
-	channel *amqp.Channel
-	starts  int      // number of times that consuming was started
-	tags    []string // of the running consumers
-	readers sync.WaitGroup
+	channel    *amqp.Channel
+	startCount int      // how often the consumers were started
+	tags       []string // consumer tags of the active consumers
+	readers    sync.WaitGroup
 }
 
-// openSession starts a session. maxUnsettled bounds the messages that are unsettled at a time.
+// openSession starts a session with the broker at the address. maxUnsettled is the maximum number of unsettled messages.
 func openSession(config *operator.AMQP, name, address string, maxUnsettled int, post func(func()), handler sessionHandler) *session {
 	s := &session{
 		config:           config,
@@ -78,7 +78,7 @@
 	return s
 }
 
-// run connects, serves until the connection ends, and reports how it ended.
+// run connects, serves until the connection ends, and emits eventClosed with the cause.
 func (s *session) run(address string) {
 	failure, err := s.connect(address)
 	if err == nil {
@@ -88,50 +88,50 @@
 		failure = intake.ConnectionLost
 	}
 	s.abandon()
-	if s.guard != nil {
-		s.guard.Close()
+	if s.socket != nil {
+		s.socket.Close()
 	}
 	s.emit(event{kind: eventClosed, failure: failure, err: err})
 }
 
-// closeWhenAbandoned closes the socket when the session is abandoned, which unblocks its other goroutines.
+// closeWhenAbandoned closes the socket when the session is abandoned, which unblocks the other goroutines.
 func (s *session) closeWhenAbandoned() {
 	<-s.abandoned
-	s.guard.Close()
+	s.socket.Close()
 }
 
-// abandon ends the session without any exchange with the broker. It may be called from any goroutine, and more than once.
+// abandon ends the session without notifying the broker. It may be called from any goroutine, and more than once.
 func (s *session) abandon() { s.abandonOnce.Do(func() { close(s.abandoned) }) }
 
-// emit queues an event for the loop, which handles all queued events in one batch.
+// emit queues an event for the loop, which handles all queued events in one batch. It may be called from any goroutine.
 func (s *session) emit(e event) {
 	s.mu.Lock()
 	s.events = append(s.events, e)
-	isFirst := !s.isScheduled
-	s.isScheduled = true
+	isFirst := !s.isDispatchPosted
+	s.isDispatchPosted = true
 	s.mu.Unlock()
 	if isFirst {
-		s.post(s.deliverEvents)
+		s.post(s.dispatchEvents)
 	}
 }
 
-// deliverEvents passes the queued events to the handler. It runs on the loop.
-func (s *session) deliverEvents() {
+// dispatchEvents passes the queued events to the handler. It runs on the loop.
+func (s *session) dispatchEvents() {
 	s.mu.Lock()
 	events := s.events
 	s.events = nil
-	s.isScheduled = false
+	s.isDispatchPosted = false
 	s.mu.Unlock()
 	s.handler.events(s, events)
 }
 
-// submit queues a command. It does not block.
+// submit queues a command for serve. It does not block.
 func (s *session) submit(c command) { s.enqueue(s.commands, c) }
 
-// submitConsumer queues a command that may block on the broker. It does not block itself.
+// submitConsumer queues a command for serveConsumerCommands, where it may block on the broker. submitConsumer does not block.
 func (s *session) submitConsumer(c command) { s.enqueue(s.consumerCommands, c) }
 
-// enqueue queues a command. A full queue would be a defect, which ends the session and does not block the loop.
+// enqueue queues a command. A full queue is a bug; enqueue then ends the session, because it must not block the loop.
 func (s *session) enqueue(queue chan command, c command) {
 	select {
 	case queue <- c:
@@ -143,5 +143,5 @@
 // Answer implements node.Responder.
 func (s *session) Answer(id node.MessageID, answer node.Answer) { s.handler.answer(s, id, answer) }
 
-// HealthChecked implements node.Responder. No health check arrives over AMQP.
+// HealthChecked implements node.Responder. It is never called, because no health checks arrive over AMQP.
 func (s *session) HealthChecked(node.MessageID, node.HealthCheckResult) {}
