--- a/internal/front/amqp/front.go
+++ b/internal/front/amqp/front.go
@@ -133,7 +133,7 @@
 	}
 	f.loadCheckedAt = now
 	load := f.admission.Load()
-	f.controller.UpdateInstance(f.now(), intake.InstanceState{Ready: load.Ready, Items: load.Requests, Capacity: load.Capacity})
+	f.controller.UpdateInstance(f.now(), intake.InstanceState{Ready: load.Ready, Requests: load.Requests, Capacity: load.Capacity})
 }
 
 // dropSession ends a session and forgets its messages, which the broker will redeliver. Runs of idempotent requests continue,
