--- a/internal/front/amqp/decode.go
+++ b/internal/front/amqp/decode.go
@@ -82,9 +82,9 @@
 	return nil
 }
 
-// mayHaveRunElsewhere reports whether the message must be treated as possibly processed by another instance. It need not be on
-// its first delivery, if its class is safe, or if its class is idempotent and the queue is set to run redelivered messages. An
-// idempotent class requires a key.
+// mayHaveRunElsewhere reports whether the message must be treated as possibly processed by another instance. That is false for a
+// first delivery, for a safe class, and for an idempotent class if the queue is set to run redelivered messages. An idempotent
+// class without a key is an error.
 func mayHaveRunElsewhere(d *amqp.Delivery, fields *operator.FieldMapping, queue *operator.Queue, request *node.Request,
 	idempotency settings.Idempotency) (bool, error) {
 	switch idempotency {
--- a/internal/front/amqp/message.go
+++ b/internal/front/amqp/message.go
@@ -95,7 +95,7 @@
 	}
 }
 
-// admit decodes a message and submits it to the instance, with the delivery tag as its id in handleAnswer.
+// admit decodes a message and submits it to the instance, under its delivery tag, which handleAnswer gets as the id.
 func (f *Front) admit(s *session, m *message) error {
 	const tagBase = 36
 	request, err := Decode(&m.delivery, f.config.Fields, m.queue, m.receivedAt, f.idempotency)
