--- a/policy/scenario_test.go
+++ b/policy/scenario_test.go
@@ -11,10 +11,10 @@
 	"thymechute/policy/settings"
 )
 
-// scenarioDuration is the time after which a scenario ends.
+// scenarioDuration is the simulated time after which a scenario ends.
 const scenarioDuration = 12 * time.Second
 
-// Values that the scenarios pick from; repeated ones are more likely.
+// Values that the scenarios choose from at random; repeated values are more likely.
 var (
 	dependencies = []settings.Dependency{
 		"", settings.DependencyShared, settings.DependencyShared, settings.DependencyTier,
@@ -30,36 +30,36 @@
 	}
 )
 
-// scenario is one server under random load: its host, its clock and the scheduled events.
+// scenario simulates one server under random load: its host, its clock and the scheduled events.
 type scenario struct {
 	random            *rand.Rand
 	instance          *policy.Instance
 	transcript        strings.Builder
 	now               time.Duration
 	events            eventQueue
-	sequence          int
+	lastSequence      int
 	requests          map[policy.RequestID]*request
-	free              []policy.RequestID
-	next              policy.RequestID
+	freeIDs           []policy.RequestID
+	nextID            policy.RequestID
 	settings          settings.Settings
-	load              float64 // approximate, relative to the capacity of the cores
-	slowdown          float64 // factor on the time of runs and calls
+	load              float64 // approximate load, relative to the capacity of the cores
+	slowdown          float64 // factor on the duration of runs and calls
 	callFailureChance float64 // probability that a call fails
 	running           int
 }
 
 // request is the host's record of a request that has not been released.
 type request struct {
-	arrived    policy.Request
-	generation int // distinguishes it from earlier requests of the same id
-	running    bool
-	atCall     bool
-	began      time.Duration
-	callsLeft  int
+	arrived      policy.Request
+	generation   int // distinguishes it from earlier requests with the same id
+	running      bool
+	waitsForCall bool
+	startedAt    time.Duration
+	callsLeft    int
 }
 
-// playScenario runs the scenario of a seed and returns the transcript of all host calls.
-func playScenario(seed uint64) string {
+// runScenario runs the scenario of a seed and returns the transcript of all host calls.
+func runScenario(seed uint64) string {
 	s := &scenario{
 		random:   rand.New(rand.NewPCG(seed, 43)),
 		requests: map[policy.RequestID]*request{},
@@ -68,10 +68,10 @@
 	s.load = pick(s, 0.1, 0.3, 0.7, 1, 2, 4)
 	s.settings = s.randomSettings()
 	s.instance = policy.New(s, s.random.Uint64(), s.settings)
-	s.at(0, s.admitRequests)
-	s.at(s.duration(2*time.Second), s.changeConditions)
+	s.schedule(0, s.admitRequests)
+	s.schedule(s.randomDuration(2*time.Second), s.changeConditions)
 	if s.chance(0.5) {
-		s.at(scenarioDuration-s.duration(4*time.Second), s.drain)
+		s.schedule(scenarioDuration-s.randomDuration(4*time.Second), s.drain)
 	}
 	for len(s.events) > 0 {
 		first := heap.Pop(&s.events).(event)
@@ -79,69 +79,69 @@
 		if s.now > scenarioDuration {
 			break
 		}
-		first.act()
+		first.action()
 		for len(s.events) > 0 && s.events[0].at == s.now {
-			heap.Pop(&s.events).(event).act()
+			heap.Pop(&s.events).(event).action()
 		}
 		s.instance.Dispatch(s.now)
 	}
 	return s.transcript.String()
 }
 
-func (s *scenario) chance(part float64) bool { return s.random.Float64() < part }
+func (s *scenario) chance(probability float64) bool { return s.random.Float64() < probability }
 
-func (s *scenario) duration(most time.Duration) time.Duration {
-	return time.Duration(s.random.Float64() * float64(most))
+func (s *scenario) randomDuration(limit time.Duration) time.Duration {
+	return time.Duration(s.random.Float64() * float64(limit))
 }
 
-func (s *scenario) number(values ...float64) settings.Number {
+func (s *scenario) randomNumber(values ...float64) settings.Number {
 	if n := s.random.IntN(len(values) + 1); n < len(values) {
 		return settings.NumberOf(values[n])
 	}
 	return settings.Number{}
 }
 
-func (s *scenario) flag() settings.Flag { return settings.Flag(s.random.IntN(3)) }
+func (s *scenario) randomFlag() settings.Flag { return settings.Flag(s.random.IntN(3)) }
 
 func pick[T any](s *scenario, values ...T) T { return values[s.random.IntN(len(values))] }
 
 func (s *scenario) randomServer() settings.Server {
 	return settings.Server{
-		Cores:                 s.number(1, 2, 4, 8),
-		MemoryKB:              s.number(300, 1000, 5000, 1e6),
-		RunMemoryFactor:       s.number(1, 2, 4),
-		KeyEntryKB:            s.number(0, 5, 20),
+		Cores:                 s.randomNumber(1, 2, 4, 8),
+		MemoryKB:              s.randomNumber(300, 1000, 5000, 1e6),
+		RunMemoryFactor:       s.randomNumber(1, 2, 4),
+		KeyEntryKB:            s.randomNumber(0, 5, 20),
 		StopMode:              pick(s, "", settings.StopOff, settings.StopAbort, settings.StopSuspend),
 		Dependency:            pick(s, dependencies...),
-		CallQuota:             s.number(0.3, 0.9, 1.7, 3, 10),
-		CallLinger:            s.number(0, 0.2, 1),
-		CallQuotaWindow:       s.number(1, 5),
+		CallQuota:             s.randomNumber(0.3, 0.9, 1.7, 3, 10),
+		CallLinger:            s.randomNumber(0, 0.2, 1),
+		CallQuotaWindow:       s.randomNumber(1, 5),
 		AdvertiseMode:         pick(s, advertiseModes...),
-		CallerCount:           s.number(3, 100, 1000),
-		CallerIdleTimeout:     s.number(1, 30),
-		EndpointsFollowHealth: s.flag(),
-		FleetSize:             s.number(1, 3, 10),
-		OverQuotaWeight:       s.number(0.05, 0.5),
-		WeightPerWork:         s.flag(),
-		RetryAfter:            s.flag(),
-		MaxRetryAfter:         s.number(1, 5),
-		SlowStart:             s.flag(),
-		SlowStartFraction:     s.number(0.2, 0.5),
-		WarmUpTime:            s.number(2, 6),
-		DrainGrace:            s.number(0.5, 1),
-		MaxConcurrencyPerCore: s.number(2, 4, 20),
+		CallerCount:           s.randomNumber(3, 100, 1000),
+		CallerIdleTimeout:     s.randomNumber(1, 30),
+		EndpointsFollowHealth: s.randomFlag(),
+		FleetSize:             s.randomNumber(1, 3, 10),
+		OverQuotaWeight:       s.randomNumber(0.05, 0.5),
+		WeightPerWork:         s.randomFlag(),
+		RetryAfter:            s.randomFlag(),
+		MaxRetryAfter:         s.randomNumber(1, 5),
+		SlowStart:             s.randomFlag(),
+		SlowStartFraction:     s.randomNumber(0.2, 0.5),
+		WarmUpTime:            s.randomNumber(2, 6),
+		DrainGrace:            s.randomNumber(0.5, 1),
+		MaxConcurrencyPerCore: s.randomNumber(2, 4, 20),
 	}
 }
 
 func (s *scenario) randomClass() settings.Class {
 	return settings.Class{
 		Idempotency:      pick(s, settings.Safe, settings.Idempotent, settings.NonIdempotent),
-		Weight:           s.number(1, 3, 10),
-		DegradedWeight:   s.number(0, 0.6, 0.6),
-		MakesCalls:       s.flag(),
-		LatencyObjective: s.number(0.5, 1, 2),
-		CallerTimeout:    s.number(1, 2, 3),
-		KeyWindow:        s.number(0.5, 2, 10),
+		Weight:           s.randomNumber(1, 3, 10),
+		DegradedWeight:   s.randomNumber(0, 0.6, 0.6),
+		MakesCalls:       s.randomFlag(),
+		LatencyObjective: s.randomNumber(0.5, 1, 2),
+		CallerTimeout:    s.randomNumber(1, 2, 3),
+		KeyWindow:        s.randomNumber(0.5, 2, 10),
 	}
 }
 
@@ -151,12 +151,12 @@
 		all.Classes = append(all.Classes, s.randomClass())
 	}
 	for range s.random.IntN(3) {
-		all.Tenants = append(all.Tenants, settings.Tenant{Quota: s.number(1, 10, 100)})
+		all.Tenants = append(all.Tenants, settings.Tenant{Quota: s.randomNumber(1, 10, 100)})
 	}
 	return all
 }
 
-// admitRequests admits the next request, at times a burst, and schedules itself for the next one.
+// admitRequests admits one request or sometimes a burst, and schedules itself again.
 func (s *scenario) admitRequests() {
 	burst := 1
 	if s.chance(0.05) {
@@ -167,17 +167,19 @@
 	}
 	cores := s.settings.Server.Cores.Or(1)
 	gap := 0.06 / cores / s.load
-	s.at(s.now+s.duration(time.Duration(gap*float64(time.Second))), s.admitRequests)
+	s.schedule(s.now+s.randomDuration(time.Duration(gap*float64(time.Second))), s.admitRequests)
 }
 
-// admitRandomRequest admits a request under a free id. Some callers give up later.
+// admitRandomRequest admits a random request under a free id. Some callers give up later.
 func (s *scenario) admitRandomRequest() {
 	arrived := s.randomRequest()
-	id := s.allocate()
-	s.sequence++
-	s.requests[id] = &request{arrived: arrived, generation: s.sequence, callsLeft: s.random.IntN(3)}
+	id := s.allocateID()
+	s.lastSequence++
+	s.requests[id] = &request{arrived: arrived, generation: s.lastSequence, callsLeft: s.random.IntN(3)}
 	if s.chance(0.05) {
-		s.afterUnlessReleased(id, s.duration(time.Second), func(*request) { s.instance.CallerGone(s.now, id) })
+		s.afterUnlessReleased(id, s.randomDuration(time.Second), func(*request) {
+			s.instance.CallerGone(s.now, id)
+		})
 	}
 	s.record("admit", int(id))
 	s.instance.Admit(s.now, id, arrived)
@@ -197,26 +199,26 @@
 		arrived.Class = pick(s, -1, 99)
 	}
 	if s.slowdown > 1 {
-		arrived.ReadDelay = s.duration(600 * time.Millisecond)
+		arrived.ReadDelay = s.randomDuration(600 * time.Millisecond)
 	} else if s.chance(0.2) {
-		arrived.ReadDelay = s.duration(100 * time.Millisecond)
+		arrived.ReadDelay = s.randomDuration(100 * time.Millisecond)
 	}
 	if s.chance(0.3) {
-		arrived.CallerTimeout = s.duration(2 * time.Second)
+		arrived.CallerTimeout = s.randomDuration(2 * time.Second)
 	}
 	if s.chance(0.3) {
-		arrived.CostHint = s.duration(300 * time.Millisecond)
+		arrived.CostHint = s.randomDuration(300 * time.Millisecond)
 	}
 	switch {
 	case s.chance(0.03):
 		arrived.Original = policy.OriginalGone
-	case s.chance(0.08) && s.next > 0:
-		s.makeRetryOf(&arrived, policy.RequestID(s.random.IntN(int(s.next))))
+	case s.chance(0.08) && s.nextID > 0:
+		s.makeRetryOf(&arrived, policy.RequestID(s.random.IntN(int(s.nextID))))
 	}
 	return arrived
 }
 
-// makeRetryOf makes the request a retry of the original, if that is in flight and its class is valid.
+// makeRetryOf makes the request a retry of the original if that is not released and its class is valid.
 func (s *scenario) makeRetryOf(arrived *policy.Request, original policy.RequestID) {
 	r := s.requests[original]
 	if r != nil && r.arrived.Class >= 0 && r.arrived.Class < 90 {
@@ -225,18 +227,19 @@
 	}
 }
 
-// allocate returns a free id.
-func (s *scenario) allocate() policy.RequestID {
-	if last := len(s.free) - 1; last >= 0 {
-		id := s.free[last]
-		s.free = s.free[:last]
+// allocateID returns a released id, or a new one if there is none.
+func (s *scenario) allocateID() policy.RequestID {
+	if last := len(s.freeIDs) - 1; last >= 0 {
+		id := s.freeIDs[last]
+		s.freeIDs = s.freeIDs[:last]
 		return id
 	}
-	s.next++
-	return s.next - 1
+	s.nextID++
+	return s.nextID - 1
 }
 
-// changeConditions changes the load, the failures of calls, or the settings.
+// changeConditions randomly changes the load, the duration of runs, the failures of calls or the settings,
+// and schedules itself again.
 func (s *scenario) changeConditions() {
 	switch s.random.IntN(8) {
 	case 0:
@@ -261,35 +264,35 @@
 	case 5:
 		s.load = pick(s, 0.1, 0.3, 0.7, 1, 2, 4)
 	case 6:
-		if s.next > 0 { // late events of any request, also of one that has been released
-			id := policy.RequestID(s.random.IntN(int(s.next)))
+		if s.nextID > 0 { // late events of any request, even of a released one
+			id := policy.RequestID(s.random.IntN(int(s.nextID)))
 			s.instance.CallReturned(s.now, id, policy.OK, 0)
 			s.instance.RunEnded(s.now, id, policy.OK, 0)
 		}
 	case 7:
 		if len(s.settings.Tenants) > 0 {
 			s.instance.FreeTenant(0)
-			s.instance.SetTenant(0, settings.Tenant{Quota: s.number(1, 10)})
+			s.instance.SetTenant(0, settings.Tenant{Quota: s.randomNumber(1, 10)})
 		}
 	}
-	s.at(s.now+s.duration(time.Second), s.changeConditions)
+	s.schedule(s.now+s.randomDuration(time.Second), s.changeConditions)
 }
 
-func (s *scenario) drain() { s.instance.Drain(s.now, s.duration(3*time.Second)) }
+func (s *scenario) drain() { s.instance.Drain(s.now, s.randomDuration(3*time.Second)) }
 
-// continueRun schedules the run's next call or its end.
+// continueRun schedules the next call of the run or its end.
 func (s *scenario) continueRun(id policy.RequestID) {
-	span := time.Duration(s.slowdown * float64(s.duration(80*time.Millisecond)))
+	delay := time.Duration(s.slowdown * float64(s.randomDuration(80*time.Millisecond)))
 	if s.chance(0.03) {
-		span += time.Second
+		delay += time.Second
 	}
-	s.afterUnlessReleased(id, span, func(r *request) {
-		if !r.running || r.atCall {
+	s.afterUnlessReleased(id, delay, func(r *request) {
+		if !r.running || r.waitsForCall {
 			return
 		}
 		if r.callsLeft > 0 {
 			r.callsLeft--
-			r.atCall = true
+			r.waitsForCall = true
 			s.instance.CallRequested(s.now, id)
 			return
 		}
@@ -300,33 +303,34 @@
 func (s *scenario) endRun(id policy.RequestID, r *request, outcome policy.Outcome) {
 	r.running = false
 	s.running--
-	s.instance.RunEnded(s.now, id, outcome, s.now-r.began)
+	s.instance.RunEnded(s.now, id, outcome, s.now-r.startedAt)
 }
 
 func (s *scenario) record(name string, arguments ...any) {
 	fmt.Fprintln(&s.transcript, append([]any{int64(s.now), name}, arguments...)...)
 }
 
-func (s *scenario) at(when time.Duration, act func()) {
-	s.sequence++
-	heap.Push(&s.events, event{max(when, s.now), s.sequence, act})
+func (s *scenario) schedule(when time.Duration, act func()) {
+	s.lastSequence++
+	heap.Push(&s.events, event{max(when, s.now), s.lastSequence, act})
 }
 
-// afterUnlessReleased calls act after the span, unless the request has been released by then.
-func (s *scenario) afterUnlessReleased(id policy.RequestID, span time.Duration, act func(r *request)) {
+// afterUnlessReleased calls act after the delay, unless the request has been released by then.
+func (s *scenario) afterUnlessReleased(id policy.RequestID, delay time.Duration, act func(r *request)) {
 	generation := s.requests[id].generation
-	s.at(s.now+span, func() {
+	s.schedule(s.now+delay, func() {
 		if r := s.requests[id]; r != nil && r.generation == generation {
 			act(r)
 		}
 	})
 }
 
-// event is due at a time; events of the same time run in the order in which they were scheduled.
+// event is an action at a simulated time. Events at the same time run in the order in which they were
+// scheduled.
 type event struct {
 	at       time.Duration
 	sequence int
-	act      func()
+	action   func()
 }
 
 type eventQueue []event
