--- a/cmd/testbed/configuration.go
+++ b/cmd/testbed/configuration.go
@@ -31,7 +31,7 @@
 				scenario.Zones = zones
 			}
 			before := processorSeconds()
-			result := emulator.Configuration(scenario, t.seed)
+			result := emulator.RunConfiguration(scenario, t.seed)
 			return configurationReport(scenario, result, processorSeconds()-before), nil
 		})
 	c.Flags().IntVar(&zones, "zones", 0, "zones of all regions together; 0: 40, fewer under 400 members")
@@ -52,7 +52,7 @@
 	}
 	r.AddFigure("emulated_s", scenario.Duration.Seconds())
 	r.AddFigure("cpu_s_emulation", processorTime)
-	stateBytes, historyBytes := emulator.ConfigurationMemory(scenario)
+	stateBytes, historyBytes := emulator.MeasureConfigurationMemory(scenario)
 	r.AddFigure("state_bytes_member", float64(stateBytes))
 	r.AddFigure("history_bytes_member", float64(historyBytes))
 	for _, violation := range result.Violations() {
--- a/cmd/testbed/emulator_experiments.go
+++ b/cmd/testbed/emulator_experiments.go
@@ -110,18 +110,18 @@
 	}
 	r := &lab.Report{}
 	r.AddFigure("moved_over_least", f.MigrationsOverMinimum)
-	r.AddFigure("max_over_fair", f.SlotsOverFair)
+	r.AddFigure("max_over_fair", f.MaxSlotsOverFairShare)
 	r.AddFigure("table_bytes", float64(f.TableBytes))
 	r.AddFigure("plan_ms_most", float64(f.SlowestPlan.Microseconds())/1000)
 	r.AddFigure("slots", float64(scenario.Slots))
 	r.AddFigure("keys", float64(scenario.Keys))
 	for _, a := range f.Algorithms {
 		r.AddFigure(a.Algorithm+"_keys_moved_over_least", a.MovedOverMinimum)
-		r.AddFigure(a.Algorithm+"_keys_max_over_fair", a.MaxOverFair)
+		r.AddFigure(a.Algorithm+"_keys_max_over_fair", a.MaxOverFairShare)
 	}
-	if f.MigrationsOverMinimum > maxMoved || f.SlotsOverFair > maxOverFair {
+	if f.MigrationsOverMinimum > maxMoved || f.MaxSlotsOverFairShare > maxOverFair {
 		r.AddFault("%.3f times the fewest migrations, %.3f times the fair share of slots; expected %d and %.2f at most",
-			f.MigrationsOverMinimum, f.SlotsOverFair, maxMoved, maxOverFair)
+			f.MigrationsOverMinimum, f.MaxSlotsOverFairShare, maxMoved, maxOverFair)
 	}
 	return r, nil
 }
@@ -138,12 +138,12 @@
 	if t.size >= minSizeOfManyZones {
 		scenario.Zones = manyZones
 	}
-	undisturbed, err := emulator.Rollout(scenario)
+	undisturbed, err := emulator.RunRollout(scenario)
 	if err != nil {
 		return nil, err
 	}
 	scenario.WithFaults = true
-	f, err := emulator.Rollout(scenario)
+	f, err := emulator.RunRollout(scenario)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/decide/configuration/emulator_test.go
+++ b/internal/decide/configuration/emulator_test.go
@@ -10,14 +10,14 @@
 
 func TestEmulatedScenarioWithFaults(t *testing.T) {
 	for seed := uint64(1); seed <= 5; seed++ {
-		result := emulator.Configuration(emulator.NewConfigurationScenario(48), seed)
+		result := emulator.RunConfiguration(emulator.NewConfigurationScenario(48), seed)
 		if err := errors.Join(result.Violations()...); err != nil {
 			t.Errorf("seed %d: %v\n%+v", seed, err, result)
 		}
 		if seed > 1 {
 			continue
 		}
-		if again := emulator.Configuration(emulator.NewConfigurationScenario(48), seed); again != result {
+		if again := emulator.RunConfiguration(emulator.NewConfigurationScenario(48), seed); again != result {
 			t.Errorf("seed %d: the first run gives %+v, the second %+v, expected equal results", seed, result, again)
 		}
 	}
@@ -37,7 +37,7 @@
 			scenario.OnStart = c.onStart
 			detected := 0
 			for seed := uint64(1); seed <= 3; seed++ {
-				result := emulator.Configuration(scenario, seed)
+				result := emulator.RunConfiguration(scenario, seed)
 				detected += c.detected(result)
 				if c.detected(result) > 0 && len(result.Violations()) == 0 {
 					t.Error("a check counted a fault, but the result reports no violation")
@@ -52,7 +52,7 @@
 
 func TestMemberMemoryIsBounded(t *testing.T) {
 	scenario := emulator.NewConfigurationScenario(1200)
-	state, history := emulator.ConfigurationMemory(scenario)
+	state, history := emulator.MeasureConfigurationMemory(scenario)
 	t.Logf("state: %d bytes for %d resources; history: %d bytes", state, scenario.Tenants+scenario.Routes, history)
 	if state > 16<<20 || history > 6<<20 {
 		t.Errorf("state: %d bytes, history: %d bytes, expected at most 16 MB and 6 MB", state, history)
--- a/internal/decide/rollout/rollout_test.go
+++ b/internal/decide/rollout/rollout_test.go
@@ -267,7 +267,7 @@
 
 func TestEmulatedRolloutThroughFaults(t *testing.T) {
 	for seed := uint64(1); seed <= 3; seed++ {
-		f, err := emulator.Rollout(emulator.RolloutScenario{Instances: 24, Zones: 3, Seed: seed, WithFaults: true})
+		f, err := emulator.RunRollout(emulator.RolloutScenario{Instances: 24, Zones: 3, Seed: seed, WithFaults: true})
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/lab/emulator/configuration.go
+++ b/internal/lab/emulator/configuration.go
@@ -12,13 +12,13 @@
 // initialSettleTime is how long a simulation runs before its scenario starts: leases are granted and polls spread out.
 const initialSettleTime = 20 * time.Second
 
-// Configuration simulates the distribution of configuration through a scenario, and returns the measurements after all
+// RunConfiguration simulates the distribution of configuration through a scenario, and returns the measurements after all
 // partitions have healed and everything has settled. The same scenario and seed give the same result.
 //
 // The decisions are those of the packages decide/configuration and decide/lease. The simulated day is compressed into the
 // scenario's duration: its changes, restarts and failures come that much more often, while links, leases, polls and
 // partitions keep their real times, so that each figure is measured under the harder condition.
-func Configuration(scenario ConfigurationScenario, seed uint64) ConfigurationResult {
+func RunConfiguration(scenario ConfigurationScenario, seed uint64) ConfigurationResult {
 	s := newConfigurationSimulation(scenario, seed)
 	s.runUntil(initialSettleTime)
 	s.scheduleScenario()
@@ -125,7 +125,7 @@
 	for n, p := range z.members {
 		claims[n] = p.claim
 	}
-	SettleRanks(claims)
+	ClaimAssignedRanks(claims)
 	for n, p := range z.members {
 		p.claim = claims[n]
 	}
--- a/internal/lab/emulator/configuration_memory.go
+++ b/internal/lab/emulator/configuration_memory.go
@@ -7,8 +7,8 @@
 	"thymechute/internal/decide/configuration"
 )
 
-// ConfigurationMemory measures the heap bytes of a member's state and of its full history.
-func ConfigurationMemory(scenario ConfigurationScenario) (stateBytes, historyBytes int) {
+// MeasureConfigurationMemory measures the heap bytes of a member's state and of its full history.
+func MeasureConfigurationMemory(scenario ConfigurationScenario) (stateBytes, historyBytes int) {
 	before := heapBytes()
 	state := initialConfiguration(scenario)
 	stateBytes = heapBytes() - before
--- a/internal/lab/emulator/ring.go
+++ b/internal/lab/emulator/ring.go
@@ -29,14 +29,14 @@
 type RingFigures struct {
 	Algorithm        string
 	MovedOverMinimum float64 // keys that changed their backend over those that had to
-	MaxOverFair      float64 // keys of the busiest backend over the mean
+	MaxOverFairShare float64 // keys of the busiest backend over the mean
 }
 
 // RingResult compares the ring's plans with published algorithms.
 type RingResult struct {
 	Algorithms            []RingFigures
 	MigrationsOverMinimum float64       // of the ring's plans: migrations over the fewest of any plan, worst
-	SlotsOverFair         float64       // slots of the busiest backend over its fair share
+	MaxSlotsOverFairShare float64       // slots of the busiest backend over its fair share
 	SlowestPlan           time.Duration // real time
 	TableBytes            int           // of the table's slots and backends
 }
@@ -143,7 +143,7 @@
 	}
 	owned, _ := next.SlotCounts()
 	for _, count := range owned {
-		s.result.SlotsOverFair = max(s.result.SlotsOverFair, float64(count)*float64(len(backends))/float64(next.Slots()))
+		s.result.MaxSlotsOverFairShare = max(s.result.MaxSlotsOverFairShare, float64(count)*float64(len(backends))/float64(next.Slots()))
 	}
 	s.table = next
 	return nil
@@ -156,7 +156,7 @@
 	var previous []int
 	for n, names := range steps {
 		assigned := assign(keys, names)
-		figures.MaxOverFair = max(figures.MaxOverFair, maxOverFair(assigned, len(names)))
+		figures.MaxOverFairShare = max(figures.MaxOverFairShare, maxOverFair(assigned, len(names)))
 		if n > 0 {
 			moved, minimum := countMoved(previous, assigned, steps[n-1], names)
 			figures.MovedOverMinimum = max(figures.MovedOverMinimum, float64(moved)/minimum)
--- a/internal/lab/emulator/rollout.go
+++ b/internal/lab/emulator/rollout.go
@@ -62,8 +62,8 @@
 	figures   RolloutFigures
 }
 
-// Rollout runs a scenario. It fails if the fleet has not the capacity for a rollout.
-func Rollout(scenario RolloutScenario) (RolloutFigures, error) {
+// RunRollout runs a scenario. It returns an error if the fleet lacks the capacity for a rollout.
+func RunRollout(scenario RolloutScenario) (RolloutFigures, error) {
 	s := newRolloutRun(scenario)
 	if err := s.plan(); err != nil {
 		return s.figures, err
--- a/internal/lab/emulator/rollout_loss.go
+++ b/internal/lab/emulator/rollout_loss.go
@@ -15,7 +15,7 @@
 	capacityTolerance  = 1e-6
 )
 
-// RolloutMember is where one member stands in a RolloutLoss.
+// RolloutMember is one member of the fleet in a RolloutLossScenario.
 type RolloutMember struct {
 	Zone              string
 	IsVoter, IsLeader bool
@@ -24,9 +24,9 @@
 	IsUpdatedByLoss   bool // comes back as another incarnation with the new release, which is installed
 }
 
-// RolloutLoss is a rollout through the simultaneous loss of many members, such as a rack, a zone or a region, that come
+// RolloutLossScenario is a rollout through the simultaneous loss of many members, such as a rack, a zone or a region, that come
 // back after a while. Meanwhile the load of all others is multiplied.
-type RolloutLoss struct {
+type RolloutLossScenario struct {
 	Members      []RolloutMember
 	Limits       rollout.Limits
 	DrainTime    time.Duration // from a drain to the restart
@@ -37,7 +37,7 @@
 	MaxDuration  time.Duration
 }
 
-// RolloutLossFigures are the results of a RolloutLoss.
+// RolloutLossFigures are the results of a RolloutLossScenario.
 type RolloutLossFigures struct {
 	Duration                time.Duration // until no instance is left to drain; 0 if not by the end
 	BlockedTime             time.Duration // for lack of a zone's capacity
@@ -52,9 +52,9 @@
 	ResumeDelay             time.Duration // from the members' return to the next drain; 0 if none was left
 }
 
-// rolloutLossRun is a RolloutLoss in progress.
+// rolloutLossRun is a RolloutLossScenario in progress.
 type rolloutLossRun struct {
-	RolloutLoss
+	RolloutLossScenario
 	fleet     emulatedFleet
 	usualLoad map[string]float64 // by zone
 	total     map[string]float64 // capacity by zone
@@ -65,8 +65,8 @@
 	figures   RolloutLossFigures
 }
 
-// RunRolloutLoss runs a scenario. It fails if the fleet has not the capacity for a rollout.
-func RunRolloutLoss(scenario RolloutLoss) (RolloutLossFigures, error) {
+// RunRolloutLoss runs a scenario. It returns an error if the fleet lacks the capacity for a rollout.
+func RunRolloutLoss(scenario RolloutLossScenario) (RolloutLossFigures, error) {
 	s := newRolloutLossRun(scenario)
 	if _, _, err := rollout.Plan(s.fleet.instancesAt(s.now), s.usualLoad, newRelease, s.Limits); err != nil {
 		return s.figures, err
@@ -85,14 +85,14 @@
 	return s.figures, nil
 }
 
-func newRolloutLossRun(scenario RolloutLoss) *rolloutLossRun {
+func newRolloutLossRun(scenario RolloutLossScenario) *rolloutLossRun {
 	s := &rolloutLossRun{
-		RolloutLoss: scenario,
-		usualLoad:   map[string]float64{},
-		isHit:       map[string]bool{},
-		index:       map[string]int{},
-		rollout:     rollout.New(newRelease),
-		figures:     RolloutLossFigures{MinCapacityOverRequired: math.Inf(1)},
+		RolloutLossScenario: scenario,
+		usualLoad:           map[string]float64{},
+		isHit:               map[string]bool{},
+		index:               map[string]int{},
+		rollout:             rollout.New(newRelease),
+		figures:             RolloutLossFigures{MinCapacityOverRequired: math.Inf(1)},
 	}
 	for n, m := range s.Members {
 		i := rollout.Instance{Name: fmt.Sprintf("instance-%04d", n), Zone: m.Zone, Release: oldRelease, Incarnation: 1,
--- a/internal/lab/emulator/subsets.go
+++ b/internal/lab/emulator/subsets.go
@@ -99,7 +99,7 @@
 	for _, name := range members {
 		v.claims = append(v.claims, subset.Claim{Name: name, Rank: unranked})
 	}
-	SettleRanks(v.claims)
+	ClaimAssignedRanks(v.claims)
 	return v
 }
 
@@ -119,11 +119,11 @@
 		v.backends = append(slices.Clone(v.backends), step.name)
 		slices.Sort(v.backends)
 	}
-	SettleRanks(v.claims)
+	ClaimAssignedRanks(v.claims)
 }
 
-// SettleRanks has each member claim the rank that the view gives it.
-func SettleRanks(claims []subset.Claim) {
+// ClaimAssignedRanks sets the rank in each claim to the one that subset.AssignRanks assigns to it.
+func ClaimAssignedRanks(claims []subset.Claim) {
 	ranks := subset.AssignRanks(claims)
 	for n := range claims {
 		claims[n].Rank = ranks[claims[n].Name]
--- a/internal/lab/scale/decisions/rollout.go
+++ b/internal/lab/scale/decisions/rollout.go
@@ -136,7 +136,7 @@
 			loss = l.randomLoss(kind, r)
 		}
 		lost := loss.To - loss.From
-		scenario := emulator.RolloutLoss{Members: l.rolloutMembers(loss), Limits: l.rolloutLimits(), DrainTime: rolloutDrainTime,
+		scenario := emulator.RolloutLossScenario{Members: l.rolloutMembers(loss), Limits: l.rolloutLimits(), DrainTime: rolloutDrainTime,
 			LossAt: rolloutLossAt, LossDuration: rolloutLossDuration, Load: rolloutLoad,
 			LoadShift: float64(l.Size) / float64(l.Size-lost), MaxDuration: rolloutMaxDuration}
 		f, err := emulator.RunRolloutLoss(scenario)
--- a/internal/lab/scale/decisions/subsets.go
+++ b/internal/lab/scale/decisions/subsets.go
@@ -34,7 +34,7 @@
 // settled returns the view after each member has claimed the rank that the view gives it.
 func (v subsetView) settled() subsetView {
 	v.claims = slices.Clone(v.claims)
-	emulator.SettleRanks(v.claims)
+	emulator.ClaimAssignedRanks(v.claims)
 	return v
 }
 
