--- a/internal/lab/emulator/baselines.go
+++ b/internal/lab/emulator/baselines.go
@@ -8,10 +8,10 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// assigner maps keys, by hash, to indices of sorted names. All backends are equal.
+// assigner maps each key (a hash) to the index of a backend in names, which are sorted. All backends have the same weight.
 type assigner func(keys []uint64, names []string) []int
 
-// baselineAlgorithms are the published algorithms that the ring is compared with, and used for nothing else.
+// baselineAlgorithms are published algorithms. They serve only for comparison with the ring.
 var baselineAlgorithms = []struct {
 	name   string
 	assign assigner
@@ -24,9 +24,9 @@
 }
 
 const (
-	virtualNodes    = 100   // of a backend on the hash ring
-	maglevTableSize = 65537 // prime, as published
-	loadBound       = 1.05  // of the mean, for bounded loads
+	virtualNodes    = 100   // per backend on the hash ring
+	maglevTableSize = 65537 // the prime number in the Maglev paper
+	maxLoadOverMean = 1.05  // in boundedLoadHashing
 )
 
 // mixHashes combines two hashes with the finalizer of MurmurHash3.
@@ -55,12 +55,12 @@
 	return nodes
 }
 
-// successor is the index of the first node at or after a key.
+// successor returns the index of the first node at or after a key; after the last node the ring starts again.
 func successor(nodes []virtualNode, key uint64) int {
 	return sort.Search(len(nodes), func(n int) bool { return nodes[n].hash >= key }) % len(nodes)
 }
 
-// consistentHashing is Karger's hash ring with virtual nodes.
+// consistentHashing implements assigner: Karger's hash ring with virtual nodes.
 func consistentHashing(keys []uint64, names []string) []int {
 	nodes, assigned := hashRing(names), make([]int, len(keys))
 	for k, key := range keys {
@@ -69,10 +69,10 @@
 	return assigned
 }
 
-// boundedLoadHashing is a hash ring on which a key passes over full backends.
+// boundedLoadHashing implements assigner: a hash ring on which a key skips backends that have their maximum load.
 func boundedLoadHashing(keys []uint64, names []string) []int {
 	nodes, assigned := hashRing(names), make([]int, len(keys))
-	maxLoad := int(loadBound*float64(len(keys))/float64(len(names))) + 1
+	maxLoad := int(maxLoadOverMean*float64(len(keys))/float64(len(names))) + 1
 	load := make([]int, len(names))
 	for k, key := range keys {
 		n := successor(nodes, key)
@@ -85,7 +85,7 @@
 	return assigned
 }
 
-// rendezvousHashing assigns a key to the backend with the highest score.
+// rendezvousHashing implements assigner: a key belongs to the backend with the highest score for it.
 func rendezvousHashing(keys []uint64, names []string) []int {
 	hashes, assigned := make([]uint64, len(names)), make([]int, len(keys))
 	for n, name := range names {
@@ -102,7 +102,8 @@
 	return assigned
 }
 
-// jumpHashing knows backends by number alone: one that leaves gives its number to all behind it.
+// jumpHashing implements assigner: jump consistent hash. It identifies backends by index only, so the removal of one shifts
+// the indices of all that follow it.
 func jumpHashing(keys []uint64, names []string) []int {
 	assigned := make([]int, len(keys))
 	for k, key := range keys {
@@ -117,7 +118,7 @@
 	return assigned
 }
 
-// maglevHashing looks keys up in Maglev's table.
+// maglevHashing implements assigner: keys are looked up in Maglev's table.
 func maglevHashing(keys []uint64, names []string) []int {
 	table, assigned := maglevTable(names), make([]int, len(keys))
 	for k, key := range keys {
@@ -126,7 +127,8 @@
 	return assigned
 }
 
-// maglevTable lets the backends take turns, each taking the next free entry of its own permutation.
+// maglevTable returns the backend of each table entry. The backends take turns: each takes the next free entry in the order
+// of its own permutation.
 func maglevTable(names []string) []int {
 	const free = -1
 	table, next := make([]int, maglevTableSize), make([]uint64, len(names))
--- a/internal/lab/emulator/configuration.go
+++ b/internal/lab/emulator/configuration.go
@@ -9,15 +9,17 @@
 	"thymechute/internal/decide/subset"
 )
 
-// initialSettleTime is how long a simulation runs before its scenario starts: leases are granted and polls spread out.
+// initialSettleTime is how long a simulation runs before its scenario starts, so that leases are granted and the times of
+// polls are spread out.
 const initialSettleTime = 20 * time.Second
 
-// RunConfiguration simulates the distribution of configuration through a scenario, and returns the measurements after all
-// partitions have healed and everything has settled. The same scenario and seed give the same result.
+// RunConfiguration simulates the distribution of configuration during a scenario. It returns the measurements at the end,
+// when all partitions have healed and the scenario's settling time has passed. The same scenario and seed give the same
+// result.
 //
-// The decisions are those of the packages decide/configuration and decide/lease. The simulated day is compressed into the
-// scenario's duration: its changes, restarts and failures come that much more often, while links, leases, polls and
-// partitions keep their real times, so that each figure is measured under the harder condition.
+// The decisions are those of the packages decide/configuration and decide/lease. The changes, restarts and failures of a day
+// are compressed into the scenario's duration and thus occur more often than in a real day, while links, leases, polls and
+// partitions keep their real times. Each figure is therefore measured under harder conditions than the real ones.
 func RunConfiguration(scenario ConfigurationScenario, seed uint64) ConfigurationResult {
 	s := newConfigurationSimulation(scenario, seed)
 	s.runUntil(initialSettleTime)
@@ -27,8 +29,8 @@
 	return s.checker.finish(s)
 }
 
-// configurationSimulation is an emulated fleet: members in zones and regions, control nodes over a replicated log, and links
-// with delay, loss and partitions. It reads no clock, and all its randomness comes from the seed.
+// configurationSimulation is an emulated fleet: members in zones and regions, control nodes with a replicated log, and links
+// with delay, loss and partitions. It reads no clock; all random numbers come from the seed.
 type configurationSimulation struct {
 	scenario          ConfigurationScenario
 	random            *rand.Rand
@@ -44,19 +46,19 @@
 	controlNames      []string
 	lastTenant        int // number of the newest tenant
 	pendingChanges    []configurationChange
-	pendingRelayKills int // relays to kill while they push a new state
+	pendingRelayKills int // relays still to be killed while they push a new state
 	encodeBuffer      []byte
 	maxControlPeers   int
 }
 
-// configurationZone is a zone's view of its members, and the tree that follows from it.
+// configurationZone holds a zone's view of its members and the distribution tree computed from it.
 type configurationZone struct {
 	name    string
 	members []*configurationProcess
 	tree    map[string]configuration.Sources
 }
 
-// newConfigurationSimulation makes a fleet in which all members have the initial state.
+// newConfigurationSimulation returns a fleet in which all members have the initial state.
 func newConfigurationSimulation(scenario ConfigurationScenario, seed uint64) *configurationSimulation {
 	s := &configurationSimulation{
 		scenario:     scenario,
@@ -73,7 +75,7 @@
 		p.isUp = true
 		s.tickProcess(p)
 	}
-	s.every(configurationLogInterval, s.stepLog)
+	s.every(configurationLogInterval, s.tickLog)
 	s.every(configurationLogInterval, s.submitPendingChange)
 	return s
 }
@@ -119,7 +121,7 @@
 	return s.processes[s.scenario.controlNodes:]
 }
 
-// rebuildTree assigns the ranks of a zone's members and computes its tree.
+// rebuildTree assigns the ranks of a zone's members and computes its distribution tree.
 func (s *configurationSimulation) rebuildTree(z *configurationZone) {
 	claims := make([]subset.Claim, len(z.members))
 	for n, p := range z.members {
--- a/internal/lab/emulator/configuration_changes.go
+++ b/internal/lab/emulator/configuration_changes.go
@@ -8,10 +8,10 @@
 	"thymechute/internal/decide/configuration"
 )
 
-// isolationThreshold is how long a control node must have been without the log's quorum so that its lease is certainly over.
+// isolationThreshold is the time without the log's quorum after which a control node's lease has certainly expired.
 const isolationThreshold = 4 * time.Second
 
-// configurationChange is a change that operators have requested and that is not committed yet.
+// configurationChange is a change that an operator has requested and that is not committed yet.
 type configurationChange struct {
 	requestedAt time.Duration
 	edits       []configuration.Edit
@@ -46,17 +46,18 @@
 	}
 	state, err := configuration.Empty().With(v, changes)
 	if err != nil {
-		panic(err) // only scenarios of this package are used, and they are within the limits
+		panic(err) // scenarios come from NewConfigurationScenario and stay within the limits of a state
 	}
 	return state
 }
 
-// requestChange adds a change that operators request now.
+// requestChange simulates the request of a change by an operator.
 func (s *configurationSimulation) requestChange() {
 	s.pendingChanges = append(s.pendingChanges, configurationChange{s.now, s.randomEdits()})
 }
 
-// randomEdits are one edit in most cases; one in twenty changes has some dozens, and one in two hundred has 300.
+// randomEdits returns the edits of one change: 300 in one change out of 200, 20 to 49 in nine out of 200, otherwise one. An
+// edit of a resource that the change already contains is dropped.
 func (s *configurationSimulation) randomEdits() (edits []configuration.Edit) {
 	count := 1
 	switch n := s.random.IntN(200); {
@@ -76,7 +77,8 @@
 	return edits
 }
 
-// randomEdit replaces a tenant in six of ten cases, adds or removes one in one case each, and replaces a route in two.
+// randomEdit returns an edit: of ten, six replace a tenant on average, one adds a tenant, one removes a tenant, and two
+// replace a route.
 func (s *configurationSimulation) randomEdit() configuration.Edit {
 	n := s.random.IntN(s.scenario.Tenants)
 	edit := configuration.Edit{Type: configuration.Tenant, Name: tenantName(n), Body: tenantBody(s.random.IntN(1 << 20))}
@@ -95,7 +97,7 @@
 	return edit
 }
 
-// submitPendingChange offers the oldest pending change to each control node, those in an isolated region included.
+// submitPendingChange submits the oldest pending change to each running control node, even in an isolated region.
 func (s *configurationSimulation) submitPendingChange() {
 	for _, p := range s.controlProcesses() {
 		if len(s.pendingChanges) > 0 && p.isUp && !p.isPaused {
@@ -113,7 +115,7 @@
 			s.checker.result.RejectedWithoutQuorum++
 		}
 		if errors.Is(err, configuration.ReasonNoEffect) {
-			s.pendingChanges = s.pendingChanges[1:] // an earlier change has removed the resource
+			s.pendingChanges = s.pendingChanges[1:] // an earlier change has already removed the resource
 		}
 		return
 	}
--- a/internal/lab/emulator/configuration_checker.go
+++ b/internal/lab/emulator/configuration_checker.go
@@ -7,11 +7,11 @@
 	"thymechute/internal/decide/lease"
 )
 
-// maxLatencyMS bounds the latency histogram; longer latencies count as this one.
+// maxLatencyMS is the last bin of the latency histogram; it also counts all longer latencies.
 const maxLatencyMS = 120_000
 
-// configurationChecker applies the log once, by rules of its own, and checks the states that processes activate against it.
-// Slices by counter are indexed by the counter of a version.
+// configurationChecker applies each log entry when it is committed, independently of the processes, and checks the states
+// that processes activate against the committed ones. Slices "by counter" are indexed by the counter of a version.
 type configurationChecker struct {
 	result        ConfigurationResult
 	table         *lease.Table
@@ -37,7 +37,7 @@
 
 func (c *configurationChecker) newestCounter() uint64 { return c.state.Version().Counter }
 
-// commit checks an entry as it is committed, and reports whether it makes a new version.
+// commit applies an entry when it is committed, and reports whether the entry creates a new version.
 func (c *configurationChecker) commit(index uint64, e configurationEntry, requestedAt time.Duration) (isEffective bool) {
 	outcome := c.table.Apply(index, e.Command)
 	if e.Kind == lease.Acquire && outcome.Accepted {
@@ -65,7 +65,7 @@
 	return true
 }
 
-// checkActivation checks a state that a process has activated, and records how long its changes took.
+// checkActivation checks a state that a process has activated, and records how long its changes took to arrive.
 func (c *configurationChecker) checkActivation(p *configurationProcess, now time.Duration, state *configuration.State) {
 	v := state.Version()
 	if v.Compare(p.activeVersion) <= 0 {
@@ -80,7 +80,7 @@
 		c.recordLatencies(p, now, v.Counter)
 	}
 	p.activeVersion = v
-	c.noteCaughtUp(p, now)
+	c.recordCaughtUp(p, now)
 }
 
 func (c *configurationChecker) isCommitted(state *configuration.State) bool {
@@ -88,8 +88,8 @@
 	return v.Counter < uint64(len(c.roots)) && c.versions[v.Counter] == v && c.roots[v.Counter] == state.Root()
 }
 
-// recordLatencies records the latency of all versions after the active one up to a counter, except those that were requested
-// while the process was not reachable.
+// recordLatencies records the latency of all versions after the active one up to a counter, except those requested while the
+// process was unreachable.
 func (c *configurationChecker) recordLatencies(p *configurationProcess, now time.Duration, upTo uint64) {
 	for n := p.activeVersion.Counter + 1; n <= upTo; n++ {
 		if c.requestedAt[n] < p.reachableSince {
@@ -102,8 +102,8 @@
 	}
 }
 
-// noteCaughtUp records when a process first has the version that was the newest as it became reachable.
-func (c *configurationChecker) noteCaughtUp(p *configurationProcess, now time.Duration) {
+// recordCaughtUp records when a process first has the version that was the newest when it became reachable.
+func (c *configurationChecker) recordCaughtUp(p *configurationProcess, now time.Duration) {
 	if p.isCaughtUp || p.activeVersion.Counter < p.targetCounter {
 		return
 	}
@@ -116,10 +116,10 @@
 		c.result.StartMax[p.recovery] = max(c.result.StartMax[p.recovery], duration)
 		c.result.StartBytesMax[p.recovery] = max(c.result.StartBytesMax[p.recovery], p.traffic.startBytes)
 	}
-	p.traffic.markStarted(now)
+	p.traffic.markCaughtUp(now)
 }
 
-// recordTraffic records a process's bytes per second over one window.
+// recordTraffic records a process's bytes per second during one window, by the role of the process.
 func (c *configurationChecker) recordTraffic(p *configurationProcess, bytesPerSecond float64) {
 	r := &c.result
 	switch {
@@ -134,7 +134,7 @@
 	r.MemberBytesPerSecond = max(r.MemberBytesPerSecond, bytesPerSecond)
 }
 
-// finish checks all processes that are up, after all partitions have healed, and returns the result.
+// finish checks the final state of all processes that are up and returns the result. All partitions must have healed.
 func (c *configurationChecker) finish(s *configurationSimulation) ConfigurationResult {
 	for _, p := range s.processes {
 		if p.isUp {
@@ -167,7 +167,7 @@
 	}
 }
 
-// propagationP99 is the 99th percentile of the latencies, rounded down to ms.
+// propagationP99 returns the 99th percentile of the latencies, rounded down to ms.
 func (c *configurationChecker) propagationP99() time.Duration {
 	remaining := c.sampleCount - (c.sampleCount*99+99)/100
 	for ms := maxLatencyMS; ms > 0; ms-- {
@@ -178,7 +178,7 @@
 	return 0
 }
 
-// lateFraction is the fraction of the latencies that were maxPropagation or more.
+// lateFraction returns the fraction of the latencies that were maxPropagation or more.
 func (c *configurationChecker) lateFraction() float64 {
 	late := 0
 	for _, count := range c.latencyCounts[maxPropagation.Milliseconds():] {
--- a/internal/lab/emulator/configuration_control.go
+++ b/internal/lab/emulator/configuration_control.go
@@ -12,8 +12,8 @@
 
 var configurationLease = lease.Config{Duration: 2 * time.Second, MaxDrift: 0.01, SafetyMargin: 20 * time.Millisecond}
 
-// configurationControlNode is a control node with its copy of the log and its part in the lease. It is the lease.Host of its
-// process.
+// configurationControlNode is a control node with its store, its replica of the lease table and its elector, for which it
+// implements lease.Host.
 type configurationControlNode struct {
 	*configuration.ControlNode
 	process        *configurationProcess
@@ -21,9 +21,9 @@
 	table          *lease.Table
 	elector        *lease.Elector
 	appliedEntries int
-	token          uint64 // of the last lease that it held
+	lastToken      uint64 // fencing token of the last lease that it held; 0 for none since the start
 	startedAt      time.Duration
-	isolatedSince  time.Duration // from the leader's quorum; 0: it is not
+	isolatedSince  time.Duration // when it lost contact with a log leader that has a quorum; 0: it has contact
 }
 
 func newConfigurationControlNode(p *configurationProcess) *configurationControlNode {
@@ -36,7 +36,7 @@
 	return c
 }
 
-// start starts the process with what is on its disk: its copy of the log, the table of leases and the store.
+// start starts the process with what it keeps on disk: the applied entries of the log, the lease table and the store.
 func (c *configurationControlNode) start() {
 	s, p := c.process.simulation, c.process
 	p.incarnation++
@@ -44,16 +44,16 @@
 	p.isPaused = false
 	p.activeVersion = c.store.State().Version()
 	c.startedAt = s.now
-	c.token = 0
+	c.lastToken = 0
 	c.ControlNode = configuration.NewControlNode(s.now, p, c.store)
 	c.elector = lease.NewElector(c, c.table, configurationLease, p.name, uint64(p.incarnation))
 	c.elector.SetClaimPosition(configurationDuty, p.index)
 	c.elector.SetCaughtUp(0)
 	p.traffic.reset(s.now)
-	p.traffic.markStarted(s.now)
+	p.traffic.markCaughtUp(s.now)
 }
 
-// clock is the time since the process has started.
+// clock returns the time since the process started.
 func (c *configurationControlNode) clock() time.Duration {
 	return c.process.simulation.now - c.startedAt
 }
@@ -63,30 +63,30 @@
 	c.process.simulation.propose(c.process, command)
 }
 
-// LeaseAcquired implements lease.Host. The token is remembered for commands that are proposed without checking the lease.
-func (c *configurationControlNode) LeaseAcquired(_ string, token uint64) { c.token = token }
+// LeaseAcquired implements lease.Host. It stores the token for proposeWithoutLeaseCheck.
+func (c *configurationControlNode) LeaseAcquired(_ string, token uint64) { c.lastToken = token }
 
-// LeaseLost implements lease.Host. The token stays, see LeaseAcquired.
+// LeaseLost implements lease.Host. The token stays, for proposeWithoutLeaseCheck.
 func (c *configurationControlNode) LeaseLost(string) {}
 
-// proposeWithoutLeaseCheck proposes under the last lease, like a node that was paused between the check of its lease and the
-// proposal.
+// proposeWithoutLeaseCheck proposes a change with the token of the last lease, like a node that was paused between the check
+// of its lease and the proposal.
 func (c *configurationControlNode) proposeWithoutLeaseCheck() {
-	if c.token == 0 {
+	if c.lastToken == 0 {
 		return
 	}
 	active := c.State().Version()
-	v := configuration.Version{Token: c.token, Counter: active.Counter + 1}
+	v := configuration.Version{Token: c.lastToken, Counter: active.Counter + 1}
 	r, err := configuration.NewResource(configuration.Tenant, tenantName(0), "late", v)
 	if err != nil {
 		return
 	}
 	command := configuration.Command{Base: active, Version: v, Changes: []configuration.Change{{Resource: r}}}
 	c.Propose(lease.Command{Kind: lease.Decide, Duty: configurationDuty, Member: c.process.name, Incarnation: uint64(c.process.incarnation),
-		Token: c.token, Body: string(command.Encode())})
+		Token: c.lastToken, Body: string(command.Encode())})
 }
 
-// applyEntries applies the log's entries up to a number, if the leader reaches the node.
+// applyEntries applies the first upTo entries of the log to a control node, unless the log's leader cannot reach it.
 func (s *configurationSimulation) applyEntries(p *configurationProcess, upTo int) {
 	if !p.isRunning() || !s.network.isReachable(s.leader(), p) {
 		return
--- a/internal/lab/emulator/configuration_events.go
+++ b/internal/lab/emulator/configuration_events.go
@@ -7,7 +7,7 @@
 	"thymechute/internal/decide/configuration"
 )
 
-// configurationEvent is an action, the arrival of a message, or a process's tick where it has neither.
+// configurationEvent is an action if that is set, the arrival of a message if that is set, otherwise a tick of the process to.
 type configurationEvent struct {
 	at          time.Duration
 	sequence    uint64
@@ -19,7 +19,7 @@
 	message     configuration.Message
 }
 
-// configurationEventHeap implements heap.Interface: by time, then in the order of insertion.
+// configurationEventHeap implements heap.Interface. Events are ordered by time, those at the same time by insertion.
 type configurationEventHeap []*configurationEvent
 
 func (h configurationEventHeap) Len() int { return len(h) }
@@ -45,7 +45,7 @@
 	return e
 }
 
-// configurationEventQueue is the pending events, and a pool of executed ones to reuse.
+// configurationEventQueue holds the pending events, and a pool of executed ones for reuse.
 type configurationEventQueue struct {
 	pending      configurationEventHeap
 	free         []*configurationEvent
@@ -73,17 +73,17 @@
 	q.free = append(q.free, e)
 }
 
-// after schedules an action.
+// after schedules an action after a delay.
 func (s *configurationSimulation) after(delay time.Duration, action func()) {
 	s.events.push(configurationEvent{at: s.now + delay, action: action})
 }
 
-// tickAfter schedules a tick of a process, unless it restarts before.
+// tickAfter schedules a tick of a process. The tick is dropped if the process is down or has restarted by then.
 func (s *configurationSimulation) tickAfter(delay time.Duration, p *configurationProcess) {
 	s.events.push(configurationEvent{at: s.now + delay, to: p, incarnation: p.incarnation})
 }
 
-// every schedules an action each interval, for good.
+// every schedules an action once per interval until the end of the simulation.
 func (s *configurationSimulation) every(interval time.Duration, action func()) {
 	s.after(interval, func() {
 		action()
@@ -91,7 +91,7 @@
 	})
 }
 
-// runUntil executes all events up to a time.
+// runUntil executes all events up to and including those at time end.
 func (s *configurationSimulation) runUntil(end time.Duration) {
 	for len(s.events.pending) > 0 && s.events.pending[0].at <= end {
 		e := s.events.pop()
--- a/internal/lab/emulator/configuration_faults.go
+++ b/internal/lab/emulator/configuration_faults.go
@@ -9,20 +9,20 @@
 )
 
 const (
-	failureDetectionTime = 6 * time.Second // until a silent member is removed from its zone's view
-	viewSpread           = 2 * time.Second // at most, until all members of a zone have a new view
+	failureDetectionTime = 6 * time.Second // until a dead member is removed from its zone's view, plus up to maxViewDelay
+	maxViewDelay         = 2 * time.Second // until all members of a zone have a new view
 	minRestartTime       = 2 * time.Second
 	restartJitter        = 6 * time.Second
-	releaseTime          = 3 * time.Second  // until a released member starts from its image
-	replacementTime      = 30 * time.Second // until a lost machine is replaced
+	updateDuration       = 3 * time.Second  // until a member that updateMember stopped starts again
+	replacementDelay     = 30 * time.Second // until a lost machine is replaced by a new one
 	rackOutage           = time.Minute
 	controlNodeOutage    = 10 * time.Second
 	leaseHolderPause     = 8 * time.Second
-	byzantineTime        = 2 * time.Minute
-	minRelayChildren     = 3 // of a relay that faults select
+	byzantineDuration    = 2 * time.Minute
+	minRelayChildren     = 3 // of a relay that is selected for a fault
 )
 
-// kill ends a process now, and calls scheduleRestart. A process that is down already stays as it is.
+// kill stops a process and calls scheduleRestart. It does nothing if the process is already down.
 func (s *configurationSimulation) kill(p *configurationProcess, scheduleRestart func()) {
 	if !p.isUp {
 		return
@@ -31,7 +31,7 @@
 	if p.member != nil {
 		p.confirmedAt = s.now - p.member.Age(s.now)
 		incarnation := p.incarnation
-		s.after(failureDetectionTime+s.jitter(viewSpread), func() {
+		s.after(failureDetectionTime+s.jitter(maxViewDelay), func() {
 			if !p.isUp && p.incarnation == incarnation {
 				s.removeFromZone(p)
 			}
@@ -55,7 +55,7 @@
 	s.after(delay, func() { s.restartMember(p, p.member.State(), recoveryFromSnapshot) })
 }
 
-// restartMember starts a member again and adds it to its zone's view.
+// restartMember starts a member that is down, and adds it to its zone's view if the view lacks it.
 func (s *configurationSimulation) restartMember(p *configurationProcess, state *configuration.State, recovery configurationRecovery) {
 	if p.isUp {
 		return
@@ -77,12 +77,13 @@
 	s.distributeTree(z)
 }
 
-// distributeTree gives a zone's members their sources in the new tree, each when it learns the new view.
+// distributeTree sets the sources of a zone's members to those in the new tree, each after a random delay of up to
+// maxViewDelay.
 func (s *configurationSimulation) distributeTree(z *configurationZone) {
 	tree := z.tree
 	for _, p := range z.members {
 		incarnation := p.incarnation
-		s.after(s.jitter(viewSpread), func() {
+		s.after(s.jitter(maxViewDelay), func() {
 			if sources, found := tree[p.name]; found && p.isUp && p.incarnation == incarnation {
 				p.member.SetSources(s.now, sources)
 			}
@@ -90,7 +91,7 @@
 	}
 }
 
-// randomMember is a random member that is up.
+// randomMember returns a random member that is up.
 func (s *configurationSimulation) randomMember() *configurationProcess {
 	members := s.memberProcesses()
 	for {
@@ -100,17 +101,18 @@
 	}
 }
 
-// release replaces a member's program by one whose image has the initial state.
-func (s *configurationSimulation) release(p *configurationProcess) {
+// updateMember replaces a member's program with a release whose image contains the initial state.
+func (s *configurationSimulation) updateMember(p *configurationProcess) {
 	s.kill(p, func() {
-		s.after(releaseTime, func() { s.restartMember(p, s.initialState, recoveryFromImage) })
+		s.after(updateDuration, func() { s.restartMember(p, s.initialState, recoveryFromImage) })
 	})
 }
 
-// loseMachine ends a member for good; a new one replaces it, with the state of its image or with none.
+// loseMachine stops a member for good. A new member replaces it and starts either without a state or with the state in its
+// image.
 func (s *configurationSimulation) loseMachine(p *configurationProcess) {
 	s.kill(p, func() {
-		s.after(replacementTime, func() {
+		s.after(replacementDelay, func() {
 			replacement := s.addProcess(fmt.Sprintf("%s-%d", p.name[:len("member-0000")], len(s.processes)), p.region, p.zone)
 			replacement.claim.Name, replacement.claim.Rank = replacement.name, -1
 			if s.random.IntN(2) == 0 {
@@ -122,7 +124,7 @@
 	})
 }
 
-// failRack kills a rack's members in a random zone; they restart after rackOutage.
+// failRack kills the members of one rack in a random zone; they restart after rackOutage.
 func (s *configurationSimulation) failRack() {
 	z := s.zones[s.random.IntN(len(s.zones))]
 	for _, p := range slices.Clone(z.members[:min(s.scenario.rackSize, len(z.members))]) {
@@ -137,7 +139,7 @@
 	}
 }
 
-// restartHalf restarts every other member at once.
+// restartHalf kills every other member at once; each restarts with its last state.
 func (s *configurationSimulation) restartHalf() {
 	for n, p := range slices.Clone(s.memberProcesses()) {
 		if n%2 == 0 && p.isUp {
@@ -146,17 +148,18 @@
 	}
 }
 
-// corruptRelay makes a relay byzantine for a while.
-func (s *configurationSimulation) corruptRelay() {
+// makeRelayByzantine makes a random relay corrupt what it sends, for byzantineDuration.
+func (s *configurationSimulation) makeRelayByzantine() {
 	p := s.randomMember()
 	for n := 0; n < 1000 && p.member.ChildCount() < minRelayChildren; n++ {
 		p = s.randomMember()
 	}
 	p.isByzantine = true
-	s.after(byzantineTime, func() { p.isByzantine = false })
+	s.after(byzantineDuration, func() { p.isByzantine = false })
 }
 
-// pauseLeaseHolder pauses the lease holder until its lease has expired; it continues without checking the lease.
+// pauseLeaseHolder pauses the lease holder for longer than its lease lasts. It then proposes a change without checking the
+// lease.
 func (s *configurationSimulation) pauseLeaseHolder() {
 	for _, p := range s.controlProcesses() {
 		if _, isHolder := p.control.elector.Token(p.control.clock(), configurationDuty); !isHolder || !p.isUp {
@@ -173,7 +176,7 @@
 	}
 }
 
-// restartControlNode kills a control node, which restarts after controlNodeOutage with what is on its disk.
+// restartControlNode kills a control node, which restarts after controlNodeOutage with what it keeps on disk.
 func (s *configurationSimulation) restartControlNode(index int) {
 	p := s.processes[index]
 	if !p.isUp {
--- a/internal/lab/emulator/configuration_log.go
+++ b/internal/lab/emulator/configuration_log.go
@@ -9,24 +9,24 @@
 )
 
 const (
-	configurationLogInterval = 100 * time.Millisecond // between steps of the log
-	electionTimeout          = time.Second            // without a leader that has a quorum
+	configurationLogInterval = 100 * time.Millisecond // between two calls of tickLog
+	electionTimeout          = time.Second            // until a leader without a quorum is replaced
 	proposalLossPercent      = 1
-	duplicateEntryOdds       = 50 // one of 50 effective entries is committed twice
+	entriesPerDuplicate      = 50 // one of 50 effective entries is committed twice, on average
 )
 
-// configurationLog is the replicated log among the control nodes, a stand-in for raft: a leader that a quorum of voters
-// reaches, entries that are committed after a round trip to a quorum, and nodes that receive them later.
+// configurationLog is the replicated log of the control nodes, a simplified model of Raft: the leader must reach a quorum of
+// voters, a command is committed after the leader's round trip to a quorum, and the control nodes receive the entry later.
 type configurationLog struct {
 	entries         []configurationEntry
-	leader          int           // index of its process
-	leaderlessSince time.Duration // since no quorum reaches the leader; 0: one does
+	leader          int           // index of its process in the simulation
+	leaderlessSince time.Duration // when the leader lost its quorum; 0: it has one
 }
 
 type configurationEntry struct {
 	lease.Command
-	change  *configuration.Command // nil: none
-	isStale bool                   // proposed under an older token than the last that was granted
+	change  *configuration.Command // the decoded body; nil if the command is no decision
+	isStale bool                   // its token is older than the last one granted
 }
 
 func (s *configurationSimulation) leader() *configurationProcess { return s.processes[s.log.leader] }
@@ -49,7 +49,8 @@
 	return p.isRunning() && reached > s.scenario.voters/2
 }
 
-// propose sends a command to the leader; where a quorum commits it, it becomes an entry.
+// propose sends a command to the log's leader, which appends it once a quorum has committed it. The command is lost if the
+// leader is unreachable, has no quorum or is replaced meanwhile, and at random.
 func (s *configurationSimulation) propose(p *configurationProcess, c lease.Command) {
 	leader := s.leader()
 	delay := s.network.delay[p.region][leader.region] + s.jitter(20*time.Millisecond)
@@ -68,7 +69,7 @@
 	})
 }
 
-// quorumRoundTrip is the leader's round trip to the nearest quorum.
+// quorumRoundTrip returns the time of the leader's round trip to the nearest quorum.
 func (s *configurationSimulation) quorumRoundTrip(leader *configurationProcess) time.Duration {
 	var roundTrips []time.Duration
 	for _, p := range s.voters() {
@@ -80,7 +81,7 @@
 	return roundTrips[min(s.scenario.voters/2-1, len(roundTrips)-1)]
 }
 
-// appendEntry commits a command and sends it to the control nodes. Some commands are committed a second time later.
+// appendEntry commits a command and sends it to the control nodes. It commits some commands a second time later.
 func (s *configurationSimulation) appendEntry(c lease.Command) {
 	entry := configurationEntry{Command: c}
 	if c.Kind == lease.Decide {
@@ -106,13 +107,13 @@
 		delay := s.network.delay[s.leader().region][p.region]
 		s.after(delay+s.jitter(delay/4), func() { s.applyEntries(p, index) })
 	}
-	if isEffective && s.random.IntN(duplicateEntryOdds) == 0 {
+	if isEffective && s.random.IntN(entriesPerDuplicate) == 0 {
 		s.after(s.jitter(3*time.Second), func() { s.appendEntry(c) })
 	}
 }
 
-// stepLog elects a leader where there is none, and lets the control nodes catch up, confirm and tick.
-func (s *configurationSimulation) stepLog() {
+// tickLog elects a new leader if necessary, has the control nodes that the leader reaches catch up, and ticks all electors.
+func (s *configurationSimulation) tickLog() {
 	s.electLeader()
 	leader := s.leader()
 	leaderHasQuorum := s.hasQuorum(leader)
@@ -130,7 +131,7 @@
 	}
 }
 
-// electLeader replaces a leader that has been without a quorum for electionTimeout.
+// electLeader replaces the leader if it has been without a quorum for electionTimeout.
 func (s *configurationSimulation) electLeader() {
 	l := &s.log
 	switch {
@@ -145,7 +146,7 @@
 	}
 }
 
-// catchUp sends all entries to a control node, and confirms the log to it once it has applied them.
+// catchUp sends all entries to a control node. Once the node has applied them, the log counts as confirmed to it.
 func (s *configurationSimulation) catchUp(p *configurationProcess) {
 	entries, incarnation := len(s.log.entries), p.incarnation
 	s.after(s.network.delay[s.leader().region][p.region], func() {
--- a/internal/lab/emulator/configuration_memory.go
+++ b/internal/lab/emulator/configuration_memory.go
@@ -7,7 +7,7 @@
 	"thymechute/internal/decide/configuration"
 )
 
-// MeasureConfigurationMemory measures the heap bytes of a member's state and of its full history.
+// MeasureConfigurationMemory measures the heap bytes of a member's initial state and of a full history of deltas.
 func MeasureConfigurationMemory(scenario ConfigurationScenario) (stateBytes, historyBytes int) {
 	before := heapBytes()
 	state := initialConfiguration(scenario)
@@ -24,12 +24,12 @@
 	return stateBytes, historyBytes
 }
 
-// nextTenantDelta replaces one tenant of a state.
+// nextTenantDelta returns a delta that replaces one tenant of a state.
 func nextTenantDelta(state *configuration.State, scenario ConfigurationScenario, n int) configuration.Delta {
 	v := configuration.Version{Token: 1, Counter: uint64(n + 2)}
 	r, err := configuration.NewResource(configuration.Tenant, tenantName(n%scenario.Tenants), tenantBody(n), v)
 	if err != nil {
-		panic(err) // the names and bodies are this package's own
+		panic(err) // the names and bodies of this package are valid
 	}
 	changes := []configuration.Change{{Resource: r}}
 	next, err := state.With(v, changes)
@@ -43,7 +43,7 @@
 	}
 }
 
-// discardHost is a Host that ignores all calls.
+// discardHost is a configuration.Host that ignores all calls.
 type discardHost struct{}
 
 func (discardHost) Send(string, configuration.Message)            {}
--- a/internal/lab/emulator/configuration_network.go
+++ b/internal/lab/emulator/configuration_network.go
@@ -7,16 +7,16 @@
 	"thymechute/internal/decide/configuration"
 )
 
-// Approximate costs of a message beside its own bytes. A message over maxDatagramBytes is sent on a stream.
+// Approximate overhead of a message on the wire. A message of more than maxDatagramBytes is sent on a stream.
 const (
 	maxDatagramBytes      = 1200
-	datagramOverheadBytes = 64   // IP, UDP, and memberlist's envelope (nonce, tag, type, label)
-	streamOverheadBytes   = 700  // IP and TCP of ten packets that open, acknowledge and close
+	datagramOverheadBytes = 64   // IP, UDP, and memberlist's framing (nonce, tag, type, label)
+	streamOverheadBytes   = 700  // IP and TCP headers of ten packets that open, acknowledge and close the stream
 	segmentPayloadBytes   = 1400 // of a stream
-	segmentOverheadBytes  = 60   // IP and TCP of a segment, and half as much for its acknowledgement
+	segmentOverheadBytes  = 60   // IP and TCP headers; acknowledgements add half as much
 )
 
-// Behaviour of links. The rates are of datagrams.
+// Properties of links. Loss and duplication affect datagrams only; their rates are fractions.
 const (
 	streamBytesPerSecond = 4 << 20
 	lossWithinRegion     = 0.002
@@ -28,7 +28,7 @@
 	maxRegionDelayMS     = 150
 )
 
-// linkState tells whether messages pass between two regions.
+// linkState is whether messages pass between two regions.
 type linkState int
 
 const (
@@ -36,7 +36,7 @@
 	linkCut
 )
 
-// configurationNetwork is the links between processes: their delays, and which are cut.
+// configurationNetwork holds the delays of the links between processes, and which links are cut.
 type configurationNetwork struct {
 	delay       [][]time.Duration // one way, by pair of regions
 	regionLinks [][]linkState     // by pair of regions
@@ -61,7 +61,7 @@
 	return n
 }
 
-// isReachable reports whether a message from one process reaches the other now.
+// isReachable reports whether no cut separates two processes now.
 func (n *configurationNetwork) isReachable(a, b *configurationProcess) bool {
 	if n.regionLinks[a.region][b.region] == linkCut {
 		return false
@@ -76,7 +76,7 @@
 	return p.zone != noZone && n.zoneCut[p.zone]
 }
 
-// isIsolated reports whether no process outside its zone or region reaches a process.
+// isIsolated reports whether a process is cut off from everything outside its zone or outside its region.
 func (n *configurationNetwork) isIsolated(p *configurationProcess) bool {
 	for region, link := range n.regionLinks[p.region] {
 		if region != p.region && link == linkUp {
@@ -100,7 +100,7 @@
 	n.regionLinks[a][b], n.regionLinks[b][a] = state, state
 }
 
-// send counts a message's bytes and schedules its arrival, unless it is lost.
+// send counts the sender's bytes and schedules the arrival of the message, unless it is lost. A datagram may arrive twice.
 func (s *configurationSimulation) send(from, to *configurationProcess, m configuration.Message) {
 	if from.isByzantine {
 		m = s.corrupt(m)
@@ -125,8 +125,8 @@
 	}
 }
 
-// messageDelay draws how long a message of an encoded size takes. A stream takes three one-way delays until it is open, and the
-// transfer of its bytes.
+// messageDelay returns a random delay for a message of an encoded size. A message on a stream takes three one-way delays and
+// the time to transfer its bytes.
 func (s *configurationSimulation) messageDelay(from, to *configurationProcess, size int) time.Duration {
 	delay := s.network.delay[from.region][to.region]
 	delay += s.jitter(delay / 4)
@@ -138,7 +138,7 @@
 	return 3*delay + time.Duration(transferSeconds*float64(time.Second))
 }
 
-// wireBytesOf is what a message of an encoded size takes on the wire, in one direction.
+// wireBytesOf returns the bytes on the wire of a message of an encoded size, overhead included.
 func wireBytesOf(size int) int {
 	if size <= maxDatagramBytes {
 		return size + datagramOverheadBytes
@@ -154,7 +154,8 @@
 	return lossBetweenRegions
 }
 
-// corrupt returns what a byzantine relay sends instead of a message: a copy with one body or root altered.
+// corrupt returns what a byzantine relay sends instead of a message: a copy with one body or root altered. Messages of other
+// types stay as they are.
 func (s *configurationSimulation) corrupt(m configuration.Message) configuration.Message {
 	switch m := m.(type) {
 	case configuration.Delta:
@@ -185,7 +186,8 @@
 	return m
 }
 
-// deliver hands a message to its receiver, unless the link was cut meanwhile, or the sender of a stream has died.
+// deliver passes a message to its receiver, unless the receiver is not running, the link was cut meanwhile, or the message
+// comes on a stream whose sender has died.
 func (s *configurationSimulation) deliver(e *configurationEvent) {
 	if !e.to.isRunning() || !s.network.isReachable(e.from, e.to) {
 		return
--- a/internal/lab/emulator/configuration_partitions.go
+++ b/internal/lab/emulator/configuration_partitions.go
@@ -2,14 +2,14 @@
 
 import "time"
 
-// unreachable as the time since when a process is reachable: it is isolated.
+// unreachable is the value of reachableSince while a process is isolated.
 const unreachable = time.Duration(1 << 62)
 
-// maxAgeUnderstatement is by how much an isolated member may understate the age of its state: what it heard last was that old,
-// by the polls down the tree.
+// maxAgeUnderstatement is by how much the age that an isolated member reports may be below the duration of its isolation:
+// what it received last was up to that old, as it passed down the tree by polls.
 const maxAgeUnderstatement = 12 * time.Second
 
-// partitionRegion cuts a region from all others for a while.
+// partitionRegion cuts a region off from all others for the scenario's regionPartition.
 func (s *configurationSimulation) partitionRegion(region int) {
 	since := s.now
 	isAffected := func(p *configurationProcess) bool { return p.region == region }
@@ -21,7 +21,7 @@
 	})
 }
 
-// partitionZone cuts a random zone from everything else for a while.
+// partitionZone cuts a random zone off from everything else for the scenario's zonePartition.
 func (s *configurationSimulation) partitionZone() {
 	since, zone := s.now, s.random.IntN(len(s.zones))
 	isAffected := func(p *configurationProcess) bool { return p.zone == zone }
@@ -33,7 +33,8 @@
 	})
 }
 
-// partitionRegionPair cuts the leader's region and a random other one from each other; all stay reachable through the rest.
+// partitionRegionPair cuts the link between the leader's region and a random other one for the scenario's zonePartition. Both
+// regions still reach all others.
 func (s *configurationSimulation) partitionRegionPair() {
 	a := s.leader().region
 	b := (a + 1 + s.random.IntN(s.scenario.Regions-1)) % s.scenario.Regions
@@ -49,7 +50,8 @@
 	}
 }
 
-// markHealed measures recovery from now on, and checks the age that members report which were isolated since then.
+// markHealed starts to measure the recovery of the processes, and checks the age that members report if they were isolated
+// since the given time.
 func (s *configurationSimulation) markHealed(since time.Duration, isAffected func(*configurationProcess) bool) {
 	for _, p := range s.processes {
 		if !isAffected(p) || !p.isUp {
@@ -59,7 +61,7 @@
 			s.checker.result.AgeUnderstated++
 		}
 		recovery := recoveryFromPartition
-		if p.traffic.isStarting() {
+		if p.traffic.isCatchingUp() {
 			recovery = p.recovery
 		}
 		s.markReachable(p, recovery)
--- a/internal/lab/emulator/configuration_process.go
+++ b/internal/lab/emulator/configuration_process.go
@@ -10,31 +10,31 @@
 // noZone is the zone of control nodes.
 const noZone = -1
 
-// configurationProcess is one process and the Host of its Member or ControlNode.
+// configurationProcess is one process. It implements configuration.Host for its Member or ControlNode.
 type configurationProcess struct {
 	simulation   *configurationSimulation
-	index        int // in the simulation's processes
+	index        int // in configurationSimulation.processes
 	name         string
 	region, zone int
 	isUp         bool
 	isPaused     bool
 	isByzantine  bool // it corrupts what it sends
-	hasRelayed   bool // it has had children
+	hasRelayed   bool // it has had children in the tree
 	incarnation  int
 	member       *configuration.Member     // nil in a control node
 	control      *configurationControlNode // nil in a member
 	claim        subset.Claim
 
 	activeVersion  configuration.Version
-	confirmedAt    time.Duration // of the state that it would restart from
+	confirmedAt    time.Duration // when the log last confirmed the state that it would restart from
 	reachableSince time.Duration // unreachable while it is isolated
 	targetCounter  uint64        // counter of the newest version at reachableSince
-	isCaughtUp     bool          // it has had that version since
+	isCaughtUp     bool          // it has reached targetCounter, or is isolated
 	recovery       configurationRecovery
 	traffic        configurationTraffic
 }
 
-// configurationRecovery is what a process recovered from when it became reachable.
+// configurationRecovery is how a process became reachable, from which it then had to catch up.
 type configurationRecovery int
 
 const (
@@ -63,7 +63,7 @@
 	s.tickAfter(s.jitter(configuration.TickInterval), p)
 }
 
-// tickProcess ticks a process now and, while it is up, once every TickInterval.
+// tickProcess ticks a process unless it is paused, and schedules its next tick after TickInterval.
 func (s *configurationSimulation) tickProcess(p *configurationProcess) {
 	if !p.isPaused && p.member != nil {
 		p.member.Tick(s.now)
@@ -76,7 +76,7 @@
 	s.tickAfter(configuration.TickInterval, p)
 }
 
-// markReachable starts to measure how long the process takes to catch up, unless it is isolated.
+// markReachable starts to measure how long a process takes to catch up, unless it is isolated.
 func (s *configurationSimulation) markReachable(p *configurationProcess, recovery configurationRecovery) {
 	p.recovery = recovery
 	if s.network.isIsolated(p) {
@@ -84,7 +84,7 @@
 		return
 	}
 	p.reachableSince, p.isCaughtUp, p.targetCounter = s.now, false, s.checker.newestCounter()
-	s.checker.noteCaughtUp(p, s.now)
+	s.checker.recordCaughtUp(p, s.now)
 }
 
 // Send implements configuration.Host.
@@ -94,7 +94,8 @@
 	}
 }
 
-// Activated implements configuration.Host. It checks the state, and may kill a relay before it has pushed the state.
+// Activated implements configuration.Host. It checks the state, and kills a relay before the relay has pushed the state if
+// such a kill is pending.
 func (p *configurationProcess) Activated(now time.Duration, state *configuration.State) {
 	s := p.simulation
 	s.checker.checkActivation(p, now, state)
--- a/internal/lab/emulator/configuration_result.go
+++ b/internal/lab/emulator/configuration_result.go
@@ -5,18 +5,18 @@
 	"time"
 )
 
-// ConfigurationResult is what a simulation has measured. Bytes per second are the maximum over all windows of
-// ConfigurationTrafficWindow after a process has caught up.
+// ConfigurationResult holds the measurements of a simulation. Bytes per second are the maximum over all processes and over all
+// windows of ConfigurationTrafficWindow that begin after the process has caught up.
 type ConfigurationResult struct {
 	Versions, Members, Resources int
 	StateBytes                   int // of the initial state
 
-	// Propagation is the time from the request of a change to its activation, at all members that are reachable.
+	// Propagation is the time from the request of a change to its activation by a reachable member.
 	PropagationP99, PropagationMax time.Duration
-	LateFraction                   float64       // of the propagations that took maxPropagation or more
-	RecoveryMax                    time.Duration // from the end of a partition to the activation of the newest version
+	LateFraction                   float64       // of the activations, those that took maxPropagation or longer
+	RecoveryMax                    time.Duration // from the end of a partition to the activation of the version that was the newest then
 
-	// Starts by what the process recovered from: their number, and the longest time and most bytes until caught up.
+	// Starts of members, by configurationRecovery: their number, and the longest time and most bytes until caught up.
 	Starts        [recoveryCount]int
 	StartMax      [recoveryCount]time.Duration
 	StartBytesMax [recoveryCount]int
@@ -24,14 +24,14 @@
 	// Violations of the safety rules.
 	PartiallyApplied      int // activations of a state that was never committed
 	RolledBack            int // activations of an older version
-	Diverged              int // processes without the newest state at the end
-	AcceptedWithoutQuorum int
-	StaleAccepted         int // commands under an older token
-	AgeUnderstated        int // isolated members that reported a lower age than the partition lasted
-
-	// Faults that took place.
-	RejectedWithoutQuorum int
-	StaleProposed         int
+	Diverged              int // processes that are up without the newest state at the end
+	AcceptedWithoutQuorum int // changes accepted by a control node that has no quorum
+	StaleAccepted         int // commands with an outdated fencing token that were applied
+	AgeUnderstated        int // isolated members that reported an age below the duration of the partition
+
+	// Faults that occurred, and how the processes reacted to them.
+	RejectedWithoutQuorum int // changes rejected by a control node that has no quorum
+	StaleProposed         int // commands committed with an outdated fencing token
 	ProposalsLost         int
 	LeaseChanges          int
 	RelaysKilled          int
@@ -39,20 +39,20 @@
 
 	MemberBytesPerSecond, RelayBytesPerSecond, LeafBytesPerSecond, ControlBytesPerSecond float64
 
-	ControlPeers                 int // most children of a control node
+	ControlPeers                 int // maximum number of children of a control node
 	Messages, MessagesRejected   int
 	Repairs, Referred, Throttled int
-	AgeMax                       time.Duration // at the end, when all are reachable
+	AgeMax                       time.Duration // of a state at the end, when all members are reachable
 }
 
-// Limits that a result must keep.
+// Limits that Violations checks.
 const (
 	maxPropagation          = 9 * time.Second
 	maxMemberBytesPerSecond = 6000 // in both directions
 	maxControlNodePeers     = 99
 )
 
-// Names of the metrics that Violations checks too. They are part of the reported results.
+// Names of the metrics that Violations checks. They appear in reported results and must not change.
 const (
 	metricPartiallyApplied      = "half_applied"
 	metricRolledBack            = "went_back"
@@ -70,7 +70,7 @@
 	metricControlPeers          = "control_machine_peers_max"
 )
 
-// Violations are the limits and rules that the result breaks.
+// Violations returns one error for each limit or safety rule that the result violates, and for each fault that never occurred.
 func (r ConfigurationResult) Violations() []error {
 	v := &violations{}
 	v.expectZero(metricPartiallyApplied, r.PartiallyApplied)
@@ -90,7 +90,7 @@
 	return v.errors
 }
 
-// violations collects the metrics that are not as expected.
+// violations collects an error for each metric that is not as expected.
 type violations struct{ errors []error }
 
 func (v *violations) expectZero(name string, n int) {
@@ -101,20 +101,20 @@
 
 func (v *violations) expectSome(name string, n int) {
 	if n == 0 {
-		v.errors = append(v.errors, fmt.Errorf("%s is 0, expected some", name))
+		v.errors = append(v.errors, fmt.Errorf("%s is 0, expected at least 1", name))
 	}
 }
 
 func (v *violations) expectAtMost(name string, n, limit float64) {
 	if n > limit {
-		v.errors = append(v.errors, fmt.Errorf("%s is %.0f, expected %.0f at most", name, n, limit))
+		v.errors = append(v.errors, fmt.Errorf("%s is %.0f, expected at most %.0f", name, n, limit))
 	}
 }
 
-// milliseconds are whole milliseconds: the fraction is dropped.
+// milliseconds returns a duration in whole milliseconds, rounded down.
 func milliseconds(d time.Duration) float64 { return float64(d.Milliseconds()) }
 
-// Metrics are the measurements by their reported names, which contain the units.
+// Metrics returns the measurements by their reported names, which contain the units.
 func (r ConfigurationResult) Metrics() map[string]float64 {
 	return map[string]float64{
 		"members":                      float64(r.Members),
--- a/internal/lab/emulator/configuration_scenario.go
+++ b/internal/lab/emulator/configuration_scenario.go
@@ -6,12 +6,12 @@
 	"thymechute/internal/decide/configuration"
 )
 
-// ConfigurationScenario is the size of a simulated fleet and what happens to it.
+// ConfigurationScenario is the size of a simulated fleet and the number of changes and faults that it goes through.
 type ConfigurationScenario struct {
-	Members, Regions, Zones int // zones of all regions together
+	Members, Regions, Zones int // Zones is the number in all regions together
 	Tenants, Routes         int
 	Changes                 int
-	Restarts                int // besides those of the release and of other faults
+	Restarts                int // in addition to those of the release and of other faults
 	MachineLosses           int
 	Duration                time.Duration
 	OnStart                 ConfigurationStartHooks
@@ -21,38 +21,40 @@
 	regionPartition, zonePartition, zoneOutage time.Duration // how long each lasts
 }
 
-// ConfigurationStartHooks are called with each store and each member that is created, before it receives anything; nil for
-// none.
+// ConfigurationStartHooks are called with each store and each member after it is created and before it receives anything. A
+// hook may be nil.
 type ConfigurationStartHooks struct {
 	Store  func(*configuration.Store)
 	Member func(*configuration.Member)
 }
 
-// Sizes of the planned day, which smaller scenarios scale down.
+// Sizes of the reference scenario, one day of the planned fleet of 1,200 members. NewConfigurationScenario scales them by the
+// number of members.
 const (
-	plannedMembers       = 1200
-	plannedZones         = 40
-	plannedRoutes        = 9800
-	plannedChanges       = 2500
-	plannedRestarts      = 4800 // 5,400 with the release's
-	plannedMachineLosses = 54
-	tenantsPerMember     = 50
-	minFullScaleMembers  = 400 // smaller scenarios are shorter
+	referenceMembers       = 1200
+	referenceZones         = 40
+	referenceRoutes        = 9800
+	referenceChanges       = 2500
+	referenceRestarts      = 4800 // 5,400 with those of the release
+	referenceMachineLosses = 54
+	tenantsPerMember       = 50
+	minFullScaleMembers    = 400 // smaller scenarios are shorter and have fewer zones
 )
 
-// NewConfigurationScenario is the planned day at a number of members: 1,200 have 4 regions with 40 zones, 60,000 tenants and
-// 9,800 routes, 2,500 changes, 5,400 restarts and 54 machine losses in two hours. Fewer members have less of each, and under
-// 400 members in 12 minutes.
+// NewConfigurationScenario returns the reference scenario for a number of members: with 1,200 members, 4 regions with 40
+// zones, 60,000 tenants, 9,800 routes, 2,500 changes, 5,400 restarts and 54 machine losses in two hours. With fewer members
+// there are fewer tenants, routes, changes, restarts and machine losses; below 400 members there are also fewer zones, the
+// scenario takes 12 minutes, and outages and partitions are shorter.
 func NewConfigurationScenario(members int) ConfigurationScenario {
 	c := ConfigurationScenario{
 		Members:         members,
 		Regions:         4,
-		Zones:           plannedZones,
+		Zones:           referenceZones,
 		Tenants:         tenantsPerMember * members,
-		Routes:          plannedRoutes * members / plannedMembers,
-		Changes:         max(100, plannedChanges*members/plannedMembers),
-		Restarts:        plannedRestarts * members / plannedMembers,
-		MachineLosses:   max(4, plannedMachineLosses*members/plannedMembers),
+		Routes:          referenceRoutes * members / referenceMembers,
+		Changes:         max(100, referenceChanges*members/referenceMembers),
+		Restarts:        referenceRestarts * members / referenceMembers,
+		MachineLosses:   max(4, referenceMachineLosses*members/referenceMembers),
 		Duration:        2 * time.Hour,
 		controlNodes:    6,
 		voters:          5,
@@ -71,15 +73,15 @@
 	return c
 }
 
-// scheduleScenario schedules all changes and faults. Times are fractions of the scenario's duration.
+// scheduleScenario schedules all changes and faults, at fractions of the scenario's duration.
 func (s *configurationSimulation) scheduleScenario() {
 	c := s.scenario
 	s.scheduleRandomly(c.Changes, 0, 1, s.requestChange)
 	s.scheduleRandomly(c.Restarts, 0, 1, s.killRandomMember)
 	s.scheduleRandomly(c.MachineLosses, 0, 0.9, func() { s.loseMachine(s.randomMember()) })
-	s.scheduleRandomly(c.Members/2, 0.4, 0.9, func() { s.release(s.randomMember()) })
+	s.scheduleRandomly(c.Members/2, 0.4, 0.9, func() { s.updateMember(s.randomMember()) })
 	s.scheduleRandomly(20, 0, 0.95, func() { s.pendingRelayKills++ })
-	s.scheduleRandomly(4, 0, 0.9, s.corruptRelay)
+	s.scheduleRandomly(4, 0, 0.9, s.makeRelayByzantine)
 	for _, fraction := range []float64{0.12, 0.5, 0.66, 0.86} {
 		s.scheduleAt(fraction, s.pauseLeaseHolder)
 	}
--- a/internal/lab/emulator/configuration_traffic.go
+++ b/internal/lab/emulator/configuration_traffic.go
@@ -5,35 +5,35 @@
 const (
 	trafficBin        = 10 * time.Second
 	trafficWindowBins = 6
-	notCaughtUp       = 1 << 40 // as the first counted bin: the process has not had the newest version yet
+	notCaughtUp       = 1 << 40 // value of firstCountedBin until the process has caught up
 )
 
 // ConfigurationTrafficWindow is the window over which bytes per second are averaged.
 const ConfigurationTrafficWindow = trafficWindowBins * trafficBin
 
-// configurationTraffic counts a process's bytes in both directions, in bins of time.
+// configurationTraffic counts a process's bytes in both directions, in bins of trafficBin that are numbered from time 0.
 type configurationTraffic struct {
 	bins            [trafficWindowBins]int
-	currentBin      time.Duration // its number
-	firstCountedBin time.Duration // the first one after the process has caught up
-	startBytes      int           // before it has caught up
+	currentBin      time.Duration // number of the bin that counts now
+	firstCountedBin time.Duration // number of the first bin after the process caught up
+	startBytes      int           // until the process caught up
 }
 
 func (t *configurationTraffic) reset(now time.Duration) {
 	*t = configurationTraffic{currentBin: now / trafficBin, firstCountedBin: notCaughtUp}
 }
 
-// isStarting reports whether the process has not caught up since its start.
-func (t *configurationTraffic) isStarting() bool { return t.firstCountedBin == notCaughtUp }
+// isCatchingUp reports whether the process has not yet caught up since its start.
+func (t *configurationTraffic) isCatchingUp() bool { return t.firstCountedBin == notCaughtUp }
 
-// markStarted counts the process's bytes against the limit from the next bin on.
-func (t *configurationTraffic) markStarted(now time.Duration) {
-	if t.isStarting() {
+// markCaughtUp records that the process has caught up. Windows count from the next bin on.
+func (t *configurationTraffic) markCaughtUp(now time.Duration) {
+	if t.isCatchingUp() {
 		t.firstCountedBin = now/trafficBin + 1
 	}
 }
 
-// window is the sum of all bins; isCounted tells whether the process had caught up before all of them.
+// window returns the sum of all bins. isCounted is whether the process had caught up before the first of them.
 func (t *configurationTraffic) window() (bytes int, isCounted bool) {
 	for _, n := range t.bins {
 		bytes += n
@@ -52,7 +52,7 @@
 		t.bins[t.currentBin%trafficWindowBins] = 0
 	}
 	t.bins[t.currentBin%trafficWindowBins] += wireBytes
-	if t.isStarting() {
+	if t.isCatchingUp() {
 		t.startBytes += wireBytes
 	}
 }
--- a/internal/lab/emulator/doc.go
+++ b/internal/lab/emulator/doc.go
@@ -1,4 +1,4 @@
-// Package emulator runs the fleet's decision packages without sockets, at sizes that processes on one machine do not
-// reach: the views and messages that the network would deliver are played from a script. The same seed gives the same
-// run. It is never linked by cmd/thymechute.
+// Package emulator runs the decision packages of a fleet without sockets, at sizes that processes on one machine cannot
+// reach. Scripts and simulated links take the place of the network. The same seed gives the same run. cmd/thymechute must
+// not import this package.
 package emulator
--- a/internal/lab/emulator/lease.go
+++ b/internal/lab/emulator/lease.go
@@ -9,41 +9,41 @@
 	"thymechute/internal/decide/lease"
 )
 
-// maxInFlight bounds the proposals in flight; more are lost.
+// maxInFlight is the maximum number of proposals in flight; any further ones are lost.
 const maxInFlight = 1 << 14
 
-// LeaseSim is a fleet of electors (internal/decide/lease) over one emulated log. Proposals can be lost and reordered,
-// members apply the log late, and their clocks drift. Its methods are the events that can happen; Check tells whether the
-// invariants hold after each. It uses no real time, and no random numbers but those it is given.
+// LeaseSim simulates a fleet of electors (internal/decide/lease) with one emulated log. Proposals can be lost and reordered,
+// members apply the log late, and their clocks drift. Its methods are the possible events; Check verifies the invariants
+// after each. It reads no clock, and its only random numbers come from the generator passed to NewLeaseSim.
 type LeaseSim struct {
 	Config  lease.Config
 	Members []*LeaseMember
 	Figures LeaseFigures
 
-	now          time.Duration // true time
-	log          []lease.Command
-	inFlight     []lease.Command
-	duties       []string
-	truth        *lease.Table             // the log applied at once, decisions left out
-	lowestValid  []map[string]uint64      // by index and duty: the lowest token that is not stale
-	vacantSince  map[string]time.Duration // by duty without a holder
-	takeovers    []time.Duration
-	incarnations uint64
-	onStart      func(*lease.Table, *lease.Fence) // of each process; nil for none
+	now               time.Duration // simulated time, without the drift of the members' clocks
+	log               []lease.Command
+	inFlight          []lease.Command
+	duties            []string
+	referenceTable    *lease.Table             // applies each entry when it is committed, except decisions
+	lowestValidTokens []map[string]uint64      // the lowest token that is not stale, by log index (from 0) and duty
+	vacantSince       map[string]time.Duration // by duty; only duties without a holder
+	takeovers         []time.Duration
+	incarnations      uint64
+	onStart           func(*lease.Table, *lease.Fence) // called for each process that starts; may be nil
 }
 
-// LeaseFigures counts what happened in a run.
+// LeaseFigures are the measurements of a run.
 type LeaseFigures struct {
-	ConcurrentHolders int // times at which two members held the same lease
-	StaleProposed     int // commands proposed by a member that was no longer the holder
-	StaleAccepted     int // of these, accepted by a member's table
-	StaleAdmitted     int // of these, admitted by a member's fence
-	Decisions         int // accepted
-	DivergedTables    int // members whose table differs at the same index
+	ConcurrentHolders int // calls of Check that found two members holding the same lease
+	StaleProposed     int // commands proposed with the token of an earlier lease
+	StaleAccepted     int // stale commands accepted by a member's table
+	StaleAdmitted     int // stale commands admitted by a member's fence
+	Decisions         int // accepted by the first member's table
+	DivergedTables    int // differences between a member's table and the first member's at the end, one per duty
 	TakeoverP99       time.Duration
 }
 
-// NewLeaseSim returns a fleet of size members with an empty log. Their clocks run at rates within the config's drift.
+// NewLeaseSim returns a fleet of size members with an empty log. The members' clock rates are random within config.MaxDrift.
 func NewLeaseSim(size int, config lease.Config, r *rand.Rand, duties ...string) (*LeaseSim, error) {
 	s := &LeaseSim{Config: config}
 	if err := s.start(size, r, duties); err != nil {
@@ -52,14 +52,14 @@
 	return s, nil
 }
 
-// start starts size members, with clocks at rates within the config's drift.
+// start starts size members, with random clock rates within Config.MaxDrift.
 func (s *LeaseSim) start(size int, r *rand.Rand, duties []string) error {
 	truth, err := lease.NewTable(duties...)
 	if err != nil {
 		return err
 	}
 	s.duties = truth.Duties()
-	s.truth = truth
+	s.referenceTable = truth
 	s.vacantSince = map[string]time.Duration{}
 	for _, duty := range s.duties {
 		s.vacantSince[duty] = 0
@@ -73,7 +73,7 @@
 	return nil
 }
 
-// RestartAll restarts all members with another config; their clocks' rates stay as they are.
+// RestartAll restarts all members with another config. Their clock rates stay the same.
 func (s *LeaseSim) RestartAll(config lease.Config) {
 	s.Config = config
 	for _, m := range s.Members {
@@ -81,7 +81,7 @@
 	}
 }
 
-// Advance moves the true time on and ticks all members that are not paused.
+// Advance advances the simulated time and ticks all members that are not paused.
 func (s *LeaseSim) Advance(by time.Duration) {
 	s.now += by
 	for _, m := range s.Members {
@@ -94,7 +94,7 @@
 // Entries returns the log.
 func (s *LeaseSim) Entries() []lease.Command { return s.log }
 
-// Now returns the true time since the start.
+// Now returns the simulated time since the start.
 func (s *LeaseSim) Now() time.Duration { return s.now }
 
 // InFlight returns the number of proposals that are neither committed nor lost.
@@ -108,18 +108,18 @@
 	c := s.inFlight[n]
 	s.Drop(n)
 	s.log = append(s.log, c)
-	if c.Kind != lease.Decide { // who is the holder depends on acquisitions, renewals and releases alone
-		s.truth.Apply(uint64(len(s.log)), c)
+	if c.Kind != lease.Decide { // the holder depends only on acquisitions, renewals and releases
+		s.referenceTable.Apply(uint64(len(s.log)), c)
 	}
 	lowest := map[string]uint64{}
 	for _, duty := range s.duties {
-		state, _ := s.truth.Lookup(duty)
+		state, _ := s.referenceTable.Lookup(duty)
 		lowest[duty] = state.Token
-		if state.Holder == "" { // the last holder's token is stale too
+		if state.Holder == "" { // without a holder, the last holder's token is stale as well
 			lowest[duty]++
 		}
 	}
-	s.lowestValid = append(s.lowestValid, lowest)
+	s.lowestValidTokens = append(s.lowestValidTokens, lowest)
 }
 
 // CommitAll appends all proposals in flight to the log, in their order.
@@ -129,11 +129,11 @@
 	}
 }
 
-// Deliver applies up to count entries at a member.
+// Deliver applies up to count further entries at a member, none if it is paused or receives nothing.
 func (s *LeaseSim) Deliver(m *LeaseMember, count int) {
-	for ; count > 0 && m.applied < len(s.log) && !m.Paused && !m.InboundCut; count-- {
-		c, index := s.log[m.applied], uint64(m.applied+1)
-		m.applied++
+	for ; count > 0 && m.appliedEntries < len(s.log) && !m.Paused && !m.InboundCut; count-- {
+		c, index := s.log[m.appliedEntries], uint64(m.appliedEntries+1)
+		m.appliedEntries++
 		outcome := m.Elector.Apply(m.clock(), index, c)
 		m.checkCaughtUp()
 		if c.Kind == lease.Decide && outcome.Accepted {
@@ -142,9 +142,9 @@
 	}
 }
 
-// admit lets a member act on an accepted decision, and counts what is stale.
+// admit asks a member's fence to admit an accepted decision, and counts stale ones.
 func (s *LeaseSim) admit(m *LeaseMember, index uint64, c lease.Command) {
-	isStale := c.Token < s.lowestValid[index-1][c.Duty]
+	isStale := c.Token < s.lowestValidTokens[index-1][c.Duty]
 	if isStale {
 		s.Figures.StaleAccepted++
 	}
@@ -156,8 +156,8 @@
 	}
 }
 
-// Check counts violations of the invariants: two holders of one lease at the same time, and stale commands accepted. It
-// returns the first that it finds.
+// Check verifies that no two members hold the same lease now, and that no stale command has been accepted or admitted so far.
+// It returns the first violation that it finds, and counts two holders in Figures.
 func (s *LeaseSim) Check() error {
 	for _, duty := range s.duties {
 		var holder *LeaseMember
@@ -167,18 +167,19 @@
 			}
 			if holder != nil {
 				s.Figures.ConcurrentHolders++
-				return fmt.Errorf("duty %q: held by %s and %s at %v", duty, holder.Name, m.Name, s.now)
+				return fmt.Errorf("duty %q: members %s and %s both hold the lease at %v", duty, holder.Name, m.Name, s.now)
 			}
 			holder = m
 		}
 	}
 	if s.Figures.StaleAccepted > 0 || s.Figures.StaleAdmitted > 0 {
-		return fmt.Errorf("%d stale commands accepted, %d admitted by a fence", s.Figures.StaleAccepted, s.Figures.StaleAdmitted)
+		return fmt.Errorf("found %d stale commands accepted by a table and %d admitted by a fence, expected none",
+			s.Figures.StaleAccepted, s.Figures.StaleAdmitted)
 	}
 	return nil
 }
 
-// HolderOf returns the member that holds a duty's lease, nil for none.
+// HolderOf returns the member that holds a duty's lease, or nil.
 func (s *LeaseSim) HolderOf(duty string) *LeaseMember {
 	for _, m := range s.Members {
 		if m.isHolder(duty) {
@@ -188,7 +189,8 @@
 	return nil
 }
 
-// settle delivers the complete log to all members and counts tables that differ.
+// settle ends all faults, commits all proposals, delivers the complete log to all members, and computes the figures of the
+// end.
 func (s *LeaseSim) settle() {
 	s.CommitAll()
 	for _, m := range s.Members {
--- a/internal/lab/emulator/lease_member.go
+++ b/internal/lab/emulator/lease_member.go
@@ -11,23 +11,23 @@
 	Name    string
 	Elector *lease.Elector
 
-	Paused      bool // does nothing
+	Paused      bool // neither ticks, decides nor applies entries
 	InboundCut  bool // receives no entries
 	OutboundCut bool // its proposals are lost
 
-	number        int
-	sim           *LeaseSim
-	table         *lease.Table
-	fence         lease.Fence
-	clockRate     float64
-	startedAt     time.Duration // true time
-	incarnation   uint64
-	applied       int               // entries
-	appliedTarget int               // entries in the log when it started
-	tokens        map[string]uint64 // by duty: its last fencing token, for commands that it proposes without a check
+	number         int
+	sim            *LeaseSim
+	table          *lease.Table
+	fence          lease.Fence
+	clockRate      float64
+	startedAt      time.Duration // simulated time
+	incarnation    uint64
+	appliedEntries int
+	appliedTarget  int               // length of the log when the process started
+	tokens         map[string]uint64 // last fencing token by duty, for ProposeStale
 }
 
-// Restart ends a member's process and starts another without state.
+// Restart ends a member's process and starts a new one without state.
 func (s *LeaseSim) Restart(m *LeaseMember) {
 	if m.Elector != nil {
 		for _, duty := range s.duties {
@@ -44,17 +44,17 @@
 	}
 	m.tokens = map[string]uint64{}
 	m.startedAt, m.incarnation = s.now, s.incarnations
-	m.applied, m.appliedTarget = 0, len(s.log)
+	m.appliedEntries, m.appliedTarget = 0, len(s.log)
 	m.Paused, m.InboundCut, m.OutboundCut = false, false, false
 	m.Elector = lease.NewElector(m, m.table, s.Config, m.Name, m.incarnation)
-	for n, duty := range s.duties { // as in the program, each duty has another member as its first claimant
+	for n, duty := range s.duties { // as in the program, the duties have different first claimants
 		size := len(s.Members)
 		m.Elector.SetClaimPosition(duty, (m.number+n*max(size/len(s.duties), 1))%size)
 	}
 	m.checkCaughtUp()
 }
 
-// clock returns the time since the member's start, by its own clock.
+// clock returns the time since the process started, by the member's own clock.
 func (m *LeaseMember) clock() time.Duration {
 	return time.Duration(float64(m.sim.now-m.startedAt) * m.clockRate)
 }
@@ -65,7 +65,7 @@
 }
 
 func (m *LeaseMember) checkCaughtUp() {
-	if m.applied >= m.appliedTarget {
+	if m.appliedEntries >= m.appliedTarget {
 		m.Elector.SetCaughtUp(m.clock())
 	}
 }
@@ -77,7 +77,7 @@
 	}
 }
 
-// LeaseAcquired implements lease.Host. It records how long the takeover took.
+// LeaseAcquired implements lease.Host. It records how long the duty had no holder.
 func (m *LeaseMember) LeaseAcquired(duty string, token uint64) {
 	m.tokens[duty] = token
 	if since, isVacant := m.sim.vacantSince[duty]; isVacant {
@@ -86,10 +86,10 @@
 	}
 }
 
-// LeaseLost implements lease.Host. It records since when the duty has no holder.
+// LeaseLost implements lease.Host. It records the time from which the duty has no holder.
 func (m *LeaseMember) LeaseLost(duty string) { m.sim.vacantSince[duty] = m.sim.now }
 
-// Decide lets a member propose a decision of each duty whose lease it holds.
+// Decide has a member propose a decision for each duty whose lease it holds.
 func (s *LeaseSim) Decide(m *LeaseMember) {
 	if m.Paused {
 		return
@@ -99,23 +99,23 @@
 	}
 }
 
-// ProposeStale lets a member continue as if it had been paused between the check of its lease and the proposal: it proposes under
-// its last tokens, also when another member holds the lease by now.
+// ProposeStale has a member propose decisions with those of its tokens that are outdated by now, as if it had been paused
+// between the check of its lease and the proposal.
 func (s *LeaseSim) ProposeStale(m *LeaseMember) {
 	for duty, token := range m.tokens {
-		if state, _ := s.truth.Lookup(duty); state.Token > token {
+		if state, _ := s.referenceTable.Lookup(duty); state.Token > token {
 			s.Figures.StaleProposed++
 			m.Propose(lease.Command{Kind: lease.Decide, Duty: duty, Member: m.Name, Incarnation: m.incarnation, Token: token, Body: "late"})
 		}
 	}
 }
 
-// Drain starts the graceful shutdown of a member: it releases its leases. A paused member ignores it.
+// Drain starts the graceful shutdown of a member, which releases its leases. It has no effect on a paused member.
 func (s *LeaseSim) Drain(m *LeaseMember) {
 	if !m.Paused {
 		m.Elector.Drain(m.clock())
 	}
 }
 
-// Resign lets a member release one lease for another to acquire.
+// Resign has a member release one lease, for another member to acquire.
 func (s *LeaseSim) Resign(m *LeaseMember, duty string) { m.Elector.Resign(m.clock(), duty) }
--- a/internal/lab/emulator/lease_run.go
+++ b/internal/lab/emulator/lease_run.go
@@ -8,32 +8,33 @@
 )
 
 const (
-	leaseStep         = 25 * time.Millisecond // of emulated time
-	decideEvery       = 8                     // steps
-	faultEvery        = 4                     // leases
-	faultAt           = 2                     // leases after the last heal
-	lossOdds          = 20                    // one of 20 proposals is lost
-	maxEntriesPerStep = 5                     // that a member applies
+	leaseStepDuration = 25 * time.Millisecond // of simulated time
+	stepsPerDecision  = 8
+	leasesPerFault    = 4  // lease durations from one fault to the next
+	faultOffsetLeases = 2  // lease durations after the last heal
+	proposalsPerLoss  = 20 // one of 20 proposals is lost, on average
+	maxEntriesPerStep = 5  // that a member applies
 )
 
-// leaseRun is a run with faults on a LeaseSim.
+// leaseRun plays a LeaseScenario with faults on a LeaseSim.
 type leaseRun struct {
 	*LeaseSim
 	random        *rand.Rand
 	stepsPerLease int
 }
 
-// LeaseScenario is what RunLeases runs.
+// LeaseScenario is the size and length of a run of RunLeases.
 type LeaseScenario struct {
 	Members int
-	Leases  int // length of the run in lease durations
+	Leases  int // length of the run, in lease durations
 	Seed    uint64
-	// OnStart is called with the table and the fence of each process that starts, before it applies an entry; nil for none.
+	// OnStart, if not nil, is called with the table and the fence of each process that starts, before it applies an entry.
 	OnStart func(*lease.Table, *lease.Fence)
 }
 
-// RunLeases emulates a fleet through faults. Every few leases one holder is paused, restarted, or cut off in one direction,
-// and all faults are healed; one in twenty proposals is lost. At the end all members have the complete log.
+// RunLeases simulates a fleet with faults: every leasesPerFault lease durations one holder is paused, restarted or cut off in
+// one direction, and some time later all faults end. One in twenty proposals is lost. At the end all members receive the
+// complete log.
 func RunLeases(scenario LeaseScenario) (LeaseFigures, error) {
 	random := rand.New(rand.NewPCG(scenario.Seed, 0x07e4))
 	config := lease.Config{Duration: time.Second, MaxDrift: 0.01, SafetyMargin: 10 * time.Millisecond}
@@ -41,7 +42,7 @@
 	if err := s.start(scenario.Members, random, []string{"budget", "ring", "roll"}); err != nil {
 		return LeaseFigures{}, err
 	}
-	run := &leaseRun{LeaseSim: s, random: random, stepsPerLease: int(config.Duration / leaseStep)}
+	run := &leaseRun{LeaseSim: s, random: random, stepsPerLease: int(config.Duration / leaseStepDuration)}
 	for n := range scenario.Leases * run.stepsPerLease {
 		run.step(n)
 	}
@@ -51,32 +52,32 @@
 
 // step plays the n-th step: commits, deliveries, decisions and faults.
 func (run *leaseRun) step(n int) {
-	run.Advance(leaseStep)
+	run.Advance(leaseStepDuration)
 	run.commitSome()
 	for _, m := range run.Members {
 		run.Deliver(m, run.random.IntN(maxEntriesPerStep+1))
 	}
-	if n%decideEvery == 0 {
+	if n%stepsPerDecision == 0 {
 		if m := run.randomHolder(); m != nil {
 			run.Decide(m)
 		}
 	}
-	switch n % (faultEvery * run.stepsPerLease) {
-	case faultAt * run.stepsPerLease:
+	switch n % (leasesPerFault * run.stepsPerLease) {
+	case faultOffsetLeases * run.stepsPerLease:
 		if m := run.randomHolder(); m != nil {
 			run.injectFault(m)
 		}
-	case faultEvery*run.stepsPerLease - 1:
+	case leasesPerFault*run.stepsPerLease - 1:
 		run.heal()
 	}
-	_ = run.Check() // it counts in the figures
+	_ = run.Check() // violations are counted in Figures
 }
 
-// commitSome commits or loses some of the proposals in flight, in any order; the others remain.
+// commitSome commits or loses a random number of the proposals in flight, in random order.
 func (run *leaseRun) commitSome() {
 	for run.InFlight() > 0 && run.random.IntN(4) > 0 {
 		n := run.random.IntN(run.InFlight())
-		if run.random.IntN(lossOdds) == 0 {
+		if run.random.IntN(proposalsPerLoss) == 0 {
 			run.Drop(n)
 		} else {
 			run.Commit(n)
@@ -84,12 +85,12 @@
 	}
 }
 
-// randomHolder returns the holder of a random duty, nil if it has none.
+// randomHolder returns the holder of a random duty, or nil if the duty has none.
 func (run *leaseRun) randomHolder() *LeaseMember {
 	return run.HolderOf(run.duties[run.random.IntN(len(run.duties))])
 }
 
-// injectFault restarts, cuts off in one direction, or pauses a member.
+// injectFault restarts a member, cuts it off in one direction, or pauses it.
 func (run *leaseRun) injectFault(m *LeaseMember) {
 	switch run.random.IntN(4) {
 	case 0:
@@ -103,7 +104,7 @@
 	}
 }
 
-// heal ends all faults. A member that was paused continues without checking its lease first.
+// heal ends all faults. A member that was paused first proposes decisions without checking its leases.
 func (run *leaseRun) heal() {
 	for _, m := range run.Members {
 		wasPaused := m.Paused
--- a/internal/lab/emulator/ring.go
+++ b/internal/lab/emulator/ring.go
@@ -9,15 +9,15 @@
 )
 
 const (
-	ringRandomStream  = 0x41a6
-	ringZones         = 3
-	maxSingleSteps    = 40 // backends up to which the script joins and removes them one by one
-	bytesPerSlot      = 2
-	bytesPerBackend   = 56 // a record without its strings
-	slotAlgorithmName = "slots"
+	ringRandomStream         = 0x41a6
+	ringZones                = 3
+	maxBackendsOfSingleSteps = 40 // of the first step; with more, they join and leave a quarter at a time
+	bytesPerSlot             = 2
+	bytesPerBackend          = 56 // a record, without the bytes of its strings
+	slotAlgorithm            = "slots"
 )
 
-// RingScenario is a script of backends that join and leave, on keys drawn by the seed.
+// RingScenario is a script of backends that join and leave. The keys are random, from the seed.
 type RingScenario struct {
 	Backends int // at the start
 	Slots    int
@@ -25,24 +25,25 @@
 	Seed     uint64
 }
 
-// RingFigures are the results of one algorithm, worst over the script's steps.
+// RingFigures are the measurements of one algorithm, each the maximum over the script's steps.
 type RingFigures struct {
 	Algorithm        string
-	MovedOverMinimum float64 // keys that changed their backend over those that had to
-	MaxOverFairShare float64 // keys of the busiest backend over the mean
+	MovedOverMinimum float64 // keys that changed their backend, over the minimum
+	MaxOverFairShare float64 // keys of the backend with the most, over the mean
 }
 
-// RingResult compares the ring's plans with published algorithms.
+// RingResult holds the measurements of the ring's plans and, for comparison, of published algorithms.
 type RingResult struct {
 	Algorithms            []RingFigures
-	MigrationsOverMinimum float64       // of the ring's plans: migrations over the fewest of any plan, worst
-	MaxSlotsOverFairShare float64       // slots of the busiest backend over its fair share
-	SlowestPlan           time.Duration // real time
+	MigrationsOverMinimum float64       // migrations of a ring's plan over the minimum of any plan; the maximum
+	MaxSlotsOverFairShare float64       // slots of the backend with the most, over the mean; the maximum
+	SlowestPlan           time.Duration // the longest time that a plan took, in real time
 	TableBytes            int           // of the table's slots and backends
 }
 
-// CompareRing runs the script: half as many backends join one by one (a quarter at a time past 40), then the fleet shrinks by
-// a third, and at the end one backend fails and returns. It returns the error of the first plan that fails.
+// CompareRing runs the script: the number of backends grows by half, one by one (a quarter at a time if there are more than
+// 40), then shrinks by a third in the same steps, and at the end one backend fails and returns. CompareRing returns the error
+// of the first plan that fails.
 func CompareRing(scenario RingScenario) (RingResult, error) {
 	random := rand.New(rand.NewPCG(scenario.Seed, ringRandomStream))
 	keys := make([]uint64, scenario.Keys)
@@ -58,24 +59,25 @@
 	if err != nil {
 		return RingResult{}, err
 	}
-	slotFigures := measureAlgorithm(slotAlgorithmName, slots.assign, keys, steps) // after the baselines: plans are timed warm
+	// After the baselines, so that the timed plans run with warm caches.
+	slotFigures := measureAlgorithm(slotAlgorithm, slots.assign, keys, steps)
 	result := slots.result
 	result.Algorithms = append([]RingFigures{slotFigures}, baselines...)
 	result.TableBytes = bytesPerSlot*scenario.Slots + len(steps[len(steps)-1])*bytesPerBackend
 	return result, slots.err
 }
 
-// membershipScript returns the names of the present backends, step by step.
+// membershipScript returns the names of the backends that are present in each step.
 func membershipScript(backends int) (steps [][]string) {
 	step := 1
-	if backends > maxSingleSteps {
+	if backends > maxBackendsOfSingleSteps {
 		step = backends / 4
 	}
 	for n := backends; n <= backends+backends/2; n += step {
 		steps = append(steps, backendNames(0, n))
 	}
 	last := len(steps[len(steps)-1])
-	for n := step; n <= last/3; n += step { // the first ones leave: the worst case for algorithms that only know numbers
+	for n := step; n <= last/3; n += step { // the first ones leave, the worst case for algorithms that identify backends by index
 		steps = append(steps, backendNames(n, last))
 	}
 	end := steps[len(steps)-1]
@@ -91,7 +93,7 @@
 	return names
 }
 
-// slotAssigner assigns keys by the ring's plans, each from the table of the one before.
+// slotAssigner assigns keys by the ring's plans. Each plan starts from the table of the previous one.
 type slotAssigner struct {
 	table  *ring.Table
 	result RingResult
@@ -130,7 +132,7 @@
 	return assigned
 }
 
-// plan makes and measures the next table. Nothing depends on the measured time.
+// plan computes and measures the next table. Only SlowestPlan depends on the real time that it takes.
 func (s *slotAssigner) plan(backends []ring.Backend) error {
 	start := time.Now()
 	next, migrations, minimum, err := s.table.Plan(backends, ring.BalanceBound{}, nil)
@@ -149,14 +151,14 @@
 	return nil
 }
 
-// measureAlgorithm counts, step by step, the keys that changed their backend against those that had to: the keys of removed
-// backends, and the fair share of added ones.
+// measureAlgorithm compares, in each step, the number of keys that changed their backend with the minimum: the keys of removed
+// backends and a fair share for each added one.
 func measureAlgorithm(name string, assign assigner, keys []uint64, steps [][]string) RingFigures {
 	figures := RingFigures{Algorithm: name, MovedOverMinimum: 1}
 	var previous []int
 	for n, names := range steps {
 		assigned := assign(keys, names)
-		figures.MaxOverFairShare = max(figures.MaxOverFairShare, maxOverFair(assigned, len(names)))
+		figures.MaxOverFairShare = max(figures.MaxOverFairShare, maxOverFairShare(assigned, len(names)))
 		if n > 0 {
 			moved, minimum := countMoved(previous, assigned, steps[n-1], names)
 			figures.MovedOverMinimum = max(figures.MovedOverMinimum, float64(moved)/minimum)
@@ -166,7 +168,7 @@
 	return figures
 }
 
-func maxOverFair(assigned []int, backends int) (worst float64) {
+func maxOverFairShare(assigned []int, backends int) (worst float64) {
 	counts := make([]int, backends)
 	for _, b := range assigned {
 		counts[b]++
@@ -177,7 +179,7 @@
 	return worst
 }
 
-// countMoved returns the keys that changed their backend, by name, and how many had to.
+// countMoved returns the number of keys whose backend has another name afterwards, and the minimum of any algorithm.
 func countMoved(before, after []int, namesBefore, namesAfter []string) (moved int, minimum float64) {
 	remains := map[string]bool{}
 	for _, name := range namesAfter {
--- a/internal/lab/emulator/rollout.go
+++ b/internal/lab/emulator/rollout.go
@@ -10,66 +10,66 @@
 	"thymechute/internal/decide/rollout"
 )
 
-// Terms of an emulated rollout.
+// Parameters of an emulated rollout.
 const (
-	rolloutTick         = 100 * time.Millisecond
-	rolloutMaxDuration  = 2 * time.Hour
-	rolloutDrainTime    = 3 * time.Second
-	rolloutOutage       = 10 * time.Second
-	ticksPerStep        = 10
-	ticksPerFailure     = 600
-	firstFailureTick    = 300
-	ticksPerLeader      = 250
-	loadPeakStart       = 40 * time.Second
-	loadPeakEnd         = 70 * time.Second
-	loadPeakFactor      = 1.5
-	usualLoadFraction   = 0.6
-	infeasibleFraction  = 0.999 // of the capacity: no zone can keep it
-	rolloutRandomStream = 0x6011
+	rolloutTickInterval  = 100 * time.Millisecond
+	rolloutMaxDuration   = 2 * time.Hour
+	rolloutDrainTime     = 3 * time.Second
+	instanceOutage       = 10 * time.Second
+	ticksPerStep         = 10
+	ticksPerFailure      = 600
+	firstFailureTick     = 300
+	ticksPerLeaderChange = 250
+	loadPeakStart        = 40 * time.Second
+	loadPeakEnd          = 70 * time.Second
+	loadPeakFactor       = 1.5
+	usualLoadFraction    = 0.6
+	infeasibleFraction   = 0.999 // required capacity as a fraction of the total, which no zone can keep during a rollout
+	rolloutRandomStream  = 0x6011
 )
 
-// RolloutScenario is a rollout through a fleet of instances in zones. With faults one instance of each zone fails and
-// comes back every minute, the load rises for a while, and the leader changes in mid-wave.
+// RolloutScenario is a rollout in a fleet of instances in zones. With faults, every minute one instance of each zone fails and
+// returns, the load has a peak, and the leader changes during waves.
 type RolloutScenario struct {
 	Instances, Zones int
 	Seed             uint64
 	WithFaults       bool
 }
 
-// RolloutFigures are the results of a rollout.
+// RolloutFigures are the measurements of a rollout.
 type RolloutFigures struct {
-	CompletedFraction       float64 // of the instances that run the release at the end
-	Waves, MinWaves         int     // of the plan before it started
-	MinCapacityOverRequired float64 // least of a zone's capacity over its requirement at the usual load
-	MinCapacityOverLoad     float64 // least of a zone's capacity over its load at that moment, the peak included
+	CompletedFraction       float64 // of the instances, those that run the new release at the end
+	Waves, MinWaves         int     // of the plan before the rollout starts, and the lower bound
+	MinCapacityOverRequired float64 // minimum of a zone's capacity over the required capacity at the usual load
+	MinCapacityOverLoad     float64 // minimum of a zone's capacity over its current load, the peak included
 	DuplicateDrains         int
 	MaxVotersDraining       int
 	Duration                time.Duration
-	IsInfeasibleRejected    bool // a requirement that can't be kept was rejected before any drain
+	IsInfeasibleRejected    bool // a plan that cannot keep its required capacity was rejected before any drain
 }
 
 // rolloutRun is a scenario in progress.
 type rolloutRun struct {
 	RolloutScenario
-	limits    rollout.Limits
-	random    *rand.Rand
-	fleet     emulatedFleet
-	total     map[string]float64 // capacity by zone
-	usualLoad map[string]float64 // by zone
-	rollout   *rollout.Rollout
-	downUntil map[string]time.Duration // by name of a failed instance
-	now       time.Duration
-	figures   RolloutFigures
+	limits        rollout.Limits
+	random        *rand.Rand
+	fleet         emulatedFleet
+	totalCapacity map[string]float64 // by zone
+	usualLoad     map[string]float64 // by zone
+	rollout       *rollout.Rollout
+	downUntil     map[string]time.Duration // by name of a failed instance
+	now           time.Duration
+	figures       RolloutFigures
 }
 
 // RunRollout runs a scenario. It returns an error if the fleet lacks the capacity for a rollout.
 func RunRollout(scenario RolloutScenario) (RolloutFigures, error) {
 	s := newRolloutRun(scenario)
-	if err := s.plan(); err != nil {
+	if err := s.measurePlan(); err != nil {
 		return s.figures, err
 	}
-	for isDone := false; s.now < rolloutMaxDuration && !isDone; s.now += rolloutTick {
-		isDone = s.tick(int(s.now / rolloutTick))
+	for isDone := false; s.now < rolloutMaxDuration && !isDone; s.now += rolloutTickInterval {
+		isDone = s.tick(int(s.now / rolloutTickInterval))
 	}
 	s.figures.CompletedFraction = s.fleet.completedFraction()
 	return s.figures, nil
@@ -91,11 +91,11 @@
 		s.fleet = append(s.fleet, i)
 		s.usualLoad[i.Zone] += usualLoadFraction * i.Capacity
 	}
-	s.total = s.fleet.totalByZone()
+	s.totalCapacity = s.fleet.totalByZone()
 	return s
 }
 
-// newInstance makes the n-th instance; a third of them is larger than the others.
+// newInstance returns the n-th instance. A third of the instances has a larger capacity than the others.
 func (s *rolloutRun) newInstance(n int) *emulatedInstance {
 	const voters = 5
 	capacity := 100.0
@@ -109,8 +109,8 @@
 	}
 }
 
-// plan notes the plan's waves, and whether an infeasible requirement is rejected.
-func (s *rolloutRun) plan() error {
+// measurePlan records the number of waves of the plan, and whether a plan with an infeasible requirement is rejected.
+func (s *rolloutRun) measurePlan() error {
 	waves, minWaves, err := rollout.Plan(s.fleet.instancesAt(s.now), s.usualLoad, newRelease, s.limits)
 	if err != nil {
 		return err
@@ -123,12 +123,12 @@
 	return nil
 }
 
-// tick plays one moment, and reports whether the rollout is done.
+// tick simulates one tick and reports whether the rollout is done.
 func (s *rolloutRun) tick(tick int) (isDone bool) {
 	if s.WithFaults && tick%ticksPerFailure == firstFailureTick {
 		s.failOneOfEachZone()
 	}
-	if s.WithFaults && tick%ticksPerLeader == ticksPerLeader-1 { // the leader changes within a wave; the new one continues from the log
+	if s.WithFaults && tick%ticksPerLeaderChange == ticksPerLeaderChange-1 { // during a wave; the new leader continues from the log
 		s.fleet.setLeader(s.random.IntN(s.Instances))
 	}
 	s.restartInstances()
@@ -151,11 +151,11 @@
 		}
 		failed := available[s.random.IntN(len(available))]
 		failed.IsUnreachable = true
-		s.downUntil[failed.Name] = s.now + rolloutOutage
+		s.downUntil[failed.Name] = s.now + instanceOutage
 	}
 }
 
-// load is each zone's load now.
+// load returns the current load by zone.
 func (s *rolloutRun) load() map[string]float64 {
 	if !s.WithFaults || s.now < loadPeakStart || s.now >= loadPeakEnd {
 		return s.usualLoad
@@ -167,7 +167,7 @@
 	return load
 }
 
-// restartInstances starts what has failed or drained again, with the installed release.
+// restartInstances restarts instances whose outage or drain is over, with the new release, which is installed.
 func (s *rolloutRun) restartInstances() {
 	for _, i := range s.fleet {
 		downUntil := s.downUntil[i.Name]
@@ -182,14 +182,14 @@
 	}
 }
 
-// step carries out what the rollout decides, and reports whether it is done.
+// step executes the next step of the rollout, and reports whether the rollout is done.
 func (s *rolloutRun) step(load map[string]float64) (isDone bool) {
 	step := s.rollout.Next(s.now, s.fleet.instancesAt(s.now), load, s.limits)
 	for _, d := range step.Drain {
 		if !s.rollout.RecordDrain(s.now, d.Name, d.Incarnation) {
 			continue
 		}
-		s.rollout.RecordDrain(s.now, d.Name, d.Incarnation) // as a second leader would: the log takes one
+		s.rollout.RecordDrain(s.now, d.Name, d.Incarnation) // as a second leader would; only the first counts
 		at := slices.IndexFunc(s.fleet, func(i *emulatedInstance) bool { return i.Name == d.Name })
 		s.fleet[at].drain(s.now)
 		if s.fleet[at].drains > 1 {
@@ -206,7 +206,7 @@
 	f := &s.figures
 	f.MaxVotersDraining = max(f.MaxVotersDraining, s.fleet.drainingVoters())
 	available := s.fleet.availableByZone(s.now, s.limits)
-	for zone, total := range s.total {
+	for zone, total := range s.totalCapacity {
 		required := max(s.limits.MinCapacityFraction*total, s.limits.LoadHeadroom*s.usualLoad[zone])
 		f.MinCapacityOverRequired = min(f.MinCapacityOverRequired, available[zone]/required)
 		f.MinCapacityOverLoad = min(f.MinCapacityOverLoad, available[zone]/load[zone])
--- a/internal/lab/emulator/rollout_instance.go
+++ b/internal/lab/emulator/rollout_instance.go
@@ -11,21 +11,21 @@
 	newRelease = "new"
 )
 
-// emulatedInstance is one instance of an emulated fleet through its incarnations.
+// emulatedInstance is one instance of an emulated fleet, with its successive incarnations.
 type emulatedInstance struct {
 	rollout.Instance
-	drainedAt time.Duration // 0 unless it drains
+	drainedAt time.Duration // 0 unless it is draining
 	startedAt time.Duration
-	drains    int // in all its incarnations
+	drains    int // number of drains in all incarnations
 }
 
-// drain starts its drain.
+// drain starts to drain the instance. A drain at time 0 is recorded as 1 ns, as 0 means that the instance is not draining.
 func (i *emulatedInstance) drain(now time.Duration) {
 	i.drainedAt, i.IsDraining = max(now, 1), true
 	i.drains++
 }
 
-// restart starts its next incarnation, with the new release.
+// restart starts the next incarnation, with the new release.
 func (i *emulatedInstance) restart(now time.Duration) {
 	i.Incarnation, i.Release, i.IsDraining = i.Incarnation+1, newRelease, false
 	i.startedAt, i.drainedAt = now, 0
@@ -33,26 +33,27 @@
 
 func (i *emulatedInstance) isAvailable() bool { return i.drainedAt == 0 && !i.IsUnreachable }
 
-// isDrainOver reports whether its drain has taken its time.
+// isDrainOver reports whether the instance is reachable and has been draining for drainTime.
 func (i *emulatedInstance) isDrainOver(now, drainTime time.Duration) bool {
 	return i.drainedAt != 0 && now-i.drainedAt >= drainTime && !i.IsUnreachable
 }
 
-// capacityAt is its capacity at its present warm-up.
+// capacityAt returns the capacity, which is reduced while the instance is warming up.
 func (i *emulatedInstance) capacityAt(now time.Duration, limits rollout.Limits) float64 {
 	return i.Capacity * warmFraction(now-i.startedAt, limits)
 }
 
-// warmFraction states the limits' warm-up independently of package rollout.
+// warmFraction returns the available fraction of the capacity at an age. It does not use package rollout, whose results it
+// checks.
 func warmFraction(age time.Duration, limits rollout.Limits) float64 {
 	initial := limits.InitialCapacityFraction
 	return min(1, initial+(1-initial)*age.Seconds()/limits.WarmUpTime.Seconds())
 }
 
-// emulatedFleet is the instances of an emulated rollout.
+// emulatedFleet holds the instances of an emulated rollout.
 type emulatedFleet []*emulatedInstance
 
-// instancesAt is the fleet as the rollout's leader sees it.
+// instancesAt returns the fleet as the rollout's leader sees it.
 func (f emulatedFleet) instancesAt(now time.Duration) (instances []rollout.Instance) {
 	for _, i := range f {
 		i.Age = now - i.startedAt
@@ -61,7 +62,7 @@
 	return instances
 }
 
-// availableByZone is the capacity of all that are available.
+// availableByZone returns the capacity of the available instances, by zone.
 func (f emulatedFleet) availableByZone(now time.Duration, limits rollout.Limits) map[string]float64 {
 	available := map[string]float64{}
 	for _, i := range f {
@@ -72,7 +73,7 @@
 	return available
 }
 
-// totalByZone is the capacity of all, as if up and warmed up.
+// totalByZone returns the capacity of all instances by zone, as if all were available and warmed up.
 func (f emulatedFleet) totalByZone() map[string]float64 {
 	total := map[string]float64{}
 	for _, i := range f {
@@ -97,7 +98,7 @@
 	}
 }
 
-// completedFraction is the part of the fleet that runs the new release.
+// completedFraction returns the fraction of the fleet that runs the new release.
 func (f emulatedFleet) completedFraction() (fraction float64) {
 	for _, i := range f {
 		if i.Release == newRelease {
--- a/internal/lab/emulator/subsets.go
+++ b/internal/lab/emulator/subsets.go
@@ -11,32 +11,33 @@
 
 // SubsetOptions are the parameters of CompareSubsets.
 type SubsetOptions struct {
-	Members          int // of the largest view, at least 6
+	Members          int // in the largest view; at least 6
 	Backends         int // at least SubsetSize
 	SubsetSize       int // backends per member, at least 1
 	Seed             uint64
-	MaxMeasuredSteps int // for each stretch of joins and of leaves; they are spread evenly
+	MaxMeasuredSteps int // of the joins and of the leaves, each; they are spread evenly
 }
 
 func (o SubsetOptions) validate() error {
 	if o.Members < minSubsetMembers || o.SubsetSize < 1 || o.Backends < o.SubsetSize {
-		return fmt.Errorf("subsets: found %d members, %d backends and subsets of %d, expected %d members at least and subsets of 1 to all backends",
+		return fmt.Errorf(
+			"subsets: found %d members, %d backends, subset size %d; expected at least %d members, and subset size 1 to the number of backends",
 			o.Members, o.Backends, o.SubsetSize, minSubsetMembers)
 	}
 	return nil
 }
 
-// StrategyFigures are the results of one strategy over a script of views.
+// StrategyFigures are the measurements of one strategy with a script of views.
 type StrategyFigures struct {
 	Strategy       subset.Strategy
-	WorstImbalance float64 // highest load over mean load of the backends, at the worst stable view
-	MemberChurn    float64 // connections opened over the minimum, at the worst step in which a member joins or leaves
+	WorstImbalance float64 // highest over mean load of the backends; the maximum over the stable views
+	MemberChurn    float64 // connections opened over the minimum; the maximum over the steps in which a member joins or leaves
 	BackendChurn   float64 // the same for steps in which a backend is removed or added
 	MeasuredSteps  int
 }
 
-// CompareSubsets plays one script of views for every strategy of internal/decide/subset. Members claim ranks as in a
-// running fleet: each keeps the rank that the last view gave it, and one that joins has the next epoch.
+// CompareSubsets plays the same script of views for every strategy of internal/decide/subset. Members claim ranks as in a real
+// fleet: each claims the rank that it had in the previous view, and each member that joins has a higher epoch.
 func CompareSubsets(options SubsetOptions) ([]StrategyFigures, error) {
 	if err := options.validate(); err != nil {
 		return nil, err
@@ -58,17 +59,17 @@
 		}
 		view.apply(step, joinEpoch(n))
 		for n := range figures {
-			figures[n].add(step, view, before[n])
+			figures[n].measureStep(step, view, before[n])
 		}
 	}
 	return figures, nil
 }
 
-// joinEpoch is the epoch of a member that joins in a step; the members of the first view have epoch 0.
+// joinEpoch returns the epoch of a member that joins in a step. The members of the first view have epoch 0.
 func joinEpoch(step int) uint64 { return uint64(step) + 1 }
 
-// add takes in one step, after which the view is as given; before are the subsets before it.
-func (f *StrategyFigures) add(step viewStep, view *subsetView, before map[string][]string) {
+// measureStep updates the measurements with one step. view is the view after the step, before the subsets before it.
+func (f *StrategyFigures) measureStep(step viewStep, view *subsetView, before map[string][]string) {
 	after := view.subsets(f.Strategy)
 	if step.isStable {
 		f.WorstImbalance = max(f.WorstImbalance, subset.LoadImbalance(after, view.backends))
@@ -78,7 +79,7 @@
 	}
 	f.MeasuredSteps++
 	opened := subset.OpenedConnections(before, after)
-	churn := float64(opened) / float64(view.change(step.event).MinOpenedConnections())
+	churn := float64(opened) / float64(view.viewChange(step.event).MinOpenedConnections())
 	switch step.event {
 	case memberJoins, memberLeaves:
 		f.MemberChurn = max(f.MemberChurn, churn)
@@ -87,7 +88,7 @@
 	}
 }
 
-// subsetView is the view that all members of the emulated fleet share.
+// subsetView is the view of the emulated fleet that all members share.
 type subsetView struct {
 	claims     []subset.Claim
 	backends   []string // sorted
@@ -103,10 +104,10 @@
 	return v
 }
 
-// unranked is the claim of a member that has no rank yet.
+// unranked is the claimed rank of a member that has no rank yet.
 const unranked = -1
 
-// apply makes the step's change; a member that joins has the epoch.
+// apply changes the view by one step. A member that joins gets the given epoch.
 func (v *subsetView) apply(step viewStep, epoch uint64) {
 	switch step.event {
 	case memberJoins:
@@ -122,7 +123,7 @@
 	ClaimAssignedRanks(v.claims)
 }
 
-// ClaimAssignedRanks sets the rank in each claim to the one that subset.AssignRanks assigns to it.
+// ClaimAssignedRanks has each member claim the rank that subset.AssignRanks assigns to it.
 func ClaimAssignedRanks(claims []subset.Claim) {
 	ranks := subset.AssignRanks(claims)
 	for n := range claims {
@@ -134,8 +135,8 @@
 	return subset.AssignSubsets(strategy, v.claims, v.backends, v.subsetSize)
 }
 
-// change describes the step that led to this view.
-func (v *subsetView) change(event viewEvent) subset.ViewChange {
+// viewChange describes the step that led to this view.
+func (v *subsetView) viewChange(event viewEvent) subset.ViewChange {
 	change := subset.ViewChange{SubsetSize: v.subsetSize, Members: len(v.claims), Backends: len(v.backends)}
 	switch event {
 	case memberJoins:
--- a/internal/lab/emulator/viewscript.go
+++ b/internal/lab/emulator/viewscript.go
@@ -6,7 +6,7 @@
 	"strconv"
 )
 
-// viewEvent is what happens in one step of a script.
+// viewEvent is the kind of change in one step of a script.
 type viewEvent uint8
 
 const (
@@ -20,22 +20,22 @@
 type viewStep struct {
 	event      viewEvent
 	name       string // of the member or backend
-	isStable   bool   // the end of a stretch of changes, where the load is judged
-	isMeasured bool   // the connections that the step opens are counted
+	isStable   bool   // the last of a series of changes, after which the load is measured
+	isMeasured bool   // the connections that the step opens are measured
 }
 
-// viewScript is a first view and the changes after it.
+// viewScript is an initial view and the changes that follow.
 type viewScript struct {
 	members, backends []string
 	steps             []viewStep
 }
 
-// viewScriptStream tells the script's random sequence from others of the same seed.
+// viewScriptStream separates the script's random numbers from others that come from the same seed.
 const viewScriptStream = 0x7a11
 
-// newViewScript starts with half of the members, has the others join one by one, then random members leave one by one
-// until a third remains, then a random backend removed and added again. Members are named m0, m1, ..., backends b0, b1,
-// and so on.
+// newViewScript returns a script that starts with half of the members. The others join one by one, then random members leave
+// one by one until a third remains, and at the end a random backend is removed and added again. Members are named m0, m1 and
+// so on, backends b0, b1 and so on.
 func newViewScript(options SubsetOptions) viewScript {
 	random := rand.New(rand.NewPCG(options.Seed, viewScriptStream))
 	initial := options.Members / 2
@@ -68,10 +68,10 @@
 // markStable marks the last step.
 func (s *viewScript) markStable() { s.steps[len(s.steps)-1].isStable = true }
 
-// measuredInterval is such that every interval-th of the steps is measured, about maxMeasured of them.
+// measuredInterval returns n such that measuring every n-th of the steps measures about maxMeasured of them.
 func measuredInterval(steps, maxMeasured int) int { return max(steps/maxMeasured, 1) }
 
-// numberedNames returns the names from a first number to before an end.
+// numberedNames returns the prefix with each number from first to end-1.
 func numberedNames(prefix string, first, end int) []string {
 	names := make([]string, 0, end-first)
 	for n := first; n < end; n++ {
