--- a/cmd/testbed/configuration.go
+++ b/cmd/testbed/configuration.go
@@ -13,14 +13,14 @@
 	"thymechute/internal/lab/emulator"
 )
 
-// minMeanZoneSize is the fewest members of a zone, on average.
+// minMeanZoneSize is the minimum number of members per zone, on average.
 const minMeanZoneSize = 6
 
-// configurationCommand is the experiment that simulates a day's changes of configuration and failures. It runs the decisions in the
+// configurationCommand returns the experiment that simulates one day of configuration changes and failures. It runs in the
 // emulator, without processes or sockets.
 func configurationCommand() *cobra.Command {
 	var zones int
-	c := newExperimentCommand("configuration", "A day's changes of configuration with faults, in the emulator",
+	c := newExperimentCommand("configuration", "One day of configuration changes with faults, in the emulator",
 		sizeRange{defaultSize: 1200, minSize: 24, maxSize: 3000, unit: "members, in 4 regions"}, func(t trialOptions) (*lab.Report, error) {
 			scenario := emulator.NewConfigurationScenario(t.size)
 			if zones != 0 {
@@ -34,13 +34,14 @@
 			result := emulator.RunConfiguration(scenario, t.seed)
 			return configurationReport(scenario, result, processorSeconds()-before), nil
 		})
-	c.Flags().IntVar(&zones, "zones", 0, "zones of all regions together; 0: 40, fewer under 400 members")
-	c.Long = `A day's changes, restarts and machine losses, compressed into two hours (12 minutes under 400 members), with faults: a
-rack and a zone lost, a zone and regions partitioned, the lease holder paused and resumed, relays killed while they push, a
-byzantine relay, a release, half of all members restarted at once. Decisions, message bytes and randomness are emulated; delays,
-leases and polls keep their real times. Ends with 0 only if no limit or safety rule is violated.
+	c.Flags().IntVar(&zones, "zones", 0, "zones in all regions together; 0 for the default: 40, or fewer below 400 members")
+	c.Long = `Simulates the changes, restarts and machine losses of one day, compressed into two hours (12 minutes below 400 members), with
+faults: a rack and a zone lost, a zone and regions partitioned, the lease holder paused and resumed, relays killed while they
+push, byzantine relays, a release, half of all members restarted at once. The decisions are those of the program's packages;
+processes and links are emulated, but delays, leases and polls keep their real times. Exits with 0 only if no limit or safety
+rule is violated.
 
-No process of thymechute and no socket is run yet: nothing in the program carries configuration so far.`
+The experiment starts no process of thymechute and opens no socket, as the program does not distribute configuration yet.`
 	return c
 }
 
@@ -61,7 +62,7 @@
 	return r
 }
 
-// processorSeconds is the user and system time of this process so far.
+// processorSeconds returns the user and system CPU time of this process so far.
 func processorSeconds() float64 {
 	var usage syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &usage); err != nil {
--- a/cmd/testbed/emulator_experiments.go
+++ b/cmd/testbed/emulator_experiments.go
@@ -11,14 +11,14 @@
 	"thymechute/internal/lab/emulator"
 )
 
-// subsetsCommand compares the subsetting strategies in the emulator over one script of views, and checks the chosen one (stable
-// ranks).
+// subsetsCommand returns the experiment that compares the subsetting strategies with one script of views, and checks the one
+// that the program uses (stable ranks).
 func subsetsCommand() *cobra.Command {
 	var subsetSize int
-	c := newExperimentCommand("subsets", "Subsets of backends as members join and leave, in the emulator",
-		sizeRange{defaultSize: 24, minSize: 6, maxSize: 100_000, unit: "members at the most; backends are a quarter of it, at least 6"},
+	c := newExperimentCommand("subsets", "Subsets of backends while members join and leave, in the emulator",
+		sizeRange{defaultSize: 24, minSize: 6, maxSize: 100_000, unit: "members in the largest view; a quarter as many backends, at least 6"},
 		func(t trialOptions) (*lab.Report, error) { return compareSubsets(t, subsetSize) })
-	c.Flags().IntVar(&subsetSize, "subset", 3, "backends of a member")
+	c.Flags().IntVar(&subsetSize, "subset", 3, "backends per member")
 	return c
 }
 
@@ -48,19 +48,21 @@
 	return r, nil
 }
 
-// checkSubsets checks the strategy that the program uses: load imbalance at stable views, and churn by members over the minimum.
+// checkSubsets checks the strategy that the program uses: the load imbalance in stable views, and the connections opened over the
+// minimum when a member joins or leaves.
 func checkSubsets(r *lab.Report, f emulator.StrategyFigures) {
 	const maxImbalance, maxChurn = 1.10, 1.5
 	r.AddFigure("subset_max_over_mean", f.WorstImbalance)
 	r.AddFigure("subset_churn_over_minimum", f.MemberChurn)
 	if f.WorstImbalance > maxImbalance || f.MemberChurn > maxChurn {
-		r.AddFault("spread %.3f (at most %.2f), churn %.2f (at most %.1f)", f.WorstImbalance, maxImbalance, f.MemberChurn, maxChurn)
+		r.AddFault("stable ranks: load imbalance %.3f, expected at most %.2f; connections opened %.2f times the minimum, expected at most %.1f",
+			f.WorstImbalance, maxImbalance, f.MemberChurn, maxChurn)
 	}
 }
 
-// ownerCommand checks the lease algorithm. Its takeover is in emulated time, with leases of 1 s.
+// ownerCommand returns the experiment on the lease algorithm. Times are simulated; a lease lasts 1 s.
 func ownerCommand() *cobra.Command {
-	return newExperimentCommand("owner", "One lease holder per duty through pauses, partitions and restarts, in the emulator",
+	return newExperimentCommand("owner", "At most one lease holder per duty despite pauses, partitions and restarts, in the emulator",
 		sizeRange{defaultSize: 12, minSize: 2, maxSize: 5000, unit: "members"}, runLeases)
 }
 
@@ -79,28 +81,30 @@
 	r.ExpectZero("tables_that_differ", f.DivergedTables)
 	r.AddFigure("takeover_ms_p99", float64(f.TakeoverP99.Milliseconds()))
 	if f.StaleProposed == 0 || f.TakeoverP99 > maxTakeover {
-		r.AddFault("%d stale commands proposed, takeover %v; expected some, and %v at most", f.StaleProposed, f.TakeoverP99, maxTakeover)
+		r.AddFault("%d stale commands proposed, takeover in %v (99th percentile); expected at least 1 command and at most %v",
+			f.StaleProposed, f.TakeoverP99, maxTakeover)
 	}
 	return r, nil
 }
 
-// ringCommand checks the ring's plans, and reports published algorithms beside them.
+// ringCommand returns the experiment that checks the ring's plans and measures published algorithms for comparison.
 func ringCommand() *cobra.Command {
-	return newExperimentCommand("ring", "Backends join, leave, fail and come back: keys moved, by the ring and by published algorithms, in the emulator",
-		sizeRange{defaultSize: 6, minSize: 2, maxSize: 1000, unit: "backends at first"}, compareRing)
+	return newExperimentCommand("ring",
+		"Keys moved when backends join, leave, fail and return, by the ring and by published algorithms, in the emulator",
+		sizeRange{defaultSize: 6, minSize: 2, maxSize: 1000, unit: "backends at the start"}, compareRing)
 }
 
 func compareRing(t trialOptions) (*lab.Report, error) {
 	const (
-		maxMoved     = 1
-		maxOverFair  = 1.05
-		maxSmallRing = 60 // backends, with the smaller numbers of slots and keys
-		slots, keys  = 4096, 100_000
-		manySlots    = 1 << 16
-		manyKeys     = 1_000_000
+		maxMigrationRatio    = 1
+		maxSlotRatio         = 1.05
+		maxSmallRingBackends = 60 // backends; with more of them, manySlots and manyKeys are used
+		fewSlots, fewKeys    = 4096, 100_000
+		manySlots            = 1 << 16
+		manyKeys             = 1_000_000
 	)
-	scenario := emulator.RingScenario{Backends: t.size, Slots: slots, Keys: keys, Seed: t.seed}
-	if t.size > maxSmallRing {
+	scenario := emulator.RingScenario{Backends: t.size, Slots: fewSlots, Keys: fewKeys, Seed: t.seed}
+	if t.size > maxSmallRingBackends {
 		scenario.Slots = manySlots
 		scenario.Keys = manyKeys
 	}
@@ -119,17 +123,18 @@
 		r.AddFigure(a.Algorithm+"_keys_moved_over_least", a.MovedOverMinimum)
 		r.AddFigure(a.Algorithm+"_keys_max_over_fair", a.MaxOverFairShare)
 	}
-	if f.MigrationsOverMinimum > maxMoved || f.MaxSlotsOverFairShare > maxOverFair {
-		r.AddFault("%.3f times the fewest migrations, %.3f times the fair share of slots; expected %d and %.2f at most",
-			f.MigrationsOverMinimum, f.MaxSlotsOverFairShare, maxMoved, maxOverFair)
+	if f.MigrationsOverMinimum > maxMigrationRatio || f.MaxSlotsOverFairShare > maxSlotRatio {
+		r.AddFault("%.3f times the minimum of migrations, %.3f times the fair share of slots; expected at most %d and %.2f",
+			f.MigrationsOverMinimum, f.MaxSlotsOverFairShare, maxMigrationRatio, maxSlotRatio)
 	}
 	return r, nil
 }
 
-// rollCommand checks the rollout, with and without faults.
+// rollCommand returns the experiment that checks a rollout with and without faults.
 func rollCommand() *cobra.Command {
-	return newExperimentCommand("roll", "A release rolled out through zones while instances fail, load rises and the lease holder changes, in the emulator",
-		sizeRange{defaultSize: 24, minSize: 12, maxSize: 5000, unit: "instances, in 3 zones, or 6 from 300 on"}, runRollout)
+	return newExperimentCommand("roll",
+		"A release rolled out in all zones while instances fail, the load rises and the leader changes, in the emulator",
+		sizeRange{defaultSize: 24, minSize: 12, maxSize: 5000, unit: "instances, in 3 zones; from 300 instances on, in 6 zones"}, runRollout)
 }
 
 func runRollout(t trialOptions) (*lab.Report, error) {
@@ -164,22 +169,24 @@
 
 func wavesOverBound(f emulator.RolloutFigures) float64 { return float64(f.Waves) / float64(f.MinWaves) }
 
-// checkRollout adds a fault for each part of the claim that does not hold.
+// checkRollout adds a fault for each requirement that is not met.
 func checkRollout(r *lab.Report, f, undisturbed emulator.RolloutFigures) {
-	const maxWaves, rounding = 1.15, 1e-9
+	const maxWaveRatio, rounding = 1.15, 1e-9
 	if f.MinCapacityOverRequired < 1 || undisturbed.MinCapacityOverRequired < 1 {
-		r.AddFault("a zone's capacity was %.3f times the required, %.3f undisturbed; expected 1 at least", f.MinCapacityOverRequired, undisturbed.MinCapacityOverRequired)
+		r.AddFault("the lowest capacity of a zone was %.3f times the required one, %.3f without faults; expected at least 1",
+			f.MinCapacityOverRequired, undisturbed.MinCapacityOverRequired)
 	}
-	if waves := wavesOverBound(f); waves > maxWaves {
-		r.AddFault("%.3f times the bound on waves, expected %.2f at most", waves, maxWaves)
+	if waves := wavesOverBound(f); waves > maxWaveRatio {
+		r.AddFault("%.3f times the lower bound on waves, expected at most %.2f", waves, maxWaveRatio)
 	}
 	if f.MaxVotersDraining > 1 {
-		r.AddFault("%d voters draining at once, expected 1 at most", f.MaxVotersDraining)
+		r.AddFault("%d voters draining at the same time, expected at most 1", f.MaxVotersDraining)
 	}
 	if f.CompletedFraction < 1-rounding || undisturbed.CompletedFraction < 1-rounding {
-		r.AddFault("%.3f of the instances were replaced, %.3f undisturbed; expected all", f.CompletedFraction, undisturbed.CompletedFraction)
+		r.AddFault("fraction of the instances that run the new release: %.3f, %.3f without faults; expected 1",
+			f.CompletedFraction, undisturbed.CompletedFraction)
 	}
 	if !f.IsInfeasibleRejected {
-		r.AddFault("a required capacity that cannot be kept was not rejected")
+		r.AddFault("a plan whose required capacity cannot be kept was accepted, expected an error")
 	}
 }
--- a/cmd/testbed/experiment.go
+++ b/cmd/testbed/experiment.go
@@ -10,7 +10,7 @@
 	"thymechute/internal/lab"
 )
 
-// sizeRange is the default and the bounds, inclusive, of an experiment's --size.
+// sizeRange is the default and the inclusive bounds of an experiment's --size.
 type sizeRange struct {
 	defaultSize, minSize, maxSize int
 	unit                          string
@@ -23,8 +23,8 @@
 	progress func(string) // called with one line at a time
 }
 
-// newExperimentCommand creates the command of an experiment. The report of run is printed whether its claim holds or not;
-// an error of run means that the claim could not be checked.
+// newExperimentCommand returns the command of an experiment. It prints the report of run whether the experiment's claim holds or
+// not. An error of run means that the claim could not be checked.
 func newExperimentCommand(name, short string, allowed sizeRange, run func(trialOptions) (*lab.Report, error)) *cobra.Command {
 	var options trialOptions
 	var asJSON bool
@@ -48,13 +48,13 @@
 			fmt.Fprintln(c.ErrOrStderr(), failure)
 		}
 		if len(report.Faults) > 0 {
-			return fmt.Errorf("%s: its claim does not hold", name)
+			return fmt.Errorf("experiment %s: its claim does not hold", name)
 		}
 		return nil
 	}}
-	c.Flags().Uint64Var(&options.seed, "seed", 1, "seed of the run's random generators")
+	c.Flags().Uint64Var(&options.seed, "seed", 1, "seed of the random generators")
 	c.Flags().IntVar(&options.size, "size", allowed.defaultSize, allowed.unit)
-	c.Flags().BoolVar(&asJSON, "json", false, "print one object, figures by name")
+	c.Flags().BoolVar(&asJSON, "json", false, "print one JSON object with the figures by name")
 	return c
 }
 
@@ -63,7 +63,7 @@
 	return json.NewEncoder(out).Encode(report.ByName())
 }
 
-// printText prints one figure a line, the values aligned.
+// printText prints one figure per line, with the values aligned.
 func printText(out io.Writer, report *lab.Report) error {
 	width := 0
 	for _, f := range report.Figures {
--- a/cmd/testbed/experiment_test.go
+++ b/cmd/testbed/experiment_test.go
@@ -9,8 +9,8 @@
 	"thymechute/internal/lab"
 )
 
-// A report is printed whether its claim holds or not; a claim that does not hold, a size out of bounds and a run that could
-// not be completed give different errors.
+// A report is printed whether its claim holds or not. A claim that does not hold, a size out of bounds and a run that fails
+// each cause a different error.
 func TestExperimentCommandPrintsItsReport(t *testing.T) {
 	failed := errors.New("no port is free")
 	for _, c := range []struct {
@@ -37,9 +37,9 @@
 			r := &lab.Report{}
 			r.ExpectZero("lost", 2)
 			return r, nil
-		}, out: "lost 2\n", errs: "lost is 2, expected 0\n", err: "try: its claim does not hold"},
-		{name: "not tried", run: func(trialOptions) (*lab.Report, error) { return nil, failed }, err: failed.Error()},
-		{name: "too large", args: "--size 11", run: func(trialOptions) (*lab.Report, error) { panic("it must not run") },
+		}, out: "lost 2\n", errs: "lost is 2, expected 0\n", err: "experiment try: its claim does not hold"},
+		{name: "run fails", run: func(trialOptions) (*lab.Report, error) { return nil, failed }, err: failed.Error()},
+		{name: "too large", args: "--size 11", run: func(trialOptions) (*lab.Report, error) { panic("must not run with a size out of bounds") },
 			usage: true, err: "--size: found 11, expected 5 to 10 members"},
 	} {
 		var out, errs bytes.Buffer
--- a/cmd/testbed/fakes.go
+++ b/cmd/testbed/fakes.go
@@ -20,23 +20,24 @@
 	deadLetterExchange = "readings.given-up"
 )
 
-// brokerFlags are the flags of the fake broker.
+// brokerFlags are the flags of fakeBrokerCommand.
 type brokerFlags struct {
 	listen   string
 	faults   []string
 	messages int
 }
 
-// fakeBrokerCommand starts the fake message broker and runs it until a signal.
+// fakeBrokerCommand returns the command that runs the fake message broker until a signal.
 func fakeBrokerCommand() *cobra.Command {
 	var flags brokerFlags
-	c := &cobra.Command{Use: "broker", Short: "A message broker: queue readings, dead letters in dead, until SIGINT or SIGTERM", Args: cobra.NoArgs,
+	c := &cobra.Command{Use: "broker", Short: "Run a message broker with a queue for dead letters until SIGINT or SIGTERM",
+		Args: cobra.NoArgs,
 		Long: "A fake message broker that speaks AMQP 0-9-1, with the queue readings and the fanout exchange readings.given-up,\n" +
 			"bound to the queue dead. --fault EVENT:NTH[+EVERY]:FAULT injects a fault at a counted event.",
 		RunE: func(c *cobra.Command, _ []string) error { return runFakeBroker(c.OutOrStdout(), flags) }}
 	c.Flags().StringVar(&flags.listen, "listen", "127.0.0.1:5672", "a loopback address")
 	c.Flags().StringArrayVar(&flags.faults, "fault", nil, "a fault to inject; repeatable")
-	c.Flags().IntVar(&flags.messages, "messages", 0, "messages of the class trace that are ready in readings from the start")
+	c.Flags().IntVar(&flags.messages, "messages", 0, "messages of the class trace in the queue readings at the start")
 	return c
 }
 
@@ -64,7 +65,7 @@
 	return nil
 }
 
-// newFaultyBroker creates a broker with the faults of the command line.
+// newFaultyBroker returns a broker with the faults given on the command line.
 func newFaultyBroker(texts []string) (*broker.Broker, error) {
 	var faults []broker.Fault
 	for _, text := range texts {
@@ -77,14 +78,14 @@
 	return broker.New(faults...)
 }
 
-// fakeRuntimeCommand starts the fake runtime and runs it until a signal.
+// fakeRuntimeCommand returns the command that runs the fake runtime until a signal.
 func fakeRuntimeCommand() *cobra.Command {
 	var listen string
 	var runTime time.Duration
-	c := &cobra.Command{Use: "runtime", Short: "A runtime that runs every task it is given, until SIGINT or SIGTERM", Args: cobra.NoArgs,
+	c := &cobra.Command{Use: "runtime", Short: "Run a runtime that accepts every task, until SIGINT or SIGTERM", Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error { return runFakeRuntime(c.OutOrStdout(), listen, runTime) }}
 	c.Flags().StringVar(&listen, "listen", "127.0.0.1:7300", "a loopback address")
-	c.Flags().DurationVar(&runTime, "work", 5*time.Millisecond, "run time of a task")
+	c.Flags().DurationVar(&runTime, "work", 5*time.Millisecond, "how long each task runs")
 	return c
 }
 
--- a/cmd/testbed/main.go
+++ b/cmd/testbed/main.go
@@ -1,6 +1,6 @@
-// Command testbed is a development tool for thymechute: it starts fakes of external systems and runs experiments with the
-// real program or the emulator. Everything stays on loopback and is bounded in count and time. Exit codes: 0 when the
-// experiment's claim holds, 1 when it does not hold or could not be checked, 2 for a command-line error.
+// Command testbed is a development tool for thymechute: it runs fakes of external systems, and experiments with the real
+// program or in the emulator. It uses loopback addresses only, and its experiments are bounded in size and time. Exit codes:
+// 0 if the experiment's claim holds, 1 if it does not hold or could not be checked, 2 for a command-line error.
 package main
 
 import (
@@ -17,7 +17,7 @@
 	exitUsage   = 2
 )
 
-// usageError is an invalid command line; main exits with exitUsage for it.
+// usageError is the error of an invalid command line, for which main exits with exitUsage.
 type usageError struct{ error }
 
 func main() {
@@ -36,7 +36,7 @@
 	root := &cobra.Command{Use: "testbed", Short: "Fakes of external systems and experiments for thymechute, on loopback",
 		SilenceErrors: true, SilenceUsage: true, CompletionOptions: cobra.CompletionOptions{HiddenDefaultCmd: true}}
 	root.SetFlagErrorFunc(func(_ *cobra.Command, err error) error { return usageError{err} })
-	fake := &cobra.Command{Use: "fake", Aliases: []string{"stand"}, Short: "Start a fake of an external system"}
+	fake := &cobra.Command{Use: "fake", Aliases: []string{"stand"}, Short: "Run a fake of an external system"}
 	fake.AddCommand(fakeBrokerCommand(), fakeRuntimeCommand())
 	run := &cobra.Command{Use: "run", Short: "Run an experiment with the real program and fakes, or in the emulator"}
 	run.AddCommand(amqpCommand(), amqpStormCommand(), fleetCommand(), subsetsCommand(), ownerCommand(), ringCommand(), rollCommand(),
--- a/cmd/testbed/program_experiments.go
+++ b/cmd/testbed/program_experiments.go
@@ -9,26 +9,27 @@
 	"thymechute/internal/lab/rig"
 )
 
-// amqpCommand is the experiment on the AMQP consumer with a faulty broker.
+// amqpCommand returns the experiment on the AMQP consumer with a faulty broker.
 func amqpCommand() *cobra.Command {
-	return newExperimentCommand("amqp", "Two instances at a broker that loses acks, cuts connections and restarts; then the cost beside JSON-RPC",
+	return newExperimentCommand("amqp",
+		"Two instances at a broker that loses acks, cuts connections and restarts; then the cost compared with JSON-RPC",
 		sizeRange{defaultSize: 100_000, minSize: 200, maxSize: 10_000_000, unit: "messages"}, withProgram(lab.AMQP))
 }
 
-// amqpStormCommand is the experiment on the AMQP consumer under repeated redelivery.
+// amqpStormCommand returns the experiment on the AMQP consumer with repeated redelivery.
 func amqpStormCommand() *cobra.Command {
 	return newExperimentCommand("amqp-storm", "Two instances at a broker that delivers every message six times",
 		sizeRange{defaultSize: 50_000, minSize: 200, maxSize: 10_000_000, unit: "messages"}, withProgram(lab.AMQPStorm))
 }
 
-// fleetCommand is the experiment on membership.
+// fleetCommand returns the experiment on membership.
 func fleetCommand() *cobra.Command {
-	return newExperimentCommand("fleet", "Members that join, are killed, paused, restarted and drained; all must agree within 2 s",
-		sizeRange{defaultSize: 24, minSize: 4, maxSize: 64, unit: "members at the most"}, withProgram(lab.Fleet))
+	return newExperimentCommand("fleet", "Members join, are killed, paused, restarted and drained; all views must agree within 2 s",
+		sizeRange{defaultSize: 24, minSize: 4, maxSize: 64, unit: "members at peak"}, withProgram(lab.Fleet))
 }
 
-// withProgram runs an experiment with the thymechute executable beside testbed, in a temporary directory that is removed
-// afterwards.
+// withProgram returns a function that runs an experiment with the thymechute executable in the directory of testbed. The
+// experiment gets a temporary directory, which is removed afterwards.
 func withProgram(run lab.Experiment) func(trialOptions) (*lab.Report, error) {
 	return func(options trialOptions) (*lab.Report, error) {
 		program, err := programPath()
@@ -44,7 +45,7 @@
 	}
 }
 
-// programPath is the path of the thymechute executable in testbed's own directory.
+// programPath returns the path of the thymechute executable, which must be in the directory of testbed.
 func programPath() (string, error) {
 	executable, err := os.Executable()
 	if err != nil {
--- a/cmd/testbed/scale.go
+++ b/cmd/testbed/scale.go
@@ -17,23 +17,23 @@
 	"thymechute/internal/lab/scale/raftlog"
 )
 
-// scaleParts are the measurements, in the order in which they run.
+// scaleParts are the parts of the scale measurements, in the order in which they run.
 var scaleParts = []scale.Part{members.Part{}, raftlog.Part{}, instance.New(), decisions.Part{}}
 
-// scalePartTimeout bounds the run of one part.
+// scalePartTimeout limits the run time of each part.
 const scalePartTimeout = 15 * time.Minute
 
 // scaleOptions are the flags of scaleCommand.
 type scaleOptions struct {
-	part   string // empty for all parts
+	part   string // name of the only part to run; empty for all parts
 	seed   uint64
 	asJSON bool
 }
 
-// scaleCommand runs the scale measurements, all parts or one of them.
+// scaleCommand returns the command that runs all parts of the scale measurements, or one of them.
 func scaleCommand() *cobra.Command {
 	var options scaleOptions
-	c := &cobra.Command{Use: "scale", Short: "How each role's state, messages, time and memory grow, extrapolated to 1,200 instances",
+	c := &cobra.Command{Use: "scale", Short: "How state, messages, time and memory of each role grow, extrapolated to 1,200 instances",
 		Args: cobra.NoArgs, RunE: func(c *cobra.Command, _ []string) error {
 			parts, err := selectParts(options.part)
 			if err != nil {
@@ -47,12 +47,12 @@
 			return nil
 		}}
 	c.Flags().StringVar(&options.part, "part", "", "run only this part: "+partNames())
-	c.Flags().Uint64Var(&options.seed, "seed", 1, "seed of the faults' positions and of the instances")
+	c.Flags().Uint64Var(&options.seed, "seed", 1, "seed of the positions of faults and of the instances")
 	c.Flags().BoolVar(&options.asJSON, "json", false, "print one JSON object per part")
 	return c
 }
 
-// runPart runs one part in a temporary directory and prints its result. A claim that does not hold is an error.
+// runPart runs one part in a temporary directory and prints its result. It returns an error if a claim of the part does not hold.
 func runPart(c *cobra.Command, part scale.Part, flags scaleOptions) error {
 	program, err := programPath()
 	if err != nil {
@@ -84,7 +84,7 @@
 	return nil
 }
 
-// selectParts returns the part of that name, or all of them for an empty name.
+// selectParts returns the part of the given name, or all parts for an empty name.
 func selectParts(name string) ([]scale.Part, error) {
 	if name == "" {
 		return scaleParts, nil
--- a/cmd/testbed/scale_child.go
+++ b/cmd/testbed/scale_child.go
@@ -7,15 +7,15 @@
 	"thymechute/internal/lab/scale/raftlog"
 )
 
-// scaleLogCommand is the hidden command that runs the replicas of one process of a trial of the replicated log: memory and
-// CPU time are those of a process.
+// scaleLogCommand returns the hidden command that runs the replicas of one process in a trial of the replicated log. A separate
+// process is needed because memory and CPU time are measured per process.
 func scaleLogCommand() *cobra.Command {
 	return &cobra.Command{Use: raftlog.ChildCommand, Hidden: true, Args: cobra.NoArgs, RunE: func(c *cobra.Command, _ []string) error {
 		return raftlog.Child(c.Context(), c.InOrStdin(), c.OutOrStdout())
 	}}
 }
 
-// scaleMembersCommand is the hidden command that runs one trial of membership in a process of its own, for the same reason.
+// scaleMembersCommand returns the hidden command that runs one trial of membership in a separate process, for the same reason.
 func scaleMembersCommand() *cobra.Command {
 	return &cobra.Command{Use: members.ChildCommand, Hidden: true, Args: cobra.NoArgs, RunE: func(c *cobra.Command, _ []string) error {
 		return members.RunChild(c.Context(), c.InOrStdin(), c.OutOrStdout(), c.ErrOrStderr())
