--- a/internal/lab/emulator/configuration_partitions.go
+++ b/internal/lab/emulator/configuration_partitions.go
@@ -5,8 +5,8 @@
 // unreachable is the value of reachableSince while a process is isolated.
 const unreachable = time.Duration(1 << 62)
 
-// maxAgeUnderstatement is by how much the age that an isolated member reports may be below the duration of its isolation:
-// what it received last was up to that old, as it passed down the tree by polls.
+// maxAgeUnderstatement is the tolerance for the age that an isolated member reports: it may be below the duration of the
+// isolation by as much as information ages while it passes down the tree by polls.
 const maxAgeUnderstatement = 12 * time.Second
 
 // partitionRegion cuts a region off from all others for the scenario's regionPartition.
--- a/internal/lab/emulator/configuration_process.go
+++ b/internal/lab/emulator/configuration_process.go
@@ -34,7 +34,7 @@
 	traffic        configurationTraffic
 }
 
-// configurationRecovery is how a process became reachable, from which it then had to catch up.
+// configurationRecovery is the reason why a process became reachable and had to catch up.
 type configurationRecovery int
 
 const (
--- a/internal/lab/emulator/lease.go
+++ b/internal/lab/emulator/lease.go
@@ -34,13 +34,13 @@
 
 // LeaseFigures are the measurements of a run.
 type LeaseFigures struct {
-	ConcurrentHolders int // calls of Check that found two members holding the same lease
-	StaleProposed     int // commands proposed with the token of an earlier lease
-	StaleAccepted     int // stale commands accepted by a member's table
-	StaleAdmitted     int // stale commands admitted by a member's fence
-	Decisions         int // accepted by the first member's table
-	DivergedTables    int // differences between a member's table and the first member's at the end, one per duty
-	TakeoverP99       time.Duration
+	ConcurrentHolders int           // calls of Check that found two members that held the same lease
+	StaleProposed     int           // commands proposed with the token of an earlier lease
+	StaleAccepted     int           // stale commands accepted by a member's table
+	StaleAdmitted     int           // stale commands admitted by a member's fence
+	Decisions         int           // accepted by the first member's table
+	DivergedTables    int           // differences between a member's table and the first member's at the end, one per duty
+	TakeoverP99       time.Duration // 99th percentile of how long a duty had no holder
 }
 
 // NewLeaseSim returns a fleet of size members with an empty log. The members' clock rates are random within config.MaxDrift.
@@ -54,12 +54,12 @@
 
 // start starts size members, with random clock rates within Config.MaxDrift.
 func (s *LeaseSim) start(size int, r *rand.Rand, duties []string) error {
-	truth, err := lease.NewTable(duties...)
+	table, err := lease.NewTable(duties...)
 	if err != nil {
 		return err
 	}
-	s.duties = truth.Duties()
-	s.referenceTable = truth
+	s.duties = table.Duties()
+	s.referenceTable = table
 	s.vacantSince = map[string]time.Duration{}
 	for _, duty := range s.duties {
 		s.vacantSince[duty] = 0
@@ -189,8 +189,8 @@
 	return nil
 }
 
-// settle ends all faults, commits all proposals, delivers the complete log to all members, and computes the figures of the
-// end.
+// settle commits all proposals, delivers the complete log to all members, paused and cut off ones included, and computes the
+// figures of the end.
 func (s *LeaseSim) settle() {
 	s.CommitAll()
 	for _, m := range s.Members {
--- a/internal/lab/emulator/lease_run.go
+++ b/internal/lab/emulator/lease_run.go
@@ -104,7 +104,7 @@
 	}
 }
 
-// heal ends all faults. A member that was paused first proposes decisions without checking its leases.
+// heal ends all faults. Each member that was paused then proposes decisions without checking its leases.
 func (run *leaseRun) heal() {
 	for _, m := range run.Members {
 		wasPaused := m.Paused
--- a/internal/lab/emulator/rollout_loss.go
+++ b/internal/lab/emulator/rollout_loss.go
@@ -49,7 +49,7 @@
 	MinCapacityOverRequired float64 // minimum of the capacity over the required one, in zones without a lost member
 	MaxStuck                int     // instances stuck at the same time
 	CompletedFraction       float64
-	ResumeDelay             time.Duration // from the return of the lost members to the next drain; 0 if there was none
+	ResumeDelay             time.Duration // from the return of the lost members to the next drain, at least a tick; 0 if there was none
 }
 
 // rolloutLossRun is a RolloutLossScenario in progress.
