--- a/cmd/testbed/fakes.go
+++ b/cmd/testbed/fakes.go
@@ -57,7 +57,7 @@
 	}
 	defer b.Close()
 	for n := range flags.messages {
-		b.Publish("", readingsQueue, broker.Props{broker.Type: rig.ClassTrace, broker.MessageID: fmt.Sprintf("m%d", n+1)}, []byte("reading"))
+		b.Publish("", readingsQueue, broker.Props{broker.Type: rig.SafeClass, broker.MessageID: fmt.Sprintf("m%d", n+1)}, []byte("reading"))
 	}
 	fmt.Fprintln(out, "listening on", address)
 	waitForSignal()
--- a/internal/lab/amqp.go
+++ b/internal/lab/amqp.go
@@ -12,39 +12,39 @@
 const (
 	maxReadyMessages = 20_000                 // published ahead of the consumers
 	stallTimeout     = 200 * time.Millisecond // without a delivery while consumers have unacked messages
-	drainedTime      = 300 * time.Millisecond // for which the queue must stay empty to count as drained
+	minDrainedTime   = 300 * time.Millisecond // for which the queue must stay empty to count as drained
 	progressInterval = 5 * time.Second
-	minCostSize      = 500 // messages
+	minCostMessages  = 500 // messages
 )
 
 // AMQP is the experiment on the AMQP consumer: two instances at a broker that loses acks, closes connections within a batch and
 // restarts once, with one instance killed and started anew; then the CPU cost beside the JSON-RPC front.
 func AMQP(options Options) (*Report, error) {
-	r := run{options}
+	e := brokerExperiment{options}
 	report := &Report{}
-	if err := r.amqpFaults(report); err != nil {
+	if err := e.runWithFaults(report); err != nil {
 		return report, err
 	}
-	r.Size = max(r.Size/5, minCostSize)
-	return report, r.amqpCost(report)
+	e.Size = max(e.Size/5, minCostMessages)
+	return report, e.compareFrontCosts(report)
 }
 
-// amqpFaults runs the part with faults.
-func (r run) amqpFaults(report *Report) error {
-	recorded, err := newRecordedBroker(r.amqpFaultScript()...)
+// runWithFaults runs the part with faults.
+func (e brokerExperiment) runWithFaults(report *Report) error {
+	recorded, err := newRecordedBroker(e.amqpFaultScript()...)
 	if err != nil {
 		return err
 	}
 	defer recorded.broker.Close()
-	pair, err := recorded.launchPair(r, ` least-credit="32"`)
-	defer pair.end()
+	pair, err := recorded.launchPair(e, ` least-credit="32"`)
+	defer pair.close()
 	if err != nil {
 		return err
 	}
-	r.Progress(fmt.Sprintf("%d messages, half of them %s", r.Size, rig.ClassExcursion))
-	f := &faultRun{run: r, recorded: recorded, pair: pair, lastDelivery: time.Now(), lastProgress: time.Now()}
+	e.Progress(fmt.Sprintf("%d messages, half of them %s", e.Size, rig.IdempotentClass))
+	f := &faultRun{brokerExperiment: e, recorded: recorded, pair: pair, lastDeliveryTime: time.Now(), lastProgressTime: time.Now()}
 	begin := time.Now()
-	drainError, err := f.untilDrained(begin.Add(maxRunTime))
+	drainError, err := f.runUntilDrained(begin.Add(maxRunTime))
 	if err != nil {
 		return err
 	}
@@ -52,62 +52,62 @@
 		report.AddFault("%s", drainError)
 	}
 	took := time.Since(begin)
-	f.noteMemory(pair.memory())
+	f.recordPeakMemory(pair.peakMemory())
 	pair.drain(report)
-	recorded.report(report, r.Size, f.maxMemory)
+	recorded.report(report, e.Size, f.peakMemory)
 	report.AddFigure("drain_s", took.Seconds())
 	return nil
 }
 
 // amqpFaultScript drops every twentieth ack and closes the connection after some deliveries, at places that the seed determines.
-func (r run) amqpFaultScript() []broker.Fault {
+func (e brokerExperiment) amqpFaultScript() []broker.Fault {
 	const ackInterval = 20
-	cutInterval := max(r.Size/200, 500)
+	cutInterval := max(e.Size/200, 500)
 	return []broker.Fault{
-		{Point: broker.AtSettle, Nth: 1 + int(r.Seed%ackInterval), Every: ackInterval, Action: broker.Drop},
-		{Point: broker.AtDeliver, Nth: cutInterval + int(r.Seed%7), Every: cutInterval, Action: broker.CutAfter},
+		{Point: broker.AtSettle, Nth: 1 + int(e.Seed%ackInterval), Every: ackInterval, Action: broker.Drop},
+		{Point: broker.AtDeliver, Nth: cutInterval + int(e.Seed%7), Every: cutInterval, Action: broker.CutAfter},
 	}
 }
 
 // faultRun is the state of the part with faults.
 type faultRun struct {
-	run
-	recorded     *recordedBroker
-	pair         *instancePair
-	published    int
-	deliveries   int
-	lastDelivery time.Time
-	lastProgress time.Time
-	drainedSince time.Time // zero while messages are left
-	killed       bool
-	restarted    bool
-	maxMemory    int64 // bytes, of either instance
+	brokerExperiment
+	recorded          *recordedBroker
+	pair              *instancePair
+	published         int
+	lastDeliveryCount int
+	lastDeliveryTime  time.Time
+	lastProgressTime  time.Time
+	drainedSince      time.Time // zero while messages are left
+	killed            bool
+	restarted         bool
+	peakMemory        int64 // bytes, of either instance
 }
 
-// untilDrained publishes all messages and injects the faults until the queue is drained. A queue that is not drained at the end
+// runUntilDrained publishes all messages and injects the faults until the queue is drained. A queue that is not drained at the end
 // gives drainError.
-func (f *faultRun) untilDrained(end time.Time) (drainError string, err error) {
+func (f *faultRun) runUntilDrained(end time.Time) (drainError string, err error) {
 	for {
-		state := f.publish(f.recorded.broker.QueueState(readingsQueue))
+		state := f.publishUpToLimit(f.recorded.broker.QueueState(readingsQueue))
 		f.cutStalledConnection(state)
 		succeeded := f.recorded.outcomeCount(invariant.Succeeded)
 		f.reportProgress(succeeded, state)
-		if err := f.killOnce(succeeded); err != nil {
+		if err := f.killInstanceOnce(succeeded); err != nil {
 			return "", err
 		}
-		f.restartOnce(succeeded)
+		f.restartBrokerOnce(succeeded)
 		if f.isDrained(state) {
 			return "", nil
 		}
 		if time.Now().After(end) {
-			return notDrained(state), nil
+			return formatNotDrained(state), nil
 		}
 		time.Sleep(pollInterval)
 	}
 }
 
-// publish fills the queue up to maxReadyMessages.
-func (f *faultRun) publish(state broker.QueueState) broker.QueueState {
+// publishUpToLimit fills the queue up to maxReadyMessages.
+func (f *faultRun) publishUpToLimit(state broker.QueueState) broker.QueueState {
 	for ; f.published < f.Size && state.Ready < maxReadyMessages; f.published++ {
 		f.recorded.publishNext(f.published)
 		state.Ready++
@@ -119,39 +119,39 @@
 // a connection after a timeout.
 func (f *faultRun) cutStalledConnection(state broker.QueueState) {
 	deliveries := f.recorded.broker.EventCount(broker.EventDelivered)
-	if deliveries != f.deliveries {
-		f.deliveries, f.lastDelivery = deliveries, time.Now()
+	if deliveries != f.lastDeliveryCount {
+		f.lastDeliveryCount, f.lastDeliveryTime = deliveries, time.Now()
 		return
 	}
-	if state.Consumers > 0 && state.Unacked > 0 && time.Since(f.lastDelivery) > stallTimeout {
+	if state.Consumers > 0 && state.Unacked > 0 && time.Since(f.lastDeliveryTime) > stallTimeout {
 		f.recorded.broker.CutNewest()
-		f.lastDelivery = time.Now()
+		f.lastDeliveryTime = time.Now()
 	}
 }
 
 func (f *faultRun) reportProgress(succeeded int, state broker.QueueState) {
-	if time.Since(f.lastProgress) <= progressInterval {
+	if time.Since(f.lastProgressTime) <= progressInterval {
 		return
 	}
-	f.lastProgress = time.Now()
+	f.lastProgressTime = time.Now()
 	f.Progress(fmt.Sprintf("%d succeeded, %d connections lost, %+v", succeeded, f.recorded.broker.EventCount(broker.EventConnLost), state))
 }
 
-// killOnce kills the second instance after a third of the messages, and starts it anew without its state.
-func (f *faultRun) killOnce(succeeded int) (err error) {
+// killInstanceOnce kills the second instance after a third of the messages, and starts it anew without its state.
+func (f *faultRun) killInstanceOnce(succeeded int) (err error) {
 	if f.killed || succeeded <= f.Size/3 {
 		return nil
 	}
 	f.killed = true
 	f.Progress("n2 is killed and starts without state")
-	f.noteMemory(f.pair.instances[1].PeakMemory())
+	f.recordPeakMemory(f.pair.instances[1].PeakMemory())
 	f.pair.instances[1].Kill()
 	f.pair.instances[1], err = f.launch(instanceName(1), f.pair.runtimes[1], settingsPath(f.Folder), f.Seed+9)
 	return err
 }
 
-// restartOnce restarts the broker after half of the messages.
-func (f *faultRun) restartOnce(succeeded int) {
+// restartBrokerOnce restarts the broker after half of the messages.
+func (f *faultRun) restartBrokerOnce(succeeded int) {
 	if f.restarted || succeeded <= f.Size/2 {
 		return
 	}
@@ -160,7 +160,7 @@
 	f.recorded.broker.Restart()
 }
 
-// isDrained reports whether all messages were published and the queue has been empty for drainedTime.
+// isDrained reports whether all messages were published and the queue has been empty for minDrainedTime.
 func (f *faultRun) isDrained(state broker.QueueState) bool {
 	if f.published < f.Size || state.Ready > 0 || state.Unacked > 0 {
 		f.drainedSince = time.Time{}
@@ -169,11 +169,11 @@
 	if f.drainedSince.IsZero() {
 		f.drainedSince = time.Now()
 	}
-	return time.Since(f.drainedSince) > drainedTime
+	return time.Since(f.drainedSince) > minDrainedTime
 }
 
-func (f *faultRun) noteMemory(bytes int64) { f.maxMemory = max(f.maxMemory, bytes) }
+func (f *faultRun) recordPeakMemory(bytes int64) { f.peakMemory = max(f.peakMemory, bytes) }
 
-func notDrained(state broker.QueueState) string {
+func formatNotDrained(state broker.QueueState) string {
 	return fmt.Sprintf("not drained after %v: %+v", maxRunTime, state)
 }
--- a/internal/lab/amqp_cost.go
+++ b/internal/lab/amqp_cost.go
@@ -20,8 +20,8 @@
 // roundsPerFront is how often each front is measured; the fronts alternate.
 const roundsPerFront = 2
 
-// warmUpPart is the part of a round's size that is sent before the measurement.
-const warmUpPart = 4
+// warmUpDivisor is the part of a round's size that is sent before the measurement.
+const warmUpDivisor = 4
 
 // cost is what the work of a round took.
 type cost struct{ cpu, elapsed time.Duration }
@@ -30,23 +30,23 @@
 	return cost{c.cpu + other.cpu, c.elapsed + other.elapsed}
 }
 
-// amqpCost measures the CPU time of the same work by AMQP and by JSON-RPC.
-func (r run) amqpCost(report *Report) error {
-	r.Size -= r.Size % rpcConns // the same for both fronts
+// compareFrontCosts measures the CPU time of the same work by AMQP and by JSON-RPC.
+func (e brokerExperiment) compareFrontCosts(report *Report) error {
+	e.Size -= e.Size % rpcConns // the same for both fronts
 	costs := map[front]cost{}
 	round := 0
 	for range roundsPerFront {
-		for _, by := range []front{frontAMQP, frontRPC} {
-			r.Progress(fmt.Sprintf("cost, round %d: %s", round+1, by))
-			measured, err := r.costRound(by, r.Seed+uint64(round))
+		for _, protocol := range []front{frontAMQP, frontRPC} {
+			e.Progress(fmt.Sprintf("cost, round %d: %s", round+1, protocol))
+			measured, err := e.costRound(protocol, e.Seed+uint64(round))
 			if err != nil {
 				return err
 			}
-			costs[by] = costs[by].plus(measured)
+			costs[protocol] = costs[protocol].plus(measured)
 			round++
 		}
 	}
-	items := float64(roundsPerFront * r.Size)
+	items := float64(roundsPerFront * e.Size)
 	amqp, rpc := costs[frontAMQP], costs[frontRPC]
 	report.AddFigure("amqp_cpu_ms_per_item", milliseconds(amqp.cpu)/items)
 	report.AddFigure("rpc_cpu_ms_per_item", milliseconds(rpc.cpu)/items)
@@ -57,7 +57,7 @@
 }
 
 // costRound measures one front with an instance of its own. The broker is there in either case.
-func (r run) costRound(by front, seed uint64) (cost, error) {
+func (e brokerExperiment) costRound(protocol front, seed uint64) (cost, error) {
 	recorded, err := newRecordedBroker()
 	if err != nil {
 		return cost{}, err
@@ -70,20 +70,20 @@
 	}
 	defer fake.Close()
 	settings := ""
-	if by == frontAMQP {
-		if settings, err = recorded.writeSettings(r.Folder, fmt.Sprintf(` least-credit="%d"`, rpcConns*rpcOpenRequests)); err != nil {
+	if protocol == frontAMQP {
+		if settings, err = recorded.writeSettings(e.Folder, fmt.Sprintf(` least-credit="%d"`, rpcConns*rpcOpenRequests)); err != nil {
 			return cost{}, err
 		}
 	}
-	instance, err := r.launch("cost", address, settings, seed)
+	instance, err := e.launch("cost", address, settings, seed)
 	if err != nil {
 		return cost{}, err
 	}
 	defer instance.Kill()
-	if by == frontRPC {
-		return measureRPC(instance, r.Size)
+	if protocol == frontRPC {
+		return measureRPC(instance, e.Size)
 	}
-	return measureAMQP(instance, recorded, r.Size), nil
+	return measureAMQP(instance, recorded, e.Size), nil
 }
 
 // measureAMQP publishes size messages and waits until all are settled. The prefetch limit is at least the number of requests that
@@ -91,15 +91,15 @@
 func measureAMQP(instance *rig.Instance, recorded *recordedBroker, size int) cost {
 	timeout := time.AfterFunc(maxRunTime, recorded.broker.Close)
 	defer timeout.Stop()
-	recorded.publishAndSettle(size / warmUpPart)
+	recorded.publishAndAwaitSettled(size / warmUpDivisor)
 	cpu, begin := instance.CPUTime(), time.Now()
-	recorded.publishAndSettle(size)
+	recorded.publishAndAwaitSettled(size)
 	return cost{instance.CPUTime() - cpu, time.Since(begin)}
 }
 
-func (r *recordedBroker) publishAndSettle(count int) {
+func (r *recordedBroker) publishAndAwaitSettled(count int) {
 	for n := range count {
-		r.publish(rig.ClassTrace, n)
+		r.publish(rig.SafeClass, n)
 	}
 	r.broker.WaitForQueue(readingsQueue, func(s broker.QueueState) bool { return s.Ready+s.Unacked == 0 })
 }
--- a/internal/lab/amqp_storm.go
+++ b/internal/lab/amqp_storm.go
@@ -8,15 +8,15 @@
 )
 
 const (
-	stormRedeliveries = 5 // of each message, although it was acked
-	maxMemoryGrowth   = 1.3
-	memoryTolerance   = 4 * bytesPerMB // beyond maxMemoryGrowth
+	stormRedeliveries     = 5 // of each message, although it was acked
+	maxMemoryGrowthFactor = 1.3
+	memoryTolerance       = 4 * bytesPerMB // beyond maxMemoryGrowthFactor
 )
 
 // AMQPStorm is the experiment on redelivery: each message is delivered six times, acked or not, to two consumers with a small
 // prefetch limit. The claim: memory does not grow with the deliveries, and no message causes further messages for ever.
 func AMQPStorm(options Options) (*Report, error) {
-	r := run{options}
+	e := brokerExperiment{options}
 	report := &Report{}
 	recorded, err := newRecordedBroker()
 	if err != nil {
@@ -24,42 +24,42 @@
 	}
 	defer recorded.broker.Close()
 	recorded.broker.Redeliveries = stormRedeliveries
-	for n := range r.Size {
+	for n := range e.Size {
 		recorded.publishNext(n)
 	}
-	r.Progress(fmt.Sprintf("%d messages ready, each delivered %d times", r.Size, stormRedeliveries+1))
-	pair, err := recorded.launchPair(r, ` least-credit="8" most-credit="16"`)
-	defer pair.end()
+	e.Progress(fmt.Sprintf("%d messages ready, each delivered %d times", e.Size, stormRedeliveries+1))
+	pair, err := recorded.launchPair(e, ` least-credit="8" most-credit="16"`)
+	defer pair.close()
 	if err != nil {
 		return report, err
 	}
 	begin := time.Now()
-	earlyMemory := r.awaitStormEnd(report, recorded, pair, begin.Add(maxRunTime))
+	earlyMemory := e.awaitStormEnd(report, recorded, pair, begin.Add(maxRunTime))
 	took := time.Since(begin)
-	endMemory := pair.memory()
-	cpu := pair.cpu()
+	endMemory := pair.peakMemory()
+	cpu := pair.cpuTime()
 	pair.drain(report)
-	recorded.report(report, r.Size, endMemory)
+	recorded.report(report, e.Size, endMemory)
 	deliveries := recorded.broker.EventCount(broker.EventDelivered)
 	report.AddFigure("early_memory_mb", megabytes(earlyMemory))
 	report.AddFigure("cpu_ms_per_delivery", milliseconds(cpu)/float64(max(deliveries, 1)))
 	report.AddFigure("drain_s", took.Seconds())
-	checkStorm(report, r.Size, deliveries, earlyMemory, endMemory)
+	checkStorm(report, e.Size, deliveries, earlyMemory, endMemory)
 	return report, nil
 }
 
 // awaitStormEnd waits until the queue is empty, and returns the memory in bytes when each message has been delivered about once.
-func (r run) awaitStormEnd(report *Report, recorded *recordedBroker, pair *instancePair, end time.Time) (earlyMemory int64) {
+func (e brokerExperiment) awaitStormEnd(report *Report, recorded *recordedBroker, pair *instancePair, end time.Time) (earlyMemory int64) {
 	for ; ; time.Sleep(pollInterval) {
 		state := recorded.broker.QueueState(readingsQueue)
-		if earlyMemory == 0 && recorded.broker.EventCount(broker.EventDelivered) > r.Size {
-			earlyMemory = pair.memory()
+		if earlyMemory == 0 && recorded.broker.EventCount(broker.EventDelivered) > e.Size {
+			earlyMemory = pair.peakMemory()
 		}
 		if state.Ready+state.Unacked == 0 {
 			return earlyMemory
 		}
 		if time.Now().After(end) {
-			report.AddFault("%s", notDrained(state))
+			report.AddFault("%s", formatNotDrained(state))
 			return earlyMemory
 		}
 	}
@@ -71,7 +71,7 @@
 	if maxDeliveries := (stormRedeliveries + 1) * size; deliveries > maxDeliveries {
 		report.AddFault("%d deliveries, expected at most %d: messages loop", deliveries, maxDeliveries)
 	}
-	if float64(endMemory) > maxMemoryGrowth*float64(earlyMemory)+memoryTolerance {
+	if float64(endMemory) > maxMemoryGrowthFactor*float64(earlyMemory)+memoryTolerance {
 		report.AddFault("memory grew from %d to %d bytes", earlyMemory, endMemory)
 	}
 }
--- a/internal/lab/fleet.go
+++ b/internal/lab/fleet.go
@@ -13,16 +13,16 @@
 	minFleetSize = 4
 	maxFleetSize = 64
 
-	// fleetAgreementClaim is the time within which all members agree after each step.
-	fleetAgreementClaim = 2 * time.Second
+	// maxAgreementTime is the time within which all members agree after each step.
+	maxAgreementTime = 2 * time.Second
 
-	// fleetFaultDuration is how long a member is stopped and how long a one-way partition lasts.
-	fleetFaultDuration = 3 * time.Second
+	// faultDuration is how long a member is stopped and how long a one-way partition lasts.
+	faultDuration = 3 * time.Second
 
-	killedFraction    = 8 // 1/8 of the members is killed
-	partitionFraction = 3 // 1/3 is partitioned from the others
-	remainingFraction = 3 // 1/3 remains at the end
-	minRemaining      = 2
+	killedDivisor    = 8 // 1/8 of the members is killed
+	partitionDivisor = 3 // 1/3 is partitioned from the others
+	remainingDivisor = 3 // 1/3 remains at the end
+	minRemaining     = 2
 )
 
 // Fleet runs the experiment on membership: half of the members start, the others join, an eighth is killed, one is
@@ -30,24 +30,24 @@
 // is partitioned from the rest. At the end all but a third drain. The claims: after each step the live members agree on the
 // view and on dense ranks within 2 s, and every member that drains exits with 0. A size other than 4 to 64 members is an error.
 func Fleet(options Options) (*Report, error) {
-	return FleetWithClaim(options, fleetAgreementClaim)
+	return FleetWithAgreementLimit(options, maxAgreementTime)
 }
 
-// FleetWithClaim is Fleet with another claim on the agreement after each step; 0 for none but the rig's own timeout. Small
+// FleetWithAgreementLimit is Fleet with another limit on the agreement after each step; 0 for none but the rig's own timeout. Small
 // fleets detect failures more slowly, as a member probes each other once in n probe intervals and fewer members confirm a
 // suspicion; without a claim, the one-way partition is also only reported and not held to no false detection.
-func FleetWithClaim(options Options, claim time.Duration) (*Report, error) {
+func FleetWithAgreementLimit(options Options, agreementLimit time.Duration) (*Report, error) {
 	if options.Size < minFleetSize || options.Size > maxFleetSize {
 		return nil, fmt.Errorf("--size: found %d, expected %d to %d members", options.Size, minFleetSize, maxFleetSize)
 	}
 	experiment := &fleetExperiment{
-		members:  rig.NewFleet(options.Program, options.Folder, options.Seed),
-		size:     options.Size,
-		claim:    claim,
-		progress: options.Progress,
-		report:   &Report{},
+		fleet:          rig.NewFleet(options.Program, options.Folder, options.Seed),
+		size:           options.Size,
+		agreementLimit: agreementLimit,
+		progress:       options.Progress,
+		report:         &Report{},
 	}
-	defer experiment.members.Close()
+	defer experiment.fleet.Close()
 	for _, phase := range []func() error{
 		experiment.start, experiment.kill, experiment.stopAndContinue, experiment.restart,
 		experiment.isolate, experiment.partitionOneWay, experiment.partition, experiment.drain,
@@ -56,25 +56,25 @@
 			return nil, err
 		}
 	}
-	experiment.finish()
+	experiment.reportResults()
 	return experiment.report, nil
 }
 
 // fleetExperiment is the state of one run.
 type fleetExperiment struct {
-	members  *rig.Fleet
-	size     int
-	claim    time.Duration // 0: none
-	progress func(string)
-	report   *Report
-
-	live       []string // members that are expected to agree
-	killed     []string // to be restarted
-	agreements []time.Duration
+	fleet          *rig.Fleet
+	size           int
+	agreementLimit time.Duration // 0: none
+	progress       func(string)
+	report         *Report
+
+	live           []string // members that are expected to agree
+	killed         []string // to be restarted
+	agreementTimes []time.Duration
 	// staleMembers is the most members of the other side that one of a smaller side still had in its view when its
 	// partition healed.
-	staleMembers int
-	badExits     int // members whose drain did not end with exit status 0
+	maxStaleMembers int
+	failedDrains    int // members whose drain did not end with exit status 0
 }
 
 // memberNames returns the names of the members from a first number to before an end.
@@ -86,23 +86,25 @@
 	return names
 }
 
-// agree waits until the live members agree, and records how long that took.
-func (e *fleetExperiment) agree(step string) error { return e.agreeSince(step, time.Now()) }
+// awaitAgreement waits until the live members agree, and records how long that took.
+func (e *fleetExperiment) awaitAgreement(step string) error {
+	return e.awaitAgreementSince(step, time.Now())
+}
 
-// agreeSince is agree, timed from a moment before it.
-func (e *fleetExperiment) agreeSince(step string, start time.Time) error {
-	if _, err := e.members.WaitForAgreement(e.live); err != nil {
+// awaitAgreementSince is awaitAgreement, timed from a moment before it.
+func (e *fleetExperiment) awaitAgreementSince(step string, start time.Time) error {
+	if _, err := e.fleet.WaitForAgreement(e.live); err != nil {
 		return fmt.Errorf("%s: %w", step, err)
 	}
 	took := time.Since(start)
 	e.progress(fmt.Sprintf("%-34s %d members agree after %v", step, len(e.live), took.Round(time.Millisecond)))
-	e.agreements = append(e.agreements, took)
+	e.agreementTimes = append(e.agreementTimes, took)
 	return nil
 }
 
 func (e *fleetExperiment) startMembers(names []string) error {
 	for _, name := range names {
-		if err := e.members.StartMember(name); err != nil {
+		if err := e.fleet.StartMember(name); err != nil {
 			return err
 		}
 	}
@@ -115,40 +117,40 @@
 	if err := e.startMembers(e.live); err != nil {
 		return err
 	}
-	if err := e.agree("start"); err != nil {
+	if err := e.awaitAgreement("start"); err != nil {
 		return err
 	}
 	if err := e.startMembers(memberNames(e.size/2, e.size)); err != nil {
 		return err
 	}
 	e.live = memberNames(0, e.size)
-	return e.agree("join")
+	return e.awaitAgreement("join")
 }
 
 // kill kills an eighth of the members, and one at least.
 func (e *fleetExperiment) kill() error {
-	remaining := len(e.live) - max(e.size/killedFraction, 1)
+	remaining := len(e.live) - max(e.size/killedDivisor, 1)
 	e.killed = slices.Clone(e.live[remaining:])
 	for _, name := range e.killed {
-		e.members.Member(name).Kill()
+		e.fleet.Member(name).Kill()
 	}
 	e.live = e.live[:remaining]
-	return e.agree("kill -9")
+	return e.awaitAgreement("kill -9")
 }
 
-// stopAndContinue stops one member for fleetFaultDuration.
+// stopAndContinue stops one member for faultDuration.
 func (e *fleetExperiment) stopAndContinue() error {
 	stopped := e.live[len(e.live)-1]
-	e.members.Member(stopped).Signal(syscall.SIGSTOP)
+	e.fleet.Member(stopped).Signal(syscall.SIGSTOP)
 	stoppedAt := time.Now()
 	e.live = e.live[:len(e.live)-1]
-	if err := e.agree("SIGSTOP"); err != nil {
+	if err := e.awaitAgreement("SIGSTOP"); err != nil {
 		return err
 	}
-	time.Sleep(max(fleetFaultDuration-time.Since(stoppedAt), 0)) // the length of the fault, not a wait for an event
-	e.members.Member(stopped).Signal(syscall.SIGCONT)
+	time.Sleep(max(faultDuration-time.Since(stoppedAt), 0)) // the length of the fault, not a wait for an event
+	e.fleet.Member(stopped).Signal(syscall.SIGCONT)
 	e.live = append(e.live, stopped)
-	return e.agree("SIGCONT")
+	return e.awaitAgreement("SIGCONT")
 }
 
 // restart starts the killed members without state, under their names.
@@ -157,41 +159,41 @@
 		return err
 	}
 	e.live = append(e.live, e.killed...)
-	return e.agree("restart without state")
+	return e.awaitAgreement("restart without state")
 }
 
 // drain shuts all but a third of the members down gracefully, at once.
 func (e *fleetExperiment) drain() error {
-	remaining := max(e.size/remainingFraction, minRemaining)
+	remaining := max(e.size/remainingDivisor, minRemaining)
 	draining := e.live[remaining:]
 	errs := make(chan error, len(draining))
 	start := time.Now()
 	for _, name := range draining {
-		go func(member *rig.Instance) { errs <- member.Drain() }(e.members.Member(name))
+		go func(member *rig.Instance) { errs <- member.Drain() }(e.fleet.Member(name))
 	}
 	for range draining {
 		if err := <-errs; err != nil {
-			e.badExits++
+			e.failedDrains++
 			e.report.AddFault("%s", err.Error())
 		}
 	}
 	for _, name := range draining {
-		e.members.Remove(name)
+		e.fleet.Remove(name)
 	}
 	e.live = e.live[:remaining]
-	return e.agreeSince("drain", start)
+	return e.awaitAgreementSince("drain", start)
 }
 
-// finish reports the times and holds them to the claim.
-func (e *fleetExperiment) finish() {
-	slices.Sort(e.agreements)
-	slowest := e.agreements[len(e.agreements)-1]
-	e.report.AddFigure("smaller_side_still_holds", float64(e.staleMembers))
+// reportResults reports the times and holds them to the claim.
+func (e *fleetExperiment) reportResults() {
+	slices.Sort(e.agreementTimes)
+	slowest := e.agreementTimes[len(e.agreementTimes)-1]
+	e.report.AddFigure("smaller_side_still_holds", float64(e.maxStaleMembers))
 	e.report.AddFigure("members_most", float64(e.size))
 	e.report.AddFigure("converge_ms_p99", float64(slowest.Milliseconds()))
-	e.report.AddFigure("converge_ms_median", float64(e.agreements[len(e.agreements)/2].Milliseconds()))
-	e.report.ExpectZero("bad_exits", e.badExits)
-	if e.claim > 0 && slowest > e.claim {
-		e.report.AddFault("fleet: agreement took %v, expected at most %v", slowest, e.claim)
+	e.report.AddFigure("converge_ms_median", float64(e.agreementTimes[len(e.agreementTimes)/2].Milliseconds()))
+	e.report.ExpectZero("bad_exits", e.failedDrains)
+	if e.agreementLimit > 0 && slowest > e.agreementLimit {
+		e.report.AddFault("fleet: agreement took %v, expected at most %v", slowest, e.agreementLimit)
 	}
 }
--- a/internal/lab/lab_test.go
+++ b/internal/lab/lab_test.go
@@ -27,13 +27,13 @@
 
 // Six processes agree after each of kill -9, a pause, a restart without state, an isolated member, a one-way cut, a partition
 // and a graceful shutdown.
-func TestFleetSteps(t *testing.T) {
+func TestFleetAgreesAfterEachStep(t *testing.T) {
 	if testing.Short() {
 		t.Skip("starts processes")
 	}
 	folder := t.TempDir()
 	program := testutil.BuildProgram(t)
-	r, err := FleetWithClaim(Options{Program: program, Folder: folder, Seed: 1, Size: 6, Progress: func(line string) { t.Log(line) }}, 0)
+	r, err := FleetWithAgreementLimit(Options{Program: program, Folder: folder, Seed: 1, Size: 6, Progress: func(line string) { t.Log(line) }}, 0)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/lab/procfs/procfs.go
+++ b/internal/lab/procfs/procfs.go
@@ -15,8 +15,8 @@
 const Self = 0
 
 const (
-	clockTick = 10 * time.Millisecond // unit of CPU time in /proc/PID/stat
-	kilobyte  = 1 << 10
+	clockTick  = 10 * time.Millisecond // unit of CPU time in /proc/PID/stat
+	bytesPerKB = 1 << 10
 )
 
 // Indexes of fields of /proc/PID/stat, counted after the command's name.
@@ -84,7 +84,7 @@
 	if err != nil {
 		return 0, &FormatError{Path: file, Expected: label, Err: err}
 	}
-	return kilobytes * kilobyte, nil
+	return kilobytes * bytesPerKB, nil
 }
 
 // CPUTime returns the user and system time of a process so far, in steps of 10 ms. Its errors are those of reading the
--- a/internal/lab/recorded_broker.go
+++ b/internal/lab/recorded_broker.go
@@ -19,7 +19,7 @@
 	maxReportedFaults  = 5 // violations that a report spells out
 )
 
-const settingsFile = `<thymechute xmlns="urn:thymechute:operator:1">
+const settingsTemplate = `<thymechute xmlns="urn:thymechute:operator:1">
   <amqp%s>
     <broker address="%s"/>
     <queue name="readings" dead-letter="given-up"/>
@@ -46,9 +46,9 @@
 // idempotencyOf is the idempotency of a class of messages.
 func idempotencyOf(class string) invariant.Idempotency {
 	switch class {
-	case rig.ClassTrace:
+	case rig.SafeClass:
 		return invariant.Safe
-	case rig.ClassExcursion:
+	case rig.IdempotentClass:
 		return invariant.Idempotent
 	}
 	return invariant.NonIdempotent
@@ -115,8 +115,8 @@
 	}
 }
 
-// observeStart is the fake runtime's observer for the tasks of an instance.
-func (r *recordedBroker) observeStart(instance string) func(class string, body []byte) {
+// taskObserver is the fake runtime's observer for the tasks of an instance.
+func (r *recordedBroker) taskObserver(instance string) func(class string, body []byte) {
 	return func(class string, body []byte) {
 		r.mu.Lock()
 		defer r.mu.Unlock()
@@ -135,12 +135,12 @@
 // writeSettings writes the operator's file, with further attributes of its amqp element.
 func (r *recordedBroker) writeSettings(folder, attributes string) (path string, err error) {
 	path = settingsPath(folder)
-	return path, os.WriteFile(path, fmt.Appendf(nil, settingsFile, attributes, r.address), 0o600)
+	return path, os.WriteFile(path, fmt.Appendf(nil, settingsTemplate, attributes, r.address), 0o600)
 }
 
 // publishNext publishes the n-th message, from 0; the classes alternate.
 func (r *recordedBroker) publishNext(n int) {
-	classes := []string{rig.ClassExcursion, rig.ClassTrace}
+	classes := []string{rig.IdempotentClass, rig.SafeClass}
 	r.publish(classes[n%len(classes)], n)
 }
 
--- a/internal/lab/rig/fleet.go
+++ b/internal/lab/rig/fleet.go
@@ -10,9 +10,9 @@
 	"thymechute/internal/fake/runtime"
 )
 
-// fleetSettings is the operator's file of one member. Health checks and push/pulls are frequent, as they cost little on
+// fleetSettingsTemplate is the operator's file of one member. Health checks and push/pulls are frequent, as they cost little on
 // loopback.
-const fleetSettings = `<thymechute xmlns="urn:thymechute:operator:1">
+const fleetSettingsTemplate = `<thymechute xmlns="urn:thymechute:operator:1">
   <fleet bind="%s" advertise="%s" zone="z1" probe-ms="150" sync-ms="500">%s</fleet>
 </thymechute>
 `
@@ -28,8 +28,8 @@
 	seed            uint64
 	members         map[string]*Instance
 	addresses       map[string]memberAddresses // by name; kept for restarts
-	seedProxy       string                     // the first member's proxy, by which the others join
-	closers         []func()
+	seedAddress     string                     // the first member's proxy, by which the others join
+	closeRuntimes   []func()
 }
 
 // memberAddresses are where a member listens and where the others reach it.
@@ -49,7 +49,7 @@
 	for _, member := range f.members {
 		member.Kill()
 	}
-	for _, closeRuntime := range f.closers {
+	for _, closeRuntime := range f.closeRuntimes {
 		closeRuntime()
 	}
 	f.Network.Close()
@@ -57,7 +57,7 @@
 
 // StartMember starts a member without any state, at the addresses that it had before under the same name.
 func (f *Fleet) StartMember(name string) error {
-	addresses, err := f.addressesOf(name)
+	addresses, err := f.assignAddresses(name)
 	if err != nil {
 		return err
 	}
@@ -69,14 +69,14 @@
 	if err != nil {
 		return err
 	}
-	f.closers = append(f.closers, fake.Close)
+	f.closeRuntimes = append(f.closeRuntimes, fake.Close)
 	member, err := Launch(LaunchOptions{
-		Program:  f.program,
-		Folder:   f.folder,
-		Name:     name,
-		Runtime:  runtimeAddress,
-		Settings: settings,
-		Seed:     f.seed + uint64(len(f.addresses)),
+		Program:        f.program,
+		Folder:         f.folder,
+		Name:           name,
+		RuntimeAddress: runtimeAddress,
+		SettingsPath:   settings,
+		Seed:           f.seed + uint64(len(f.addresses)),
 	})
 	if err != nil {
 		return err
@@ -85,9 +85,9 @@
 	return nil
 }
 
-// addressesOf returns a member's addresses. The n-th new name, from 1 on, binds 127.0.1.n and is reached through its
+// assignAddresses returns a member's addresses. The n-th new name, from 1 on, binds 127.0.1.n and is reached through its
 // proxy at 127.0.2.n, so that the proxies tell senders by their IP.
-func (f *Fleet) addressesOf(name string) (memberAddresses, error) {
+func (f *Fleet) assignAddresses(name string) (memberAddresses, error) {
 	if known, ok := f.addresses[name]; ok {
 		return known, nil
 	}
@@ -114,15 +114,15 @@
 // others.
 func (f *Fleet) writeSettings(name string, addresses memberAddresses) (path string, err error) {
 	seeds := ""
-	switch f.seedProxy {
+	switch f.seedAddress {
 	case "":
-		f.seedProxy = addresses.proxy
+		f.seedAddress = addresses.proxy
 	case addresses.proxy:
 	default:
-		seeds = fmt.Sprintf(`<seed address="%s"/>`, f.seedProxy)
+		seeds = fmt.Sprintf(`<seed address="%s"/>`, f.seedAddress)
 	}
 	path = filepath.Join(f.folder, name+".xml")
-	return path, os.WriteFile(path, fmt.Appendf(nil, fleetSettings, addresses.bind, addresses.proxy, seeds), 0o600)
+	return path, os.WriteFile(path, fmt.Appendf(nil, fleetSettingsTemplate, addresses.bind, addresses.proxy, seeds), 0o600)
 }
 
 // Member returns the instance that was started last under a name; nil if there is none or it was removed.
--- a/internal/lab/rig/instance.go
+++ b/internal/lab/rig/instance.go
@@ -25,24 +25,24 @@
 
 // Instance is the program as a process.
 type Instance struct {
-	Name    string
-	Listen  string // address that it listens on
-	command *exec.Cmd
-	exited  chan struct{}
-
-	mu    sync.Mutex
-	log   bytes.Buffer
-	wrote chan struct{} // holds one signal, set at each write to the log
+	Name          string
+	ListenAddress string // address that it listens on
+	command       *exec.Cmd
+	exited        chan struct{}
+
+	mu         sync.Mutex
+	log        bytes.Buffer
+	logWritten chan struct{} // holds one signal, set at each write to the log
 }
 
 // LaunchOptions are the options of Launch.
 type LaunchOptions struct {
-	Program  string // path of the executable
-	Folder   string // for the configuration file
-	Name     string // of the instance; unique in the folder
-	Runtime  string // address of its runtime
-	Settings string // path of the operator's file; empty for none
-	Seed     uint64
+	Program        string // path of the executable
+	Folder         string // for the configuration file
+	Name           string // of the instance; unique in the folder
+	RuntimeAddress string // address of its runtime
+	SettingsPath   string // path of the operator's file; empty for none
+	Seed           uint64
 }
 
 // Launch starts the program with a configuration in the folder, and a memory limit of MemoryMB. The caller ends it by Kill or
@@ -58,10 +58,10 @@
 		return nil, err
 	}
 	arguments := []string{"serve"}
-	if options.Settings != "" {
-		arguments = append(arguments, "--settings", options.Settings)
+	if options.SettingsPath != "" {
+		arguments = append(arguments, "--settings", options.SettingsPath)
 	}
-	i := &Instance{Name: options.Name, Listen: configuration.Listen, exited: make(chan struct{}), wrote: make(chan struct{}, 1)}
+	i := &Instance{Name: options.Name, ListenAddress: configuration.Listen, exited: make(chan struct{}), logWritten: make(chan struct{}, 1)}
 	i.command = exec.Command(options.Program, arguments...)
 	i.command.Env = append(os.Environ(), "GW_CONFIG="+path)
 	i.command.Stderr = i
@@ -90,7 +90,7 @@
 	return deployment.Configuration{
 		Name:       options.Name,
 		Listen:     listen,
-		Runtime:    options.Runtime,
+		Runtime:    options.RuntimeAddress,
 		Index:      unused,
 		Directory:  unused,
 		Seed:       strconv.FormatUint(options.Seed, 16),
@@ -121,7 +121,7 @@
 		i.log.Write(p)
 	}
 	select {
-	case i.wrote <- struct{}{}:
+	case i.logWritten <- struct{}{}:
 	default:
 	}
 	return len(p), nil
--- a/internal/lab/rig/settings.go
+++ b/internal/lab/rig/settings.go
@@ -8,9 +8,9 @@
 
 // The classes of the rig's settings.
 const (
-	ClassTrace     = "trace"     // safe
-	ClassExcursion = "excursion" // idempotent with a key
-	ClassSeal      = "seal"      // not idempotent
+	SafeClass          = "trace"     // safe
+	IdempotentClass    = "excursion" // idempotent with a key
+	NonIdempotentClass = "seal"      // not idempotent
 )
 
 // Times of all three classes.
@@ -41,9 +41,9 @@
 	s.Domain.CallerIdleTimeout = callerIdleSeconds
 	s.Tenants = []deployment.Tenant{{Name: "acme", Quota: tenantQuota}}
 	for n, class := range []struct{ name, idempotency string }{
-		{ClassTrace, deployment.Safe},
-		{ClassExcursion, deployment.Idempotent},
-		{ClassSeal, deployment.NonIdempotent},
+		{SafeClass, deployment.Safe},
+		{IdempotentClass, deployment.Idempotent},
+		{NonIdempotentClass, deployment.NonIdempotent},
 	} {
 		s.AddClass(deployment.Class{
 			Name:             class.name,
--- a/internal/lab/rig/settings_test.go
+++ b/internal/lab/rig/settings_test.go
@@ -8,12 +8,12 @@
 )
 
 // The configuration file has the keys and values of revision af0cb43, which encoded it from maps; addresses and seed vary.
-func TestRecordedConfiguration(t *testing.T) {
+func TestConfigurationMatchesRecording(t *testing.T) {
 	recorded, err := os.ReadFile("testdata/configuration-af0cb43.json")
 	if err != nil {
 		t.Fatal(err)
 	}
-	configuration, err := newConfiguration(LaunchOptions{Name: "m0", Runtime: "127.0.0.1:2", Seed: 0x2a})
+	configuration, err := newConfiguration(LaunchOptions{Name: "m0", RuntimeAddress: "127.0.0.1:2", Seed: 0x2a})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/lab/rig/view.go
+++ b/internal/lab/rig/view.go
@@ -12,8 +12,8 @@
 // agreementTimeout bounds WaitForAgreement.
 const agreementTimeout = 10 * time.Second
 
-// maxQuotedLog is how much of the log of a member without a view an error quotes, in bytes.
-const maxQuotedLog = 400
+// maxQuotedLogBytes is how much of the log of a member without a view an error quotes, in bytes.
+const maxQuotedLogBytes = 400
 
 // FleetView is the last view of the fleet that a member has logged.
 type FleetView struct {
@@ -43,17 +43,17 @@
 	deadline := time.NewTimer(agreementTimeout)
 	defer deadline.Stop()
 	for {
-		if f.agree(names, expected) {
+		if f.viewsAgree(names, expected) {
 			return time.Since(start), nil
 		}
-		if !f.waitForLog(names, deadline.C) {
-			return 0, f.disagreement(names, expected)
+		if !f.waitForLogWrite(names, deadline.C) {
+			return 0, f.newDisagreementError(names, expected)
 		}
 	}
 }
 
-// agree tells whether the views of the named members are as expected and their ranks dense and unique.
-func (f *Fleet) agree(names []string, expected string) bool {
+// viewsAgree tells whether the views of the named members are as expected and their ranks dense and unique.
+func (f *Fleet) viewsAgree(names []string, expected string) bool {
 	ranks := map[int]bool{}
 	for _, name := range names {
 		view, ok := f.members[name].FleetView()
@@ -65,13 +65,13 @@
 	return true
 }
 
-// waitForLog waits until one of the named members writes to its log; it returns false at the deadline.
-func (f *Fleet) waitForLog(names []string, deadline <-chan time.Time) bool {
+// waitForLogWrite waits until one of the named members writes to its log; it returns false at the deadline.
+func (f *Fleet) waitForLogWrite(names []string, deadline <-chan time.Time) bool {
 	wake := make(chan struct{}, 1)
 	stop := make(chan struct{})
 	defer close(stop)
 	for _, name := range names {
-		go f.members[name].forwardWrite(wake, stop)
+		go f.members[name].forwardLogWrite(wake, stop)
 	}
 	select {
 	case <-wake:
@@ -81,10 +81,10 @@
 	}
 }
 
-// forwardWrite signals wake at the instance's next write, unless stop is closed before.
-func (i *Instance) forwardWrite(wake chan<- struct{}, stop <-chan struct{}) {
+// forwardLogWrite signals wake at the instance's next write, unless stop is closed before.
+func (i *Instance) forwardLogWrite(wake chan<- struct{}, stop <-chan struct{}) {
 	select {
-	case <-i.wrote:
+	case <-i.logWritten:
 		select {
 		case wake <- struct{}{}:
 		default:
@@ -93,8 +93,8 @@
 	}
 }
 
-// disagreement returns the error of members that did not agree in time.
-func (f *Fleet) disagreement(names []string, expected string) error {
+// newDisagreementError returns the error of members that did not agree in time.
+func (f *Fleet) newDisagreementError(names []string, expected string) error {
 	views := map[string]FleetView{}
 	var silent strings.Builder
 	for _, name := range names {
@@ -102,17 +102,17 @@
 		views[name] = view
 		if !ok {
 			log := f.members[name].Log()
-			fmt.Fprintf(&silent, "; %s logged no view, last: %q", name, log[max(len(log)-maxQuotedLog, 0):])
+			fmt.Fprintf(&silent, "; %s logged no view, last: %q", name, log[max(len(log)-maxQuotedLogBytes, 0):])
 		}
 	}
-	return &DisagreementError{Expected: expected, Views: views, Silent: silent.String()}
+	return &DisagreementError{Expected: expected, Views: views, LogTails: silent.String()}
 }
 
 // DisagreementError reports that the members of a fleet did not agree in time.
 type DisagreementError struct {
 	Expected string // the names of the members, sorted, separated by commas
 	Views    map[string]FleetView
-	Silent   string // the ends of the logs of members that logged no view; empty for none
+	LogTails string // the ends of the logs of members that logged no view; empty for none
 }
 
 // Error implements error.
@@ -121,5 +121,5 @@
 	for _, name := range slices.Sorted(maps.Keys(e.Views)) {
 		views = append(views, fmt.Sprintf("%s: %+v", name, e.Views[name]))
 	}
-	return fmt.Sprintf("members %s did not agree within %v: %s%s", e.Expected, agreementTimeout, strings.Join(views, ", "), e.Silent)
+	return fmt.Sprintf("members %s did not agree within %v: %s%s", e.Expected, agreementTimeout, strings.Join(views, ", "), e.LogTails)
 }
--- a/internal/lab/rpc_load.go
+++ b/internal/lab/rpc_load.go
@@ -21,7 +21,7 @@
 
 // measureRPC measures size requests over connections that keep as many open as the AMQP consumer's prefetch limit.
 func measureRPC(instance *rig.Instance, size int) (cost, error) {
-	conns, err := dialAll(instance.Listen)
+	conns, err := dialAll(instance.ListenAddress)
 	defer func() {
 		for _, c := range conns {
 			c.Close()
@@ -30,7 +30,7 @@
 	if err != nil {
 		return cost{}, err
 	}
-	if err := sendOnAll(conns, "w", max(size/warmUpPart/rpcConns, 1)); err != nil {
+	if err := sendOnAll(conns, "w", max(size/warmUpDivisor/rpcConns, 1)); err != nil {
 		return cost{}, err
 	}
 	cpu, begin := instance.CPUTime(), time.Now()
--- a/internal/lab/run.go
+++ b/internal/lab/run.go
@@ -12,12 +12,12 @@
 	bytesPerMB   = 1 << 20
 )
 
-// run is a run of an experiment with a broker, whose size is in messages.
-type run struct{ Options }
+// brokerExperiment is a run of an experiment with a broker, whose size is in messages.
+type brokerExperiment struct{ Options }
 
 // launch starts an instance with the fake runtime at that address; settings is the path of the operator's file, or empty.
-func (r run) launch(name, runtime, settings string, seed uint64) (*rig.Instance, error) {
-	return rig.Launch(rig.LaunchOptions{Program: r.Program, Folder: r.Folder, Name: name, Runtime: runtime, Settings: settings, Seed: seed})
+func (e brokerExperiment) launch(name, runtime, settings string, seed uint64) (*rig.Instance, error) {
+	return rig.Launch(rig.LaunchOptions{Program: e.Program, Folder: e.Folder, Name: name, RuntimeAddress: runtime, SettingsPath: settings, Seed: seed})
 }
 
 func megabytes(bytes int64) float64 { return float64(bytes) / bytesPerMB }
