--- a/internal/lab/amqp.go
+++ b/internal/lab/amqp.go
@@ -10,15 +10,16 @@
 )
 
 const (
-	maxReadyMessages = 20_000                 // published ahead of the consumers
-	stallTimeout     = 200 * time.Millisecond // without a delivery while consumers have unacked messages
-	minDrainedTime   = 300 * time.Millisecond // for which the queue must stay empty to count as drained
+	maxReadyMessages = 20_000                 // in the queue; publishing pauses at this length
+	stallTimeout     = 200 * time.Millisecond // without a delivery, while messages are unacked, until a connection is cut
+	minDrainedTime   = 300 * time.Millisecond // for which the queue must stay empty to be drained
 	progressInterval = 5 * time.Second
-	minCostMessages  = 500 // messages
+	minCostMessages  = 500
 )
 
-// AMQP is the experiment on the AMQP consumer: two instances at a broker that loses acks, closes connections within a batch and
-// restarts once, with one instance killed and started anew; then the CPU cost beside the JSON-RPC front.
+// AMQP is the experiment on the AMQP consumer. In its first part, two instances consume from a broker that drops acks, closes
+// connections within a batch and restarts once; one instance is killed and started again. The second part compares the CPU time
+// per message with that per request of the JSON-RPC front.
 func AMQP(options Options) (*Report, error) {
 	e := brokerExperiment{options}
 	report := &Report{}
@@ -29,7 +30,7 @@
 	return report, e.compareFrontCosts(report)
 }
 
-// runWithFaults runs the part with faults.
+// runWithFaults runs the part with faults and reports its figures.
 func (e brokerExperiment) runWithFaults(report *Report) error {
 	recorded, err := newRecordedBroker(e.amqpFaultScript()...)
 	if err != nil {
@@ -59,7 +60,8 @@
 	return nil
 }
 
-// amqpFaultScript drops every twentieth ack and closes the connection after some deliveries, at places that the seed determines.
+// amqpFaultScript returns the broker's faults: every twentieth ack is dropped, and a connection is closed after every
+// cutInterval-th delivery. The seed determines the first of each.
 func (e brokerExperiment) amqpFaultScript() []broker.Fault {
 	const ackInterval = 20
 	cutInterval := max(e.Size/200, 500)
@@ -69,7 +71,7 @@
 	}
 }
 
-// faultRun is the state of the part with faults.
+// faultRun is the state of runWithFaults.
 type faultRun struct {
 	brokerExperiment
 	recorded          *recordedBroker
@@ -84,8 +86,8 @@
 	peakMemory        int64 // bytes, of either instance
 }
 
-// runUntilDrained publishes all messages and injects the faults until the queue is drained. A queue that is not drained at the end
-// gives drainError.
+// runUntilDrained publishes all messages and injects the faults until the queue is drained. If it is not drained by end, drainError
+// describes its state.
 func (f *faultRun) runUntilDrained(end time.Time) (drainError string, err error) {
 	for {
 		state := f.publishUpToLimit(f.recorded.broker.QueueState(readingsQueue))
@@ -106,7 +108,8 @@
 	}
 }
 
-// publishUpToLimit fills the queue up to maxReadyMessages.
+// publishUpToLimit publishes messages while the queue has fewer than maxReadyMessages ready ones, and returns the queue's state with
+// them.
 func (f *faultRun) publishUpToLimit(state broker.QueueState) broker.QueueState {
 	for ; f.published < f.Size && state.Ready < maxReadyMessages; f.published++ {
 		f.recorded.publishNext(f.published)
@@ -115,8 +118,8 @@
 	return state
 }
 
-// cutStalledConnection closes a connection whose acks were lost: they use up its prefetch limit for good, and brokers close such
-// a connection after a timeout.
+// cutStalledConnection closes the newest connection after stallTimeout without a delivery. Messages whose acks were dropped stay
+// unacked and fill the prefetch limit until nothing more is delivered. Brokers close such a connection after a timeout.
 func (f *faultRun) cutStalledConnection(state broker.QueueState) {
 	deliveries := f.recorded.broker.EventCount(broker.EventDelivered)
 	if deliveries != f.lastDeliveryCount {
@@ -137,13 +140,13 @@
 	f.Progress(fmt.Sprintf("%d succeeded, %d connections lost, %+v", succeeded, f.recorded.broker.EventCount(broker.EventConnLost), state))
 }
 
-// killInstanceOnce kills the second instance after a third of the messages, and starts it anew without its state.
+// killInstanceOnce kills the second instance after a third of the messages, and starts it again without state.
 func (f *faultRun) killInstanceOnce(succeeded int) (err error) {
 	if f.killed || succeeded <= f.Size/3 {
 		return nil
 	}
 	f.killed = true
-	f.Progress("n2 is killed and starts without state")
+	f.Progress("killing n2 and restarting it without state")
 	f.recordPeakMemory(f.pair.instances[1].PeakMemory())
 	f.pair.instances[1].Kill()
 	f.pair.instances[1], err = f.launch(instanceName(1), f.pair.runtimes[1], settingsPath(f.Folder), f.Seed+9)
@@ -156,7 +159,7 @@
 		return
 	}
 	f.restarted = true
-	f.Progress("the broker restarts")
+	f.Progress("restarting the broker")
 	f.recorded.broker.Restart()
 }
 
@@ -175,5 +178,5 @@
 func (f *faultRun) recordPeakMemory(bytes int64) { f.peakMemory = max(f.peakMemory, bytes) }
 
 func formatNotDrained(state broker.QueueState) string {
-	return fmt.Sprintf("not drained after %v: %+v", maxRunTime, state)
+	return fmt.Sprintf("queue readings: not empty after %v: %+v", maxRunTime, state)
 }
--- a/internal/lab/amqp_cost.go
+++ b/internal/lab/amqp_cost.go
@@ -9,7 +9,7 @@
 	"thymechute/internal/lab/rig"
 )
 
-// front is a protocol by which an instance takes requests.
+// front is the protocol by which an instance receives its work.
 type front string
 
 const (
@@ -17,22 +17,22 @@
 	frontRPC  front = "json-rpc"
 )
 
-// roundsPerFront is how often each front is measured; the fronts alternate.
+// roundsPerFront is the number of measurements of each front; the fronts alternate.
 const roundsPerFront = 2
 
-// warmUpDivisor is the part of a round's size that is sent before the measurement.
+// warmUpDivisor determines the warm-up: 1/warmUpDivisor of a round's size is sent before the measurement.
 const warmUpDivisor = 4
 
-// cost is what the work of a round took.
+// cost is the CPU time and the elapsed time of a round.
 type cost struct{ cpu, elapsed time.Duration }
 
 func (c cost) plus(other cost) cost {
 	return cost{c.cpu + other.cpu, c.elapsed + other.elapsed}
 }
 
-// compareFrontCosts measures the CPU time of the same work by AMQP and by JSON-RPC.
+// compareFrontCosts measures and reports the cost of the same work by AMQP and by JSON-RPC.
 func (e brokerExperiment) compareFrontCosts(report *Report) error {
-	e.Size -= e.Size % rpcConns // the same for both fronts
+	e.Size -= e.Size % rpcConns // both fronts get the same number, a multiple of the JSON-RPC connections
 	costs := map[front]cost{}
 	round := 0
 	for range roundsPerFront {
@@ -56,14 +56,14 @@
 	return nil
 }
 
-// costRound measures one front with an instance of its own. The broker is there in either case.
+// costRound measures one front with a new instance. The fake broker runs for JSON-RPC too, without messages.
 func (e brokerExperiment) costRound(protocol front, seed uint64) (cost, error) {
 	recorded, err := newRecordedBroker()
 	if err != nil {
 		return cost{}, err
 	}
 	defer recorded.broker.Close()
-	recorded.broker.Watch(func(broker.Event) {}) // the checker is not part of the cost
+	recorded.broker.Watch(func(broker.Event) {}) // replaces the invariant checker, whose time is not part of the cost
 	fake, address, err := runtime.Start("127.0.0.1:0", rig.ImmediateRun, func(string, []byte) {})
 	if err != nil {
 		return cost{}, err
@@ -86,8 +86,8 @@
 	return measureAMQP(instance, recorded, e.Size), nil
 }
 
-// measureAMQP publishes size messages and waits until all are settled. The prefetch limit is at least the number of requests that
-// measureRPC keeps open.
+// measureAMQP publishes size messages and waits until all are settled. It closes the broker after maxRunTime, which ends the wait.
+// The least prefetch limit is the number of requests that measureRPC keeps open.
 func measureAMQP(instance *rig.Instance, recorded *recordedBroker, size int) cost {
 	timeout := time.AfterFunc(maxRunTime, recorded.broker.Close)
 	defer timeout.Stop()
@@ -97,6 +97,7 @@
 	return cost{instance.CPUTime() - cpu, time.Since(begin)}
 }
 
+// publishAndAwaitSettled publishes count messages of SafeClass and waits until the queue is empty or the broker is closed.
 func (r *recordedBroker) publishAndAwaitSettled(count int) {
 	for n := range count {
 		r.publish(rig.SafeClass, n)
--- a/internal/lab/amqp_storm.go
+++ b/internal/lab/amqp_storm.go
@@ -10,11 +10,12 @@
 const (
 	stormRedeliveries     = 5 // of each message, although it was acked
 	maxMemoryGrowthFactor = 1.3
-	memoryTolerance       = 4 * bytesPerMB // beyond maxMemoryGrowthFactor
+	memoryTolerance       = 4 * bytesPerMB // allowed in addition to the factor
 )
 
-// AMQPStorm is the experiment on redelivery: each message is delivered six times, acked or not, to two consumers with a small
-// prefetch limit. The claim: memory does not grow with the deliveries, and no message causes further messages for ever.
+// AMQPStorm is the experiment on redelivery: the broker delivers each message six times, acked or not, to two consumers with a
+// small prefetch limit. The claims: memory does not grow with the number of deliveries, and republished messages do not cause
+// further deliveries without end.
 func AMQPStorm(options Options) (*Report, error) {
 	e := brokerExperiment{options}
 	report := &Report{}
@@ -48,7 +49,8 @@
 	return report, nil
 }
 
-// awaitStormEnd waits until the queue is empty, and returns the memory in bytes when each message has been delivered about once.
+// awaitStormEnd waits until the queue is empty. It returns the peak memory in bytes as of the time when there were more deliveries
+// than messages. A queue that is not empty at end is a fault of the report.
 func (e brokerExperiment) awaitStormEnd(report *Report, recorded *recordedBroker, pair *instancePair, end time.Time) (earlyMemory int64) {
 	for ; ; time.Sleep(pollInterval) {
 		state := recorded.broker.QueueState(readingsQueue)
@@ -65,13 +67,14 @@
 	}
 }
 
-// checkStorm checks the claim. A message that is rejected is published again or dead-lettered, which ends it; nothing else may
-// cause deliveries.
+// checkStorm checks the claims. A rejected message is republished or dead-lettered, and its original is then settled; this must not
+// lead to more than stormRedeliveries+1 deliveries per message.
 func checkStorm(report *Report, size, deliveries int, earlyMemory, endMemory int64) {
 	if maxDeliveries := (stormRedeliveries + 1) * size; deliveries > maxDeliveries {
-		report.AddFault("%d deliveries, expected at most %d: messages loop", deliveries, maxDeliveries)
+		report.AddFault("%d deliveries, expected at most %d: messages are republished without end", deliveries, maxDeliveries)
 	}
 	if float64(endMemory) > maxMemoryGrowthFactor*float64(earlyMemory)+memoryTolerance {
-		report.AddFault("memory grew from %d to %d bytes", earlyMemory, endMemory)
+		report.AddFault("memory grew from %d to %d bytes, expected at most %v times the former plus %d bytes",
+			earlyMemory, endMemory, maxMemoryGrowthFactor, memoryTolerance)
 	}
 }
--- a/internal/lab/deployment/deployment.go
+++ b/internal/lab/deployment/deployment.go
@@ -1,24 +1,24 @@
-// Package deployment has the configuration file of the program as far as the experiments set it, as types that encode to the
-// file's JSON. The keys are the platform's. The types are values without methods or bounds of their own: the program validates
-// what it reads.
+// Package deployment defines types that encode to the JSON of the program's configuration file, with those keys that the experiments
+// set. The platform defines the keys, some of which differ from the names that the source uses. The types validate nothing: the
+// program validates the file when it reads it.
 package deployment
 
-// Idempotencies of a class.
+// The values of Class.Idempotency.
 const (
 	Safe          = "repeatable"
 	Idempotent    = "by_key" // with an idempotency key
 	NonIdempotent = "once"
 )
 
-// Configuration is the file that the program reads.
+// Configuration is the content of the configuration file.
 type Configuration struct {
 	Name       string   `json:"name"`
-	Listen     string   `json:"listen"`
-	Runtime    string   `json:"runtime"` // addresses of the peers
+	Listen     string   `json:"listen"`  // address to listen on
+	Runtime    string   `json:"runtime"` // addresses of the runtime and the index
 	Index      string   `json:"index"`
-	Directory  string   `json:"directory"` // of the catalog
+	Directory  string   `json:"directory"` // address of the catalog
 	Seed       string   `json:"seed"`      // hexadecimal
-	StopMillis float64  `json:"stop_ms"`   // from SIGTERM to SIGKILL
+	StopMillis float64  `json:"stop_ms"`   // that the platform grants from SIGTERM to SIGKILL
 	Limits     Limits   `json:"limits"`
 	Settings   Settings `json:"settings"`
 }
@@ -30,12 +30,12 @@
 	Sockets  int     `json:"sockets"`
 }
 
-// Settings are those of the tenants, of the classes of requests and of the server.
+// Settings are the settings of the classes of requests, the tenants and the server.
 type Settings struct {
 	Classes         []Class      `json:"classes"`
 	Tenants         []Tenant     `json:"tenants"`
 	FleetSize       int          `json:"fleet_size"`
-	OverQuotaWeight *float64     `json:"over_share_worth,omitempty"` // of requests beyond their tenant's quota; nil for the default
+	OverQuotaWeight *float64     `json:"over_share_worth,omitempty"` // weight of requests beyond their tenant's quota; nil for the default
 	Rules           Rules        `json:"rules"`
 	PolicyLimits    PolicyLimits `json:"policy_limits"`
 	Domain          Domain       `json:"domain"`
@@ -48,49 +48,49 @@
 	PriorityWeight   float64 `json:"worth"`
 	LatencyObjective float64 `json:"aim_s"`
 	Deadline         float64 `json:"deadline_s"`
-	KeyWindow        float64 `json:"window_s"`   // for which an idempotency key is remembered
-	LateValue        float64 `json:"late_value"` // of an answer after the latency objective
+	KeyWindow        float64 `json:"window_s"`   // for which an idempotency key is stored
+	LateValue        float64 `json:"late_value"` // value of an answer after the latency objective
 }
 
-// Tenant is a tenant with its quota in requests per second.
+// Tenant is a tenant. Its quota is in requests per second.
 type Tenant struct {
 	Name  string  `json:"name"`
 	Quota float64 `json:"quota_per_s"`
 }
 
-// Rules are the operator's rules.
+// Rules are the limits that the operator sets for one server.
 type Rules struct {
 	DrainGraceSeconds     float64 `json:"drain_grace_s"`
-	MaxConcurrencyPerCore float64 `json:"fall_multiple"`
+	MaxConcurrencyPerCore float64 `json:"fall_multiple"` // running requests per core that the server can sustain
 }
 
-// PolicyLimits limit what the program may answer to a rejected request.
+// PolicyLimits limits the Retry-After of rejected requests.
 type PolicyLimits struct {
 	MaxRetryAfterSeconds float64 `json:"max_retry_after_s"`
-	RetryAfter           bool    `json:"retry_after"`
+	RetryAfter           bool    `json:"retry_after"` // whether rejections have a Retry-After
 }
 
-// Domain is the server's resources, its dependency and its callers. Times are in seconds.
+// Domain describes the server's resources, its dependency and its callers. Times are in seconds.
 type Domain struct {
 	Cores             int       `json:"cores"`
 	MemoryKB          float64   `json:"ram_kb"`
-	RunMemoryFactor   float64   `json:"blowup"`
-	KeyEntryKB        float64   `json:"entry_kb"`
-	StopMode          string    `json:"halt"`
-	AdvertiseMode     string    `json:"say"`
-	Dependency        string    `json:"depends_on"`
-	CallQuota         float64   `json:"dep_share"`
-	CallQuotaWindow   float64   `json:"dep_window_s"`
-	CallLinger        float64   `json:"linger_s"`
-	CallsByClass      []bool    `json:"calls_by_class"`
-	DegradedWeights   []float64 `json:"degraded_worth"`
-	CallerIdleTimeout float64   `json:"caller_idle_s"`
-	CallerCount       int       `json:"clients_total"`
-	Gauges            []string  `json:"gauges"`
+	RunMemoryFactor   float64   `json:"blowup"`         // ratio of a request's memory while running to that while queued
+	KeyEntryKB        float64   `json:"entry_kb"`       // memory of a key entry
+	StopMode          string    `json:"halt"`           // effect of stopping a run on the cores
+	AdvertiseMode     string    `json:"say"`            // form of the load that is advertised to callers
+	Dependency        string    `json:"depends_on"`     // kind of dependency
+	CallQuota         float64   `json:"dep_share"`      // maximum mean number of calls in flight
+	CallQuotaWindow   float64   `json:"dep_window_s"`   // over which the mean of CallQuota is taken
+	CallLinger        float64   `json:"linger_s"`       // for which an abandoned call still counts as in flight
+	CallsByClass      []bool    `json:"calls_by_class"` // whether a class makes calls, in the order of the classes
+	DegradedWeights   []float64 `json:"degraded_worth"` // value of an answer without its call, as a fraction of the weight, by class
+	CallerIdleTimeout float64   `json:"caller_idle_s"`  // after which callers close an idle connection
+	CallerCount       int       `json:"clients_total"`  // number of callers of the whole fleet
+	Gauges            []string  `json:"gauges"`         // names of the values in the runtime's readings, in their order
 }
 
-// NewDomain returns the server of all experiments: it has 16 cores and 10 GB, so that the program itself is the bottleneck, and
-// a shared dependency that no class calls.
+// NewDomain returns the server of all experiments. It has 16 cores and 10 GB, so that the program itself is the bottleneck, and a
+// shared dependency that no class calls.
 func NewDomain() Domain {
 	return Domain{
 		Cores:           16,
@@ -107,8 +107,8 @@
 	}
 }
 
-// NewSettings returns settings without classes and tenants, on the server of NewDomain: a drain grace and a Retry-After of a
-// second each, and up to eight requests in flight per core.
+// NewSettings returns settings for the server of NewDomain, without classes and tenants: a grace period of 1 s, a Retry-After of at
+// most 1 s, and at most eight running requests per core.
 func NewSettings(fleetSize int) Settings {
 	return Settings{
 		FleetSize:    fleetSize,
@@ -118,7 +118,7 @@
 	}
 }
 
-// AddClass adds a class, which makes no calls and has no weight while the dependency is degraded.
+// AddClass adds a class that makes no calls. Its degraded weight is 0.
 func (s *Settings) AddClass(c Class) {
 	s.Classes = append(s.Classes, c)
 	s.Domain.CallsByClass = append(s.Domain.CallsByClass, false)
--- a/internal/lab/fleet.go
+++ b/internal/lab/fleet.go
@@ -13,29 +13,32 @@
 	minFleetSize = 4
 	maxFleetSize = 64
 
-	// maxAgreementTime is the time within which all members agree after each step.
+	// maxAgreementTime is the limit on the time until all live members agree after a step.
 	maxAgreementTime = 2 * time.Second
 
-	// faultDuration is how long a member is stopped and how long a one-way partition lasts.
+	// faultDuration is the time for which a member is stopped, and the duration of the one-way partition.
 	faultDuration = 3 * time.Second
 
-	killedDivisor    = 8 // 1/8 of the members is killed
-	partitionDivisor = 3 // 1/3 is partitioned from the others
-	remainingDivisor = 3 // 1/3 remains at the end
+	killedDivisor    = 8 // 1/8 of the members are killed
+	partitionDivisor = 3 // 1/3 are partitioned from the others
+	remainingDivisor = 3 // 1/3 remain at the end
 	minRemaining     = 2
 )
 
-// Fleet runs the experiment on membership: half of the members start, the others join, an eighth is killed, one is
-// stopped and continued, and the killed ones restart. Then one member is isolated, two are partitioned one way, and a third
-// is partitioned from the rest. At the end all but a third drain. The claims: after each step the live members agree on the
-// view and on dense ranks within 2 s, and every member that drains exits with 0. A size other than 4 to 64 members is an error.
+// Fleet is the experiment on membership. Half of the members start, the others join, an eighth are killed, one is stopped and
+// continued, and the killed ones restart. Then one member is isolated, what one member sends to another is dropped, and a third
+// of the members are partitioned from the rest. At the end all but a third drain.
+//
+// The claims: after each step the live members agree within maxAgreementTime on the list of members and on their ranks, 0 to n-1;
+// the one-way partition causes no false failure detection; and every member that drains exits with status 0. A size other than
+// minFleetSize to maxFleetSize members is an error.
 func Fleet(options Options) (*Report, error) {
 	return FleetWithAgreementLimit(options, maxAgreementTime)
 }
 
-// FleetWithAgreementLimit is Fleet with another limit on the agreement after each step; 0 for none but the rig's own timeout. Small
-// fleets detect failures more slowly, as a member probes each other once in n probe intervals and fewer members confirm a
-// suspicion; without a claim, the one-way partition is also only reported and not held to no false detection.
+// FleetWithAgreementLimit is Fleet with another limit on the time until agreement. With 0, only the rig's own timeout applies, and
+// false failure detections in the one-way partition are only reported. That is for small fleets. They detect failures more slowly, as
+// a member probes each other member once in n probe intervals and fewer members confirm a suspicion.
 func FleetWithAgreementLimit(options Options, agreementLimit time.Duration) (*Report, error) {
 	if options.Size < minFleetSize || options.Size > maxFleetSize {
 		return nil, fmt.Errorf("--size: found %d, expected %d to %d members", options.Size, minFleetSize, maxFleetSize)
@@ -60,24 +63,24 @@
 	return experiment.report, nil
 }
 
-// fleetExperiment is the state of one run.
+// fleetExperiment is the state of a run of Fleet.
 type fleetExperiment struct {
 	fleet          *rig.Fleet
 	size           int
-	agreementLimit time.Duration // 0: none
+	agreementLimit time.Duration // 0 for none
 	progress       func(string)
 	report         *Report
 
 	live           []string // members that are expected to agree
 	killed         []string // to be restarted
 	agreementTimes []time.Duration
-	// staleMembers is the most members of the other side that one of a smaller side still had in its view when its
-	// partition healed.
+	// maxStaleMembers is the largest number of members of the larger side that a member of the smaller side still had in its
+	// view when the partition healed.
 	maxStaleMembers int
 	failedDrains    int // members whose drain did not end with exit status 0
 }
 
-// memberNames returns the names of the members from a first number to before an end.
+// memberNames returns the names of the members with the numbers from first to end-1.
 func memberNames(first, end int) []string {
 	var names []string
 	for n := first; n < end; n++ {
@@ -86,15 +89,15 @@
 	return names
 }
 
-// awaitAgreement waits until the live members agree, and records how long that took.
+// awaitAgreement waits until the live members agree, and records the time that it took.
 func (e *fleetExperiment) awaitAgreement(step string) error {
 	return e.awaitAgreementSince(step, time.Now())
 }
 
-// awaitAgreementSince is awaitAgreement, timed from a moment before it.
+// awaitAgreementSince is awaitAgreement with the time measured from start.
 func (e *fleetExperiment) awaitAgreementSince(step string, start time.Time) error {
 	if _, err := e.fleet.WaitForAgreement(e.live); err != nil {
-		return fmt.Errorf("%s: %w", step, err)
+		return fmt.Errorf("fleet, step %q: %w", step, err)
 	}
 	took := time.Since(start)
 	e.progress(fmt.Sprintf("%-34s %d members agree after %v", step, len(e.live), took.Round(time.Millisecond)))
@@ -127,7 +130,7 @@
 	return e.awaitAgreement("join")
 }
 
-// kill kills an eighth of the members, and one at least.
+// kill kills an eighth of the members, at least one.
 func (e *fleetExperiment) kill() error {
 	remaining := len(e.live) - max(e.size/killedDivisor, 1)
 	e.killed = slices.Clone(e.live[remaining:])
@@ -138,7 +141,7 @@
 	return e.awaitAgreement("kill -9")
 }
 
-// stopAndContinue stops one member for faultDuration.
+// stopAndContinue stops one member for at least faultDuration and continues it. The members agree without it, then with it.
 func (e *fleetExperiment) stopAndContinue() error {
 	stopped := e.live[len(e.live)-1]
 	e.fleet.Member(stopped).Signal(syscall.SIGSTOP)
@@ -147,13 +150,13 @@
 	if err := e.awaitAgreement("SIGSTOP"); err != nil {
 		return err
 	}
-	time.Sleep(max(faultDuration-time.Since(stoppedAt), 0)) // the length of the fault, not a wait for an event
+	time.Sleep(max(faultDuration-time.Since(stoppedAt), 0)) // the rest of the fault; not a wait for an event
 	e.fleet.Member(stopped).Signal(syscall.SIGCONT)
 	e.live = append(e.live, stopped)
 	return e.awaitAgreement("SIGCONT")
 }
 
-// restart starts the killed members without state, under their names.
+// restart starts the killed members again under their names, without state.
 func (e *fleetExperiment) restart() error {
 	if err := e.startMembers(e.killed); err != nil {
 		return err
@@ -162,7 +165,7 @@
 	return e.awaitAgreement("restart without state")
 }
 
-// drain shuts all but a third of the members down gracefully, at once.
+// drain shuts all but a third of the members down gracefully at the same time.
 func (e *fleetExperiment) drain() error {
 	remaining := max(e.size/remainingDivisor, minRemaining)
 	draining := e.live[remaining:]
@@ -184,7 +187,7 @@
 	return e.awaitAgreementSince("drain", start)
 }
 
-// reportResults reports the times and holds them to the claim.
+// reportResults adds the figures to the report and checks the slowest agreement against the limit.
 func (e *fleetExperiment) reportResults() {
 	slices.Sort(e.agreementTimes)
 	slowest := e.agreementTimes[len(e.agreementTimes)-1]
@@ -194,6 +197,6 @@
 	e.report.AddFigure("converge_ms_median", float64(e.agreementTimes[len(e.agreementTimes)/2].Milliseconds()))
 	e.report.ExpectZero("bad_exits", e.failedDrains)
 	if e.agreementLimit > 0 && slowest > e.agreementLimit {
-		e.report.AddFault("fleet: agreement took %v, expected at most %v", slowest, e.agreementLimit)
+		e.report.AddFault("fleet: slowest agreement took %v, expected at most %v", slowest, e.agreementLimit)
 	}
 }
--- a/internal/lab/fleetpartitions.go
+++ b/internal/lab/fleetpartitions.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// isolate partitions one member from all others and heals it.
+// isolate partitions one member from all others and then heals the partition.
 func (e *fleetExperiment) isolate() error {
 	isolated := e.live[len(e.live)/2]
 	e.fleet.Network.Isolate(isolated, e.live)
@@ -17,10 +17,12 @@
 	return e.awaitAgreement("healed")
 }
 
-// partitionOneWay drops what one member sends to another for a while; it is a fault if a member is declared dead for it.
+// partitionOneWay drops what one member sends to another for faultDuration. With a limit on agreement, a member that is declared
+// dead meanwhile is a fault of the report.
 //
-// A member that was isolated may still declare the members dead that it came to suspect, until they refute that. Such
-// declarations belong to the step before: they are counted separately, for as long as a suspicion lasts.
+// The member that isolate cut off may still declare members dead that it suspected, until they refute the suspicion. These
+// declarations are effects of that step, so they are counted separately, before the one-way partition, for as long as a suspicion
+// lasts.
 func (e *fleetExperiment) partitionOneWay() error {
 	before := e.fleet.CountDepartures(e.live)
 	time.Sleep(faultDuration)
@@ -33,13 +35,13 @@
 	falseDetections := e.fleet.CountDepartures(e.live) - before
 	if e.agreementLimit > 0 {
 		e.report.ExpectZero("one_way_cut_declared_gone", falseDetections)
-	} else { // in a small fleet few members are left for indirect probes: one false detection was seen under load
+	} else { // a small fleet has few members for indirect probes: one false detection was seen on a machine under load
 		e.report.AddFigure("one_way_cut_declared_gone", float64(falseDetections))
 	}
 	return nil
 }
 
-// partition partitions a third of the members from the rest and heals it.
+// partition partitions a third of the members from the rest and then heals the partition.
 func (e *fleetExperiment) partition() error {
 	smaller := max(len(e.live)/partitionDivisor, 1)
 	e.fleet.Network.Partition(e.live[:smaller], e.live[smaller:])
@@ -50,9 +52,9 @@
 	return e.awaitAgreement("partition healed")
 }
 
-// awaitAgreementOfLargerSide waits until the larger side of a partition agrees. The smaller side is not waited for: suspicion is
-// slowest (Lifeguard) where a member's own probes fail and no other member confirms it, as is right for a minority. How
-// many of the others it still has in its view is reported.
+// awaitAgreementOfLargerSide waits until the members of the larger side of a partition agree. It does not wait for the smaller side:
+// by Lifeguard, suspicions time out most slowly at a member whose own probes fail and whose suspicions no other member confirms,
+// as intended for a minority. It updates maxStaleMembers from the views of the smaller side.
 func (e *fleetExperiment) awaitAgreementOfLargerSide(step string, larger, smaller []string) error {
 	all := e.live
 	e.live = larger
--- a/internal/lab/instance_pair.go
+++ b/internal/lab/instance_pair.go
@@ -8,7 +8,7 @@
 	"thymechute/internal/lab/rig"
 )
 
-// instancePair is two instances at one broker, each with a fake runtime.
+// instancePair is two instances at the same broker, each with a fake runtime.
 type instancePair struct {
 	instances     [2]*rig.Instance
 	runtimes      [2]string // addresses
@@ -17,8 +17,8 @@
 
 func instanceName(n int) string { return fmt.Sprintf("n%d", n+1) }
 
-// launchPair starts two instances at the broker, with further attributes of the operator's amqp element. The pair is never nil
-// and must be ended, also after an error.
+// launchPair starts two instances at the broker. attributes are added to the amqp element of the operator's file. The pair is never
+// nil and must be closed, also after an error.
 func (r *recordedBroker) launchPair(experiment brokerExperiment, attributes string) (*instancePair, error) {
 	p := &instancePair{}
 	settings, err := r.writeSettings(experiment.Folder, attributes)
@@ -39,17 +39,17 @@
 	return p, nil
 }
 
-// peakMemory is the higher resident memory of the two, in bytes.
+// peakMemory returns the higher peak resident memory of the two, in bytes.
 func (p *instancePair) peakMemory() int64 {
 	return max(p.instances[0].PeakMemory(), p.instances[1].PeakMemory())
 }
 
-// cpuTime is the CPU time of both.
+// cpuTime returns the CPU time of both together.
 func (p *instancePair) cpuTime() time.Duration {
 	return p.instances[0].CPUTime() + p.instances[1].CPUTime()
 }
 
-// drain shuts both down gracefully, one after the other; a failure is a fault of the report.
+// drain shuts both down gracefully, one after the other. A shutdown that fails is a fault of the report.
 func (p *instancePair) drain(report *Report) {
 	for _, i := range p.instances {
 		if err := i.Drain(); err != nil {
@@ -58,7 +58,7 @@
 	}
 }
 
-// close kills what still runs and closes the fake runtimes.
+// close kills the instances that still run and closes the fake runtimes.
 func (p *instancePair) close() {
 	for _, i := range p.instances {
 		if i != nil {
--- a/internal/lab/lab_test.go
+++ b/internal/lab/lab_test.go
@@ -6,7 +6,7 @@
 	"thymechute/internal/testutil"
 )
 
-// At a small size, the claims of the AMQP experiments hold and their figures are present.
+// With 1500 messages, the claims of both AMQP experiments hold and their figures are present.
 func TestAMQPExperiments(t *testing.T) {
 	folder := t.TempDir()
 	program := testutil.BuildProgram(t)
@@ -20,20 +20,21 @@
 		}
 		figures := r.ByName()
 		if figures["read"] < 1500 || figures["fulfilled"] == 0 || figures["acks_dropped"] == 0 || figures["most_memory_mb"] == 0 {
-			t.Errorf("%s: %v", name, figures)
+			t.Errorf("%s: a figure is missing or too small: %v", name, figures)
 		}
 	}
 }
 
-// Six processes agree after each of kill -9, a pause, a restart without state, an isolated member, a one-way cut, a partition
-// and a graceful shutdown.
+// Six members agree after each step: kill -9, SIGSTOP and SIGCONT, a restart without state, an isolated member, a one-way
+// partition, a partition and a graceful shutdown.
 func TestFleetAgreesAfterEachStep(t *testing.T) {
 	if testing.Short() {
 		t.Skip("starts processes")
 	}
 	folder := t.TempDir()
 	program := testutil.BuildProgram(t)
-	r, err := FleetWithAgreementLimit(Options{Program: program, Folder: folder, Seed: 1, Size: 6, Progress: func(line string) { t.Log(line) }}, 0)
+	r, err := FleetWithAgreementLimit(Options{Program: program, Folder: folder, Seed: 1, Size: 6,
+		Progress: func(line string) { t.Log(line) }}, 0)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/lab/procfs/procfs.go
+++ b/internal/lab/procfs/procfs.go
@@ -1,5 +1,5 @@
-// Package procfs reads what Linux reports on the resources of a process under /proc: memory, CPU time and open files. Each
-// function reads one file or directory of /proc when it is called; the package has no state.
+// Package procfs reads the memory, the CPU time and the number of open file descriptors of a process from Linux's /proc. Each call
+// reads one file or directory; the package has no state.
 package procfs
 
 import (
@@ -11,7 +11,7 @@
 	"time"
 )
 
-// Self stands for the calling process where a function expects a process ID.
+// Self is the process ID by which the functions of this package read the calling process.
 const Self = 0
 
 const (
@@ -19,24 +19,24 @@
 	bytesPerKB = 1 << 10
 )
 
-// Indexes of fields of /proc/PID/stat, counted after the command's name.
+// Indexes of fields of /proc/PID/stat, counted from 0 after the command's name.
 const (
 	statUserField   = 11
 	statSystemField = 12
 	minStatFields   = 13
 )
 
-// FormatError reports a file of /proc without an expected value.
+// FormatError reports a file of /proc in which an expected value is missing or malformed.
 type FormatError struct {
 	Path     string
 	Expected string
-	Err      error // of parsing the value; nil when the file has none
+	Err      error // of parsing the value; nil when it is missing
 }
 
 // Error implements error.
 func (e *FormatError) Error() string {
 	if e.Err == nil {
-		return fmt.Sprintf("%s: found none, expected %s", e.Path, e.Expected)
+		return fmt.Sprintf("%s: found no value, expected %s", e.Path, e.Expected)
 	}
 	return fmt.Sprintf("%s: expected %s: %v", e.Path, e.Expected, e.Err)
 }
@@ -44,7 +44,7 @@
 // Unwrap returns the error of parsing the value, or nil.
 func (e *FormatError) Unwrap() error { return e.Err }
 
-// path is the path of a file of a process under /proc.
+// path returns the path of a file of a process under /proc.
 func path(pid int, file string) string {
 	if pid == Self {
 		return "/proc/self/" + file
@@ -52,7 +52,7 @@
 	return fmt.Sprintf("/proc/%d/%s", pid, file)
 }
 
-// ResidentBytes returns the resident memory of a process. Its errors are those of reading the file, and *FormatError.
+// ResidentBytes returns the resident memory of a process. It returns the errors of reading the file, and *FormatError.
 func ResidentBytes(pid int) (int64, error) {
 	file := path(pid, "statm")
 	text, err := os.ReadFile(file)
@@ -61,13 +61,13 @@
 	}
 	var size, resident int64
 	if _, err := fmt.Fscan(bytes.NewReader(text), &size, &resident); err != nil {
-		return 0, &FormatError{Path: file, Expected: "the total and the resident pages", Err: err}
+		return 0, &FormatError{Path: file, Expected: "the numbers of total and resident pages", Err: err}
 	}
 	return resident * int64(os.Getpagesize()), nil
 }
 
-// PeakResidentBytes returns the largest resident memory of a process so far. Its errors are those of reading the file, and
-// *FormatError: a process that has ended and was not waited for has a file without the value.
+// PeakResidentBytes returns the peak resident memory of a process so far. It returns the errors of reading the file, and *FormatError,
+// as for a zombie process: its file does not have the value.
 func PeakResidentBytes(pid int) (int64, error) {
 	const label = "VmHWM:"
 	file := path(pid, "status")
@@ -87,7 +87,7 @@
 	return kilobytes * bytesPerKB, nil
 }
 
-// CPUTime returns the user and system time of a process so far, in steps of 10 ms. Its errors are those of reading the
+// CPUTime returns the sum of the user and system time of a process so far, in steps of 10 ms. It returns the errors of reading the
 // file, and *FormatError.
 func CPUTime(pid int) (time.Duration, error) {
 	file := path(pid, "stat")
@@ -111,7 +111,7 @@
 	return time.Duration(user+system) * clockTick, nil
 }
 
-// DescriptorCount returns how many file descriptors a process has open. Its errors are those of reading the directory.
+// DescriptorCount returns the number of open file descriptors of a process. It returns the errors of reading the directory.
 func DescriptorCount(pid int) (int, error) {
 	entries, err := os.ReadDir(path(pid, "fd"))
 	return len(entries), err
--- a/internal/lab/procfs/procfs_test.go
+++ b/internal/lab/procfs/procfs_test.go
@@ -8,24 +8,24 @@
 	"time"
 )
 
-// This process has values of plausible size, by its process ID and by Self.
+// The values of the calling process are of plausible size, both by Self and by its process ID.
 func TestOwnProcess(t *testing.T) {
 	for _, pid := range []int{Self, os.Getpid()} {
 		resident, err := ResidentBytes(pid)
 		if err != nil || resident < 1<<20 {
-			t.Errorf("process %d: %d resident bytes, %v", pid, resident, err)
+			t.Errorf("process %d: found %d resident bytes (%v), expected at least 1 MiB", pid, resident, err)
 		}
 		peak, err := PeakResidentBytes(pid)
 		if err != nil || peak < 1<<20 {
-			t.Errorf("process %d: %d resident bytes at most, %v", pid, peak, err)
+			t.Errorf("process %d: found a peak of %d resident bytes (%v), expected at least 1 MiB", pid, peak, err)
 		}
 		if descriptors, err := DescriptorCount(pid); err != nil || descriptors < 3 {
-			t.Errorf("process %d: %d descriptors, %v", pid, descriptors, err)
+			t.Errorf("process %d: found %d descriptors (%v), expected at least 3", pid, descriptors, err)
 		}
 	}
 }
 
-// CPU time grows while the process computes.
+// The CPU time increases while the process computes.
 func TestCPUTimeGrows(t *testing.T) {
 	before, err := CPUTime(Self)
 	if err != nil {
@@ -40,12 +40,12 @@
 			return
 		}
 		if time.Now().After(deadline) {
-			t.Fatalf("%v before, %v after 20 s of computing", before, now)
+			t.Fatalf("CPU time was %v before and %v after 20 s of computing", before, now)
 		}
 	}
 }
 
-// A process that does not exist is an error of each function.
+// Each function returns fs.ErrNotExist for a process that does not exist.
 func TestMissingProcess(t *testing.T) {
 	const missing = 1 << 30 // beyond the kernel's largest process ID
 	_, residentErr := ResidentBytes(missing)
--- a/internal/lab/recorded_broker.go
+++ b/internal/lab/recorded_broker.go
@@ -16,7 +16,7 @@
 	readingsQueue      = "readings"
 	deadLetterQueue    = "dead"
 	deadLetterExchange = "given-up"
-	maxReportedFaults  = 5 // violations that a report spells out
+	maxReportedFaults  = 5 // violations that a report describes; the others are only counted
 )
 
 const settingsTemplate = `<thymechute xmlns="urn:thymechute:operator:1">
@@ -27,7 +27,7 @@
 </thymechute>
 `
 
-// recordedBroker is a fake broker whose events are checked against the invariants.
+// recordedBroker is a fake broker whose events, with those of the fake runtimes, are recorded in a checker of the invariants.
 type recordedBroker struct {
 	broker  *broker.Broker
 	address string
@@ -35,15 +35,15 @@
 
 	mu           sync.Mutex
 	checker      *invariant.Checker
-	republished  map[messageKey]invariant.Outcome // by original: its outcome once the consumer has acked it
+	republished  map[messageKey]invariant.Outcome // originals that were republished but not yet acked: the outcome of their attempt
 	acked        map[string]bool                  // attempts that were acked; removed when their connection ends
 	deadLettered int
 }
 
-// messageKey is a message at one consumer.
+// messageKey identifies a message at one consumer.
 type messageKey struct{ peer, id string }
 
-// idempotencyOf is the idempotency of a class of messages.
+// idempotencyOf returns the idempotency of a class of messages.
 func idempotencyOf(class string) invariant.Idempotency {
 	switch class {
 	case rig.SafeClass:
@@ -54,7 +54,7 @@
 	return invariant.NonIdempotent
 }
 
-// newRecordedBroker starts a broker that injects these faults. Close it by its field broker.
+// newRecordedBroker starts a broker that injects these faults. The caller closes it by its field broker.
 func newRecordedBroker(faults ...broker.Fault) (*recordedBroker, error) {
 	b, err := broker.New(faults...)
 	if err != nil {
@@ -70,7 +70,7 @@
 	return r, err
 }
 
-// observe passes an event of the broker to the checker.
+// observe reports an event of the broker to the checker. An attempt is a delivery: its ID is made of the connection and the tag.
 func (r *recordedBroker) observe(e broker.Event) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -94,17 +94,17 @@
 	case broker.EventRequeued, broker.EventRejected:
 		r.checker.Completed(now, attempt, invariant.Failed)
 	case broker.EventReturned:
-		if !r.acked[attempt] { // otherwise its ack was dropped
+		if !r.acked[attempt] { // otherwise it was acked and the ack was dropped
 			r.checker.Completed(now, attempt, invariant.CallerGone)
 		}
 		delete(r.acked, attempt)
-		delete(r.republished, key) // the message will be delivered again
+		delete(r.republished, key) // the message will be redelivered
 	}
 }
 
-// observePublished records a message that a consumer publishes before it acks the original: as a dead letter, or for a retry.
+// observePublished records that a consumer republished a message, as a dead letter or for a retry. It acks the original afterwards.
 func (r *recordedBroker) observePublished(e broker.Event, key messageKey) {
-	if e.Conn == 0 {
+	if e.Conn == 0 { // published by the experiment
 		return
 	}
 	if e.Queue == deadLetterQueue {
@@ -115,7 +115,7 @@
 	}
 }
 
-// taskObserver is the fake runtime's observer for the tasks of an instance.
+// taskObserver returns the function that the fake runtime of an instance calls for each task that starts.
 func (r *recordedBroker) taskObserver(instance string) func(class string, body []byte) {
 	return func(class string, body []byte) {
 		r.mu.Lock()
@@ -124,6 +124,7 @@
 	}
 }
 
+// outcomeCount returns the number of attempts that have ended with an outcome so far.
 func (r *recordedBroker) outcomeCount(outcome invariant.Outcome) int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -132,26 +133,26 @@
 
 func settingsPath(folder string) string { return filepath.Join(folder, "amqp.xml") }
 
-// writeSettings writes the operator's file, with further attributes of its amqp element.
+// writeSettings writes the operator's file to the folder; attributes are added to its amqp element.
 func (r *recordedBroker) writeSettings(folder, attributes string) (path string, err error) {
 	path = settingsPath(folder)
 	return path, os.WriteFile(path, fmt.Appendf(nil, settingsTemplate, attributes, r.address), 0o600)
 }
 
-// publishNext publishes the n-th message, from 0; the classes alternate.
+// publishNext publishes message n, counted from 0. The class alternates between IdempotentClass and SafeClass.
 func (r *recordedBroker) publishNext(n int) {
 	classes := []string{rig.IdempotentClass, rig.SafeClass}
 	r.publish(classes[n%len(classes)], n)
 }
 
-// publish publishes the n-th message, whose ID and body are its name.
+// publish publishes message n. Its ID is also its body, by which taskObserver identifies it.
 func (r *recordedBroker) publish(class string, n int) {
 	id := fmt.Sprintf("m%d", n)
 	props := broker.Props{broker.Type: class, broker.MessageID: id, broker.Headers: broker.Table{"customer": "acme"}}
 	r.broker.Publish("", readingsQueue, props, []byte(id))
 }
 
-// report adds the figures and the violations to a report; the instances must have ended. maxMemory is in bytes.
+// report adds the figures and the violations to a report, once the instances have ended. maxMemory is in bytes.
 func (r *recordedBroker) report(report *Report, size int, maxMemory int64) {
 	state := r.broker.QueueState(readingsQueue)
 	unknownTags := r.broker.EventCount(broker.EventUnknownTag)
@@ -181,7 +182,7 @@
 		report.AddFault("%s", violation.String())
 	}
 	if lost := size - c.ExecutedItemCount() - r.deadLettered; lost > 0 {
-		report.AddFault("%d messages neither ran nor are dead letters", lost)
+		report.AddFault("%d messages were neither run nor dead-lettered, expected 0", lost)
 	}
 	report.AddFigure("most_memory_mb", megabytes(maxMemory))
 }
--- a/internal/lab/report.go
+++ b/internal/lab/report.go
@@ -8,20 +8,20 @@
 	Value float64
 }
 
-// Options are the options of an experiment.
+// Options are the options of a run of an experiment.
 type Options struct {
 	Program  string // path of the thymechute executable
 	Folder   string // for the experiment's files; the caller removes it
-	Seed     uint64 // of the run's random generators
+	Seed     uint64 // of the random generators
 	Size     int    // in the experiment's unit: messages or members
 	Progress func(line string)
 }
 
-// Experiment runs one experiment. The report is set whenever figures were measured; an error means that the claim could not be
-// checked.
+// Experiment runs an experiment. An error means that the claim could not be checked; the report then has the figures measured so
+// far, or is nil.
 type Experiment func(Options) (*Report, error)
 
-// Report is the outcome of an experiment, with the figures in the order in which they are printed.
+// Report is the result of an experiment. Its figures are in the order in which they are printed.
 type Report struct {
 	Figures []Figure
 	Faults  []string // reasons why the claim does not hold; empty when it holds
@@ -32,7 +32,7 @@
 	r.Figures = append(r.Figures, Figure{name, value})
 }
 
-// ExpectZero adds a figure that must be 0, and a fault when it is not.
+// ExpectZero adds a figure whose expected value is 0, and a fault if it is not 0.
 func (r *Report) ExpectZero(name string, value int) {
 	r.AddFigure(name, float64(value))
 	if value != 0 {
--- a/internal/lab/rig/fleet.go
+++ b/internal/lab/rig/fleet.go
@@ -10,17 +10,17 @@
 	"thymechute/internal/fake/runtime"
 )
 
-// fleetSettingsTemplate is the operator's file of one member. Health checks and push/pulls are frequent, as they cost little on
-// loopback.
+// fleetSettingsTemplate is the operator's file of one member. Its parameters are the addresses to bind and to advertise, and the seed
+// elements. The intervals of probes and of push/pulls are short, as both cost little on loopback.
 const fleetSettingsTemplate = `<thymechute xmlns="urn:thymechute:operator:1">
   <fleet bind="%s" advertise="%s" zone="z1" probe-ms="150" sync-ms="500">%s</fleet>
 </thymechute>
 `
 
-// maxMembers is how many names a fleet can have: each has an address of its own in 127.0.1.0/24 and 127.0.2.0/24.
+// maxMembers is the limit on the names of a fleet: each has an IP of its own in 127.0.1.0/24 and one in 127.0.2.0/24.
 const maxMembers = 250
 
-// Fleet is a fleet of instances, each with a fake runtime of its own and a proxy of the fault network before its address.
+// Fleet is a fleet of instances, each with a fake runtime and with a proxy of the fault network in front of its address.
 type Fleet struct {
 	Network *faultnet.Network
 
@@ -28,17 +28,17 @@
 	seed            uint64
 	members         map[string]*Instance
 	addresses       map[string]memberAddresses // by name; kept for restarts
-	seedAddress     string                     // the first member's proxy, by which the others join
+	seedAddress     string                     // of the first member's proxy; the others join by it
 	closeRuntimes   []func()
 }
 
-// memberAddresses are where a member listens and where the others reach it.
+// memberAddresses are the address that a member binds and that at which the others reach it.
 type memberAddresses struct {
 	bind  string // in 127.0.1.0/24
 	proxy string // in 127.0.2.0/24, advertised to the others
 }
 
-// NewFleet returns a fleet without members; Close must be called.
+// NewFleet returns a fleet without members. The caller must call Close.
 func NewFleet(program, folder string, seed uint64) *Fleet {
 	return &Fleet{Network: faultnet.New(seed), program: program, folder: folder, seed: seed, members: map[string]*Instance{},
 		addresses: map[string]memberAddresses{}}
@@ -55,7 +55,7 @@
 	f.Network.Close()
 }
 
-// StartMember starts a member without any state, at the addresses that it had before under the same name.
+// StartMember starts a member without state. A name that was used before keeps its addresses.
 func (f *Fleet) StartMember(name string) error {
 	addresses, err := f.assignAddresses(name)
 	if err != nil {
@@ -85,15 +85,15 @@
 	return nil
 }
 
-// assignAddresses returns a member's addresses. The n-th new name, from 1 on, binds 127.0.1.n and is reached through its
-// proxy at 127.0.2.n, so that the proxies tell senders by their IP.
+// assignAddresses returns a member's addresses, and starts its proxy when the name is new. The n-th new name, counted from 1, binds
+// 127.0.1.n and is reached through its proxy at 127.0.2.n, so that the proxies can identify senders by their IP.
 func (f *Fleet) assignAddresses(name string) (memberAddresses, error) {
 	if known, ok := f.addresses[name]; ok {
 		return known, nil
 	}
 	number := len(f.addresses) + 1
 	if number > maxMembers {
-		return memberAddresses{}, fmt.Errorf("fleet rig: more than %d members", maxMembers)
+		return memberAddresses{}, fmt.Errorf("fleet of processes: found a further member, expected at most %d", maxMembers)
 	}
 	bind, err := faultnet.FreeAddress(fmt.Sprintf("127.0.1.%d", number))
 	if err != nil {
@@ -125,13 +125,13 @@
 	return path, os.WriteFile(path, fmt.Appendf(nil, fleetSettingsTemplate, addresses.bind, addresses.proxy, seeds), 0o600)
 }
 
-// Member returns the instance that was started last under a name; nil if there is none or it was removed.
+// Member returns the instance that was last started under a name; nil if there is none or it was removed.
 func (f *Fleet) Member(name string) *Instance { return f.members[name] }
 
-// Remove forgets a member that has ended; its addresses are kept for a start under the same name.
+// Remove removes a member that has ended. Its addresses are kept for a start under the same name.
 func (f *Fleet) Remove(name string) { delete(f.members, name) }
 
-// CountDepartures returns how many departures and deaths of others the named members have logged so far.
+// CountDepartures returns the number of departures and failures of other members that the named members have logged so far.
 func (f *Fleet) CountDepartures(names []string) int {
 	count := 0
 	for _, name := range names {
--- a/internal/lab/rig/instance.go
+++ b/internal/lab/rig/instance.go
@@ -19,11 +19,11 @@
 const (
 	maxLogBytes  = 1 << 20
 	drainTimeout = 5 * time.Second
-	stopMillis   = 3000 // from SIGTERM to SIGKILL, by the platform
+	stopMillis   = 3000 // that the platform grants from SIGTERM to SIGKILL
 	maxSockets   = 384
 )
 
-// Instance is the program as a process.
+// Instance is a process of the program.
 type Instance struct {
 	Name          string
 	ListenAddress string // address that it listens on
@@ -32,7 +32,7 @@
 
 	mu         sync.Mutex
 	log        bytes.Buffer
-	logWritten chan struct{} // holds one signal, set at each write to the log
+	logWritten chan struct{} // of capacity 1; signalled by each write to the log
 }
 
 // LaunchOptions are the options of Launch.
@@ -45,9 +45,9 @@
 	Seed           uint64
 }
 
-// Launch starts the program with a configuration in the folder, and a memory limit of MemoryMB. The caller ends it by Kill or
-// Drain; it is also killed with the thread that started it. The errors are those of finding free ports, of writing the file and
-// of starting the process.
+// Launch writes a configuration file with a memory limit of MemoryMB to the folder and starts the program with it. The caller ends
+// the process by Kill or Drain; the kernel also kills it when the thread that started it ends. The errors are those of finding free
+// ports, of writing the file and of starting the process.
 func Launch(options LaunchOptions) (*Instance, error) {
 	configuration, err := newConfiguration(options)
 	if err != nil {
@@ -76,8 +76,8 @@
 	return i, nil
 }
 
-// newConfiguration returns the platform's file of an instance, which listens on a free address. Nobody listens at the addresses of
-// its index and directory.
+// newConfiguration returns the configuration of an instance, which listens on a free address. The addresses of its index and
+// directory are free too, so that connections to them are refused.
 func newConfiguration(options LaunchOptions) (deployment.Configuration, error) {
 	listen, err := freeAddress()
 	if err != nil {
@@ -100,7 +100,7 @@
 	}, nil
 }
 
-// writeConfiguration writes the platform's file of an instance and returns its path.
+// writeConfiguration writes the configuration file of an instance and returns its path.
 func writeConfiguration(folder string, configuration deployment.Configuration) (path string, err error) {
 	text, err := json.Marshal(configuration)
 	if err != nil {
@@ -113,7 +113,7 @@
 // freeAddress returns a loopback address with a port that is free for TCP and UDP.
 func freeAddress() (string, error) { return faultnet.FreeAddress("127.0.0.1") }
 
-// Write takes what the process writes to its log, maxLogBytes at most.
+// Write appends output of the process to the log, and discards it once the log has maxLogBytes.
 func (i *Instance) Write(p []byte) (int, error) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
@@ -127,24 +127,24 @@
 	return len(p), nil
 }
 
-// Log returns what the process has logged, about 1 MiB at most.
+// Log returns the output of the process so far, at most about 1 MiB.
 func (i *Instance) Log() string {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	return i.log.String()
 }
 
-// Signal sends the process a signal, SIGSTOP and SIGCONT for example.
+// Signal sends a signal to the process, for example SIGSTOP.
 func (i *Instance) Signal(signal syscall.Signal) { _ = i.command.Process.Signal(signal) }
 
-// Kill ends the process at once.
+// Kill sends SIGKILL and waits for the process to end.
 func (i *Instance) Kill() {
 	_ = i.command.Process.Kill()
 	<-i.exited
 }
 
-// Drain sends SIGTERM and waits for the process to end. It is a *DrainError if its exit status is not 0, or if it does not
-// end within 5 s and is killed.
+// Drain sends SIGTERM and waits for the process to end. It returns a *DrainError if the exit status is not 0, or if the process does
+// not end within 5 s and is killed.
 func (i *Instance) Drain() error {
 	_ = i.command.Process.Signal(syscall.SIGTERM)
 	select {
@@ -159,18 +159,18 @@
 	}
 }
 
-// DrainError reports an instance that did not drain in order.
+// DrainError reports an instance whose graceful shutdown failed.
 type DrainError struct {
 	Instance   string
-	TimedOut   bool   // it had not ended in time
-	ExitStatus int    // otherwise
-	Log        string // all that it logged, if it ended
+	TimedOut   bool   // it did not end in time and was killed
+	ExitStatus int    // if it ended in time
+	Log        string // as of Instance.Log, if it ended in time
 }
 
 // Error implements error.
 func (e *DrainError) Error() string {
 	if e.TimedOut {
-		return e.Instance + " did not end"
+		return fmt.Sprintf("instance %s: still running %v after SIGTERM, killed", e.Instance, drainTimeout)
 	}
-	return fmt.Sprintf("%s ended with %d: %s", e.Instance, e.ExitStatus, e.Log)
+	return fmt.Sprintf("instance %s: exit status %d after SIGTERM, expected 0; log: %s", e.Instance, e.ExitStatus, e.Log)
 }
--- a/internal/lab/rig/program.go
+++ b/internal/lab/rig/program.go
@@ -11,19 +11,19 @@
 // programName is the file name of the program that the experiments start.
 const programName = "thymechute"
 
-// MissingProgramError reports that an experiment has no program to start.
+// MissingProgramError reports that the program to start was not found or is not executable.
 type MissingProgramError struct {
 	Path  string // where it was expected
-	Found string // what is there instead
+	Found string // what was found there
 }
 
 // Error implements error.
 func (e *MissingProgramError) Error() string {
-	return fmt.Sprintf("program of the experiment: %s: found %s, expected the executable %s (build both into one folder: go build -o bin/ ./cmd/...)",
+	return fmt.Sprintf("program to run: %s: found %s, expected the executable %s (build all commands into one folder: go build -o bin/ ./cmd/...)",
 		e.Path, e.Found, programName)
 }
 
-// ProgramBeside returns the path of the program in the folder of another executable. Errors are *MissingProgramError.
+// ProgramBeside returns the path of the program, which is in the same folder as executable. Its errors are *MissingProgramError.
 func ProgramBeside(executable string) (string, error) {
 	path := filepath.Join(filepath.Dir(executable), programName)
 	info, err := os.Stat(path)
--- a/internal/lab/rig/program_test.go
+++ b/internal/lab/rig/program_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// The program is expected beside the executable; the error says what is there instead.
+// The program is expected in the folder of the given executable; the error states what was found in its place.
 func TestProgramBeside(t *testing.T) {
 	folder := t.TempDir()
 	beside, wanted := filepath.Join(folder, "testbed"), filepath.Join(folder, "thymechute")
@@ -16,7 +16,7 @@
 		_, err := ProgramBeside(beside)
 		var e *MissingProgramError
 		if !errors.As(err, &e) || e.Path != wanted || e.Found != found {
-			t.Errorf("%v, expected %s at %s", err, found, wanted)
+			t.Errorf("found error %v, expected %s at %s", err, found, wanted)
 		}
 	}
 	missing("nothing")
@@ -28,7 +28,7 @@
 		t.Fatal(err)
 	}
 	if path, err := ProgramBeside(beside); path != wanted || err != nil {
-		t.Errorf("%q, %v, expected %s", path, err, wanted)
+		t.Errorf("found %q, %v, expected %s", path, err, wanted)
 	}
 	if err := os.Remove(wanted); err != nil {
 		t.Fatal(err)
--- a/internal/lab/rig/settings_test.go
+++ b/internal/lab/rig/settings_test.go
@@ -7,7 +7,8 @@
 	"testing"
 )
 
-// The configuration file has the keys and values of revision af0cb43, which encoded it from maps; addresses and seed vary.
+// The encoded configuration has the keys and values that revision af0cb43 encoded from maps. The test sets the addresses, which are
+// random otherwise, and the seed.
 func TestConfigurationMatchesRecording(t *testing.T) {
 	recorded, err := os.ReadFile("testdata/configuration-af0cb43.json")
 	if err != nil {
--- a/internal/lab/rig/usage.go
+++ b/internal/lab/rig/usage.go
@@ -6,7 +6,7 @@
 	"thymechute/internal/lab/procfs"
 )
 
-// PeakMemory returns the largest resident size of the process so far, in bytes; 0 if it has ended.
+// PeakMemory returns the peak resident memory of the process so far, in bytes; 0 if it has ended.
 func (i *Instance) PeakMemory() int64 {
 	peak, err := procfs.PeakResidentBytes(i.command.Process.Pid)
 	if err != nil {
--- a/internal/lab/rig/view.go
+++ b/internal/lab/rig/view.go
@@ -9,10 +9,10 @@
 	"time"
 )
 
-// agreementTimeout bounds WaitForAgreement.
+// agreementTimeout is the timeout of WaitForAgreement.
 const agreementTimeout = 10 * time.Second
 
-// maxQuotedLogBytes is how much of the log of a member without a view an error quotes, in bytes.
+// maxQuotedLogBytes limits the end of the log that a DisagreementError quotes of a member that logged no view.
 const maxQuotedLogBytes = 400
 
 // FleetView is the last view of the fleet that a member has logged.
@@ -35,8 +35,8 @@
 	return view, json.Unmarshal([]byte(fields), &view) == nil
 }
 
-// WaitForAgreement waits until the view of each named member holds exactly the named members, with dense and unique
-// ranks, and returns how long that took. If it takes longer than agreementTimeout, the error lists all views.
+// WaitForAgreement waits until the view of each named member has exactly the named members, and their ranks are 0 to n-1. It returns
+// the time that this took, or a *DisagreementError after agreementTimeout.
 func (f *Fleet) WaitForAgreement(names []string) (time.Duration, error) {
 	start := time.Now()
 	expected := strings.Join(slices.Sorted(slices.Values(names)), ",")
@@ -52,7 +52,7 @@
 	}
 }
 
-// viewsAgree tells whether the views of the named members are as expected and their ranks dense and unique.
+// viewsAgree reports whether the views of the named members have the expected names and their ranks are 0 to n-1.
 func (f *Fleet) viewsAgree(names []string, expected string) bool {
 	ranks := map[int]bool{}
 	for _, name := range names {
@@ -65,7 +65,7 @@
 	return true
 }
 
-// waitForLogWrite waits until one of the named members writes to its log; it returns false at the deadline.
+// waitForLogWrite waits until one of the named members writes to its log. It returns false if none does before the deadline.
 func (f *Fleet) waitForLogWrite(names []string, deadline <-chan time.Time) bool {
 	wake := make(chan struct{}, 1)
 	stop := make(chan struct{})
@@ -81,7 +81,7 @@
 	}
 }
 
-// forwardLogWrite signals wake at the instance's next write, unless stop is closed before.
+// forwardLogWrite signals wake at the next write to the instance's log, or returns when stop is closed.
 func (i *Instance) forwardLogWrite(wake chan<- struct{}, stop <-chan struct{}) {
 	select {
 	case <-i.logWritten:
@@ -93,7 +93,7 @@
 	}
 }
 
-// newDisagreementError returns the error of members that did not agree in time.
+// newDisagreementError returns a *DisagreementError with the present views.
 func (f *Fleet) newDisagreementError(names []string, expected string) error {
 	views := map[string]FleetView{}
 	var silent strings.Builder
@@ -102,7 +102,7 @@
 		views[name] = view
 		if !ok {
 			log := f.members[name].Log()
-			fmt.Fprintf(&silent, "; %s logged no view, last: %q", name, log[max(len(log)-maxQuotedLogBytes, 0):])
+			fmt.Fprintf(&silent, "; %s logged no view, end of its log: %q", name, log[max(len(log)-maxQuotedLogBytes, 0):])
 		}
 	}
 	return &DisagreementError{Expected: expected, Views: views, LogTails: silent.String()}
@@ -112,7 +112,7 @@
 type DisagreementError struct {
 	Expected string // the names of the members, sorted, separated by commas
 	Views    map[string]FleetView
-	LogTails string // the ends of the logs of members that logged no view; empty for none
+	LogTails string // the ends of the logs of the members that logged no view
 }
 
 // Error implements error.
@@ -121,5 +121,6 @@
 	for _, name := range slices.Sorted(maps.Keys(e.Views)) {
 		views = append(views, fmt.Sprintf("%s: %+v", name, e.Views[name]))
 	}
-	return fmt.Sprintf("members %s did not agree within %v: %s%s", e.Expected, agreementTimeout, strings.Join(views, ", "), e.LogTails)
+	return fmt.Sprintf("members %s did not agree within %v; their views are %s%s", e.Expected, agreementTimeout,
+		strings.Join(views, ", "), e.LogTails)
 }
--- a/internal/lab/rpc_load.go
+++ b/internal/lab/rpc_load.go
@@ -14,12 +14,13 @@
 
 const (
 	rpcConns        = 8
-	rpcOpenRequests = 16 // on each connection
+	rpcOpenRequests = 16 // per connection
 	rpcDialTimeout  = 10 * time.Second
 	rpcDialInterval = 5 * time.Millisecond
 )
 
-// measureRPC measures size requests over connections that keep as many open as the AMQP consumer's prefetch limit.
+// measureRPC measures the cost of size requests. The connections together keep as many requests open as the least prefetch limit of
+// measureAMQP.
 func measureRPC(instance *rig.Instance, size int) (cost, error) {
 	conns, err := dialAll(instance.ListenAddress)
 	defer func() {
@@ -38,7 +39,7 @@
 	return cost{instance.CPUTime() - cpu, time.Since(begin)}, err
 }
 
-// dialAll opens rpcConns connections, and retries until the instance listens. After an error it returns those it has opened.
+// dialAll opens rpcConns connections. With an error, it returns those that it has opened.
 func dialAll(address string) (conns []net.Conn, err error) {
 	for range rpcConns {
 		c, err := dialWithRetry(address)
@@ -50,6 +51,7 @@
 	return conns, nil
 }
 
+// dialWithRetry retries for rpcDialTimeout, as a new instance does not listen yet.
 func dialWithRetry(address string) (net.Conn, error) {
 	for end := time.Now().Add(rpcDialTimeout); ; time.Sleep(rpcDialInterval) {
 		c, err := net.Dial("tcp", address)
@@ -59,7 +61,7 @@
 	}
 }
 
-// sendOnAll sends count requests on each connection, whose IDs start with prefix, and waits for the answers.
+// sendOnAll sends count requests on each connection and waits for the answers. The request IDs start with prefix.
 func sendOnAll(conns []net.Conn, prefix string, count int) error {
 	var senders sync.WaitGroup
 	errs := make([]error, len(conns))
@@ -70,7 +72,7 @@
 	return errors.Join(errs...)
 }
 
-// sendRequests keeps rpcOpenRequests open on a connection until count were answered.
+// sendRequests sends count requests on a connection, at most rpcOpenRequests of them open at a time, and waits for the answers.
 func sendRequests(c net.Conn, prefix string, count int) error {
 	_ = c.SetDeadline(time.Now().Add(maxRunTime))
 	in, out := bufio.NewReader(c), bufio.NewWriter(c)
@@ -95,7 +97,7 @@
 	return nil
 }
 
-// writeRequest writes the n-th request of a connection; errors show at the next flush.
+// writeRequest writes request n of a connection. A write error is returned by the next flush.
 func writeRequest(out *bufio.Writer, prefix string, n int) {
 	id := fmt.Sprintf("%s-%d", prefix, n)
 	fmt.Fprintf(out, `{"jsonrpc":"2.0","id":%d,"method":"trace","params":{"rid":%q,"t0":%d,"peer":1,"acct":"acme","mem":0.1,"prio":0.5,"doc":%q}}`+"\n",
