--- a/cmd/benchlink/main.go
+++ b/cmd/benchlink/main.go
@@ -1,6 +1,6 @@
-// Command benchlink hosts instances of the decision module for the simulator: it reads batches of events on
-// standard input and writes replies on standard output. It ends at the end of input, or with status 1 and
-// one line on standard error.
+// Command benchlink runs instances of package policy for the simulator: it reads batches of events from
+// standard input and writes a reply to each on standard output. It exits with status 0 at the end of input, or
+// with status 1 and one line on standard error.
 package main
 
 import (
--- a/internal/simhost/actions.go
+++ b/internal/simhost/actions.go
@@ -11,15 +11,15 @@
 	"thymechute/policy"
 )
 
-// wakeReference is the reference of all alarms: an instance has one at a time.
-const wakeReference = 1
+// alarmReference identifies an instance's alarm. It is the same for all, as an instance has one alarm at a time.
+const alarmReference = 1
 
-// requestLine begins an action's line about a request.
+// requestLine starts the line of an action on a request.
 func (h *host) requestLine(action string, id policy.RequestID) wire.Line {
 	return wire.NewLine(h.out, action).Uint("ticket", h.requests.tickets[id])
 }
 
-// Start implements policy.Host, as do the methods after it: each writes its action's line.
+// Start writes RUN. It implements policy.Host, as do the methods below, each of which writes one action's line.
 func (h *host) Start(id policy.RequestID) { h.out = h.requestLine("RUN", id).End() }
 
 // Stop writes TAKE_OFF.
@@ -69,10 +69,10 @@
 	h.out = wire.NewLine(h.out, "SIGNAL").Number("value", value).End()
 }
 
-// Wake writes NOTIFY_ME, at a time of the simulator's clock.
+// Wake writes NOTIFY_ME, with the time converted to the simulator's clock.
 func (h *host) Wake(at time.Duration) {
 	line := wire.NewLine(h.out, "NOTIFY_ME").Seconds("alarm_time_s", h.startedAt+at)
-	h.out = line.Uint("ref", wakeReference).End()
+	h.out = line.Uint("ref", alarmReference).End()
 }
 
 // Log writes DEBUG: the message, then each field as key=value.
@@ -86,5 +86,5 @@
 	h.out = wire.NewLine(h.out, "DEBUG").Text("text", text).End()
 }
 
-// Release frees the index; nothing is written.
+// Release frees the request id for reuse. It writes nothing.
 func (h *host) Release(id policy.RequestID) { h.requests.release(id) }
--- a/internal/simhost/actions_test.go
+++ b/internal/simhost/actions_test.go
@@ -10,7 +10,7 @@
 	"thymechute/policy"
 )
 
-// The lines are those of the simulator's protocol: names, fields and their order stay.
+// The simulator parses these lines: names, fields and their order are fixed by its protocol.
 func TestActionsAreEncodedAsInTheProtocol(t *testing.T) {
 	const ticket = 4000000000
 	h := &host{startedAt: 1500 * time.Millisecond, requests: newRequestIDs()}
@@ -39,7 +39,7 @@
 		h.out = h.out[:0]
 		act()
 		if got := strings.TrimSuffix(string(h.out), "\n"); got != want {
-			t.Errorf("%q, want %q", got, want)
+			t.Errorf("wrote %q, want %q", got, want)
 		}
 	}
 }
@@ -50,10 +50,10 @@
 	second := h.requests.assign(8)
 	h.Release(first)
 	if _, isKnown := h.requests.byTicket[7]; isKnown {
-		t.Error("a released ticket is known")
+		t.Error("ticket 7 is still known after its request id was released")
 	}
 	if again := h.requests.assign(9); again != first || again == second || h.requests.tickets[again] != 9 {
-		t.Errorf("index %d for ticket %d", again, h.requests.tickets[again])
+		t.Errorf("request id %d for ticket %d, want the released id and ticket 9", again, h.requests.tickets[again])
 	}
 }
 
@@ -62,12 +62,12 @@
 	id := h.requests.assign(7)
 	for ticket, want := range map[uint64]policy.RequestID{0: policy.NoOriginal, 7: id, 8: policy.OriginalGone} {
 		if got := h.original(ticket); got != want {
-			t.Errorf("ticket %d: %d, want %d", ticket, got, want)
+			t.Errorf("original with ticket %d: request id %d, want %d", ticket, got, want)
 		}
 	}
 }
 
-// Each event of the protocol reaches the instance: the reply shows what it leads to.
+// Sends each kind of event of an instance, and checks the actions in the replies.
 func TestEventsReachTheInstance(t *testing.T) {
 	const settings = `{"classes":[{"repeat":"repeatable","worth":1,"aim_s":1,"deadline_s":3}],` +
 		`"domain":{"cores":1,"ram_kb":1000,"calls_by_class":[true],"depends_on":"shared","dep_share":5,` +
@@ -102,7 +102,7 @@
 		"TAKE_OFF ticket=7", "FITNESS stored=1 on=0",
 	} {
 		if strings.Count(out, line+"\n") != 1 {
-			t.Errorf("want %q once, in\n%s", line, out)
+			t.Errorf("want %q exactly once in the output:\n%s", line, out)
 		}
 	}
 }
--- a/internal/simhost/events.go
+++ b/internal/simhost/events.go
@@ -9,19 +9,20 @@
 	"thymechute/policy/settings"
 )
 
-// host is the policy.Host of one instance. It holds the instance's ids and the lines that it writes in this batch.
+// host is the policy.Host of one instance. It maps the instance's request ids and collects the lines that the
+// instance writes in the current batch.
 type host struct {
 	id        uint64
-	instance  *policy.Instance // nil: not configured, or killed
+	instance  *policy.Instance // nil: not configured or killed
 	server    settings.Server
-	startedAt time.Duration
-	now       time.Duration
-	isActive  bool // it has an event in this batch
+	startedAt time.Duration // on the simulator's clock
+	now       time.Duration // on the simulator's clock
+	isActive  bool          // has an event in the current batch
 	out       []byte
 	requests  requestIDs
 }
 
-// handle passes an event to the instance. Events of an instance that was not configured, or was killed, are ignored.
+// handle passes an event to the instance. Events for an instance that is not configured or was killed are ignored.
 func (h *host) handle(m wire.Message) error {
 	switch m.Name {
 	case "KILL":
@@ -52,16 +53,16 @@
 	h.requests = requestIDs{}
 }
 
-// configure starts an instance. Lines that it wrote earlier in this batch are dropped.
+// configure starts a new instance. Lines that its predecessor wrote in the current batch are dropped.
 func (h *host) configure(m wire.Message) error {
 	seed, err := m.Uint("init_seed")
 	if err != nil {
 		return err
 	}
 	text, _ := m.Text("info")
-	parsed, _, err := settingsjson.Parse(text) // values out of their bounds count as missing here
+	parsed, _, err := settingsjson.Parse(text) // out-of-range values are treated as missing
 	if err != nil {
-		return m.FieldError("info", "a JSON object: "+err.Error())
+		return m.FieldError("info", "settings as a JSON object: "+err.Error())
 	}
 	h.server = parsed.Server
 	h.startedAt = h.now
@@ -74,11 +75,11 @@
 func (h *host) sinceStart() time.Duration { return h.now - h.startedAt }
 
 func (h *host) tick(m wire.Message) error {
-	row, err := m.Numbers("server_stats")
+	gaugeValues, err := m.Numbers("server_stats")
 	if err != nil {
 		return err
 	}
-	busy, runnable := h.server.Gauges(row)
+	busy, runnable := h.server.Gauges(gaugeValues)
 	h.instance.Tick(h.sinceStart(), policy.Gauges{Busy: busy, Runnable: runnable})
 	return nil
 }
@@ -92,8 +93,8 @@
 	return nil
 }
 
-// outcomes are the outcomes of runs and calls by their words; any other word is policy.Unknown.
-var outcomes = map[string]policy.Outcome{
+// outcomeByDisposition maps the disposition of a run or call to its outcome; any other one is policy.Unknown.
+var outcomeByDisposition = map[string]policy.Outcome{
 	"ok":             policy.OK,
 	"error":          policy.Failed,
 	"full":           policy.Rejected,
@@ -104,7 +105,7 @@
 	"moot":           policy.NotStarted,
 }
 
-// handleRequestEvent passes on an event of an admitted request. Events of unknown requests are ignored.
+// handleRequestEvent passes an event of a request to the instance. Events of unknown requests are ignored.
 func (h *host) handleRequestEvent(m wire.Message) error {
 	ticket, err := m.RequiredUint("ticket")
 	if err != nil {
@@ -119,7 +120,7 @@
 		return nil
 	}
 	disposition, _ := m.Field("disposition")
-	outcome := outcomes[disposition]
+	outcome := outcomeByDisposition[disposition]
 	now := h.sinceStart()
 	switch m.Name {
 	case "WOUND_UP":
@@ -134,13 +135,13 @@
 	return nil
 }
 
-// admit passes on a request. One whose ticket is in use is ignored.
+// admit passes a new request to the instance. A request whose ticket is in use is ignored.
 func (h *host) admit(m wire.Message) error {
 	ticket, err := m.RequiredUint("ticket")
 	if err != nil {
 		return err
 	}
-	arrived, err := h.decodeRequest(m)
+	request, err := h.decodeRequest(m)
 	if err != nil {
 		return err
 	}
@@ -148,7 +149,7 @@
 		return nil
 	}
 	id := h.requests.assign(ticket)
-	h.instance.Admit(h.sinceStart(), id, arrived)
+	h.instance.Admit(h.sinceStart(), id, request)
 	return nil
 }
 
@@ -169,7 +170,7 @@
 	return request, fields.err
 }
 
-// original returns the id of the request with the ticket, which a retry repeats. A ticket of 0 means none.
+// original returns the id of the request that a retry repeats, by its ticket. Ticket 0 means no original.
 func (h *host) original(ticket uint64) policy.RequestID {
 	if ticket == 0 {
 		return policy.NoOriginal
@@ -180,7 +181,7 @@
 	return policy.OriginalGone
 }
 
-// fieldDecoder decodes the fields of a message, and records the first error.
+// fieldDecoder decodes the fields of a message and keeps the first error.
 type fieldDecoder struct {
 	message wire.Message
 	err     error
--- a/internal/simhost/ids.go
+++ b/internal/simhost/ids.go
@@ -2,11 +2,12 @@
 
 import "thymechute/policy"
 
-// requestIDs maps the simulator's request ids, its tickets, to the instance's request ids, which are reused.
+// requestIDs maps tickets, the simulator's ids of requests, to the instance's request ids. Released request ids are
+// reused, so that the table does not grow beyond the highest number of requests open at once.
 type requestIDs struct {
 	byTicket map[uint64]policy.RequestID
 	tickets  []uint64           // by request id
-	free     []policy.RequestID // request ids for reuse
+	free     []policy.RequestID // released request ids
 }
 
 func newRequestIDs() requestIDs {
@@ -28,7 +29,7 @@
 	return id
 }
 
-// release frees a request id; its ticket is unknown from then on.
+// release frees a request id and forgets its ticket.
 func (r *requestIDs) release(id policy.RequestID) {
 	delete(r.byTicket, r.tickets[id])
 	r.free = append(r.free, id)
--- a/internal/simhost/server.go
+++ b/internal/simhost/server.go
@@ -1,9 +1,10 @@
-// Package simhost runs many instances of package policy on the simulator's line protocol: it decodes events
-// into calls of the instances, maps the simulator's ids to request ids, and encodes the instances' decisions.
+// Package simhost runs many instances of package policy over the simulator's line protocol: it decodes events
+// into method calls on the instances, maps the simulator's tickets to request ids, and encodes the instances'
+// decisions.
 //
-// The instances share only the input and the output. All work is done by the goroutine that calls Serve. The
-// time is that of the batches. The tables are bounded by the number of instances and of requests that the
-// simulator has open.
+// The instances share only the input and the output. All work is done by the goroutine that calls Serve. Time is
+// simulated: each batch carries the time of its events. The tables are bounded by the number of instances and of
+// requests that the simulator has open.
 package simhost
 
 import (
@@ -16,11 +17,11 @@
 	"thymechute/internal/wire"
 )
 
-// replyBufferBytes is the size of the output buffer.
+// replyBufferBytes is the size of the output buffer, which is flushed after each batch.
 const replyBufferBytes = 1 << 20
 
-// Serve answers batches until the input ends. The error is a *wire.Error for malformed input, that of a failed
-// read or write, or that of a panic of an instance, which is also reported to the simulator.
+// Serve answers batches until the input ends. It returns a *wire.Error for malformed input, the error of a failed
+// read or write, or an error for a panic of an instance, which it also reports to the simulator.
 func Serve(in io.Reader, out io.Writer) error {
 	s := &server{
 		messages: wire.NewReader(in),
@@ -36,7 +37,7 @@
 			return err
 		}
 		if m.Name != "BEGIN_BATCH" {
-			return m.FieldError("name", "BEGIN_BATCH outside of a batch")
+			return m.FieldError("message", "BEGIN_BATCH at the start of a batch")
 		}
 		now, err := m.RequiredSeconds("moment_s")
 		if err != nil {
@@ -48,27 +49,28 @@
 	}
 }
 
-// server is the state between batches.
+// server is the state of Serve, kept from batch to batch.
 type server struct {
-	messages *wire.Reader
-	out      *bufio.Writer
-	hosts    map[uint64]*host // by the instance's id
-	active   []*host          // hosts with an event in this batch, in the order of their first one
+	messages    *wire.Reader
+	out         *bufio.Writer
+	hosts       map[uint64]*host // by the simulator's id of the instance
+	activeHosts []*host          // hosts with an event in the current batch, in the order of their first event
 }
 
-// serveBatch passes on the events of a batch and writes the reply. It returns an error for a panic.
+// serveBatch passes the events of a batch to their instances and writes the reply. A panic of an instance is returned
+// as an error.
 func (s *server) serveBatch(now time.Duration) (err error) {
 	defer func() {
 		if cause := recover(); cause != nil {
 			err = s.reportPanic(fmt.Sprint(cause))
 		}
 	}()
-	s.active = s.active[:0]
+	s.activeHosts = s.activeHosts[:0]
 	var current *host
 	for {
 		m, err := s.messages.Next()
 		if errors.Is(err, io.EOF) {
-			return &wire.Error{Field: "end of input", Expected: "EOF_BATCH first: the batch is cut off"}
+			return &wire.Error{Field: "end of input", Expected: "EOF_BATCH, the last batch is incomplete"}
 		}
 		if err != nil {
 			return err
@@ -77,7 +79,7 @@
 		case "EOF_BATCH":
 			return s.reply(now)
 		case "BEGIN_BATCH":
-			return m.FieldError("name", "EOF_BATCH before the next batch")
+			return m.FieldError("message", "EOF_BATCH before the next batch")
 		case "FOR":
 			current, err = s.activate(m)
 			if err != nil {
@@ -85,7 +87,7 @@
 			}
 		default:
 			if current == nil {
-				return m.FieldError("name", "FOR before the first event of a batch")
+				return m.FieldError("message", "FOR before the first event of a batch")
 			}
 			current.now = now
 			if err := current.handle(m); err != nil {
@@ -95,7 +97,7 @@
 	}
 }
 
-// activate returns the host of the instance to which the following events belong.
+// activate returns the host of the instance that a FOR message selects for the events after it.
 func (s *server) activate(m wire.Message) (*host, error) {
 	id, err := m.RequiredUint("instance")
 	if err != nil {
@@ -108,14 +110,15 @@
 	}
 	if !h.isActive {
 		h.isActive = true
-		s.active = append(s.active, h)
+		s.activeHosts = append(s.activeHosts, h)
 	}
 	return h, nil
 }
 
-// reply calls Dispatch of the active instances, and writes the lines of all of them.
+// reply calls Dispatch on the active instances and writes their lines. It removes active hosts that have no
+// instance.
 func (s *server) reply(now time.Duration) error {
-	for _, h := range s.active {
+	for _, h := range s.activeHosts {
 		h.isActive = false
 		if h.instance == nil {
 			delete(s.hosts, h.id)
@@ -141,11 +144,11 @@
 	return s.out.Flush()
 }
 
-// reportPanic reports a panic to the simulator, on behalf of the first active instance.
+// reportPanic reports a panic to the simulator, on behalf of the first active instance, and returns it as an error.
 func (s *server) reportPanic(cause string) error {
-	if len(s.active) > 0 {
-		s.writeOnBehalf(s.active[0].id)
+	if len(s.activeHosts) > 0 {
+		s.writeOnBehalf(s.activeHosts[0].id)
 	}
 	s.out.Write(wire.NewLine(nil, "INTERNAL_ERROR").Text("text", cause).End())
-	return errors.Join(errors.New("decision module: "+cause), s.finishReply())
+	return errors.Join(errors.New("panic of an instance: "+cause), s.finishReply())
 }
--- a/internal/wire/line.go
+++ b/internal/wire/line.go
@@ -6,12 +6,12 @@
 	"time"
 )
 
-// Line appends a message to a buffer. Its methods append one field each; End completes the line:
+// Line appends a message to a buffer. Each method appends one field; End completes the line:
 //
 //	out = wire.NewLine(out, "RUN").Uint("ticket", 7).End()
 type Line struct{ out []byte }
 
-// NewLine starts a line of that name at the end of out.
+// NewLine appends the name of a message to out.
 func NewLine(out []byte, name string) Line { return Line{append(out, name...)} }
 
 // End completes the line and returns the buffer.
@@ -19,12 +19,12 @@
 
 // Uint appends a whole number.
 func (l Line) Uint(name string, value uint64) Line {
-	return Line{strconv.AppendUint(l.key(name), value, 10)}
+	return Line{strconv.AppendUint(l.appendKey(name), value, 10)}
 }
 
-// Number appends a number, with the fewest digits that represent it exactly.
+// Number appends a number in decimal notation, with the fewest digits that represent it exactly.
 func (l Line) Number(name string, value float64) Line {
-	return Line{strconv.AppendFloat(l.key(name), value, 'f', -1, 64)}
+	return Line{strconv.AppendFloat(l.appendKey(name), value, 'f', -1, 64)}
 }
 
 // Seconds appends a time or duration in seconds, truncated to microseconds.
@@ -32,22 +32,22 @@
 	return l.Number(name, float64(value/time.Microsecond)/1e6)
 }
 
-// Bool appends a flag as 1 or 0.
+// Bool appends a bool as 1 or 0.
 func (l Line) Bool(name string, value bool) Line {
 	digit := byte('0')
 	if value {
 		digit = '1'
 	}
-	return Line{append(l.key(name), digit)}
+	return Line{append(l.appendKey(name), digit)}
 }
 
-// Text appends a text, which extends to the end of the line: it must be the last field. Line breaks become
-// spaces.
+// Text appends a text, which extends to the end of the line, so it must be the last field. Line breaks are replaced
+// by spaces.
 func (l Line) Text(name, value string) Line {
-	return Line{append(l.key(name), strings.Map(lineBreakToSpace, value)...)}
+	return Line{append(l.appendKey(name), strings.Map(lineBreakToSpace, value)...)}
 }
 
-func (l Line) key(name string) []byte {
+func (l Line) appendKey(name string) []byte {
 	out := append(l.out, ' ')
 	out = append(out, name...)
 	return append(out, '=')
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-func message(t *testing.T, line string) Message {
+func parseMessage(t *testing.T, line string) Message {
 	t.Helper()
 	m, err := NewReader(strings.NewReader(line + "\n")).Next()
 	if err != nil {
@@ -22,11 +22,11 @@
 	r := NewReader(strings.NewReader("\nA x=1\r\n\nB\n"))
 	for _, want := range []Message{{"A", 2, "x=1"}, {"B", 4, ""}} {
 		if got, err := r.Next(); err != nil || got != want {
-			t.Errorf("%+v, %v, want %+v", got, err, want)
+			t.Errorf("got %+v, error %v, want %+v", got, err, want)
 		}
 	}
 	if _, err := r.Next(); !errors.Is(err, io.EOF) {
-		t.Errorf("%v", err)
+		t.Errorf("error %v, want EOF", err)
 	}
 }
 
@@ -38,12 +38,12 @@
 	_, err := r.Next()
 	var malformed *Error
 	if !errors.As(err, &malformed) || malformed.Line != 2 {
-		t.Errorf("%v", err)
+		t.Errorf("error %v, want one of line 2", err)
 	}
 }
 
 func TestFieldsAreDecodedByTheirFormat(t *testing.T) {
-	m := message(t, "M id=7 twice=1 twice=2 cost_s=0.0000015 prio=-0.5 on=1 off=0 row=0.5,3 text=a b=c")
+	m := parseMessage(t, "M id=7 twice=1 twice=2 cost_s=0.0000015 prio=-0.5 on=1 off=0 row=0.5,3 text=a b=c")
 	if id, err := m.RequiredUint("id"); id != 7 || err != nil {
 		t.Error(id, err)
 	}
@@ -62,8 +62,8 @@
 	if off, err := m.Bool("off"); off || err != nil {
 		t.Error(off, err)
 	}
-	if row, err := m.Numbers("row"); !slices.Equal(row, []float64{0.5, 3}) || err != nil {
-		t.Error(row, err)
+	if numbers, err := m.Numbers("row"); !slices.Equal(numbers, []float64{0.5, 3}) || err != nil {
+		t.Error(numbers, err)
 	}
 	if text, found := m.Text("text"); text != "a b=c" || !found {
 		t.Error(text, found)
@@ -71,31 +71,31 @@
 }
 
 func TestMissingFieldsAreZeroUnlessRequired(t *testing.T) {
-	m := message(t, "M")
+	m := parseMessage(t, "M")
 	if id, err := m.Uint("id"); id != 0 || err != nil {
 		t.Error(id, err)
 	}
 	if wait, err := m.Seconds("wait_s"); wait != 0 || err != nil {
 		t.Error(wait, err)
 	}
-	if row, err := m.Numbers("row"); row != nil || err != nil {
-		t.Error(row, err)
+	if numbers, err := m.Numbers("row"); numbers != nil || err != nil {
+		t.Error(numbers, err)
 	}
 	if _, found := m.Text("text"); found {
-		t.Error("a text that is missing was found")
+		t.Error("found a text field that the message does not have")
 	}
 	_, err := m.RequiredUint("id")
-	if want := `line 1: field M id: expected a whole number, got ""`; err == nil || err.Error() != want {
+	if want := `line 1: M id: expected a whole number from 0 to 2^63-1, got ""`; err == nil || err.Error() != want {
 		t.Errorf("%v, want %s", err, want)
 	}
 	_, err = m.RequiredSeconds("at_s")
-	if want := "line 1: field M at_s: expected a time in seconds"; err == nil || err.Error() != want {
+	if want := "line 1: M at_s: expected a time in seconds, got none"; err == nil || err.Error() != want {
 		t.Errorf("%v, want %s", err, want)
 	}
 }
 
 func TestMalformedFieldsAreErrorsThatNameThem(t *testing.T) {
-	m := message(t, "M id=-1 number=NaN time_s=2e9 flag=yes row=1,x")
+	m := parseMessage(t, "M id=-1 number=NaN time_s=2e9 flag=yes row=1,x")
 	for field, decode := range map[string]func(string) error{
 		"id":     func(name string) error { _, err := m.Uint(name); return err },
 		"number": func(name string) error { _, err := m.Number(name); return err },
@@ -105,7 +105,7 @@
 	} {
 		var malformed *Error
 		if err := decode(field); !errors.As(err, &malformed) || malformed.Field != "M "+field {
-			t.Errorf("%s: %v", field, err)
+			t.Errorf("field %s: error %v, want an Error of this field", field, err)
 		}
 	}
 }
