--- a/internal/node/admission.go
+++ b/internal/node/admission.go
@@ -7,11 +7,11 @@
 	"thymechute/policy/settings"
 )
 
-// Admit takes a request that has been read. Its answer goes to the responder under the message id, at once or during a later
-// tick. The error is an *AdmissionError; no answer follows it.
+// Admit accepts a decoded request. The responder gets the answer under the message id, at once or during a later tick. If the
+// request is invalid, Admit returns an *AdmissionError and no answer follows.
 func (n *Instance) Admit(responder Responder, id MessageID, incoming Request) error {
-	n.lastArrival = n.now
-	class, ok := n.classes.find(incoming.Class)
+	n.lastArrivalAt = n.now
+	class, ok := n.classes.findActive(incoming.Class)
 	if !ok {
 		return &AdmissionError{Reason: ErrUnknownClass, Value: incoming.Class}
 	}
@@ -24,7 +24,7 @@
 	}
 	key := n.keyOf(class, incoming)
 	if n.controller == nil || n.isFull(class, key) {
-		responder.Answer(id, Answer{Status: Rejected, RetryAfter: n.retryAfter(), Advertised: n.advertised})
+		responder.Answer(id, Answer{Status: Rejected, RetryAfter: n.retryAfter(), AdvertisedLoad: n.advertisedLoad})
 		return nil
 	}
 	requestID := n.allocate()
@@ -47,26 +47,26 @@
 
 // HasClass reports whether requests of this class are admitted.
 func (n *Instance) HasClass(class string) bool {
-	_, ok := n.classes.find(class)
+	_, ok := n.classes.findActive(class)
 	return ok
 }
 
-// findTenant returns the tenant's index, noTenant for the empty name.
+// findTenant returns the index of the tenant in force under the name, or noTenant for the empty name.
 func (n *Instance) findTenant(name string) (tenant int, ok bool) {
-	tenant, ok = n.tenants.find(name)
+	tenant, ok = n.tenants.findActive(name)
 	if !ok && name == "" {
 		return noTenant, true
 	}
 	return tenant, ok
 }
 
-// isFull reports whether a table has no capacity for a request of this class and key.
+// isFull reports whether the table of requests or that of keys has no capacity for a request of this class and key.
 func (n *Instance) isFull(class int, key string) bool {
-	if n.inFlight*requestBytes >= n.tableBytes {
+	if n.inFlight*requestBytes >= n.maxTableBytes {
 		return true
 	}
 	needsKeyEntry := n.idempotencyOf(class) == settings.Idempotent && n.keys.entries[key] == nil
-	return needsKeyEntry && n.keys.bytes >= n.tableBytes
+	return needsKeyEntry && n.keys.bytes >= n.maxTableBytes
 }
 
 // allocate returns a free slot of the table of requests.
@@ -80,18 +80,18 @@
 	return policy.RequestID(len(n.requests) - 1)
 }
 
-// retryAfter returns the Retry-After of requests that the instance rejects without the controller; 0: none.
+// retryAfter returns the Retry-After of requests that the instance rejects without the controller; 0 means none.
 func (n *Instance) retryAfter() time.Duration {
-	if n.server.RetryAfter.Off() {
+	if n.serverSettings.RetryAfter.Off() {
 		return 0
 	}
-	return min(fullRetryAfter, n.server.MaxRetryAfter.Seconds(0))
+	return min(tableFullRetryAfter, n.serverSettings.MaxRetryAfter.Seconds(0))
 }
 
-// submit passes an admitted request to the controller, unless its idempotency key belongs to another request.
+// submit passes an admitted request to the controller. It fails the request if another one owns its idempotency key.
 func (n *Instance) submit(id policy.RequestID, incoming Request) {
 	request := &n.requests[id]
-	work := policy.Request{
+	policyRequest := policy.Request{
 		Class:     request.class,
 		Tenant:    request.tenant,
 		Caller:    incoming.Caller,
@@ -102,20 +102,20 @@
 	}
 	if incoming.CallerTimeout > 0 {
 		// At least 1 ns, as 0 means unknown: the controller rejects a request whose caller has timed out.
-		work.CallerTimeout = max(incoming.CallerTimeout-work.ReadDelay, 1)
+		policyRequest.CallerTimeout = max(incoming.CallerTimeout-policyRequest.ReadDelay, 1)
 	}
-	original, isConflict := n.findOriginal(request, incoming, n.now-work.ReadDelay)
+	original, isConflict := n.findOriginal(request, incoming, n.now-policyRequest.ReadDelay)
 	if isConflict {
-		request.cause = KeyConflict
+		request.failureCause = CauseKeyConflict
 		n.respond(id, Answer{Status: Failed})
 		n.Release(id)
 		return
 	}
-	work.Original = original
-	n.controller.Admit(n.now, id, work)
+	policyRequest.Original = original
+	n.controller.Admit(n.now, id, policyRequest)
 }
 
-// CallerGone marks all requests of this responder as abandoned by their caller.
+// CallerGone marks all requests of this responder as abandoned by their caller: they are not answered any more.
 func (n *Instance) CallerGone(responder Responder) {
 	for index := range n.requests {
 		id := policy.RequestID(index)
