--- a/internal/invariant/checker.go
+++ b/internal/invariant/checker.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// Checker checks events as they are reported. It holds an entry for each item and attempt of the run. It is not safe for
+// Checker checks events as they are reported. It keeps an entry for each work item and attempt of the run. It is not safe for
 // concurrent use. Times are since the start of the run.
 type Checker struct {
 	keyWindow  time.Duration
@@ -19,8 +19,8 @@
 
 	DuplicateAnswers          int // answers to attempts that were already answered or never received
 	LateAnswers               int // answers after the deadline
-	DuplicateRunsSameInstance int // further runs of an item at the same instance that its idempotency forbids
-	DuplicateRuns             int // the same, at any instance
+	DuplicateRunsSameInstance int // repeated runs of an item at one instance that its idempotency forbids
+	DuplicateRuns             int // the same, and repeated runs at other instances
 }
 
 type workItem struct {
@@ -32,15 +32,15 @@
 type attempt struct {
 	Attempt
 	outcome Outcome // "": none yet
-	hasRun  bool    // the item started at the instance while this attempt was open
+	hasRun  bool    // a run of the item started at the instance while this attempt was open
 }
 
 type instance struct {
-	drainDeadline time.Duration // 0: not draining
-	openAttempts  map[string]struct{}
+	graceEnd     time.Duration // end of the grace period; 0: not draining
+	openAttempts map[string]struct{}
 }
 
-// New returns an empty checker. keyWindow is the time within which an idempotent item may not run twice at one instance.
+// New returns an empty checker. Within keyWindow an idempotent item may not run twice at one instance.
 func New(keyWindow time.Duration) *Checker {
 	return &Checker{
 		keyWindow: keyWindow,
@@ -51,8 +51,8 @@
 	}
 }
 
-// report adds a violation; format and args make its detail.
-func (c *Checker) report(rule Rule, item, format string, args ...any) {
+// addViolation records a violation; its detail is formatted from format and args.
+func (c *Checker) addViolation(rule Rule, item, format string, args ...any) {
 	c.violations = append(c.violations, Violation{rule, item, fmt.Sprintf(format, args...)})
 }
 
@@ -74,18 +74,18 @@
 	return item
 }
 
-// Received reports an attempt.
+// Received reports that an instance received an attempt.
 func (c *Checker) Received(a Attempt) {
 	c.item(a.Item, a.Idempotency)
 	if c.attempts[a.ID] != nil {
-		c.report(AnsweredOnce, a.Item, "attempt %s received twice", a.ID)
+		c.addViolation(AnsweredOnce, a.Item, "attempt %s was received twice", a.ID)
 		return
 	}
 	c.attempts[a.ID] = &attempt{Attempt: a}
 	c.instance(a.Instance).openAttempts[a.ID] = struct{}{}
 }
 
-// Started reports that an instance runs an item.
+// Started reports that an instance started to run an item.
 func (c *Checker) Started(at time.Duration, instanceName, itemName string, idempotency Idempotency) {
 	item := c.item(itemName, idempotency)
 	if idempotency != Safe {
@@ -104,7 +104,7 @@
 	for other, starts := range item.startsByInstance {
 		if other != instanceName && len(starts) > 0 {
 			c.DuplicateRuns++
-			c.report(NoDuplicateEffect, item.name, "ran at %s and at %s", other, instanceName)
+			c.addViolation(NoDuplicateEffect, item.name, "ran at two instances, %s and %s", other, instanceName)
 			return
 		}
 	}
@@ -115,7 +115,7 @@
 		if idempotency == NonIdempotent || at-earlier < c.keyWindow {
 			c.DuplicateRunsSameInstance++
 			c.DuplicateRuns++
-			c.report(NoDuplicateEffect, item.name, "ran at %s at %v and again at %v", instanceName, earlier, at)
+			c.addViolation(NoDuplicateEffect, item.name, "ran twice at %s, at %v and at %v", instanceName, earlier, at)
 			return
 		}
 	}
@@ -127,65 +127,65 @@
 	switch {
 	case a == nil:
 		c.DuplicateAnswers++
-		c.report(AnsweredOnce, attemptID, "answered and never received")
+		c.addViolation(AnsweredOnce, attemptID, "the attempt was answered but never received")
 		return
 	case a.outcome != "":
 		c.DuplicateAnswers++
-		c.report(AnsweredOnce, a.Item, "attempt %s ended as %s and as %s", attemptID, a.outcome, outcome)
+		c.addViolation(AnsweredOnce, a.Item, "attempt %s ended twice, as %s and then as %s", attemptID, a.outcome, outcome)
 		return
 	case outcome != CallerGone && at > a.Deadline:
 		c.LateAnswers++
-		c.report(AnsweredOnce, a.Item, "attempt %s answered %v late", attemptID, at-a.Deadline)
+		c.addViolation(AnsweredOnce, a.Item, "attempt %s was answered %v after its deadline", attemptID, at-a.Deadline)
 	case outcome == Rejected && a.hasRun && c.items[a.Item].idempotency != Safe:
-		c.report(NoDuplicateEffect, a.Item, "rejected though it ran")
+		c.addViolation(NoDuplicateEffect, a.Item, "rejected although it had run")
 	}
 	a.outcome = outcome
 	c.outcomes[outcome]++
 	delete(c.instance(a.Instance).openAttempts, attemptID)
 }
 
-// Draining reports that an instance has been notified of its shutdown; what arrives after the grace period may not run.
+// Draining reports that an instance was told to shut down. Items that arrive after the grace period may not run.
 func (c *Checker) Draining(at time.Duration, instanceName string, grace time.Duration) {
-	c.instance(instanceName).drainDeadline = at + grace
+	c.instance(instanceName).graceEnd = at + grace
 }
 
-// Arrived reports an item that arrived at an instance, and whether it was run.
+// Arrived reports that an item arrived at an instance, and whether the instance ran it.
 func (c *Checker) Arrived(at time.Duration, instanceName, itemName string, execution Execution) {
 	i := c.instance(instanceName)
-	if execution == Executed && i.drainDeadline > 0 && at > i.drainDeadline {
-		c.report(DrainsCompletely, itemName, "arrived %v after the grace of %s and ran", at-i.drainDeadline, instanceName)
+	if execution == Executed && i.graceEnd > 0 && at > i.graceEnd {
+		c.addViolation(DrainsCompletely, itemName, "ran although it arrived %v after the end of the grace period of %s", at-i.graceEnd, instanceName)
 	}
 }
 
-// Stopped reports the end of an instance's process. The callers of its open attempts are gone.
+// Stopped reports that an instance's process ended. Its open attempts then count as those of callers that are gone.
 func (c *Checker) Stopped(at time.Duration, instanceName string, cause StopCause) {
 	i := c.instance(instanceName)
 	for _, id := range slices.Sorted(maps.Keys(i.openAttempts)) {
 		if cause == Shutdown {
-			c.report(DrainsCompletely, c.attempts[id].Item, "attempt %s unanswered at the stop of %s", id, instanceName)
+			c.addViolation(DrainsCompletely, c.attempts[id].Item, "attempt %s was not answered before the shutdown of %s", id, instanceName)
 		}
 		c.Completed(at, id, CallerGone)
 	}
-	i.drainDeadline = 0
+	i.graceEnd = 0
 }
 
-// CheckMemory checks the highest memory use of an instance against its limit, both in bytes.
+// CheckMemory checks the peak memory use of an instance against its limit, both in bytes.
 func (c *Checker) CheckMemory(instanceName string, highest, limit int64) {
 	if highest > limit {
-		c.report(MemoryBounded, instanceName, "%d bytes, over its %d", highest, limit)
+		c.addViolation(MemoryBounded, instanceName, "peak memory use of %d bytes exceeds the limit of %d bytes", highest, limit)
 	}
 }
 
-// Finish ends the run: attempts that are still open were never answered.
+// Finish reports attempts that are still open at the end of the run, as never answered.
 func (c *Checker) Finish() {
 	for _, id := range slices.Sorted(maps.Keys(c.attempts)) {
 		if a := c.attempts[id]; a.outcome == "" {
-			c.report(AnsweredOnce, a.Item, "attempt %s at %s never answered", id, a.Instance)
+			c.addViolation(AnsweredOnce, a.Item, "attempt %s at %s was never answered", id, a.Instance)
 		}
 	}
 }
 
-// Violations returns all violations in the order of detection.
+// Violations returns all violations in the order in which they were detected.
 func (c *Checker) Violations() []Violation { return c.violations }
 
 // OutcomeCount returns the number of attempts that ended with an outcome.
--- a/internal/invariant/invariant.go
+++ b/internal/invariant/invariant.go
@@ -1,6 +1,6 @@
-// Package invariant checks the four rules of an instance (see Rule) against recorded events of a run, of any front end, reported
-// in the order in which they happened. A work item is identified by its caller (a message ID, an idempotency key); an attempt is one
-// reception of it by one instance. Events that are not reported are not checked.
+// Package invariant checks the events of a test run against the four rules for instances (see Rule). It works with any front end;
+// events must be reported in the order in which they happened, and those that are not reported are not checked. A work item has an
+// identifier from its caller (a message ID, an idempotency key); an attempt is the receipt of a work item by one instance.
 package invariant
 
 import (
@@ -11,7 +11,8 @@
 // Idempotency tells whether a work item may run again.
 type Idempotency string
 
-// The kinds of work items. An Idempotent item has a key, by which an instance must recognize it for the key window.
+// The kinds of work items. An Idempotent item has an idempotency key, by which an instance must detect repeats within the key
+// window.
 const (
 	Safe          Idempotency = "safe"
 	Idempotent    Idempotency = "idempotent"
@@ -21,7 +22,7 @@
 // Outcome is how an attempt ended.
 type Outcome string
 
-// The final answers, and their absence where the caller was known to be gone.
+// The final answers, and CallerGone for an attempt without an answer, as its caller was known to be gone.
 const (
 	Succeeded  Outcome = "succeeded"
 	Rejected   Outcome = "rejected"
@@ -41,13 +42,13 @@
 // StopCause is why an instance stopped.
 type StopCause int
 
-// The causes of a stop. Only a shutdown has to complete all attempts first.
+// The causes of a stop. Only before a Shutdown must an instance answer all its attempts.
 const (
 	Shutdown StopCause = iota
 	Killed
 )
 
-// Rule is the number of a rule.
+// Rule is the number of a rule, as it appears in reports.
 type Rule int
 
 // The rules.
@@ -58,7 +59,7 @@
 	MemoryBounded                     // an instance stays within its memory limit
 )
 
-// Violation is a rule that was broken.
+// Violation is a violation of a rule by a work item (for MemoryBounded, by an instance).
 type Violation struct {
 	Rule         Rule
 	Item, Detail string
@@ -66,7 +67,7 @@
 
 func (v Violation) String() string { return fmt.Sprintf("rule %d: %s: %s", v.Rule, v.Item, v.Detail) }
 
-// Attempt is one reception of a work item by an instance. Times are since the start of the run.
+// Attempt is the receipt of a work item by an instance. Times are since the start of the run.
 type Attempt struct {
 	ID          string // unique in the run
 	Item        string
