--- a/internal/testutil/cluster.go
+++ b/internal/testutil/cluster.go
@@ -16,47 +16,47 @@
 	"thymechute/internal/fake/faultnet"
 )
 
-// The environment of a cluster's member. Its numbered variables have the port's number appended.
+// The environment variables of a member. The names of those for a port have its index appended, such as CLUSTER_BIND0.
 const (
-	MemberNameVariable  = "CLUSTER_MEMBER" // set in members only
-	MemberBindVariable  = "CLUSTER_BIND"   // address to bind
-	MemberProxyVariable = "CLUSTER_PROXY"  // address at which others reach it, through the fault network
-	MemberSeedVariable  = "CLUSTER_SEED"   // proxy 0 of the first other member; unset for the first
+	MemberNameVariable  = "CLUSTER_MEMBER" // name of the member; set only in the processes of members
+	MemberBindVariable  = "CLUSTER_BIND"   // address to bind, for each port
+	MemberProxyVariable = "CLUSTER_PROXY"  // address at which other members reach it through the fault network, for each port
+	MemberSeedVariable  = "CLUSTER_SEED"   // address of port 0 of the first other member, to join; unset for the first member
 )
 
 const (
-	clusterWaitTimeout = 25 * time.Second
-	maxReportedEvents  = 20 // last events in the message of a failed wait
+	clusterWaitTimeout = 25 * time.Second // after which WaitFor fails its test
+	maxReportedEvents  = 20               // last events in the message of a failed WaitFor
 )
 
-// Cluster runs several processes of the test's own binary behind a fault network. Each process writes events of type E to its
-// standard output, one JSON object a line. All processes are killed at the end of the test. Its methods may be called from any
-// goroutine.
+// Cluster runs processes of the test's own binary as members that reach each other through a fault network. Each process writes
+// events of type E to its standard output, one JSON object per line. All processes are killed at the end of the test. The methods
+// may be called from any goroutine.
 type Cluster[E any] struct {
 	Net       *faultnet.Network
 	t         testing.TB
-	subnet    int // members bind 127.0.subnet.n, their proxies 127.0.subnet+1.n
+	subnet    int // members bind 127.0.<subnet>.n, their proxies 127.0.<subnet+1>.n
 	ports     int // number of ports of each member
 	setMember func(event *E, name string)
-	newEvent  chan struct{}
+	newEvent  chan struct{} // signals that events has grown; for one waiting test
 
-	mu      sync.Mutex // guards all below
+	mu      sync.Mutex // guards the fields below
 	events  []E
 	members map[string]*clusterMember
 	names   []string // in the order of their first start
 }
 
-// clusterMember is one member. Its addresses stay the same when it is started again.
+// clusterMember is one member. It keeps its addresses when it is restarted.
 type clusterMember struct {
-	binds   []string // addresses that it binds, one for each port
-	proxies []string // addresses at which others reach it
-	process *exec.Cmd
-	stdin   io.Closer     // closed with the test's process
-	exited  chan struct{} // closed when the process has exited
+	bindAddresses  []string // that it binds, one for each port
+	proxyAddresses []string // at which other members reach it, one for each port
+	process        *exec.Cmd
+	stdin          io.Closer     // closed when the test's process exits
+	exited         chan struct{} // closed when process has exited
 }
 
-// NewCluster returns a cluster without members. Each member gets that many ports on addresses of the subnet; setMember sets the
-// name of the member that wrote an event.
+// NewCluster returns a cluster without members. Each member has the given number of ports, on loopback addresses of the subnet
+// and, for the proxies, of subnet+1. setMember sets in an event the name of the member that wrote it.
 func NewCluster[E any](t testing.TB, subnet, ports int, setMember func(event *E, name string)) *Cluster[E] {
 	c := &Cluster[E]{
 		Net:       faultnet.New(1),
@@ -85,8 +85,8 @@
 	return address
 }
 
-// StartMemberProxy chooses an address to bind for a member, 127.0.subnet.n, and one at which others reach it through the fault
-// network, 127.0.subnet+1.n.
+// StartMemberProxy starts a proxy of the fault network for the nth member. It returns a free address for the member to bind, on
+// 127.0.<subnet>.n, and the proxy's address at which the others reach it, on 127.0.<subnet+1>.n.
 func StartMemberProxy(t testing.TB, network *faultnet.Network, name string, subnet, n int) (bind, proxy string) {
 	bind = FreeAddressOn(t, fmt.Sprintf("127.0.%d.%d", subnet, n))
 	proxy = FreeAddressOn(t, fmt.Sprintf("127.0.%d.%d", subnet+1, n))
@@ -96,8 +96,8 @@
 	return bind, proxy
 }
 
-// Start starts a member without any state. A name that was started before gets the same addresses again. environment is added
-// to the variables above.
+// Start starts a new process of a member, without state of an earlier one. A restarted member keeps its addresses. environment
+// holds further variables for the process.
 func (c *Cluster[E]) Start(name string, environment ...string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -122,35 +122,35 @@
 	go c.readEvents(name, stdout, m.process, m.exited)
 }
 
-// addMember chooses the addresses of a new member; c.mu must be locked.
+// addMember adds a member and starts its proxies; c.mu must be locked.
 func (c *Cluster[E]) addMember(name string) *clusterMember {
 	m := &clusterMember{}
 	n := len(c.names) + 1
 	for range c.ports {
 		bind, proxy := StartMemberProxy(c.t, c.Net, name, c.subnet, n)
-		m.binds = append(m.binds, bind)
-		m.proxies = append(m.proxies, proxy)
+		m.bindAddresses = append(m.bindAddresses, bind)
+		m.proxyAddresses = append(m.proxyAddresses, proxy)
 	}
 	c.members[name] = m
 	c.names = append(c.names, name)
 	return m
 }
 
-// environment returns the variables of a member; c.mu must be locked.
+// environment returns the environment variables of a member; c.mu must be locked.
 func (c *Cluster[E]) environment(name string) []string {
 	m := c.members[name]
 	variables := []string{MemberNameVariable + "=" + name}
 	for port := range c.ports {
-		variables = append(variables, fmt.Sprintf("%s%d=%s", MemberBindVariable, port, m.binds[port]),
-			fmt.Sprintf("%s%d=%s", MemberProxyVariable, port, m.proxies[port]))
+		variables = append(variables, fmt.Sprintf("%s%d=%s", MemberBindVariable, port, m.bindAddresses[port]),
+			fmt.Sprintf("%s%d=%s", MemberProxyVariable, port, m.proxyAddresses[port]))
 	}
 	if n := slices.IndexFunc(c.names, func(other string) bool { return other != name }); n >= 0 {
-		variables = append(variables, MemberSeedVariable+"="+c.members[c.names[n]].proxies[0])
+		variables = append(variables, MemberSeedVariable+"="+c.members[c.names[n]].proxyAddresses[0])
 	}
 	return variables
 }
 
-// readEvents collects a process's events until it exits.
+// readEvents collects the events of a process until it exits. Lines that are not events are skipped.
 func (c *Cluster[E]) readEvents(name string, stdout io.Reader, process *exec.Cmd, exited chan<- struct{}) {
 	defer close(exited)
 	defer func() { _ = process.Wait() }()
@@ -170,27 +170,27 @@
 	}
 }
 
-// Signal sends a signal to a member.
+// Signal sends a signal to a member's process.
 func (c *Cluster[E]) Signal(name string, s syscall.Signal) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	_ = c.members[name].process.Process.Signal(s)
 }
 
-// Kill kills a member and waits until it has exited.
+// Kill kills a member's process and waits until it has exited.
 func (c *Cluster[E]) Kill(name string) {
 	c.Signal(name, syscall.SIGKILL)
 	<-c.Exited(name)
 }
 
-// Exited returns a channel that is closed when the present process of that name has exited.
+// Exited returns a channel that is closed when the member's current process has exited.
 func (c *Cluster[E]) Exited(name string) <-chan struct{} {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.members[name].exited
 }
 
-// Names returns all members in the order of their first start.
+// Names returns the names of all members in the order of their first start.
 func (c *Cluster[E]) Names() []string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -211,7 +211,7 @@
 	return slices.Clone(c.events)
 }
 
-// Last returns the last event that matches, or the zero event.
+// Last returns the last matching event so far, or the zero event.
 func (c *Cluster[E]) Last(matches func(E) bool) (last E) {
 	for _, event := range c.Events() {
 		if matches(event) {
@@ -221,9 +221,9 @@
 	return last
 }
 
-// WaitFor returns the first matching event with an index of at least first, and waits for it if necessary. After clusterWaitTimeout the
-// test fails.
-func (c *Cluster[E]) WaitFor(what string, first int, matches func(E) bool) E {
+// WaitFor returns the first matching event from the index first on, and waits for it if necessary. The test fails after
+// clusterWaitTimeout.
+func (c *Cluster[E]) WaitFor(description string, first int, matches func(E) bool) E {
 	c.t.Helper()
 	timeout := time.After(clusterWaitTimeout)
 	for {
@@ -237,7 +237,7 @@
 		select {
 		case <-c.newEvent:
 		case <-timeout:
-			c.t.Fatalf("no %s; the last events: %+v", what, events[max(len(events)-maxReportedEvents, 0):])
+			c.t.Fatalf("timed out waiting for: %s; last events: %+v", description, events[max(len(events)-maxReportedEvents, 0):])
 		}
 	}
 }
--- a/internal/testutil/environment.go
+++ b/internal/testutil/environment.go
@@ -1,6 +1,6 @@
-// Package testutil contains helpers for the tests of several packages: the program as a process with fakes of its peers (client
-// stubs, runtime, index, catalog), clusters of processes, and helpers that wait for conditions. A wait ends with the event that
-// it waits for, and after a timeout the test fails. Only tests import the package.
+// Package testutil contains helpers for the tests of several packages: it runs the program as a process with fakes of its peers
+// (client stubs, runtime, index, catalog), runs clusters of processes, and waits for conditions. A wait returns as soon as its
+// condition holds, and fails the test after a timeout. Only tests import the package.
 package testutil
 
 import (
@@ -9,15 +9,15 @@
 )
 
 const (
-	maxDatagramSize   = 2000 // bytes of a report to the catalog
-	maxPendingReports = 1000 // reports that no test has received; more are dropped
+	maxDatagramSize   = 2000 // bytes; longer reports to the catalog are truncated
+	maxPendingReports = 1000 // reports that the test has not received yet; further ones are dropped
 )
 
-// Environment is the program with fakes of all its peers.
+// Environment is the program and fakes of all its peers.
 type Environment struct {
 	T              *testing.T
-	Config         map[string]any // of the program, by the keys of its configuration file
-	Program        *Program       // nil until it is started
+	Config         map[string]any // the program's configuration, by the keys of its file
+	Program        *Program       // nil until the program is started
 	ListenAddress  string         // of the program
 	Runtime        *FakeRuntime
 	Index          *FakeIndex
@@ -25,7 +25,7 @@
 	CatalogReports chan string // datagrams received by Catalog
 }
 
-// NewEnvironment starts the fakes and prepares the program's configuration, changed by change unless that is nil. It does
+// NewEnvironment starts the fakes and prepares the program's configuration, which change may modify unless it is nil. It does
 // not start the program.
 func NewEnvironment(t *testing.T, change func(config map[string]any)) *Environment {
 	t.Helper()
@@ -88,8 +88,8 @@
 	}
 }
 
-// ConnectWithPendingCall sends a request of class seal and runs it up to its call, which the index has received. It returns
-// the stub that waits for the response.
+// ConnectWithPendingCall sends a request of class seal from a new stub, starts its run and returns once the index has received
+// the run's call. The returned stub waits for the answer.
 func (e *Environment) ConnectWithPendingCall(rid, body string) *Stub {
 	e.T.Helper()
 	stub := e.Connect()
--- a/internal/testutil/fakeconn.go
+++ b/internal/testutil/fakeconn.go
@@ -1,13 +1,13 @@
 package testutil
 
-// FakeConn is a loop.Conn that records what is written.
+// FakeConn is a loop.Conn that records what is written to it.
 type FakeConn struct {
 	Out    string
 	Closed bool
 }
 
-// Write appends p to Out.
+// Write implements loop.Conn.
 func (c *FakeConn) Write(p []byte) { c.Out += string(p) }
 
-// Close sets Closed.
+// Close implements loop.Conn.
 func (c *FakeConn) Close() { c.Closed = true }
--- a/internal/testutil/fakeindex.go
+++ b/internal/testutil/fakeindex.go
@@ -7,10 +7,10 @@
 	"testing"
 )
 
-// FakeIndex is an index, the dependency that runs call. Its replies are sent by Send.
+// FakeIndex is a fake of the index, the dependency that runs call. The test sends its replies with Send.
 type FakeIndex struct{ FakePeer }
 
-// NewFakeIndex listens at an address of its own until the test ends.
+// NewFakeIndex returns an index that listens on a free port until the test ends.
 func NewFakeIndex(t *testing.T) *FakeIndex {
 	t.Helper()
 	x := &FakeIndex{newFakePeer(t)}
@@ -31,11 +31,11 @@
 	var timeoutMillis, size int
 	_, parseErr := fmt.Sscanf(line, "GET %s %d %d\r\n", &rid, &timeoutMillis, &size)
 	if err != nil || parseErr != nil || timeoutMillis < 1 {
-		x.t.Fatalf("received %q, want a call (%v)", line, err)
+		x.t.Fatalf("the index received %q, want a call (%v)", line, err)
 	}
 	content := make([]byte, size+len("\r\n"))
 	if _, err := io.ReadFull(x.reader, content); err != nil || !bytes.HasSuffix(content, []byte("\r\n")) {
-		x.t.Fatalf("call cut off: %q %v", content, err)
+		x.t.Fatalf("the call's body is incomplete: received %q (%v)", content, err)
 	}
 	return rid, string(content[:size])
 }
--- a/internal/testutil/fakepeer.go
+++ b/internal/testutil/fakepeer.go
@@ -9,16 +9,16 @@
 	"time"
 )
 
-const maxWaitingConns = 100 // accepted connections for which no test has called Accept
+const maxWaitingConns = 100 // accepted connections that the test has not taken with Accept
 
-// FakePeer is a server that the program connects to. It serves one connection at a time.
+// FakePeer is a fake server that the program connects to. It serves one connection at a time.
 type FakePeer struct {
-	t        *testing.T
-	listener net.Listener
-	Address  string
-	conns    chan net.Conn
-	conn     net.Conn
-	reader   *bufio.Reader
+	t            *testing.T
+	listener     net.Listener
+	Address      string // at which it listens
+	waitingConns chan net.Conn
+	conn         net.Conn
+	reader       *bufio.Reader
 }
 
 func newFakePeer(t *testing.T) FakePeer {
@@ -28,7 +28,7 @@
 	return p
 }
 
-// Listen accepts connections at the address, until Shutdown.
+// Listen accepts connections at the address until Shutdown.
 func (p *FakePeer) Listen(address string) {
 	p.t.Helper()
 	listener, err := net.Listen("tcp", address)
@@ -37,8 +37,8 @@
 	}
 	p.listener = listener
 	p.Address = listener.Addr().String()
-	p.conns = make(chan net.Conn, maxWaitingConns)
-	go acceptAll(listener, p.conns)
+	p.waitingConns = make(chan net.Conn, maxWaitingConns)
+	go acceptAll(listener, p.waitingConns)
 }
 
 func acceptAll(listener net.Listener, conns chan<- net.Conn) {
@@ -51,7 +51,7 @@
 	}
 }
 
-// Shutdown stops listening and closes the connection.
+// Shutdown stops listening and closes the current connection.
 func (p *FakePeer) Shutdown() {
 	p.listener.Close()
 	if p.conn != nil {
@@ -59,17 +59,17 @@
 	}
 }
 
-// Accept waits for the next connection, which replaces the one before.
+// Accept waits for the next connection, which then replaces the current one.
 func (p *FakePeer) Accept() {
 	p.t.Helper()
-	p.conn = Next(p.t, p.conns, "a connection to a fake peer")
+	p.conn = Next(p.t, p.waitingConns, "a connection to a fake peer")
 	p.reader = bufio.NewReader(p.conn)
 }
 
-// Disconnect closes the connection.
+// Disconnect closes the current connection.
 func (p *FakePeer) Disconnect() { p.conn.Close() }
 
-// Send writes text to the connection.
+// Send formats text and writes it to the current connection.
 func (p *FakePeer) Send(format string, args ...any) {
 	p.t.Helper()
 	if _, err := fmt.Fprintf(p.conn, format, args...); err != nil {
--- a/internal/testutil/fakeruntime.go
+++ b/internal/testutil/fakeruntime.go
@@ -15,20 +15,22 @@
 )
 
 const (
-	maxWaitingCommands = 10000 // commands received and not yet taken by a test
-	idleReadings       = "0.1,0"
-	busyReadings       = "1,2" // of a runtime with all its cores at work
+	maxWaitingCommands = 10000   // commands received but not yet taken by the test
+	idleReadings       = "0.1,0" // gauge readings of an idle runtime
+	busyReadings       = "1,2"   // gauge readings of a runtime with all cores busy
 )
 
-// FakeRuntime is a runtime, which carries out the program's commands.
+// FakeRuntime is a fake of the runtime, which carries out the program's commands and sends it notices.
 type FakeRuntime struct {
 	FakePeer
-	commands     chan string  // lines of a link that is up, but for gauges, which are answered at once; nil before
-	ignoreGauges *atomic.Bool // of the current link
+	// commands receives the lines of the current link, except gauges commands, which are answered at once; nil until
+	// AcceptSync has returned.
+	commands     chan string
+	ignoreGauges *atomic.Bool // for the current link
 	reportBusy   atomic.Bool
 }
 
-// NewFakeRuntime listens at an address of its own until the test ends.
+// NewFakeRuntime returns a runtime that listens on a free port until the test ends.
 func NewFakeRuntime(t *testing.T) *FakeRuntime {
 	t.Helper()
 	r := &FakeRuntime{FakePeer: newFakePeer(t)}
@@ -36,7 +38,7 @@
 	return r
 }
 
-// Accept waits for the next link, which replaces the one before.
+// Accept waits for the next link, which then replaces the current one.
 func (r *FakeRuntime) Accept() {
 	r.t.Helper()
 	r.FakePeer.Accept()
@@ -44,31 +46,31 @@
 	r.ignoreGauges = &atomic.Bool{}
 }
 
-// IgnoreGauges leaves all later gauges commands of this link unanswered.
+// IgnoreGauges leaves all further gauges commands of the current link unanswered.
 func (r *FakeRuntime) IgnoreGauges() { r.ignoreGauges.Store(true) }
 
-// ReportBusy makes all later readings those of a runtime with all its cores busy.
+// ReportBusy answers all further gauges commands with the readings of a runtime with all cores busy.
 func (r *FakeRuntime) ReportBusy() { r.reportBusy.Store(true) }
 
-// AcceptSync accepts a link, whose sync command must have the index of the last notice received. It answers with the state and
-// the runtime's age in milliseconds, repeats the missed notices, and waits until the program has handled them.
-func (r *FakeRuntime) AcceptSync(lastNotice int, state string, sinceMillis int, missed ...string) {
+// AcceptSync accepts a link and expects its sync command, with the index of the last notice that the program received. It replies
+// with the runtime's state and age in milliseconds, sends the missed notices, and waits until the program has handled them.
+func (r *FakeRuntime) AcceptSync(lastNotice int, state string, ageMillis int, missedNotices ...string) {
 	r.t.Helper()
 	r.Accept()
 	if m := r.nextCommand("sync"); m["index"] != float64(lastNotice) {
-		r.t.Fatalf("sync %v, want %d", m["index"], lastNotice)
+		r.t.Fatalf("sync with index %v, want %d", m["index"], lastNotice)
 	}
-	r.Send(`{"verb":"ready","outcome":%q,"spent":%d}`+"\n", state, sinceMillis)
-	for _, line := range missed {
+	r.Send(`{"verb":"ready","outcome":%q,"spent":%d}`+"\n", state, ageMillis)
+	for _, line := range missedNotices {
 		r.Send("%s\n", line)
 	}
-	r.nextCommand("gauges") // is sent after the program has handled the notices
+	r.nextCommand("gauges") // the program sends it after it has handled the notices
 	_ = r.conn.SetReadDeadline(time.Time{})
 	r.commands = make(chan string, maxWaitingCommands)
 	go r.receiveCommands(r.conn, r.reader, r.ignoreGauges, r.commands)
 }
 
-// receiveCommands answers the gauges commands of a link and passes on all others.
+// receiveCommands answers the gauges commands of a link and passes all others on.
 func (r *FakeRuntime) receiveCommands(conn net.Conn, reader *bufio.Reader, ignoreGauges *atomic.Bool, commands chan<- string) {
 	defer close(commands)
 	for {
@@ -94,7 +96,7 @@
 	_, _ = fmt.Fprintf(conn, `{"verb":"load","nonce":%q,"readings":[%s]}`+"\n", nonce, readings)
 }
 
-// readCommand returns the next line, of a link that is up without gauges commands.
+// readCommand returns the next line; after AcceptSync, without gauges commands.
 func (r *FakeRuntime) readCommand() (string, error) {
 	if r.commands == nil {
 		return r.readLine()
@@ -116,7 +118,7 @@
 	r.awaitClose(r.readCommand)
 }
 
-// ExpectCommand waits for a command of that verb, which must be the next but for gauges, and returns its task and body.
+// ExpectCommand waits for the next command other than gauges, which must have the verb, and returns its task and body.
 func (r *FakeRuntime) ExpectCommand(verb string) (task, body string) {
 	r.t.Helper()
 	command := r.nextCommand(verb)
@@ -129,13 +131,13 @@
 	return task, string(raw)
 }
 
-// AwaitCommand waits for the command of that verb for that task, and skips all others.
+// AwaitCommand waits for a command with the verb and task, and skips all others.
 func (r *FakeRuntime) AwaitCommand(verb, task string) {
 	r.t.Helper()
 	for {
 		line, err := r.readCommand()
 		if err != nil {
-			r.t.Fatalf("no %s for %s: %v", verb, task, err)
+			r.t.Fatalf("no command %s for task %s received: %v", verb, task, err)
 		}
 		if strings.Contains(line, `"`+verb+`"`) && strings.Contains(line, `"`+task+`"`) {
 			return
@@ -148,11 +150,11 @@
 	for deadline := time.Now().Add(waitTimeout); ; {
 		line, err := r.readCommand()
 		if err != nil || time.Now().After(deadline) {
-			r.t.Fatalf("no %s: %v", verb, err)
+			r.t.Fatalf("no command %s received: %v", verb, err)
 		}
 		var command map[string]any
 		if err := json.Unmarshal([]byte(line), &command); err != nil {
-			r.t.Fatalf("%q: %v", line, err)
+			r.t.Fatalf("command %q: %v", line, err)
 		}
 		if command["verb"] == "gauges" {
 			nonce, _ := command["nonce"].(string)
@@ -162,18 +164,18 @@
 			return command
 		}
 		if command["verb"] != "gauges" {
-			r.t.Fatalf("received %q, want %s", line, verb)
+			r.t.Fatalf("received %q, want command %s", line, verb)
 		}
 	}
 }
 
-// SendEnd sends the notice of the end of a run.
+// SendEnd sends the notice that a run ended.
 func (r *FakeRuntime) SendEnd(index int, task, outcome, result string) {
 	r.t.Helper()
 	r.Send("%s\n", EndLine(index, task, outcome, result))
 }
 
-// EndLine returns the notice of the end of a run.
+// EndLine returns the line of the notice that a run ended.
 func EndLine(index int, task, outcome, result string) string {
 	return fmt.Sprintf(`{"verb":"end","index":%d,"task":%q,"outcome":%q,"spent":5,"bytes":%q}`,
 		index, task, outcome, base64.StdEncoding.EncodeToString([]byte(result)))
@@ -186,13 +188,13 @@
 		index, task, base64.StdEncoding.EncodeToString([]byte(body)))
 }
 
-// ServeAll completes all runs that are started with this result, until the link closes. Its notices count from
-// firstNotice.
+// ServeAll completes every run that is started, with the given result, until the link closes. Its notices are numbered from
+// firstNotice on.
 func (r *FakeRuntime) ServeAll(firstNotice int, result string) {
 	r.ServeAllExcept(firstNotice, result, func(string) bool { return false })
 }
 
-// ServeAllExcept is ServeAll, but does not complete the tasks for which isExcepted returns true.
+// ServeAllExcept does the same as ServeAll, but does not complete the tasks for which isExcepted returns true.
 func (r *FakeRuntime) ServeAllExcept(firstNotice int, result string, isExcepted func(task string) bool) {
 	for notice := firstNotice; ; {
 		line, err := r.readCommand()
--- a/internal/testutil/fixture.go
+++ b/internal/testutil/fixture.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// ReadFixture returns the file of this name in the package's testdata directory. The test fails if it can't be read.
+// ReadFixture returns the content of a file in the tested package's testdata directory. The test fails if it can't be read.
 func ReadFixture(t testing.TB, name string) []byte {
 	t.Helper()
 	content, err := os.ReadFile(filepath.Join("testdata", name))
--- a/internal/testutil/healthchecks.go
+++ b/internal/testutil/healthchecks.go
@@ -11,11 +11,11 @@
 	"time"
 )
 
-// healthCheckConns is the number of connections on which the checks are sent in turn. With 32 pending requests per connection, a
-// program that stalls for a second can still receive all checks sent meanwhile.
+// healthCheckConns is the number of connections over which the checks are distributed in turn. A connection may have 32 pending
+// requests, so that a program that stalls for a second can still receive all checks sent meanwhile.
 const healthCheckConns = 16
 
-// HealthChecks sends health checks at fixed times, whether or not earlier ones were answered, and measures the latency of
+// HealthChecks sends health checks at a fixed interval, whether or not earlier ones were answered, and measures the latency of
 // each from its scheduled time.
 type HealthChecks struct {
 	t         *testing.T
@@ -23,13 +23,13 @@
 	start     time.Time
 	conns     []net.Conn
 	stop      chan struct{}
-	sent      chan int // receives the number of checks once sending has stopped
+	sent      chan int // receives the number of checks sent, once sending has stopped
 	readers   sync.WaitGroup
-	mu        sync.Mutex
+	mu        sync.Mutex // guards latencies
 	latencies []time.Duration
 }
 
-// StartHealthChecks starts to send a check each interval.
+// StartHealthChecks starts to send a health check every interval.
 func (e *Environment) StartHealthChecks(interval time.Duration) *HealthChecks {
 	e.T.Helper()
 	h := &HealthChecks{
@@ -44,13 +44,13 @@
 	h.start = time.Now().Add(interval)
 	for _, conn := range h.conns {
 		h.readers.Add(1)
-		go h.read(conn)
+		go h.readResponses(conn)
 	}
-	go h.send()
+	go h.sendUntilStopped()
 	return h
 }
 
-func (h *HealthChecks) send() {
+func (h *HealthChecks) sendUntilStopped() {
 	for n := 0; ; n++ {
 		time.Sleep(time.Until(h.scheduledAt(n)))
 		select {
@@ -67,8 +67,8 @@
 	return h.start.Add(time.Duration(n) * h.interval)
 }
 
-// read records the latencies of the checks that report the program as serving; others count as not answered.
-func (h *HealthChecks) read(conn net.Conn) {
+// readResponses records the latencies of the checks that report the program as serving; others count as unanswered.
+func (h *HealthChecks) readResponses(conn net.Conn) {
 	defer h.readers.Done()
 	for lines := bufio.NewScanner(conn); lines.Scan(); {
 		now := time.Now()
@@ -86,13 +86,13 @@
 	}
 }
 
-// Latencies summarizes the answered checks.
+// Latencies summarizes the latencies of the answered checks.
 type Latencies struct {
 	Sent, Answered int
 	P50, P99, Max  time.Duration
 }
 
-// Stop sends no more checks, waits for the answers to those sent, and returns their latencies.
+// Stop stops sending, waits until all checks sent are answered, and returns a summary of their latencies.
 func (h *HealthChecks) Stop() Latencies {
 	h.t.Helper()
 	close(h.stop)
@@ -116,7 +116,7 @@
 	}
 }
 
-// quantile expects the latencies to be sorted.
+// quantile returns a quantile of the latencies, which must be sorted.
 func (h *HealthChecks) quantile(q float64) time.Duration {
 	return h.latencies[int(q*float64(len(h.latencies)-1))]
 }
--- a/internal/testutil/member/member.go
+++ b/internal/testutil/member/member.go
@@ -1,7 +1,8 @@
 // Package member runs a test's own binary as a member of a testutil.Cluster: gossip membership and the replicated log over
-// loopback, wired as in the program, with terms for tests (leases of a second, health checks each 200 ms).
+// loopback, wired as in the program, with short intervals for tests (leases of one second, a probe every 200 ms).
 //
-// It is no part of package testutil, which the tests of the packages that it imports use. Only tests import it.
+// It is separate from package testutil to avoid import cycles: the tests of packages that it imports use testutil. Only tests
+// import it.
 package member
 
 import (
@@ -23,50 +24,50 @@
 	"thymechute/internal/testutil"
 )
 
-// BootstrapVariable is set in the environment of the member that bootstraps the log.
+// BootstrapVariable is the environment variable that is set for the member that bootstraps the log.
 const BootstrapVariable = "CLUSTER_FOUNDER"
 
 const (
-	maxLifetime         = 100 * time.Second // of a member, whatever its parent does
-	lifetimeExitCode    = 3
-	maxMembers          = 32
-	healthCheckInterval = 200 * time.Millisecond
-	exchangeInterval    = 500 * time.Millisecond
-	heartbeatTimeout    = 300 * time.Millisecond
-
-	// Indexes of a member's ports in its Cluster.
+	maxProcessLifetime       = 100 * time.Second // a member exits after this time even if its parent does not end
+	lifetimeExceededExitCode = 3
+	maxMembers               = 32
+	probeInterval            = 200 * time.Millisecond
+	syncInterval             = 500 * time.Millisecond
+	heartbeatTimeout         = 300 * time.Millisecond
+
+	// Indexes of a member's ports in the Cluster.
 	membershipPort, logPort = 0, 1
 	// PortCount is the number of ports of each member.
 	PortCount = 2
 )
 
 var (
-	// LeaseConfig is that of the log's leases.
+	// LeaseConfig configures the log's leases.
 	LeaseConfig = lease.Config{Duration: time.Second, MaxDrift: 0.01, SafetyMargin: 20 * time.Millisecond}
-	// VoterConfig is that of the log's voters.
+	// VoterConfig configures the choice of the log's voters.
 	VoterConfig = quorum.Config{MaxVoters: 5, MinAge: 300 * time.Millisecond, HoldDown: 2 * time.Second}
 )
 
-// Main runs a test binary: run, if a Cluster started it as a member, else its tests.
+// Main is the TestMain of a test binary: it calls run if a Cluster started the process as a member, and else runs the tests.
 func Main(m *testing.M, run func(*Member)) {
 	name := os.Getenv(testutil.MemberNameVariable)
 	if name == "" {
 		os.Exit(m.Run())
 	}
-	time.AfterFunc(maxLifetime, func() { os.Exit(lifetimeExitCode) })
+	time.AfterFunc(maxProcessLifetime, func() { os.Exit(lifetimeExceededExitCode) })
 	run(newMember(name))
 }
 
-// Member is one member of a cluster, in its process.
+// Member is the member of a cluster that runs in this process.
 type Member struct {
 	Name        string
-	Process     string // Name with Incarnation
+	Process     string // Name and Incarnation
 	Incarnation uint64
 	Membership  *membership.Member // set by Join
 
-	driver atomic.Pointer[consensus.Driver]
-	joined chan struct{} // closed once the log has started
-	output sync.Mutex
+	driver      atomic.Pointer[consensus.Driver]
+	joined      chan struct{} // closed once the log has started
+	outputMutex sync.Mutex    // guards standard output
 
 	recordMutex sync.Mutex // guards record
 	record      membership.Record
@@ -77,28 +78,28 @@
 	return &Member{Name: name, Process: fmt.Sprintf("%s#%x", name, incarnation), Incarnation: incarnation, joined: make(chan struct{})}
 }
 
-// Config is how a member joins.
+// Config configures Join.
 type Config struct {
-	Record        membership.Record // its Process, LogAddress and Rank are filled in
-	Duties        []string          // leases in the log
+	Record        membership.Record // Join sets Process, LogAddress and Rank
+	Duties        []string          // that the log leases
 	StateMachine  consensus.StateMachine
 	Watcher       consensus.Watcher
-	OnVoterChange func(quorum.Change) // as the log's leader changes them
+	OnVoterChange func(quorum.Change) // called as the leader changes the log's voters
 }
 
-// Join joins the gossip membership and the log. The process exits if it can't.
+// Join joins the gossip membership and the log. The process exits on an error.
 func (m *Member) Join(c Config) {
 	m.record = c.Record
-	m.record.Process, m.record.LogAddress, m.record.Rank = m.Process, proxy(logPort), -1
+	m.record.Process, m.record.LogAddress, m.record.Rank = m.Process, proxyAddress(logPort), -1
 	var err error
 	m.Membership, err = membership.Start(membership.Config{
-		Name: m.Name, Bind: bind(membershipPort), Advertise: proxy(membershipPort), Seeds: seeds(), MaxMembers: maxMembers,
-		ProbeInterval: healthCheckInterval, SyncInterval: exchangeInterval, Record: m.record, OnMessage: m.receive,
-	}, ignoredEvents{})
+		Name: m.Name, Bind: bindAddress(membershipPort), Advertise: proxyAddress(membershipPort), Seeds: seedAddresses(),
+		MaxMembers: maxMembers, ProbeInterval: probeInterval, SyncInterval: syncInterval, Record: m.record, OnMessage: m.receive,
+	}, ignoringWatcher{})
 	m.ExitOn(err)
 	driver, err := consensus.StartDriver(consensus.DriverConfig{
 		Log: consensus.Config{
-			Process: m.Process, Bind: bind(logPort), Advertise: proxy(logPort), Bootstrap: os.Getenv(BootstrapVariable) != "",
+			Process: m.Process, Bind: bindAddress(logPort), Advertise: proxyAddress(logPort), Bootstrap: os.Getenv(BootstrapVariable) != "",
 			Duties: c.Duties, HeartbeatTimeout: heartbeatTimeout, StateMachine: c.StateMachine,
 		},
 		Leases: LeaseConfig, Incarnation: m.Incarnation, Watcher: c.Watcher, Send: m.send, OnReady: m.driver.Store,
@@ -106,24 +107,24 @@
 	m.ExitOn(err)
 	close(m.joined)
 	for n, duty := range c.Duties {
-		driver.SetClaimPosition(duty, m.number()+2*n)
+		driver.SetClaimPosition(duty, m.memberNumber()+2*n)
 	}
 	driver.ManageVoters(m.peers, VoterConfig, c.OnVoterChange)
 }
 
-// Driver returns the log's driver. It is there before the Watcher's first call.
+// Driver returns the log's driver. It is set before the first call of the Watcher.
 func (m *Member) Driver() *consensus.Driver { return m.driver.Load() }
 
-// Emit writes an event to the Cluster.
+// Emit writes an event for the Cluster to standard output.
 func (m *Member) Emit(event any) {
 	encoded, err := json.Marshal(event)
 	m.ExitOn(err)
-	m.output.Lock()
-	defer m.output.Unlock()
+	m.outputMutex.Lock()
+	defer m.outputMutex.Unlock()
 	fmt.Println(string(encoded))
 }
 
-// ExitOn ends the process on an error.
+// ExitOn prints err and exits with status 1, unless err is nil.
 func (m *Member) ExitOn(err error) {
 	if err != nil {
 		fmt.Fprintln(os.Stderr, m.Name, err)
@@ -131,15 +132,15 @@
 	}
 }
 
-// UpdateRecord changes the member's record, and announces it.
+// UpdateRecord changes the member's record and announces it.
 func (m *Member) UpdateRecord(change func(*membership.Record)) {
 	m.recordMutex.Lock()
 	defer m.recordMutex.Unlock()
 	change(&m.record)
-	_ = m.Membership.SetRecord(m.record) // announced again with the next change
+	_ = m.Membership.SetRecord(m.record) // an error is ignored: the next change announces the whole record again
 }
 
-// PublishApplied announces how far the member has applied the log, if that has changed.
+// PublishApplied announces the index up to which the member has applied the log, if it has changed.
 func (m *Member) PublishApplied() {
 	applied, _ := m.Driver().Log.Applied()
 	m.recordMutex.Lock()
@@ -150,22 +151,22 @@
 	}
 }
 
-// AwaitParentExit returns when the parent ends.
+// AwaitParentExit returns when the parent process has exited, which closes standard input.
 func (m *Member) AwaitParentExit() { _, _ = io.Copy(io.Discard, os.Stdin) }
 
-// receive hands another member's message to the log, once that has started.
+// receive passes another member's message to the log, once the log has started.
 func (m *Member) receive(message []byte) {
 	<-m.joined
 	m.Driver().ReceiveProposal(message)
 }
 
-// send sends a message of the log to a process.
+// send sends a message of the log to the member that is the process.
 func (m *Member) send(process string, message []byte) error {
 	name, _, _ := strings.Cut(process, "#")
 	return m.Membership.Send(name, message)
 }
 
-// peers are the members that may vote.
+// peers returns the known members, from which the leader chooses the log's voters.
 func (m *Member) peers() (peers []consensus.Peer) {
 	for _, r := range m.Membership.View() {
 		peers = append(peers, consensus.Peer{Process: r.Process, Address: r.LogAddress, Zone: r.Zone, Applied: r.AppliedIndex, Draining: r.Flag == membership.FlagLeaving})
@@ -173,29 +174,30 @@
 	return peers
 }
 
-// number is the number in the member's name, such as 3 in m3.
-func (m *Member) number() int {
+// memberNumber returns the number in the member's name, such as 3 for m3.
+func (m *Member) memberNumber() int {
 	number, err := strconv.Atoi(m.Name[1:])
 	m.ExitOn(err)
 	return number
 }
 
-// bind and proxy are the addresses of the member's port of that index: the one it binds, and the one others use.
-func bind(port int) string  { return os.Getenv(fmt.Sprint(testutil.MemberBindVariable, port)) }
-func proxy(port int) string { return os.Getenv(fmt.Sprint(testutil.MemberProxyVariable, port)) }
+// bindAddress and proxyAddress return the addresses of a port of this member, by its index: the one that it binds and the one
+// that other members use.
+func bindAddress(port int) string  { return os.Getenv(fmt.Sprint(testutil.MemberBindVariable, port)) }
+func proxyAddress(port int) string { return os.Getenv(fmt.Sprint(testutil.MemberProxyVariable, port)) }
 
-// seeds are the addresses by which the member joins; none for the first.
-func seeds() []string {
+// seedAddresses returns the addresses through which the member joins; none for the first member.
+func seedAddresses() []string {
 	if seed := os.Getenv(testutil.MemberSeedVariable); seed != "" {
 		return []string{seed}
 	}
 	return nil
 }
 
-// ignoredEvents is a membership.Watcher that ignores events: the view is polled.
-type ignoredEvents struct{}
+// ignoringWatcher is a membership.Watcher that ignores all events, as the members poll the view.
+type ignoringWatcher struct{}
 
-func (ignoredEvents) Joined(membership.Record)  {}
-func (ignoredEvents) Updated(membership.Record) {}
-func (ignoredEvents) Left(string)               {}
-func (ignoredEvents) Rejected(string, error)    {}
+func (ignoringWatcher) Joined(membership.Record)  {}
+func (ignoringWatcher) Updated(membership.Record) {}
+func (ignoringWatcher) Left(string)               {}
+func (ignoringWatcher) Rejected(string, error)    {}
--- a/internal/testutil/program.go
+++ b/internal/testutil/program.go
@@ -14,33 +14,33 @@
 	"time"
 )
 
-// buildFlagsVariable names the environment variable with further flags for building the program, such as -race.
+// buildFlagsVariable is the environment variable with further flags of the program's build, such as -race.
 const buildFlagsVariable = "THYMECHUTE_BUILD"
 
-// Program is the program as a process.
+// Program is a process of the program.
 type Program struct {
 	t          *testing.T
 	Cmd        *exec.Cmd
 	Exited     chan int // receives the exit code
 	configPath string
-	mu         sync.Mutex
+	mu         sync.Mutex // guards log
 	log        bytes.Buffer
 }
 
 // ProgramOptions are the options of StartProgramWith.
 type ProgramOptions struct {
-	Log  *os.File // standard error; nil collects it for Program.Log
-	Args []string // of the command line
+	Log  *os.File // receives standard error; nil: collected for Program.Log
+	Args []string // command-line arguments
 }
 
-// builtProgram is the executable, which is built once per test binary.
+// builtProgram is the executable, which is built once per test process.
 var builtProgram struct {
 	once sync.Once
 	path string
 	err  error
 }
 
-// BuildProgram builds the program at its first call, and returns the path of the executable.
+// BuildProgram builds the program on the first call and returns the path of the executable.
 func BuildProgram(t *testing.T) string {
 	t.Helper()
 	builtProgram.once.Do(func() { builtProgram.path, builtProgram.err = buildProgram() })
@@ -51,11 +51,11 @@
 }
 
 func buildProgram() (path string, err error) {
-	folder, err := os.MkdirTemp("", "thymechute")
+	directory, err := os.MkdirTemp("", "thymechute")
 	if err != nil {
 		return "", err
 	}
-	path = filepath.Join(folder, "thymechute")
+	path = filepath.Join(directory, "thymechute")
 	args := []string{"build", "-ldflags=-linkmode=external", "-o", path}
 	args = append(args, strings.Fields(os.Getenv(buildFlagsVariable))...)
 	args = append(args, "thymechute/cmd/thymechute")
@@ -65,13 +65,13 @@
 	return path, nil
 }
 
-// StartProgram starts the program with this configuration.
+// StartProgram starts the program with a configuration.
 func StartProgram(t *testing.T, config map[string]any) *Program {
 	t.Helper()
 	return StartProgramWith(t, config, ProgramOptions{})
 }
 
-// StartProgramWith starts the program with this configuration and the options.
+// StartProgramWith starts the program with a configuration and options.
 func StartProgramWith(t *testing.T, config map[string]any, options ProgramOptions) *Program {
 	t.Helper()
 	text, err := json.Marshal(config)
@@ -84,7 +84,7 @@
 	return p
 }
 
-// StartProgramFromFile starts the program with the configuration at that path.
+// StartProgramFromFile starts the program with the configuration file at path.
 func StartProgramFromFile(t *testing.T, path string) *Program {
 	t.Helper()
 	p := &Program{t: t, configPath: path}
@@ -111,7 +111,7 @@
 	p.t.Cleanup(p.cleanUp)
 }
 
-// cleanUp kills the process. It reports the log if the test failed, and fails the test over a data race or a panic.
+// cleanUp kills the process. It prints the log if the test failed, and fails the test if the log has a data race or a panic.
 func (p *Program) cleanUp() {
 	_ = p.Cmd.Process.Kill()
 	log := p.Log()
@@ -127,39 +127,39 @@
 	return p.log.Write(b)
 }
 
-// Log returns what the program has logged so far.
+// Log returns what the program has written to its log so far.
 func (p *Program) Log() string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.log.String()
 }
 
-// WriteConfig replaces the content of the configuration file without a signal to the program.
-func (p *Program) WriteConfig(text []byte) {
+// WriteConfig replaces the content of the configuration file, without signalling the program to reload it.
+func (p *Program) WriteConfig(config []byte) {
 	p.t.Helper()
-	if err := os.WriteFile(p.configPath, text, 0o600); err != nil {
+	if err := os.WriteFile(p.configPath, config, 0o600); err != nil {
 		p.t.Fatal(err)
 	}
 }
 
-// SignalReload makes the program read its configuration file again.
+// SignalReload signals the program to reload its configuration file.
 func (p *Program) SignalReload() { _ = p.Cmd.Process.Signal(syscall.SIGHUP) }
 
-// Reload replaces the content of the configuration file, makes the program read it, and waits for one more occurrence of
-// the words in its log.
-func (p *Program) Reload(text []byte, words string) {
+// Reload replaces the content of the configuration file, signals the program to reload it, and waits until logText has occurred in
+// the log once more.
+func (p *Program) Reload(config []byte, logText string) {
 	p.t.Helper()
-	p.WriteConfig(text)
-	before := strings.Count(p.Log(), words)
+	p.WriteConfig(config)
+	countBefore := strings.Count(p.Log(), logText)
 	p.SignalReload()
-	for deadline := time.Now().Add(waitTimeout); strings.Count(p.Log(), words) == before; time.Sleep(pollInterval) {
+	for deadline := time.Now().Add(waitTimeout); strings.Count(p.Log(), logText) == countBefore; time.Sleep(pollInterval) {
 		if time.Now().After(deadline) {
-			p.t.Fatalf("the log does not contain %q", words)
+			p.t.Fatalf("timed out waiting for %q in the log after a reload", logText)
 		}
 	}
 }
 
-// OpenDescriptors returns how many file descriptors the process has open.
+// OpenDescriptors returns the number of file descriptors that the process has open.
 func (p *Program) OpenDescriptors() int {
 	p.t.Helper()
 	open, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", p.Cmd.Process.Pid))
@@ -169,26 +169,26 @@
 	return len(open)
 }
 
-// Kill kills the process and waits for its end.
+// Kill kills the process and waits until it has exited.
 func (p *Program) Kill() {
 	p.t.Helper()
 	_ = p.Cmd.Process.Kill()
 	p.AwaitExit()
 }
 
-// Terminate starts a graceful shutdown.
+// Terminate signals the program to shut down gracefully.
 func (p *Program) Terminate() { _ = p.Cmd.Process.Signal(syscall.SIGTERM) }
 
-// AwaitExit waits for the end of the process and returns the exit code.
+// AwaitExit waits until the process has exited and returns the exit code.
 func (p *Program) AwaitExit() int {
 	p.t.Helper()
-	return Next(p.t, p.Exited, "the program's end")
+	return Next(p.t, p.Exited, "the program's exit")
 }
 
-// ExpectExit waits for the end of the process and checks the exit code.
+// ExpectExit waits until the process has exited and checks the exit code.
 func (p *Program) ExpectExit(code int) {
 	p.t.Helper()
-	if found := p.AwaitExit(); found != code {
-		p.t.Errorf("exit code %d, expected %d", found, code)
+	if got := p.AwaitExit(); got != code {
+		p.t.Errorf("exit code %d, want %d", got, code)
 	}
 }
--- a/internal/testutil/settings.go
+++ b/internal/testutil/settings.go
@@ -2,8 +2,8 @@
 
 import "thymechute/policy/settings"
 
-// TypedSettings returns the settings of a server with two cores and three classes: 0 is safe, 1 idempotent with a key and 2
-// not idempotent. change may modify them before they are returned.
+// TypedSettings returns the settings of a server with two cores and three classes, as decoded: class 0 is safe, 1 idempotent (with
+// a key) and 2 non-idempotent. change may modify the settings unless it is nil.
 func TypedSettings(change func(*settings.Settings)) settings.Settings {
 	s := settings.Settings{Server: settings.Server{
 		Cores:                 settings.NumberOf(2),
@@ -18,11 +18,11 @@
 		CallLinger:            settings.NumberOf(0.2),
 		DrainGrace:            settings.NumberOf(1),
 	}}
-	kinds := []settings.Idempotency{settings.Safe, settings.Idempotent, settings.NonIdempotent}
+	idempotencies := []settings.Idempotency{settings.Safe, settings.Idempotent, settings.NonIdempotent}
 	for n, name := range []string{"safe", "keyed", "unsafe"} {
 		s.Classes = append(s.Classes, settings.Class{
 			Name:             name,
-			Idempotency:      kinds[n],
+			Idempotency:      idempotencies[n],
 			Weight:           settings.NumberOf(float64(n + 1)),
 			LatencyObjective: settings.NumberOf(1),
 			CallerTimeout:    settings.NumberOf(3),
@@ -36,15 +36,15 @@
 	return s
 }
 
-// Settings returns the settings of a small deployment by the keys of the configuration file, with the classes trace (safe),
-// excursion (idempotent with a key) and seal (not idempotent).
+// Settings returns the settings of a small deployment, by the keys of the configuration file, with the classes trace (safe),
+// excursion (idempotent, with a key) and seal (non-idempotent).
 func Settings() map[string]any {
-	kinds := []string{"repeatable", "by_key", "once"}
+	repeatValues := []string{"repeatable", "by_key", "once"}
 	var classes []any
 	for n, name := range []string{"trace", "excursion", "seal"} {
 		classes = append(classes, map[string]any{
 			"name":       name,
-			"repeat":     kinds[n],
+			"repeat":     repeatValues[n],
 			"worth":      n + 1,
 			"aim_s":      20,
 			"deadline_s": 30,
@@ -78,12 +78,12 @@
 	}
 }
 
-// SettingsSection returns a section of a configuration's settings, such as domain.
+// SettingsSection returns a section of the settings in a configuration, such as domain.
 func SettingsSection(config map[string]any, section string) map[string]any {
 	return config["settings"].(map[string]any)[section].(map[string]any)
 }
 
-// SettingsClass returns the class at an index of a configuration's settings.
+// SettingsClass returns the class with the given index of the settings in a configuration.
 func SettingsClass(config map[string]any, index int) map[string]any {
 	classes := config["settings"].(map[string]any)["classes"].([]any)
 	return classes[index].(map[string]any)
--- a/internal/testutil/stub.go
+++ b/internal/testutil/stub.go
@@ -19,14 +19,14 @@
 	slowSegmentSize   = 1000    // bytes
 )
 
-// Stub is a connection of a client stub to the program.
+// Stub is a client stub with one connection to the program.
 type Stub struct {
 	t      *testing.T
 	Conn   net.Conn
 	reader *bufio.Reader
 }
 
-// Connect connects to the program, with retries while it does not listen yet.
+// Connect connects to the program, and retries while the program is not listening yet.
 func (e *Environment) Connect() *Stub {
 	e.T.Helper()
 	for deadline := time.Now().Add(waitTimeout); ; time.Sleep(pollInterval) {
@@ -40,7 +40,7 @@
 	}
 }
 
-// ConnectSlow connects with small buffers: what the stub does not read is buffered by the program, not by the kernel.
+// ConnectSlow connects with small kernel buffers, so that output that the stub does not read is buffered in the program.
 func (e *Environment) ConnectSlow() *Stub {
 	e.T.Helper()
 	dialer := net.Dialer{Control: func(_, _ string, raw syscall.RawConn) error {
@@ -75,19 +75,19 @@
 	s.SendLine(`{"jsonrpc":"2.0","id":%d,"method":"check"}`, id)
 }
 
-// SendRequest sends a request of the class. moreParams is empty, or further params in JSON, with a comma before each.
+// SendRequest sends a request of the class. moreParams is empty or holds further params in JSON, each preceded by a comma.
 func (s *Stub) SendRequest(id int, class, rid, body, moreParams string) {
 	s.t.Helper()
 	s.SendLine("%s", RequestLine(id, class, rid, body, moreParams))
 }
 
-// RequestLine returns the line that SendRequest sends.
+// RequestLine returns the line of a request that SendRequest sends.
 func RequestLine(id int, class, rid, body, moreParams string) string {
 	return fmt.Sprintf(`{"jsonrpc":"2.0","id":%d,"method":%q,"params":{"rid":%q,"t0":%d,"peer":1,"acct":"acme","mem":10,"prio":0.5,"doc":%q%s}}`,
 		id, class, rid, time.Now().UnixMilli(), base64.StdEncoding.EncodeToString([]byte(body)), moreParams)
 }
 
-// Response is a message from the program to a stub.
+// Response is a message from the program to a stub: a response or a notification.
 type Response struct {
 	ID     any
 	Method string
@@ -103,7 +103,7 @@
 	}
 }
 
-// Code returns the code of the error, 0 for a result.
+// Code returns the error code, or 0 for a result.
 func (r Response) Code() int {
 	if r.Error == nil {
 		return 0
@@ -117,19 +117,19 @@
 	return string(raw)
 }
 
-// Receive waits for the next message; closed reports that the connection ended instead.
+// Receive waits for the next message. closed is true if the connection ended instead.
 func (s *Stub) Receive() (r Response, closed bool) {
 	s.t.Helper()
 	_ = s.Conn.SetReadDeadline(time.Now().Add(waitTimeout))
 	line, err := s.reader.ReadString('\n')
 	if err != nil {
 		if e, ok := err.(net.Error); ok && e.Timeout() {
-			s.t.Fatal("a stub received nothing")
+			s.t.Fatal("timed out waiting for a message to a stub")
 		}
 		return r, true
 	}
 	if err := json.Unmarshal([]byte(line), &r); err != nil {
-		s.t.Fatalf("%q: %v", line, err)
+		s.t.Fatalf("message %q: %v", line, err)
 	}
 	return r, false
 }
@@ -139,7 +139,7 @@
 	s.t.Helper()
 	_ = s.Conn.SetReadDeadline(time.Now().Add(waitTimeout))
 	if more, err := io.ReadAll(s.reader); err != nil || len(more) > 0 {
-		s.t.Fatalf("%q and %v, want the connection's end", more, err)
+		s.t.Fatalf("received %q (%v), want the end of the connection", more, err)
 	}
 }
 
@@ -147,16 +147,16 @@
 func (s *Stub) ExpectClosing() {
 	s.t.Helper()
 	if r, closed := s.Receive(); closed || r.Method != "closing" {
-		s.t.Fatalf("got %+v (closed %v), want closing", r, closed)
+		s.t.Fatalf("received %+v (connection closed: %v), want the closing notification", r, closed)
 	}
 }
 
-// ExpectResponse fails the test unless the next message has that ID, that error code (0 for a result) and that body.
+// ExpectResponse fails the test unless the next message has the given ID, error code (0 for a result) and body.
 func (s *Stub) ExpectResponse(id, code int, body string) Response {
 	s.t.Helper()
 	r, closed := s.Receive()
 	if closed || r.ID != float64(id) || r.Code() != code || r.Doc() != body {
-		s.t.Fatalf("got %+v (closed %v), want id %d, code %d, %q", r, closed, id, code, body)
+		s.t.Fatalf("received %+v (connection closed: %v), want id %d, code %d, body %q", r, closed, id, code, body)
 	}
 	return r
 }
@@ -166,6 +166,6 @@
 	s.t.Helper()
 	r, closed := s.Receive()
 	if closed || !r.Result.Serving {
-		s.t.Fatalf("got %+v (closed %v), want serving", r, closed)
+		s.t.Fatalf("received %+v (connection closed: %v), want serving", r, closed)
 	}
 }
--- a/internal/testutil/wait.go
+++ b/internal/testutil/wait.go
@@ -9,49 +9,49 @@
 )
 
 const (
-	waitTimeout  = 20 * time.Second // after which a wait fails its test
-	pollInterval = time.Millisecond // between two evaluations of a condition
+	waitTimeout  = 20 * time.Second // after which a wait fails the test
+	pollInterval = time.Millisecond // between evaluations of a condition
 )
 
-// TestingT is the part of *testing.T and *rapid.T that the waits use.
+// TestingT is the part of *testing.T and *rapid.T that Next uses.
 type TestingT interface {
 	Helper()
 	Fatalf(format string, args ...any)
 }
 
-// Eventually polls until the condition holds.
-func Eventually(t *testing.T, what string, holds func() bool) {
+// Eventually polls until holds returns true. condition describes it in the message of a failed wait.
+func Eventually(t *testing.T, condition string, holds func() bool) {
 	t.Helper()
 	for deadline := time.Now().Add(waitTimeout); !holds(); time.Sleep(pollInterval) {
 		if time.Now().After(deadline) {
-			t.Fatalf("never: %s", what)
+			t.Fatalf("timed out waiting for: %s", condition)
 		}
 	}
 }
 
-// Next receives the next value of the channel.
-func Next[T any](t TestingT, from <-chan T, what string) (value T) {
+// Next receives the next value from the channel. description is that of the value, for the message of a failed wait.
+func Next[T any](t TestingT, from <-chan T, description string) (value T) {
 	t.Helper()
 	select {
 	case value = <-from:
 	case <-time.After(waitTimeout):
-		t.Fatalf("nothing received: %s", what)
+		t.Fatalf("timed out waiting for: %s", description)
 	}
 	return value
 }
 
-// NextMatching receives from the channel until a value matches, and returns that.
-func NextMatching[T any](t *testing.T, from <-chan T, what string, matches func(T) bool) T {
+// NextMatching receives values from the channel until one matches, and returns it.
+func NextMatching[T any](t *testing.T, from <-chan T, description string, matches func(T) bool) T {
 	t.Helper()
 	for {
-		if value := Next(t, from, what); matches(value) {
+		if value := Next(t, from, description); matches(value) {
 			return value
 		}
 	}
 }
 
-// FreeAddress returns an address with a port that is free. Its IP address differs from 127.0.0.1, from which outgoing connections
-// are made, so that none of them can be assigned the port before the program listens on it.
+// FreeAddress returns a loopback address with a free port. Its IP is not 127.0.0.1, from which outgoing connections are made, as
+// one of these could otherwise be assigned the port before the program listens on it.
 func FreeAddress(t *testing.T) string {
 	t.Helper()
 	listener, err := net.Listen("tcp", fmt.Sprintf("127.1.%d.%d:0", os.Getpid()>>8&255, os.Getpid()&255))
