--- a/internal/invariant/checker.go
+++ b/internal/invariant/checker.go
@@ -20,7 +20,7 @@
 	DuplicateAnswers          int // answers to attempts that were already answered or never received
 	LateAnswers               int // answers after the deadline
 	DuplicateRunsSameInstance int // repeated runs of an item at one instance that its idempotency forbids
-	DuplicateRuns             int // the same, and repeated runs at other instances
+	DuplicateRuns             int // the same, plus such runs at further instances
 }
 
 type workItem struct {
@@ -121,7 +121,7 @@
 	}
 }
 
-// Completed reports the answer to an attempt.
+// Completed reports how an attempt ended: with an answer, or without one as its caller was gone.
 func (c *Checker) Completed(at time.Duration, attemptID string, outcome Outcome) {
 	a := c.attempts[attemptID]
 	switch {
@@ -170,13 +170,13 @@
 }
 
 // CheckMemory checks the peak memory use of an instance against its limit, both in bytes.
-func (c *Checker) CheckMemory(instanceName string, highest, limit int64) {
-	if highest > limit {
-		c.addViolation(MemoryBounded, instanceName, "peak memory use of %d bytes exceeds the limit of %d bytes", highest, limit)
+func (c *Checker) CheckMemory(instanceName string, peak, limit int64) {
+	if peak > limit {
+		c.addViolation(MemoryBounded, instanceName, "peak memory use of %d bytes exceeds the limit of %d bytes", peak, limit)
 	}
 }
 
-// Finish reports attempts that are still open at the end of the run, as never answered.
+// Finish ends the run and records a violation for each attempt that is still open.
 func (c *Checker) Finish() {
 	for _, id := range slices.Sorted(maps.Keys(c.attempts)) {
 		if a := c.attempts[id]; a.outcome == "" {
--- a/internal/invariant/invariant.go
+++ b/internal/invariant/invariant.go
@@ -42,7 +42,7 @@
 // StopCause is why an instance stopped.
 type StopCause int
 
-// The causes of a stop. Only before a Shutdown must an instance answer all its attempts.
+// The causes of a stop. An instance must answer all its attempts before a shutdown, but not before a kill.
 const (
 	Shutdown StopCause = iota
 	Killed
--- a/internal/wire/reader.go
+++ b/internal/wire/reader.go
@@ -14,7 +14,7 @@
 // readBufferBytes is the size of the input buffer. Batches can be several megabytes long.
 const readBufferBytes = 1 << 20
 
-// Error is the error of malformed input. It tells where it is and what was expected there.
+// Error is the error of malformed input. It names the position and what was expected there.
 type Error struct {
 	Line     int    // from 1; 0 for an error of the input as a whole
 	Field    string // message and field, or another position such as the end of a line
