--- a/internal/lab/rig/instance.go
+++ b/internal/lab/rig/instance.go
@@ -19,35 +19,35 @@
 const (
 	maxLogBytes  = 1 << 20
 	drainTimeout = 5 * time.Second
-	stopMillis   = 3000 // from SIGTERM to SIGKILL, by the platform
+	stopMillis   = 3000 // that the platform grants from SIGTERM to SIGKILL
 	maxSockets   = 384
 )
 
-// Instance is the program as a process.
+// Instance is a process of the program.
 type Instance struct {
-	Name    string
-	Listen  string // address that it listens on
-	command *exec.Cmd
-	exited  chan struct{}
-
-	mu    sync.Mutex
-	log   bytes.Buffer
-	wrote chan struct{} // holds one signal, set at each write to the log
+	Name          string
+	ListenAddress string // address that it listens on
+	command       *exec.Cmd
+	exited        chan struct{}
+
+	mu         sync.Mutex
+	log        bytes.Buffer
+	logWritten chan struct{} // of capacity 1; signalled by each write to the log
 }
 
 // LaunchOptions are the options of Launch.
 type LaunchOptions struct {
-	Program  string // path of the executable
-	Folder   string // for the configuration file
-	Name     string // of the instance; unique in the folder
-	Runtime  string // address of its runtime
-	Settings string // path of the operator's file; empty for none
-	Seed     uint64
+	Program        string // path of the executable
+	Folder         string // for the configuration file
+	Name           string // of the instance; unique in the folder
+	RuntimeAddress string // address of its runtime
+	SettingsPath   string // path of the operator's file; empty for none
+	Seed           uint64
 }
 
-// Launch starts the program with a configuration in the folder, and a memory limit of MemoryMB. The caller ends it by Kill or
-// Drain; it is also killed with the thread that started it. The errors are those of finding free ports, of writing the file and
-// of starting the process.
+// Launch writes a configuration file with a memory limit of MemoryMB to the folder and starts the program with it. The caller ends
+// the process by Kill or Drain; the kernel also kills it when the thread that started it ends. The errors are those of finding free
+// ports, of writing the file and of starting the process.
 func Launch(options LaunchOptions) (*Instance, error) {
 	configuration, err := newConfiguration(options)
 	if err != nil {
@@ -58,10 +58,10 @@
 		return nil, err
 	}
 	arguments := []string{"serve"}
-	if options.Settings != "" {
-		arguments = append(arguments, "--settings", options.Settings)
+	if options.SettingsPath != "" {
+		arguments = append(arguments, "--settings", options.SettingsPath)
 	}
-	i := &Instance{Name: options.Name, Listen: configuration.Listen, exited: make(chan struct{}), wrote: make(chan struct{}, 1)}
+	i := &Instance{Name: options.Name, ListenAddress: configuration.Listen, exited: make(chan struct{}), logWritten: make(chan struct{}, 1)}
 	i.command = exec.Command(options.Program, arguments...)
 	i.command.Env = append(os.Environ(), "GW_CONFIG="+path)
 	i.command.Stderr = i
@@ -76,8 +76,8 @@
 	return i, nil
 }
 
-// newConfiguration returns the platform's file of an instance, which listens on a free address. Nobody listens at the addresses of
-// its index and directory.
+// newConfiguration returns the configuration of an instance, which listens on a free address. The addresses of its index and
+// directory are free too, so that connections to them are refused.
 func newConfiguration(options LaunchOptions) (deployment.Configuration, error) {
 	listen, err := freeAddress()
 	if err != nil {
@@ -90,7 +90,7 @@
 	return deployment.Configuration{
 		Name:       options.Name,
 		Listen:     listen,
-		Runtime:    options.Runtime,
+		Runtime:    options.RuntimeAddress,
 		Index:      unused,
 		Directory:  unused,
 		Seed:       strconv.FormatUint(options.Seed, 16),
@@ -100,7 +100,7 @@
 	}, nil
 }
 
-// writeConfiguration writes the platform's file of an instance and returns its path.
+// writeConfiguration writes the configuration file of an instance and returns its path.
 func writeConfiguration(folder string, configuration deployment.Configuration) (path string, err error) {
 	text, err := json.Marshal(configuration)
 	if err != nil {
@@ -113,7 +113,7 @@
 // freeAddress returns a loopback address with a port that is free for TCP and UDP.
 func freeAddress() (string, error) { return faultnet.FreeAddress("127.0.0.1") }
 
-// Write takes what the process writes to its log, maxLogBytes at most.
+// Write appends output of the process to the log, and discards it once the log has maxLogBytes.
 func (i *Instance) Write(p []byte) (int, error) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
@@ -121,30 +121,30 @@
 		i.log.Write(p)
 	}
 	select {
-	case i.wrote <- struct{}{}:
+	case i.logWritten <- struct{}{}:
 	default:
 	}
 	return len(p), nil
 }
 
-// Log returns what the process has logged, about 1 MiB at most.
+// Log returns the output of the process so far, at most about 1 MiB.
 func (i *Instance) Log() string {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	return i.log.String()
 }
 
-// Signal sends the process a signal, SIGSTOP and SIGCONT for example.
+// Signal sends a signal to the process, for example SIGSTOP.
 func (i *Instance) Signal(signal syscall.Signal) { _ = i.command.Process.Signal(signal) }
 
-// Kill ends the process at once.
+// Kill sends SIGKILL and waits for the process to end.
 func (i *Instance) Kill() {
 	_ = i.command.Process.Kill()
 	<-i.exited
 }
 
-// Drain sends SIGTERM and waits for the process to end. It is a *DrainError if its exit status is not 0, or if it does not
-// end within 5 s and is killed.
+// Drain sends SIGTERM and waits for the process to end. It returns a *DrainError if the exit status is not 0, or if the process does
+// not end within 5 s and is killed.
 func (i *Instance) Drain() error {
 	_ = i.command.Process.Signal(syscall.SIGTERM)
 	select {
@@ -159,18 +159,18 @@
 	}
 }
 
-// DrainError reports an instance that did not drain in order.
+// DrainError reports an instance whose graceful shutdown failed.
 type DrainError struct {
 	Instance   string
-	TimedOut   bool   // it had not ended in time
-	ExitStatus int    // otherwise
-	Log        string // all that it logged, if it ended
+	TimedOut   bool   // it did not end in time and was killed
+	ExitStatus int    // if it ended in time
+	Log        string // as of Instance.Log, if it ended in time
 }
 
 // Error implements error.
 func (e *DrainError) Error() string {
 	if e.TimedOut {
-		return e.Instance + " did not end"
+		return fmt.Sprintf("instance %s: still running %v after SIGTERM, killed", e.Instance, drainTimeout)
 	}
-	return fmt.Sprintf("%s ended with %d: %s", e.Instance, e.ExitStatus, e.Log)
+	return fmt.Sprintf("instance %s: exit status %d after SIGTERM, expected 0; log: %s", e.Instance, e.ExitStatus, e.Log)
 }
