--- a/cmd/testbed/scale_child.go
+++ b/cmd/testbed/scale_child.go
@@ -11,7 +11,7 @@
 // CPU time are those of a process.
 func scaleLogCommand() *cobra.Command {
 	return &cobra.Command{Use: raftlog.ChildCommand, Hidden: true, Args: cobra.NoArgs, RunE: func(c *cobra.Command, _ []string) error {
-		return raftlog.Child(c.Context(), c.InOrStdin(), c.OutOrStdout())
+		return raftlog.RunChild(c.Context(), c.InOrStdin(), c.OutOrStdout())
 	}}
 }
 
--- a/internal/lab/scale/decisions/decisions_test.go
+++ b/internal/lab/scale/decisions/decisions_test.go
@@ -16,7 +16,7 @@
 			out[name] = value
 		}
 	}
-	for name, value := range r.Single {
+	for name, value := range r.Figures {
 		add(name, value)
 	}
 	for _, s := range r.Series {
--- a/internal/lab/scale/instance/instance_test.go
+++ b/internal/lab/scale/instance/instance_test.go
@@ -61,7 +61,7 @@
 	if slope := have["descriptors by connections"].Fit.Slope; slope < 0.99 || slope > 1.01 {
 		t.Errorf("%.3f descriptors a connection", slope)
 	}
-	if bytes := result.Single["report_bytes"]; bytes != float64(len("alive n1 passing")) {
+	if bytes := result.Figures["report_bytes"]; bytes != float64(len("alive n1 passing")) {
 		t.Errorf("%.2f bytes a report", bytes)
 	}
 	for name, least := range map[string]float64{"resident_mb_start": 1, "reload_in_force_ms_worst": 0.1, "added_ms_p50_at_200_s": 0.01} {
@@ -145,8 +145,8 @@
 	if len(m.result.Faults) != 1 || !strings.Contains(m.result.Faults[0], "did not start") || !strings.Contains(m.result.Faults[0], "aim_s") {
 		t.Errorf("%q", m.result.Faults)
 	}
-	if len(m.result.Single)+len(m.result.Series) > 0 {
-		t.Errorf("figures of a program that did not start: %v %v", m.result.Single, m.result.Series)
+	if len(m.result.Figures)+len(m.result.Series) > 0 {
+		t.Errorf("figures of a program that did not start: %v %v", m.result.Figures, m.result.Series)
 	}
 }
 
@@ -190,10 +190,10 @@
 			t.Errorf("%+v", s)
 		}
 	}
-	if worst := m.result.Single["reload_in_force_ms_worst_at_2000_tenants"]; worst != 9 {
+	if worst := m.result.Figures["reload_in_force_ms_worst_at_2000_tenants"]; worst != 9 {
 		t.Errorf("in force at 2000: %g", worst)
 	}
-	if _, ok := m.result.Single["reload_in_force_ms_worst_at_3000_tenants"]; ok {
+	if _, ok := m.result.Figures["reload_in_force_ms_worst_at_3000_tenants"]; ok {
 		t.Error("a rejected reload counts as in force")
 	}
 }
--- a/internal/lab/scale/instance/reports.go
+++ b/internal/lab/scale/instance/reports.go
@@ -111,7 +111,7 @@
 	if len(names) != size {
 		m.result.AddFault("%d of %d hollow instances listed", len(names), size)
 	}
-	if m.result.Single["list_bytes_subset"] == 0 {
+	if m.result.Figures["list_bytes_subset"] == 0 {
 		subset := fakecatalog.EncodeList(names[:min(listedSubset, size)], listedAddress)
 		m.result.SetFigure("list_bytes_subset", float64(len(subset)))
 	}
--- a/internal/lab/scale/instance/trial_figures.go
+++ b/internal/lab/scale/instance/trial_figures.go
@@ -63,7 +63,7 @@
 	{"resident_mb_peak", boundPeakMB, anyTrial, func(t *trial) float64 { return t.peakMB }},
 	{"reload_logged_ms_worst", boundReloadMillis, completeTrial, func(t *trial) float64 { return maxOrNaN(t.loggedMillis) }},
 	{"reload_in_force_ms_worst", boundReloadMillis, completeTrial, func(t *trial) float64 { return maxOrNaN(t.effectiveMillis) }},
-	{"reload_wait_p99_ms", scale.TargetAddedMillis, anyTrial, func(t *trial) float64 { return t.latencyMillis(t.reloadLatency.Percentile(99)) }},
+	{"reload_wait_p99_ms", scale.TargetAddedLatencyMillis, anyTrial, func(t *trial) float64 { return t.latencyMillis(t.reloadLatency.Percentile(99)) }},
 	{"reload_wait_longest_ms", boundLatencyMillis, anyTrial, func(t *trial) float64 { return t.latencyMillis(t.reloadLatency.Max()) }},
 	{"reload_processor_ms", 0, completeTrial, func(t *trial) float64 { return t.cpuMillisPerReload }},
 	{"same_file_ms", 0, completeTrial, func(t *trial) float64 { return t.unchangedReload.millis() }},
--- a/internal/lab/scale/instance/trial_series.go
+++ b/internal/lab/scale/instance/trial_series.go
@@ -120,7 +120,7 @@
 	bound   float64 // milliseconds; 0 for none
 }
 
-var percentiles = []percentile{{"p50", 50, 0}, {"p99", 99, scale.TargetAddedMillis}, {"p99.9", 99.9, 0}}
+var percentiles = []percentile{{"p50", 50, 0}, {"p99", 99, scale.TargetAddedLatencyMillis}, {"p99.9", 99.9, 0}}
 
 // latencyKind is the latency without reloads, or with a reload each second.
 type latencyKind struct {
--- a/internal/lab/scale/members/members_test.go
+++ b/internal/lab/scale/members/members_test.go
@@ -73,10 +73,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if got := result.Single["bytes_s_member_ordinary_day_at_target"]; got < 1399 || got > 1401 { // 400 + 16,000 each 16 s
+	if got := result.Figures["bytes_s_member_ordinary_day_at_target"]; got < 1399 || got > 1401 { // 400 + 16,000 each 16 s
 		t.Errorf("an ordinary day: %.1f B/s, want 1,400", got)
 	}
-	if got := result.Single["record_changes_s_fleet_within_share"]; got < 1.59 || got > 1.61 { // (3,000 - 1,400) / 1,000
+	if got := result.Figures["record_changes_s_fleet_within_share"]; got < 1.59 || got > 1.61 { // (3,000 - 1,400) / 1,000
 		t.Errorf("%.2f changes a second within the share, want 1.6", got)
 	}
 	if result.Series[0].Target != scale.TargetMembers || !strings.Contains(strings.Join(result.NotRun, " "), "256") {
--- a/internal/lab/scale/raftlog/child.go
+++ b/internal/lab/scale/raftlog/child.go
@@ -13,7 +13,7 @@
 	"thymechute/internal/decide/lease"
 )
 
-// ChildCommand is the command of the program that runs Child.
+// ChildCommand is the command of the program that calls RunChild.
 const ChildCommand = "scale-log"
 
 const (
@@ -22,8 +22,8 @@
 	retryInterval = 20 * time.Millisecond // of an operation that failed
 )
 
-// Child answers the requests of a parent, one JSON object each, until the input ends. It returns the error of writing to out.
-func Child(ctx context.Context, in io.Reader, out io.Writer) error {
+// RunChild answers the requests of a parent, one JSON object each, until the input ends. It returns the error of writing to out.
+func RunChild(ctx context.Context, in io.Reader, out io.Writer) error {
 	g := &replicaGroup{}
 	defer g.stop()
 	requests, responses := json.NewDecoder(in), json.NewEncoder(out)
--- a/internal/lab/scale/raftlog/childprocess.go
+++ b/internal/lab/scale/raftlog/childprocess.go
@@ -8,7 +8,7 @@
 	"os/exec"
 )
 
-// childProcess is the parent's side of a process that runs Child.
+// childProcess is the parent's side of a process that calls RunChild.
 type childProcess struct {
 	command   *exec.Cmd
 	stdin     io.WriteCloser
--- a/internal/lab/scale/raftlog/raftlog_test.go
+++ b/internal/lab/scale/raftlog/raftlog_test.go
@@ -15,7 +15,7 @@
 // TestMain makes the test binary the child process too.
 func TestMain(m *testing.M) {
 	if len(os.Args) == 2 && os.Args[1] == ChildCommand {
-		if err := Child(context.Background(), os.Stdin, os.Stdout); err != nil {
+		if err := RunChild(context.Background(), os.Stdin, os.Stdout); err != nil {
 			os.Exit(1)
 		}
 		return
--- a/internal/lab/scale/report.go
+++ b/internal/lab/scale/report.go
@@ -20,8 +20,8 @@
 	for _, s := range r.Series {
 		s.writeText(out)
 	}
-	for _, name := range slices.Sorted(maps.Keys(r.Single)) {
-		fmt.Fprintf(out, "%-36s %.6g\n", name, r.Single[name])
+	for _, name := range slices.Sorted(maps.Keys(r.Figures)) {
+		fmt.Fprintf(out, "%-36s %.6g\n", name, r.Figures[name])
 	}
 	for _, line := range r.NotRun {
 		fmt.Fprintf(out, "not run: %s\n", line)
--- a/internal/lab/scale/scale.go
+++ b/internal/lab/scale/scale.go
@@ -26,12 +26,12 @@
 
 // Result is the measurements of one part.
 type Result struct {
-	Part   string             `json:"part"`
-	Seed   uint64             `json:"seed"`
-	Series []Series           `json:"series"`
-	Single map[string]float64 `json:"single,omitempty"` // figures of one size only, by name
-	NotRun []string           `json:"not_run,omitempty"`
-	Faults []string           `json:"faults,omitempty"` // claims that do not hold
+	Part    string             `json:"part"`
+	Seed    uint64             `json:"seed"`
+	Series  []Series           `json:"series"`
+	Figures map[string]float64 `json:"single,omitempty"` // figures of one size only, by name
+	NotRun  []string           `json:"not_run,omitempty"`
+	Faults  []string           `json:"faults,omitempty"` // claims that do not hold
 }
 
 // Part is one group of measurements.
@@ -71,10 +71,10 @@
 
 // SetFigure adds a figure of one size only.
 func (r *Result) SetFigure(name string, value float64) {
-	if r.Single == nil {
-		r.Single = map[string]float64{}
+	if r.Figures == nil {
+		r.Figures = map[string]float64{}
 	}
-	r.Single[name] = value
+	r.Figures[name] = value
 }
 
 // AddFault records a claim that does not hold.
