--- a/internal/lab/scale/conn.go
+++ b/internal/lab/scale/conn.go
@@ -5,28 +5,28 @@
 	"sync/atomic"
 )
 
-// ConnCounter counts the payload of connections, without the headers of TCP and IP (40 bytes and more per segment). It is
-// safe for concurrent use; the zero value is ready.
+// ConnCounter counts the payload bytes of connections, without TCP and IP headers (40 bytes or more per segment). It is safe for
+// concurrent use. The zero value is ready to use.
 type ConnCounter struct {
 	sentBytes, receivedBytes, writes atomic.Int64
 }
 
-// ConnCounts is the state of a ConnCounter at one moment.
+// ConnCounts is a snapshot of a ConnCounter.
 type ConnCounts struct {
 	SentBytes, ReceivedBytes int64
-	Writes                   int64 // calls of Write: about one per message
+	Writes                   int64 // calls of Write, about one per message
 }
 
-// Counts returns what was counted so far.
+// Counts returns the totals so far.
 func (c *ConnCounter) Counts() ConnCounts {
 	return ConnCounts{SentBytes: c.sentBytes.Load(), ReceivedBytes: c.receivedBytes.Load(), Writes: c.writes.Load()}
 }
 
-// CountedConn is a connection whose payload is counted.
+// CountedConn is a connection that adds its payload bytes and writes to a counter.
 type CountedConn struct {
 	net.Conn
 	Counter *ConnCounter
-	OnWrite func(written []byte) // called after each Write with the bytes that were written; nil for none
+	OnWrite func(written []byte) // called after each Write with the bytes written; may be nil
 }
 
 // Read implements io.Reader.
--- a/internal/lab/scale/conn_test.go
+++ b/internal/lab/scale/conn_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// Both directions and each Write are counted, and OnWrite gets what was written.
+// Bytes in both directions and calls of Write are counted, and OnWrite receives the bytes written.
 func TestCountedConn(t *testing.T) {
 	near, far := net.Pipe()
 	defer far.Close()
--- a/internal/lab/scale/fit.go
+++ b/internal/lab/scale/fit.go
@@ -7,10 +7,10 @@
 	"slices"
 )
 
-// Model is how a figure grows with the size n: value = Intercept + Slope * shape(n).
+// Model describes how a figure grows with the size n: value = Intercept + Slope * basis(n).
 type Model string
 
-// The growth models, from the slowest to the fastest.
+// The growth models, from the slowest growth to the fastest.
 const (
 	Constant  Model = "constant"
 	Log       Model = "log n"
@@ -18,30 +18,30 @@
 	Quadratic Model = "n^2"
 )
 
-// maxConstantSpread is the ratio of the largest to the smallest value up to which a figure counts as constant: measurements on one
-// machine repeat within about a tenth.
+// maxConstantSpread is the maximum ratio of the largest to the smallest value of a constant figure. Repeated measurements on one
+// machine differ by about a tenth.
 const maxConstantSpread = 1.1
 
-// maxFitError stands for an infinite error, where something was predicted and 0 measured; JSON cannot encode infinity.
+// maxFitError replaces an infinite relative error, which JSON cannot encode: a value was predicted, but 0 was measured.
 const maxFitError = 1e6
 
-// growthModels are the models between which chooseModel chooses for a figure that is not constant.
+// growthModels are the candidates of chooseModel for a figure that is not constant.
 var growthModels = []Model{Log, Linear, Quadratic}
 
-// MinSizes is how many different sizes a fit needs.
+// MinSizes is the minimum number of different sizes for a fit.
 const MinSizes = 4
 
-// minImprovement is the factor by which a faster growing model must reduce the residual to be preferred.
+// A faster growing model is preferred only if its residual is below minImprovement times that of the slower one.
 const minImprovement = 0.9
 
-// minValue stands for a value of 0 where something is divided by it.
+// minValue replaces smaller values in divisors, to avoid a division by zero.
 const minValue = 1e-9
 
-// ErrTooFewSizes is the error of FitPoints for points at fewer than MinSizes sizes.
-var ErrTooFewSizes = errors.New("scale: a fit needs points at four different sizes at least")
+// ErrTooFewSizes is returned by FitPoints when the points cover fewer than MinSizes different sizes.
+var ErrTooFewSizes = errors.New("scale: too few sizes to fit a growth model, expected at least 4 different sizes")
 
-// shape is the function of the size that the model's value is linear in.
-func (m Model) shape(size float64) float64 {
+// basis is the model's basis function: the value is linear in basis(size).
+func (m Model) basis(size float64) float64 {
 	switch m {
 	case Log:
 		return math.Log(size)
@@ -63,23 +63,23 @@
 type Fit struct {
 	Model     Model   `json:"model"`
 	Intercept float64 `json:"intercept"`
-	Slope     float64 `json:"slope"`             // per unit of the model's shape
-	Predicted float64 `json:"largest_predicted"` // value at the largest size, by a fit of the smaller sizes alone
+	Slope     float64 `json:"slope"`             // per unit of the model's basis function
+	Predicted float64 `json:"largest_predicted"` // value at the largest size, from a fit to the smaller sizes only
 	Measured  float64 `json:"largest_measured"`
-	Error     float64 `json:"largest_error"` // (predicted - measured) / measured; 0 where both are 0, maxFitError where only Measured is
+	Error     float64 `json:"largest_error"` // (Predicted - Measured) / Measured; 0 if both are 0, maxFitError if only Measured is 0
 }
 
-// At is the fitted value at a size, at least 0.
+// At returns the fitted value at a size, but not less than 0.
 func (f Fit) At(size float64) float64 {
-	return max(f.Intercept+f.Slope*f.Model.shape(size), 0)
+	return max(f.Intercept+f.Slope*f.Model.basis(size), 0)
 }
 
-// FitPoints chooses the model by all points but those of the largest size, predicts the value there, and then fits slope and
-// intercept to all points. It returns ErrTooFewSizes for points at fewer than MinSizes different sizes.
+// FitPoints chooses the model from the points below the largest size, predicts the value at the largest size to assess the model,
+// and then fits slope and intercept to all points. It returns ErrTooFewSizes for points at fewer than MinSizes different sizes.
 func FitPoints(points []Point) (Fit, error) {
 	points = slices.Clone(points)
 	slices.SortStableFunc(points, func(a, b Point) int { return cmp.Compare(a.Size, b.Size) })
-	if countSizes(points) < MinSizes {
+	if countDistinctSizes(points) < MinSizes {
 		return Fit{}, ErrTooFewSizes
 	}
 	largestSize := points[len(points)-1].Size
@@ -99,8 +99,8 @@
 	return fit, nil
 }
 
-// countSizes counts the different sizes of points that are sorted by size.
-func countSizes(sorted []Point) int {
+// countDistinctSizes counts the different sizes in points sorted by size.
+func countDistinctSizes(sorted []Point) int {
 	sizes := 0
 	for n, p := range sorted {
 		if n == 0 || p.Size != sorted[n-1].Size {
@@ -110,7 +110,8 @@
 	return sizes
 }
 
-// chooseModel returns the model with the smallest relative residual, and among nearly equal ones the slowest growth.
+// chooseModel returns the model with the smallest relative residual. Among models with nearly equal residuals it prefers the one
+// that grows most slowly.
 func chooseModel(points []Point) Model {
 	smallest, largest := math.Inf(1), math.Inf(-1)
 	for _, p := range points {
@@ -128,13 +129,13 @@
 	return best
 }
 
-// leastSquares fits intercept and slope with each point weighted by the inverse square of its value, so that the small
-// sizes count as much as the large ones.
+// leastSquares fits intercept and slope by weighted least squares. The weight of a point is the inverse square of its value, so
+// that relative errors count alike at small and large sizes.
 func leastSquares(model Model, points []Point) Fit {
 	var weights, sumX, sumY, sumXX, sumXY float64
 	for _, p := range points {
 		weight := 1 / max(p.Value*p.Value, minValue*minValue)
-		x := model.shape(p.Size)
+		x := model.basis(p.Size)
 		weights += weight
 		sumX += weight * x
 		sumY += weight * p.Value
@@ -149,7 +150,7 @@
 	return fit
 }
 
-// relativeResidual is the sum of the squared relative errors.
+// relativeResidual returns the sum of the squared relative errors.
 func relativeResidual(fit Fit, points []Point) float64 {
 	sum := 0.0
 	for _, p := range points {
@@ -159,7 +160,7 @@
 	return sum
 }
 
-// mean is the mean value of points; there must be one.
+// mean returns the mean value of points, which must not be empty.
 func mean(points []Point) float64 {
 	sum := 0.0
 	for _, p := range points {
--- a/internal/lab/scale/report.go
+++ b/internal/lab/scale/report.go
@@ -15,7 +15,7 @@
 	return encoder.Encode(r)
 }
 
-// WriteText writes the result for reading; errors of out are ignored.
+// WriteText writes the result as human-readable text. Write errors are ignored.
 func (r *Result) WriteText(out io.Writer) {
 	for _, s := range r.Series {
 		s.writeText(out)
@@ -38,14 +38,14 @@
 	}
 	fmt.Fprintf(out, "  grows as %s: %.4g + %.4g * it; largest predicted %.4g, measured %.4g (off by %+.0f%%)\n", s.Fit.Model,
 		s.Fit.Intercept, s.Fit.Slope, s.Fit.Predicted, s.Fit.Measured, s.Fit.Error*100)
-	fmt.Fprintf(out, "  worked out at %.6g: %.4g%s\n", s.Target, s.Extrapolated, s.boundVerdict())
+	fmt.Fprintf(out, "  worked out at %.6g: %.4g%s\n", s.Target, s.Extrapolated, s.compareWithBound())
 	if s.Coverage != "" {
 		fmt.Fprintf(out, "  run: %s\n", s.Coverage)
 	}
 }
 
-// boundVerdict compares the extrapolated value with the bound, where there is one.
-func (s Series) boundVerdict() string {
+// compareWithBound describes how the extrapolated value compares with the bound; empty if there is no bound.
+func (s Series) compareWithBound() string {
 	switch {
 	case s.Bound == 0:
 		return ""
--- a/internal/lab/scale/report_test.go
+++ b/internal/lab/scale/report_test.go
@@ -8,8 +8,8 @@
 	"testing"
 )
 
-// recordedResult is the result that revision d489d24 wrote to testdata.
-func recordedResult(t *testing.T) *Result {
+// exampleResult is the result whose encodings by revision d489d24 are recorded in testdata.
+func exampleResult(t *testing.T) *Result {
 	t.Helper()
 	r := &Result{Part: "part", Seed: 7, NotRun: []string{"not run"}}
 	bounded := Series{Name: "bytes_s_member", Role: "member", SizeUnit: "members", Target: 1200, Bound: 6000, Coverage: "to 400",
@@ -25,9 +25,9 @@
 	return r
 }
 
-// Results are written as revision d489d24 did, byte for byte, and its results can be read.
+// Results are encoded byte for byte as by revision d489d24, and results that it wrote can be decoded.
 func TestRecordedResult(t *testing.T) {
-	result := recordedResult(t)
+	result := exampleResult(t)
 	recorded, err := os.ReadFile("testdata/result-d489d24.json")
 	if err != nil {
 		t.Fatal(err)
--- a/internal/lab/scale/scale.go
+++ b/internal/lab/scale/scale.go
@@ -1,9 +1,10 @@
-// Package scale measures how the state, traffic and CPU time of each role in the fleet grow with the fleet, and extrapolates to the
-// size that it is designed for (targets.go, docs/CAPACITY.md). It contains what all parts of the measurement share: series of
-// measured points, the fit of a growth model to them, and the result's encodings. Each part is a package below this one. Values at
-// sizes that were not run are always marked as extrapolated.
+// Package scale measures how the state, traffic and CPU time of each role in the fleet grow with the fleet's size, and extrapolates
+// them to the size that the fleet is designed for (targets.go, docs/CAPACITY.md). This package holds what all parts of the
+// measurement share: series of measured points, the fit of a growth model to them, and the encodings of the result. Each part is a
+// subpackage. Values at sizes that were not run are always marked as extrapolated.
 //
-// A Result and its series are owned by the part that fills them, without locks. They are bounded by the sizes that a part runs.
+// A Result and its series are owned by the part that fills them and have no locks. Their size is bounded by the number of sizes
+// that a part runs.
 package scale
 
 import (
@@ -11,53 +12,54 @@
 	"fmt"
 )
 
-// Series is one figure of one role, measured at several sizes. JSON names are those of stored results.
+// Series is one figure of one role, measured at several sizes. The JSON names are those of stored results.
 type Series struct {
-	Name         string  `json:"name"` // ends in its unit, as in bytes_s_member
+	Name         string  `json:"name"` // includes the unit, as in bytes_s_member
 	Role         string  `json:"role"` // member, log_leader, log_follower, control_machine, ...
-	SizeUnit     string  `json:"of"`   // what the size counts, as in members
+	SizeUnit     string  `json:"of"`   // what the size counts, for example members
 	Points       []Point `json:"points"`
-	Target       float64 `json:"target"`          // size to extrapolate to
+	Target       float64 `json:"target"`          // the size to extrapolate to
 	Bound        float64 `json:"bound,omitempty"` // maximum at the target; 0 for none
-	Coverage     string  `json:"ran,omitempty"`   // up to which size it was run, and why no further
+	Coverage     string  `json:"ran,omitempty"`   // which sizes and conditions were run
 	Fit          Fit     `json:"fit"`
-	Extrapolated float64 `json:"at_target"` // value at Target by the fit
+	Extrapolated float64 `json:"at_target"` // the fitted value at Target
 }
 
-// Result is the measurements of one part.
+// Result holds the measurements of one part.
 type Result struct {
 	Part    string             `json:"part"`
 	Seed    uint64             `json:"seed"`
 	Series  []Series           `json:"series"`
-	Figures map[string]float64 `json:"single,omitempty"` // figures of one size only, by name
+	Figures map[string]float64 `json:"single,omitempty"` // by name; figures measured at one size only
 	NotRun  []string           `json:"not_run,omitempty"`
-	Faults  []string           `json:"faults,omitempty"` // claims that do not hold
+	Faults  []string           `json:"faults,omitempty"` // the claims that do not hold, as text
 }
 
 // Part is one group of measurements.
 type Part interface {
 	// Name identifies the part on the command line and in results.
 	Name() string
-	// Run measures until the context ends, and leaves no process behind.
+	// Run measures until it is done or the context ends. It leaves no process behind.
 	Run(ctx context.Context, options Options) (*Result, error)
 }
 
 // Options are the options of a run.
 type Options struct {
 	Seed     uint64
-	Folder   string            // for its files; the caller removes it
+	Folder   string            // directory for the part's files; the caller removes it
 	Program  string            // path of the thymechute executable
-	Progress func(line string) // called with one line at a time, by any goroutine of the part; nil for none
+	Progress func(line string) // receives one line per call, from any goroutine of the part; may be nil
 }
 
-// ReportProgress calls Progress, unless that is nil.
+// ReportProgress calls Progress unless it is nil.
 func (o Options) ReportProgress(line string) {
 	if o.Progress != nil {
 		o.Progress(line)
 	}
 }
 
-// AddSeries fits a model to a series and adds it. It returns the error of FitPoints. A value over its bound is reported and no fault.
+// AddSeries fits a model to a series and adds the series. It returns the error of FitPoints. A value over its bound is not a fault:
+// WriteText only marks it.
 func (r *Result) AddSeries(series Series) error {
 	fit, err := FitPoints(series.Points)
 	if err != nil {
@@ -69,7 +71,7 @@
 	return nil
 }
 
-// SetFigure adds a figure of one size only.
+// SetFigure sets a figure that was measured at one size only.
 func (r *Result) SetFigure(name string, value float64) {
 	if r.Figures == nil {
 		r.Figures = map[string]float64{}
--- a/internal/lab/scale/targets.go
+++ b/internal/lab/scale/targets.go
@@ -1,6 +1,6 @@
 package scale
 
-// The size that the fleet is designed for, after docs/CAPACITY.md.
+// The size that the fleet is designed for, from docs/CAPACITY.md.
 const (
 	TargetMembers            = 1200
 	TargetCallers            = 17_000
@@ -8,14 +8,14 @@
 	TargetRoutes             = 9800
 	TargetTenants            = 60_000
 	TargetRegions            = 4
-	TargetZones              = 40  // ten in each region, the harder reading of the plan
-	TargetControlMachines    = 6   // machines set aside for control
-	TargetAddedLatencyMillis = 6.4 // latency added to a request, 99th percentile
+	TargetZones              = 40  // ten in each region, the more demanding interpretation of "4 regions with 10 zones"
+	TargetControlMachines    = 6   // machines reserved for the control plane
+	TargetAddedLatencyMillis = 6.4 // latency that the instance may add to a request, 99th percentile
 )
 
-// The most that control may use on a member at that size.
+// Maximum resource use of the control plane on one member at that size.
 const (
-	MaxCPUPercent            = 1.1 // of a core
+	MaxCPUPercent            = 1.1 // percent of one core
 	MaxMemoryBytes           = 128 << 20
 	MaxControlBytesPerSecond = 6000 // both directions
 )
--- a/internal/lab/scale/usage.go
+++ b/internal/lab/scale/usage.go
@@ -7,13 +7,13 @@
 	"thymechute/internal/lab/procfs"
 )
 
-// Usage is the resources that a process uses.
+// Usage is the resource usage of a process.
 type Usage struct {
-	CPU           time.Duration // user and system time so far, by getrusage
-	ResidentBytes int64         // now, by /proc/self/statm
+	CPU           time.Duration // user and system time so far, from getrusage
+	ResidentBytes int64         // current, from /proc/self/statm
 }
 
-// OwnUsage returns the usage of this process. Its errors are those of the kernel's interfaces.
+// OwnUsage returns the usage of this process. It fails when getrusage or /proc fails.
 func OwnUsage() (Usage, error) {
 	var usage syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &usage); err != nil {
--- a/internal/lab/scale/wait.go
+++ b/internal/lab/scale/wait.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Wait waits for the duration, or until the context ends, whose error it returns then.
+// Wait waits for the duration. It returns the context's error if the context ends first.
 func Wait(ctx context.Context, d time.Duration) error {
 	select {
 	case <-ctx.Done():
@@ -15,5 +15,5 @@
 	}
 }
 
-// Milliseconds returns a duration in milliseconds, with its fraction.
+// Milliseconds returns a duration in milliseconds, including the fraction.
 func Milliseconds(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
