--- a/internal/lab/scale/decisions/decisions.go
+++ b/internal/lab/scale/decisions/decisions.go
@@ -1,9 +1,10 @@
-// Package decisions measures the decisions of package internal/decide (subsets, leases, voters, ring, rollout) for fleets of 120 to
-// 1,200 members in the emulator, without sockets: the time of one decision, the bytes that it adds to the replicated log, the size
-// of each table, and the cost of losing and regaining a rack, a zone and a region. Every figure comes from the run that reports it.
+// Package decisions measures the decisions of the packages below internal/decide (subsets, leases, voters, ring, rollout) for fleets
+// of 120 to 1,200 members in the emulator, without sockets: the time of one decision, the bytes that it adds to the replicated log,
+// the size of each table, and the cost of losing and regaining a machine, a rack, a zone and a region. Every figure comes from the
+// run that reports it.
 //
-// It has one emulated fleet at a time, of at most scale.TargetMembers members, which is dropped with its measurement. All of it
-// runs on the goroutine of Run.
+// There is one emulated fleet at a time, of at most scale.TargetMembers members, which is released after its measurement.
+// Everything runs on the goroutine of Run.
 package decisions
 
 import (
@@ -14,19 +15,20 @@
 )
 
 const (
-	maxDecisionMillis = 50 // milliseconds that one decision may take on its goroutine
+	maxDecisionMillis = 50 // maximum time of one decision, which blocks its goroutine
 	maxBytesPerSecond = scale.MaxControlBytesPerSecond
-	fullSamples       = 200 // of each timed decision
-	smallSamples      = 6   // the same, in a small run
+	fullSamples       = 200 // per timed decision
+	smallSamples      = 6   // per timed decision in a small run
 )
 
-// sizes are the fleets' sizes in members; each has a zone for membersPerZone and four regions. The last is the target.
+// sizes are the fleet sizes in members. Each fleet has four regions and one zone per membersPerZone members. The last size is the
+// target.
 var sizes = []int{120, 240, 480, 720, scale.TargetMembers}
 
-// smallSizes are the fleets' sizes of a small run.
+// smallSizes are the fleet sizes of a small run.
 var smallSizes = []int{48, 72, 96, 132}
 
-// Part implements scale.Part. A Small run has smaller fleets and fewer samples, for tests.
+// Part implements scale.Part. With Small it has smaller fleets and fewer samples, for tests.
 type Part struct{ Small bool }
 
 // Name implements scale.Part.
@@ -57,10 +59,10 @@
 	return c.finish(largest)
 }
 
-// measurement measures one kind of decision in a fleet.
+// measurement measures one kind of decision in a fleet with that layout.
 type measurement func(*collector, Layout) error
 
-// measureAll runs measurements, until one fails or the context ends.
+// measureAll runs the measurements until one fails or the context ends.
 func (c *collector) measureAll(ctx context.Context, measurements []measurement, l Layout) error {
 	for _, measure := range measurements {
 		if err := ctx.Err(); err != nil {
@@ -73,8 +75,8 @@
 	return nil
 }
 
-// measurements run at every size; lossMeasurements run at the largest, for both readings of "4 regions with 10 zones": ten zones in
-// each region, and ten in all.
+// measurements run at every size. lossMeasurements run at the largest size for both interpretations of "4 regions with 10 zones":
+// ten zones in each region, and ten in total.
 var (
 	measurements     = []measurement{measureSubsets, measureLeases, measureVoters, measureRing, measureRollout}
 	lossMeasurements = []measurement{measureSubsetLosses, measureLeaseLosses, measureVoterLosses, measureRingLosses, measureRolloutLosses}
--- a/internal/lab/scale/decisions/decisions_test.go
+++ b/internal/lab/scale/decisions/decisions_test.go
@@ -8,8 +8,8 @@
 	"thymechute/internal/lab/scale"
 )
 
-// deterministic returns the figures that the seed determines: all but times and heap sizes.
-func deterministic(r *scale.Result) map[string]float64 {
+// deterministicFigures returns the figures that the seed determines: all except times and heap sizes.
+func deterministicFigures(r *scale.Result) map[string]float64 {
 	out := map[string]float64{}
 	add := func(name string, value float64) {
 		if !strings.Contains(name, "_ms_") && !strings.Contains(name, "_heap_") {
@@ -25,7 +25,7 @@
 	return out
 }
 
-// In a small run every claim holds through every loss, and the seed determines the result.
+// Every claim holds through every loss of a small run, and two runs with one seed have equal figures.
 func TestSmallRunIsDeterministicAndHoldsClaims(t *testing.T) {
 	var first map[string]float64
 	for range 2 {
@@ -34,24 +34,25 @@
 			t.Fatal(err)
 		}
 		if len(r.Faults) > 0 {
-			t.Fatalf("does not hold: %v", r.Faults)
+			t.Fatalf("claims that do not hold: %v", r.Faults)
 		}
-		now := deterministic(r)
+		now := deterministicFigures(r)
 		if first == nil {
 			first = now
 			continue
 		}
 		for name, value := range now {
 			if first[name] != value {
-				t.Errorf("%s: %g, then %g on the same seed", name, first[name], value)
+				t.Errorf("%s: %g in the first run, but %g in the second with the same seed", name, first[name], value)
 			}
 		}
 	}
 	if part := first["voters_11z_region_with_quorum_part"]; part != 0 || first["voters_11z_zones_alone_region_with_quorum_part"] == 0 {
-		t.Errorf("a region has a quorum in %g of the orders of joining; with zones alone it should at times", part)
+		t.Errorf("one region has a quorum in a fraction %g of the join orders, expected 0; with zones only in %g, expected more than 0",
+			part, first["voters_11z_zones_alone_region_with_quorum_part"])
 	}
 	if first["owner_entries_day"] == 0 || first["ring_freeze_entry_bytes"] == 0 || first["roll_11z_region_drains"] == 0 {
-		t.Errorf("figures are missing: %v", first)
+		t.Errorf("found %v, expected values of owner_entries_day, ring_freeze_entry_bytes and roll_11z_region_drains", first)
 	}
 }
 
@@ -62,22 +63,22 @@
 			rack, zone, region := l.lossAround(lossOfRack, n), l.lossAround(lossOfZone, n), l.lossAround(lossOfRegion, n)
 			for _, loss := range []Loss{l.lossAround(lossOfMachine, n), rack, zone, region} {
 				if !loss.contains(n) {
-					t.Fatalf("%d zones: %+v does not take %d", zones, loss, n)
+					t.Fatalf("%d zones: loss %+v does not contain member %d", zones, loss, n)
 				}
 			}
 			if rack.From < zone.From || rack.To > zone.To || zone.From < region.From || zone.To > region.To {
-				t.Fatalf("%d zones, member %d: %+v, %+v, %+v are not nested", zones, n, rack, zone, region)
+				t.Fatalf("%d zones, member %d: losses of the rack %+v, zone %+v and region %+v are not nested", zones, n, rack, zone, region)
 			}
 			if size := zone.To - zone.From; size != l.Size/zones {
-				t.Fatalf("%d zones: a zone of %d", zones, size)
+				t.Fatalf("%d zones: found a zone of %d members, expected %d", zones, size, l.Size/zones)
 			}
 		}
 	}
 }
 
-// The entry by which a process joins the log names all servers, so it grows with the fleet.
+// The entry by which a process joins the log lists all servers, so it grows with the fleet.
 func TestMembershipEntryGrowsWithFleet(t *testing.T) {
 	if few, many := membershipEntryBytes(6), membershipEntryBytes(1200); many < 150*few {
-		t.Errorf("%d bytes at 6, %d at 1,200", few, many)
+		t.Errorf("found %d bytes at 6 members and %d at 1,200, expected at least a factor of 150", few, many)
 	}
 }
--- a/internal/lab/scale/decisions/layout.go
+++ b/internal/lab/scale/decisions/layout.go
@@ -9,39 +9,40 @@
 const (
 	membersPerZone      = 30 // 1,200 members in 40 zones
 	smallMembersPerZone = 12
-	tenZones            = 10 // in all, the other reading of the plan
+	tenZones            = 10 // in total, the other interpretation of the plan
 	rackMembers         = 30
 
-	// There are backendsPerGroup backends for each membersPerGroup members: 500 for 1,200.
+	// There are backendsPerGroup backends per membersPerGroup members: 500 for 1,200.
 	backendsPerGroup = 5
 	membersPerGroup  = 12
 
 	minSlots        = 64
-	slotsPerBackend = 128 // at least
+	slotsPerBackend = 128 // minimum, unless ring.MaxSlots is reached
 )
 
-// firstIncarnation is the incarnation of a process that has not restarted, of realistic size.
+// firstIncarnation is the incarnation of a process that has not restarted. It encodes to a realistic length.
 const firstIncarnation = 0x18f3a2b4c5000000
 
-// Layout is a fleet. Members are numbered consecutively through the zones, and zones through the regions.
+// Layout describes a fleet by its numbers of members, zones and regions. Members are numbered consecutively by zone, and zones by
+// region.
 type Layout struct{ Size, Zones, Regions int }
 
-// zone and region are the indexes of the zone and the region of member n.
+// zone and region return the index of the zone and of the region of member n.
 func (l Layout) zone(n int) int   { return n * l.Zones / l.Size }
 func (l Layout) region(n int) int { return l.zone(n) * l.Regions / l.Zones }
 
-// zoneName is the name of the zone of member n.
+// zoneName returns the name of the zone of member n.
 func (l Layout) zoneName(n int) string { return fmt.Sprintf("r%d-z%02d", l.region(n), l.zone(n)) }
 
-// label identifies the layout in the names of figures.
+// label returns the part of figure names that identifies the layout.
 func (l Layout) label() string { return fmt.Sprintf("%dz", l.Zones) }
 
-// processName is a member's identity in the log: its name and incarnation. restarts counts its restarts.
+// processName returns a member's identity in the log, name and incarnation, after a number of restarts.
 func processName(n, restarts int) string {
 	return fmt.Sprintf("instance-%04d#%x", n, uint64(firstIncarnation)+uint64(restarts))
 }
 
-// backends are the backends of the fleet, distributed over the same zones.
+// backends returns the backends of the fleet, distributed over the same zones.
 func (l Layout) backends() []ring.Backend {
 	layout := Layout{Size: l.backendCount(), Zones: l.Zones, Regions: l.Regions}
 	backends := make([]ring.Backend, layout.Size)
@@ -53,7 +54,7 @@
 
 func (l Layout) backendCount() int { return l.Size * backendsPerGroup / membersPerGroup }
 
-// slots is the number of slots of the ring: a power of two, with slotsPerBackend for each backend up to the maximum of package ring.
+// slots returns the number of slots of the ring: a power of two with at least slotsPerBackend per backend, up to ring.MaxSlots.
 func (l Layout) slots() int {
 	slots := minSlots
 	for slots < slotsPerBackend*l.Size*backendsPerGroup/membersPerGroup && slots < ring.MaxSlots {
--- a/internal/lab/scale/decisions/lease.go
+++ b/internal/lab/scale/decisions/lease.go
@@ -11,17 +11,20 @@
 )
 
 const (
-	leaseStep             = 25 * time.Millisecond
-	warmUpLeases          = 4
-	measuredLeases        = 60 // without a fault
-	maxTakeoverLeases     = 30
-	afterHealLeases       = 2
+	leaseStep = 25 * time.Millisecond
+
+	// Periods as multiples of the lease duration.
+	warmUpLeases      = 4
+	measuredLeases    = 60 // without faults
+	maxTakeoverLeases = 30
+	afterHealLeases   = 2
+
 	maxEntriesPerDelivery = 256
 	leaseSeed             = 0x07e4
-	sampleIncarnation     = 0x18f3a2b4c5000000 // as long as a real one is when it is encoded
+	sampleIncarnation     = 0x18f3a2b4c5000000 // encodes to the length of a real one
 )
 
-// The defaults of cmd/thymechute.
+// The leases and duties of cmd/thymechute with its default settings.
 var (
 	leaseConfig = lease.Config{Duration: 2 * time.Second, MaxDrift: 0.01, SafetyMargin: 40 * time.Millisecond}
 	duties      = []string{"ring", "roll"}
@@ -33,12 +36,12 @@
 	return len(b)
 }
 
-// newLeaseFleet returns an emulated fleet, to be run by runLeases.
+// newLeaseFleet returns an emulated fleet for runLeases.
 func newLeaseFleet(c *collector, size int) (*emulator.LeaseSim, error) {
 	return emulator.NewLeaseSim(size, leaseConfig, newRandom(c.seed, leaseSeed), duties...)
 }
 
-// runLeases runs a fleet until the given time, with a log that commits every proposal at once and in order.
+// runLeases advances a fleet to the given time. Its log commits every proposal immediately and in order.
 func runLeases(s *emulator.LeaseSim, until time.Duration) {
 	for s.Now() < until {
 		s.Advance(leaseStep)
@@ -49,7 +52,7 @@
 	}
 }
 
-// measureLeases measures the entries that keep the leases of a fleet without faults.
+// measureLeases measures the log entries that renew the leases in a fleet without faults.
 func measureLeases(c *collector, l Layout) error {
 	s, err := newLeaseFleet(c, l.Size)
 	if err != nil {
@@ -69,12 +72,12 @@
 	c.addPoint("owner_entries_day", "log_leader", 0, l.Size, float64(len(entries))/measured*86400)
 	c.addPoint("owner_entry_bytes", "log_leader", 0, l.Size, float64(total)/float64(max(len(entries), 1)))
 	if err := s.Check(); err != nil {
-		c.result.AddFault("owner at %d: %v", l.Size, err)
+		c.result.AddFault("leases at %d members: %v", l.Size, err)
 	}
 	return measureElector(c, l)
 }
 
-// measureElector times an entry's application and a tick at one member, and measures the table's snapshot.
+// measureElector measures the time that one member takes to apply an entry and tick, and the size of the table's snapshot.
 func measureElector(c *collector, l Layout) error {
 	table, err := lease.NewTable(duties...)
 	if err != nil {
@@ -93,7 +96,7 @@
 	return err
 }
 
-// discardHost is a lease.Host that loses all proposals.
+// discardHost is a lease.Host that discards all proposals.
 type discardHost struct{}
 
 // Propose implements lease.Host.
@@ -105,7 +108,7 @@
 // LeaseLost implements lease.Host.
 func (discardHost) LeaseLost(string) {}
 
-// measureLeaseLosses measures the takeover after each kind of loss that takes the holder of a duty.
+// measureLeaseLosses measures the takeover of the duties after each kind of loss that includes the lease holder.
 func measureLeaseLosses(c *collector, l Layout) error {
 	for _, kind := range lossKinds {
 		s, err := newLeaseFleet(c, l.Size)
@@ -115,15 +118,15 @@
 		runLeases(s, warmUpLeases*leaseConfig.Duration)
 		holder := s.HolderOf(duties[0])
 		if holder == nil {
-			return fmt.Errorf("owner: nobody holds %s at %d members", duties[0], l.Size)
+			return fmt.Errorf("leases: found no holder of duty %s after the warm-up with %d members", duties[0], l.Size)
 		}
 		c.measureTakeover("owner_"+l.label()+"_"+string(kind), s, l.lossAround(kind, slices.Index(s.Members, holder)))
 	}
 	return nil
 }
 
-// measureTakeover cuts off the members of a loss until others hold all leases, then heals. It measures the time, the
-// claims that this took, and those after the heal.
+// measureTakeover partitions the lost members until the others hold all leases, then heals the partition. It measures the time and
+// the number of lease acquisitions until then, and the number of acquisitions after the heal.
 func (c *collector) measureTakeover(name string, s *emulator.LeaseSim, loss Loss) {
 	lost := s.Members[loss.From:loss.To]
 	for _, m := range lost {
@@ -135,22 +138,22 @@
 	}
 	took := s.Now() - start
 	if !isTakenOver(s, loss) {
-		c.result.AddFault("%s: nobody took the duties over within %v", name, took)
+		c.result.AddFault("%s: duties not taken over within %v", name, took)
 	}
 	c.result.SetFigure(name+"_takeover_s", took.Seconds())
-	c.result.SetFigure(name+"_claims", float64(countClaims(s.Entries()[entries:])))
+	c.result.SetFigure(name+"_claims", float64(countAcquisitions(s.Entries()[entries:])))
 	for _, m := range lost {
 		m.InboundCut, m.OutboundCut = false, false
 	}
 	healed := len(s.Entries())
 	runLeases(s, s.Now()+afterHealLeases*leaseConfig.Duration)
-	c.result.SetFigure(name+"_heal_claims", float64(countClaims(s.Entries()[healed:])))
+	c.result.SetFigure(name+"_heal_claims", float64(countAcquisitions(s.Entries()[healed:])))
 	if err := s.Check(); err != nil {
 		c.result.AddFault("%s: %v", name, err)
 	}
 }
 
-// isTakenOver reports whether members outside the loss hold all leases.
+// isTakenOver reports whether members that are not lost hold all leases.
 func isTakenOver(s *emulator.LeaseSim, loss Loss) bool {
 	leases := 0
 	for n, m := range s.Members {
@@ -161,7 +164,7 @@
 	return leases == len(duties)
 }
 
-func countClaims(entries []lease.Command) (count int) {
+func countAcquisitions(entries []lease.Command) (count int) {
 	for _, e := range entries {
 		if e.Kind == lease.Acquire {
 			count++
--- a/internal/lab/scale/decisions/loss.go
+++ b/internal/lab/scale/decisions/loss.go
@@ -2,7 +2,7 @@
 
 import "math/rand/v2"
 
-// LossKind is what fails at once.
+// LossKind is the failure domain of a loss.
 type LossKind string
 
 // The kinds of losses.
@@ -14,38 +14,38 @@
 	lossOfRegion  LossKind = "region"
 )
 
-// lossKinds are the kinds of losses, from the smallest.
+// lossKinds are the kinds of losses, the smallest first.
 var lossKinds = []LossKind{lossOfMachine, lossOfRack, lossOfZone, lossOfRegion}
 
-// Loss is a range of members that fail at once, from From to before To.
+// Loss is a half-open range [From, To) of members, or of backends, that fail at the same time.
 type Loss struct {
 	Kind     LossKind
 	From, To int
 }
 
-// contains reports whether member n fails.
+// contains reports whether member n is lost.
 func (l Loss) contains(n int) bool { return n >= l.From && n < l.To }
 
-// lossAround is the loss of a kind that takes member n.
+// lossAround returns a loss of that kind that contains member n.
 func (l Layout) lossAround(kind LossKind, n int) Loss {
 	switch kind {
 	case lossOfMachine:
 		return Loss{kind, n, n + 1}
 	case lossOfRack:
-		zoneFrom, zoneTo := l.neighbours(n, l.zone)
+		zoneFrom, zoneTo := l.groupAround(n, l.zone)
 		size := min(rackMembers, max((zoneTo-zoneFrom)/2, 1))
 		from := min(n, zoneTo-size)
 		return Loss{kind, from, from + size}
 	case lossOfZone:
-		from, to := l.neighbours(n, l.zone)
+		from, to := l.groupAround(n, l.zone)
 		return Loss{kind, from, to}
 	}
-	from, to := l.neighbours(n, l.region)
+	from, to := l.groupAround(n, l.region)
 	return Loss{kind, from, to}
 }
 
-// neighbours is the range of members around n that have n's value of group.
-func (l Layout) neighbours(n int, group func(int) int) (from, to int) {
+// groupAround returns the half-open range of members around n that are in the same group as n.
+func (l Layout) groupAround(n int, group func(int) int) (from, to int) {
 	from, to = n, n+1
 	for from > 0 && group(from-1) == group(n) {
 		from--
@@ -56,10 +56,10 @@
 	return from, to
 }
 
-// randomLoss is a random loss of a kind.
+// randomLoss returns the loss of that kind around a random member.
 func (l Layout) randomLoss(kind LossKind, r *rand.Rand) Loss {
 	return l.lossAround(kind, r.IntN(l.Size))
 }
 
-// newRandom is the random generator of one measurement, by the run's seed and a stream of its own.
+// newRandom returns the random generator of one measurement. The stream separates it from other measurements with the same seed.
 func newRandom(seed, stream uint64) *rand.Rand { return rand.New(rand.NewPCG(seed, stream)) }
--- a/internal/lab/scale/decisions/ring.go
+++ b/internal/lab/scale/decisions/ring.go
@@ -11,18 +11,18 @@
 )
 
 const (
-	ringSlack          = 0.05
-	acknowledgedLeases = 4
-	tickInterval       = 20 * time.Millisecond
-	fewSlots           = 64 // of the members that only acknowledge
-	leaderToken        = 7
+	ringSlack            = 0.05
+	acknowledgedLeases   = 4 // measured period, in lease durations
+	tickInterval         = 20 * time.Millisecond
+	acknowledgementSlots = 64 // in the table whose acknowledgements are measured
+	leaderToken          = 7
 )
 
-// ringTerms are a lease of 2 s, as the log's own.
+// ringTerms are those of a lease of 2 s, like the leases of the log.
 var ringTerms = ring.LeaseTerms{Duration: 2 * time.Second, MaxDrift: 0.01, CancelDelay: 20 * time.Millisecond}
 
-// table is a ring in force over all backends.
-func (l Layout) table() (*ring.Table, error) {
+// activeTable returns a ring table planned over all backends.
+func (l Layout) activeTable() (*ring.Table, error) {
 	empty, err := ring.New(l.slots())
 	if err != nil {
 		return nil, err
@@ -31,8 +31,8 @@
 	return table, err
 }
 
-// without is the backends that a loss leaves.
-func without(backends []ring.Backend, loss Loss) (rest []ring.Backend) {
+// remainingBackends returns the backends that are not lost.
+func remainingBackends(backends []ring.Backend, loss Loss) (rest []ring.Backend) {
 	for n, b := range backends {
 		if !loss.contains(n) {
 			rest = append(rest, b)
@@ -41,13 +41,13 @@
 	return rest
 }
 
-// backendLosses places a loss among the backends as among the members.
-func (l Layout) backendLosses() Layout {
+// backendLayout returns the layout of the backends, in which losses are chosen as among the members.
+func (l Layout) backendLayout() Layout {
 	return Layout{Size: len(l.backends()), Zones: l.Zones, Regions: l.Regions}
 }
 
 func measureRing(c *collector, l Layout) error {
-	table, err := l.table()
+	table, err := l.activeTable()
 	if err != nil {
 		return err
 	}
@@ -55,7 +55,7 @@
 	for _, kind := range []LossKind{lossOfMachine, lossOfRegion} {
 		r := newRandom(c.seed, 0x41a6)
 		c.addTiming("ring_plan_"+string(kind)+"_lost", "owner_of_ring", l.Size, func(int) {
-			_, _, _, err = table.Plan(without(backends, l.backendLosses().randomLoss(kind, r)), ring.BalanceBound{Slack: ringSlack}, nil)
+			_, _, _, err = table.Plan(remainingBackends(backends, l.backendLayout().randomLoss(kind, r)), ring.BalanceBound{Slack: ringSlack}, nil)
 		})
 	}
 	if err != nil {
@@ -67,7 +67,7 @@
 		return err
 	}
 	c.addPoint("ring_snapshot_bytes", "member", 0, l.Size, float64(len(encoded)))
-	c.addPoint("ring_table_heap_bytes", "member", 0, l.Size, meanHeapBytes(func() any { made, _ := l.table(); return made }))
+	c.addPoint("ring_table_heap_bytes", "member", 0, l.Size, meanHeapBytes(func() any { made, _ := l.activeTable(); return made }))
 	freeze, activation, err := migrationEntryBytes(l)
 	if err != nil {
 		return err
@@ -77,15 +77,15 @@
 	return measureAcknowledgements(c, l)
 }
 
-// recordedLog is the log as one Controller sees it: what it proposes is recorded, and applied by the caller.
-type recordedLog struct {
+// recordingLog is the slots.Log of one Controller. It records proposals; step applies them.
+type recordingLog struct {
 	process  string
 	now      time.Duration
 	seq      uint64
 	proposed []lease.Command
 }
 
-func (l *recordedLog) propose(c lease.Command) uint64 {
+func (l *recordingLog) propose(c lease.Command) uint64 {
 	l.seq++
 	c.Member, c.Incarnation, c.Seq, c.Duty = l.process, sampleIncarnation, l.seq, slots.Duty
 	l.proposed = append(l.proposed, c)
@@ -93,21 +93,21 @@
 }
 
 // DecideNow implements slots.Log.
-func (l *recordedLog) DecideNow(_, body string) bool {
+func (l *recordingLog) DecideNow(_, body string) bool {
 	l.propose(lease.Command{Kind: lease.Decide, Token: leaderToken, Body: body})
 	return true
 }
 
 // Announce implements slots.Log.
-func (l *recordedLog) Announce(_, body string) uint64 {
+func (l *recordingLog) Announce(_, body string) uint64 {
 	return l.propose(lease.Command{Kind: lease.Announce, Body: body})
 }
 
 // Now implements slots.Log.
-func (l *recordedLog) Now() time.Duration { return l.now }
+func (l *recordingLog) Now() time.Duration { return l.now }
 
-// step ticks a controller, and applies what it proposes.
-func (l *recordedLog) step(c *slots.Controller) (applied []lease.Command) {
+// step ticks the controller and applies its proposals.
+func (l *recordingLog) step(c *slots.Controller) (applied []lease.Command) {
 	c.Tick(l.now)
 	applied, l.proposed = l.proposed, nil
 	for _, entry := range applied {
@@ -117,8 +117,8 @@
 	return applied
 }
 
-func newController(process string, slotCount int) (*slots.Controller, *recordedLog, error) {
-	l := &recordedLog{process: process}
+func newController(process string, slotCount int) (*slots.Controller, *recordingLog, error) {
+	l := &recordingLog{process: process}
 	c, err := slots.New(slots.Config{Process: process, Incarnation: sampleIncarnation, Slots: slotCount, Terms: ringTerms,
 		Bound: ring.BalanceBound{Slack: ringSlack}, Notify: func(string) {}}, l)
 	return c, l, err
@@ -126,8 +126,8 @@
 
 var accepted = lease.Outcome{Accepted: true}
 
-// migrate lets a leader freeze and activate a table over these backends, and returns both entries.
-func migrate(c *slots.Controller, l *recordedLog, backends []ring.Backend) (entries []lease.Command, err error) {
+// proposeMigration makes a leader freeze and activate a table over these backends, and returns both entries.
+func proposeMigration(c *slots.Controller, l *recordingLog, backends []ring.Backend) (entries []lease.Command, err error) {
 	const wanted = 2
 	c.SetBackends(backends)
 	c.LeaseAcquired(0)
@@ -139,38 +139,38 @@
 		}
 	}
 	if len(entries) < wanted {
-		return nil, fmt.Errorf("ring: found %d entries of a migration, expected a freeze and an activation", len(entries))
+		return nil, fmt.Errorf("ring migration: found %d entries, expected 2: a freeze and an activation", len(entries))
 	}
 	return entries[:wanted], nil
 }
 
-// migrationEntryBytes are the sizes of a migration's entries.
+// migrationEntryBytes returns the sizes of the two log entries of a migration.
 func migrationEntryBytes(l Layout) (freeze, activation int, err error) {
 	c, log, err := newController(processName(0, 0), l.slots())
 	if err != nil {
 		return 0, 0, err
 	}
-	entries, err := migrate(c, log, l.backends())
+	entries, err := proposeMigration(c, log, l.backends())
 	if err != nil {
 		return 0, 0, err
 	}
 	return entryBytes(entries[0]), entryBytes(entries[1]), nil
 }
 
-// measureAcknowledgements counts what all members put into the log to renew their leases of a table that does not change.
+// measureAcknowledgements measures the log entries by which all members renew their leases of an unchanged table.
 func measureAcknowledgements(c *collector, l Layout) error {
 	backends := Layout{Size: 12, Zones: 3, Regions: 1}.backends()
-	leader, log, err := newController(processName(0, 0), fewSlots)
+	leader, log, err := newController(processName(0, 0), acknowledgementSlots)
 	if err != nil {
 		return err
 	}
-	table, err := migrate(leader, log, backends)
+	table, err := proposeMigration(leader, log, backends)
 	if err != nil {
 		return err
 	}
 	count, bytes := 0, 0
 	for n := range l.Size {
-		entries, err := acknowledgements(processName(n, 0), table)
+		entries, err := memberAcknowledgements(processName(n, 0), table)
 		if err != nil {
 			return err
 		}
@@ -185,9 +185,9 @@
 	return nil
 }
 
-// acknowledgements are what one member proposes in acknowledgedLeases after a table has become active.
-func acknowledgements(process string, table []lease.Command) (entries []lease.Command, err error) {
-	c, log, err := newController(process, fewSlots)
+// memberAcknowledgements returns what one member proposes during acknowledgedLeases lease durations after a table became active.
+func memberAcknowledgements(process string, table []lease.Command) (entries []lease.Command, err error) {
+	c, log, err := newController(process, acknowledgementSlots)
 	if err != nil {
 		return nil, err
 	}
@@ -200,9 +200,10 @@
 	return entries, nil
 }
 
-// measureRingLosses removes backends at once and adds them again: migrations over the minimum, and the slowest plan.
+// measureRingLosses removes the backends of each kind of loss at once and adds them again. It measures the migrated slots, also
+// relative to the minimum, and the time of the plans.
 func measureRingLosses(c *collector, l Layout) error {
-	table, err := l.table()
+	table, err := l.activeTable()
 	if err != nil {
 		return err
 	}
@@ -210,20 +211,20 @@
 	backends := l.backends()
 	for _, kind := range lossKinds {
 		name := "ring_" + l.label() + "_" + string(kind)
-		rest := without(backends, l.backendLosses().randomLoss(kind, r))
-		less, err := c.plan(name+"_lost", table, rest)
+		rest := remainingBackends(backends, l.backendLayout().randomLoss(kind, r))
+		less, err := c.measurePlan(name+"_lost", table, rest)
 		if err != nil {
 			return err
 		}
-		if _, err := c.plan(name+"_back", less, backends); err != nil {
+		if _, err := c.measurePlan(name+"_back", less, backends); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// plan times and puts one plan. It returns the planned table.
-func (c *collector) plan(name string, table *ring.Table, backends []ring.Backend) (*ring.Table, error) {
+// measurePlan measures one plan and adds its figures. It returns the planned table.
+func (c *collector) measurePlan(name string, table *ring.Table, backends []ring.Backend) (*ring.Table, error) {
 	var next *ring.Table
 	var migrations []ring.Migration
 	var minimum int
@@ -237,9 +238,9 @@
 	c.result.SetFigure(name+"_moved", float64(len(migrations)))
 	c.result.SetFigure(name+"_moved_over_least", float64(len(migrations))/float64(max(minimum, 1)))
 	c.result.SetFigure(name+"_plan_ms_p50", scale.Milliseconds(t.p50))
-	c.result.SetFigure(name+"_plan_ms_worst", scale.Milliseconds(t.worst))
+	c.result.SetFigure(name+"_plan_ms_worst", scale.Milliseconds(t.max))
 	if len(migrations) > minimum {
-		c.result.AddFault("%s: %d slots migrated, the minimum is %d", name, len(migrations), minimum)
+		c.result.AddFault("%s: found %d migrated slots, expected the minimum %d", name, len(migrations), minimum)
 	}
 	return next, nil
 }
--- a/internal/lab/scale/decisions/ring_test.go
+++ b/internal/lab/scale/decisions/ring_test.go
@@ -7,11 +7,11 @@
 	"thymechute/internal/decide/ring"
 )
 
-// planDigests are sums over the digests of the tables of digestsAfterLosses, recorded before the search for failover targets was
-// made faster. All builds that run in one fleet make the same plan.
+// planDigests are sums over the digests of digestsAfterLosses, recorded before the search for failover targets was optimized. Plans
+// must not change between builds, as different builds can run in one fleet.
 var planDigests = map[string]uint64{"alike": 0x53d5c8859716abb1, "unlike": 0x9b2f29c02689bff2}
 
-// digestsAfterLosses returns the digest of each table that follows a loss of backends or their return, on rings with these weights.
+// digestsAfterLosses returns the digest of each table planned after backends with these weights were lost or returned.
 func digestsAfterLosses(t *testing.T, name string, weight func(n int) float64) map[string]uint64 {
 	out := map[string]uint64{}
 	for _, l := range []Layout{{Size: 240, Zones: 8, Regions: 4}, {Size: 360, Zones: 10, Regions: 4}} {
@@ -27,7 +27,7 @@
 		for seed := range uint64(3) {
 			r := newRandom(seed, 0x41a7)
 			for _, kind := range lossKinds {
-				table = mustPlan(t, table, without(backends, l.backendLosses().randomLoss(kind, r)))
+				table = mustPlan(t, table, remainingBackends(backends, l.backendLayout().randomLoss(kind, r)))
 				key := fmt.Sprint(name, "-", l.Size, "-", seed, "-", kind)
 				out[key+"-lost"] = table.Digest()
 				table = mustPlan(t, table, backends)
@@ -38,11 +38,11 @@
 	return out
 }
 
-// mustPlan returns the next table, and fails the test unless it has the fewest migrations.
+// mustPlan returns the next table. It fails the test unless the number of migrations is the minimum.
 func mustPlan(t *testing.T, table *ring.Table, backends []ring.Backend) *ring.Table {
 	next, migrations, minimum, err := table.Plan(backends, ring.BalanceBound{Slack: ringSlack}, nil)
 	if err != nil || len(migrations) != minimum {
-		t.Fatalf("%d migrations, minimum %d, %v", len(migrations), minimum, err)
+		t.Fatalf("found %d migrations, error %v, expected the minimum %d", len(migrations), err, minimum)
 	}
 	return next
 }
@@ -55,24 +55,25 @@
 	for name, weight := range weights {
 		all := uint64(0)
 		for key, digest := range digestsAfterLosses(t, name, weight) {
-			all += digest * (uint64(len(key)) + 1) // a sum, as maps have no order
+			all += digest * (uint64(len(key)) + 1) // a sum, as the iteration order of maps is random
 		}
 		if all != planDigests[name] {
-			t.Errorf("%s: digest %#x, expected %#x", name, all, planDigests[name])
+			t.Errorf("weights %s: found digest sum %#x, expected %#x", name, all, planDigests[name])
 		}
 	}
 }
 
-// BenchmarkPlanOfARegionLost measures the longest plan: a quarter of 500 backends is removed at once, with 65,536 slots.
+// BenchmarkPlanOfARegionLost measures the most expensive plan, the loss of a region: at 1,200 members a quarter of 500 backends is
+// removed at once, with 65,536 slots.
 func BenchmarkPlanOfARegionLost(b *testing.B) {
 	for _, size := range []int{240, 480, 720, 1200} {
 		b.Run(fmt.Sprint(size, " members"), func(b *testing.B) {
 			l := Layout{Size: size, Zones: size / membersPerZone, Regions: 4}
-			table, err := l.table()
+			table, err := l.activeTable()
 			if err != nil {
 				b.Fatal(err)
 			}
-			rest := without(l.backends(), l.backendLosses().lossAround(lossOfRegion, 0))
+			rest := remainingBackends(l.backends(), l.backendLayout().lossAround(lossOfRegion, 0))
 			for b.Loop() {
 				_, _, _, _ = table.Plan(rest, ring.BalanceBound{Slack: ringSlack}, nil)
 			}
--- a/internal/lab/scale/decisions/rollout.go
+++ b/internal/lab/scale/decisions/rollout.go
@@ -10,21 +10,21 @@
 )
 
 const (
-	rolloutDrainTime    = 30 * time.Second // from a drain to the restart
+	rolloutDrainTime    = 30 * time.Second // from the start of a drain to the restart
 	rolloutLossAt       = 10 * time.Minute
 	rolloutLossDuration = 10 * time.Minute
 	rolloutMaxDuration  = 3 * time.Hour
-	rolloutLoad         = 0.7                // of a zone's capacity: with a region's load on top none is left for a drain
-	halfDrainTime       = 3300 * time.Second // for the drains of half the members; the rest of the hour is the last ones' restart
-	memberCapacity      = 100                // work items a second
-	memberLoad          = 60                 // work items a second
+	rolloutLoad         = 0.7                // of a zone's capacity; with the load of a lost region added there is no capacity left for a drain
+	releaseDrainTime    = 3300 * time.Second // to drain half of the members; the rest of the hour is for the last restarts
+	memberCapacity      = 100                // work items per second
+	memberLoad          = 60                 // work items per second
 	installedRelease    = "2026.11.30-1"
 	wantedRelease       = "2026.12.01-1"
 )
 
-// maxUnavailable is how many are being replaced at the same time, if half the members are to be replaced within an hour.
+// maxUnavailable returns the number of concurrent replacements that is needed to replace half of the members within an hour.
 func (l Layout) maxUnavailable() int {
-	return int(float64(l.Size/2)*(rolloutDrainTime+time.Second).Seconds()/halfDrainTime.Seconds()) + 1
+	return int(float64(l.Size/2)*(rolloutDrainTime+time.Second).Seconds()/releaseDrainTime.Seconds()) + 1
 }
 
 func (l Layout) rolloutLimits() rollout.Limits {
@@ -32,22 +32,24 @@
 		InitialCapacityFraction: 0.2, WarmUpTime: 16 * time.Second}
 }
 
-// rolloutMembers are the members, half of which run the release already. All but those of a lost region restart with it.
+// rolloutMembers returns the members, half of which already run the new release. Lost members restart with it, except those of a
+// lost region.
 func (l Layout) rolloutMembers(loss Loss) []emulator.RolloutMember {
 	members := make([]emulator.RolloutMember, l.Size)
 	for n := range members {
-		members[n] = emulator.RolloutMember{Zone: l.zoneName(n), IsUpdated: n%2 == 1, IsLost: loss.contains(n), IsUpdatedByLoss: loss.Kind != lossOfRegion}
+		members[n] = emulator.RolloutMember{Zone: l.zoneName(n), IsUpdated: n%2 == 1, IsLost: loss.contains(n),
+			IsUpdatedByLoss: loss.Kind != lossOfRegion}
 	}
 	emulator.SpreadVoters(members, targetVoters)
 	return members
 }
 
-// instances are the members as the rollout's leader sees them, all at the old release, and their zones' loads.
+// instances returns the members as the leader of the rollout sees them, all with the old release, and the load of each zone.
 func (l Layout) instances() (fleet []rollout.Instance, load map[string]float64) {
 	load = map[string]float64{}
 	for n, m := range l.rolloutMembers(Loss{}) {
-		fleet = append(fleet, rollout.Instance{Name: processName(n, 0), Zone: m.Zone, Release: installedRelease, Incarnation: sampleIncarnation + uint64(n),
-			Capacity: memberCapacity, Age: time.Hour, IsVoter: m.IsVoter, IsLeader: m.IsLeader})
+		fleet = append(fleet, rollout.Instance{Name: processName(n, 0), Zone: m.Zone, Release: installedRelease,
+			Incarnation: sampleIncarnation + uint64(n), Capacity: memberCapacity, Age: time.Hour, IsVoter: m.IsVoter, IsLeader: m.IsLeader})
 		load[m.Zone] += memberLoad
 	}
 	return fleet, load
@@ -75,11 +77,11 @@
 	return measureRolloutSizes(c, l, fleet, load)
 }
 
-// measureRolloutSizes drains all, and sizes entries, table and snapshot.
+// measureRolloutSizes measures the size of a drain's log entry, and of the table and its snapshot after all members were drained.
 func measureRolloutSizes(c *collector, l Layout, fleet []rollout.Instance, load map[string]float64) error {
 	bodies := rolloutCommands(l.rolloutLimits(), fleet, load)
 	if len(bodies) < 2 {
-		c.result.AddFault("rollout at %d: nobody was drained", l.Size)
+		c.result.AddFault("rollout at %d members: no member was drained", l.Size)
 		return nil
 	}
 	c.addPoint("roll_entry_bytes", "log_leader", 0, l.Size, float64(entryBytes(rolloutEntry(bodies[1]))))
@@ -96,7 +98,7 @@
 	return err
 }
 
-// rolloutCommands are the first commands of a rollout's leader: the release and, once that is applied, the first drains.
+// rolloutCommands returns the first commands of the leader of a rollout: the release and, after that was applied, the first drains.
 func rolloutCommands(limits rollout.Limits, fleet []rollout.Instance, load map[string]float64) (bodies []string) {
 	c := rolling.New(rolling.Config{
 		Name:              "x",
@@ -126,8 +128,8 @@
 		Token: leaderToken, Body: body}
 }
 
-// measureRolloutLosses replaces half of the members within an hour, through each kind of loss. The remaining members take over the
-// load of the lost ones. Members of a lost region are partitioned and return unchanged; those of the other losses restart.
+// measureRolloutLosses replaces half of the members within an hour while each kind of loss occurs. The remaining members take over
+// the load of the lost ones. Members of a lost region are partitioned and return unchanged; those of other losses restart.
 func measureRolloutLosses(c *collector, l Layout) error {
 	r := newRandom(c.seed, 0x6011)
 	for _, kind := range append([]LossKind{noLoss}, lossKinds...) {
@@ -143,19 +145,19 @@
 		if err != nil {
 			return err
 		}
-		c.putRollout("roll_"+l.label()+"_"+string(kind), f)
+		c.addRolloutFigures("roll_"+l.label()+"_"+string(kind), f)
 	}
 	return nil
 }
 
-func (c *collector) putRollout(name string, f emulator.RolloutLossFigures) {
+func (c *collector) addRolloutFigures(name string, f emulator.RolloutLossFigures) {
 	for figure, value := range map[string]float64{"took_s": f.Duration.Seconds(), "held_s": f.BlockedTime.Seconds(), "drains": float64(f.Drains),
 		"drains_in_loss": float64(f.DrainsDuringLoss), "resumed_s": f.ResumeDelay.Seconds(), "over_floor_min": f.MinCapacityOverRequired,
 		"stuck_most": float64(f.MaxStuck)} {
 		c.result.SetFigure(name+"_"+figure, value)
 	}
 	if f.DrainsBelowRequired > 0 || f.DuplicateDrains > 0 || f.MaxVotersDraining > 1 || f.CompletedFraction < 1-1e-9 || f.Duration == 0 {
-		c.result.AddFault("%s: %d drains below the required capacity, %d twice, %d voters at once, %.3f updated, took %v", name, f.DrainsBelowRequired, f.DuplicateDrains,
-			f.MaxVotersDraining, f.CompletedFraction, f.Duration)
+		c.result.AddFault("%s: %d drains below the required capacity, %d duplicate, %d voters draining at once, %.3f updated, took %v", name,
+			f.DrainsBelowRequired, f.DuplicateDrains, f.MaxVotersDraining, f.CompletedFraction, f.Duration)
 	}
 }
--- a/internal/lab/scale/decisions/subsets.go
+++ b/internal/lab/scale/decisions/subsets.go
@@ -9,12 +9,12 @@
 )
 
 const (
-	subsetSize = 4      // backends per member
-	lossStream = 0x50b5 // tells the random sequence of the losses from others of the same seed
-	unranked   = -1     // the claim of a member that has no rank yet
+	subsetSize       = 4      // backends per member
+	subsetLossStream = 0x50b5 // random stream of the losses
+	unranked         = -1     // rank claimed by a member that has none yet
 )
 
-// subsetView is a fleet's claims and its backends.
+// subsetView is the members' rank claims and the backends, the input of subset assignment.
 type subsetView struct {
 	claims   []subset.Claim
 	backends []string
@@ -31,8 +31,8 @@
 	return v
 }
 
-// settled returns the view after each member has claimed the rank that the view gives it.
-func (v subsetView) settled() subsetView {
+// withSettledRanks returns the view after each member has claimed the rank that the view assigns to it.
+func (v subsetView) withSettledRanks() subsetView {
 	v.claims = slices.Clone(v.claims)
 	emulator.SettleRanks(v.claims)
 	return v
@@ -43,12 +43,12 @@
 	return subset.AssignSubsets(subset.StrategyDeterministic, v.claims, v.backends, subsetSize)
 }
 
-// without returns the view after a loss of members.
-func (v subsetView) without(loss Loss) subsetView {
-	return subsetView{claims: slices.Delete(slices.Clone(v.claims), loss.From, loss.To), backends: v.backends}.settled()
+// withoutMembers returns the view after a loss of members.
+func (v subsetView) withoutMembers(loss Loss) subsetView {
+	return subsetView{claims: slices.Delete(slices.Clone(v.claims), loss.From, loss.To), backends: v.backends}.withSettledRanks()
 }
 
-// measureSubsets times the decisions at one size, and counts what the loss of one backend opens.
+// measureSubsets measures the time of the decisions at one size, and the connections opened after the loss of one backend.
 func measureSubsets(c *collector, l Layout) error {
 	view := l.subsetView()
 	c.addTiming("subset_ranks", "member", l.Size, func(int) { subset.AssignRanks(view.claims) })
@@ -65,65 +65,65 @@
 	return nil
 }
 
-// measureSubsetLosses measures the loss and return of members, and then of backends, for each kind of loss.
+// measureSubsetLosses measures, for each kind of loss, the loss and return of members and then the loss of backends.
 func measureSubsetLosses(c *collector, l Layout) error {
-	random := newRandom(c.seed, lossStream)
+	random := newRandom(c.seed, subsetLossStream)
 	full := l.subsetView()
 	for _, kind := range lossKinds {
 		prefix := "subset_" + l.label() + "_" + string(kind) + "_"
 		loss := l.randomLoss(kind, random)
-		c.loseMembers(prefix, l, full, loss)
+		c.measureMemberLoss(prefix, l, full, loss)
 		if kind == lossOfRegion {
-			c.healRegion(prefix+"healed", full, loss)
+			c.measureRegionHeal(prefix+"healed", full, loss)
 		}
 		backends := Layout{Size: len(full.backends), Zones: l.Zones, Regions: l.Regions}
-		c.loseBackends(prefix+"below_lost", full, backends.randomLoss(kind, random))
+		c.measureBackendLoss(prefix+"below_lost", full, backends.randomLoss(kind, random))
 	}
 	return nil
 }
 
-// loseMembers loses members, which then join again without a rank, after all others.
-func (c *collector) loseMembers(prefix string, l Layout, full subsetView, loss Loss) {
+// measureMemberLoss measures the loss of members and their return. They rejoin without a rank and with the latest join epochs.
+func (c *collector) measureMemberLoss(prefix string, l Layout, full subsetView, loss Loss) {
 	lost := loss.To - loss.From
-	rest := full.without(loss)
-	c.opened(prefix+"lost", full, rest, subset.ViewChange{SubsetSize: subsetSize, Members: len(rest.claims),
+	rest := full.withoutMembers(loss)
+	c.measureOpened(prefix+"lost", full, rest, subset.ViewChange{SubsetSize: subsetSize, Members: len(rest.claims),
 		Backends: len(rest.backends), MembersLeft: lost})
 	rejoined := subsetView{claims: slices.Clone(rest.claims), backends: full.backends}
 	for n := loss.From; n < loss.To; n++ {
 		rejoined.claims = append(rejoined.claims, subset.Claim{Name: full.claims[n].Name, Rank: unranked, JoinEpoch: uint64(l.Size + n)})
 	}
-	rejoined = rejoined.settled()
-	c.opened(prefix+"back", rest, rejoined, subset.ViewChange{SubsetSize: subsetSize, Members: l.Size,
+	rejoined = rejoined.withSettledRanks()
+	c.measureOpened(prefix+"back", rest, rejoined, subset.ViewChange{SubsetSize: subsetSize, Members: l.Size,
 		Backends: len(rejoined.backends), MembersJoined: lost})
 }
 
-// loseBackends loses backends.
-func (c *collector) loseBackends(name string, full subsetView, loss Loss) {
+// measureBackendLoss measures the loss of backends.
+func (c *collector) measureBackendLoss(name string, full subsetView, loss Loss) {
 	fewer := full
 	fewer.backends = slices.Delete(slices.Clone(full.backends), loss.From, loss.To)
-	c.opened(name, full, fewer, subset.ViewChange{SubsetSize: subsetSize, Members: len(full.claims),
+	c.measureOpened(name, full, fewer, subset.ViewChange{SubsetSize: subsetSize, Members: len(full.claims),
 		Backends: len(fewer.backends), BackendsRemoved: loss.To - loss.From})
 }
 
-// healRegion reunites a region that was partitioned and settled ranks of its own with the rest; the claims of both sides
-// meet, the earlier joined first.
-func (c *collector) healRegion(name string, full subsetView, loss Loss) {
-	rest := full.without(loss)
-	region := subsetView{claims: slices.Clone(full.claims[loss.From:loss.To]), backends: full.backends}.settled()
+// measureRegionHeal measures the end of a partition of a region, during which each side settled its own ranks. The claims of both
+// sides then conflict; the member with the earlier join epoch wins.
+func (c *collector) measureRegionHeal(name string, full subsetView, loss Loss) {
+	rest := full.withoutMembers(loss)
+	region := subsetView{claims: slices.Clone(full.claims[loss.From:loss.To]), backends: full.backends}.withSettledRanks()
 	before := rest.subsets()
 	for member, chosen := range region.subsets() {
 		before[member] = chosen
 	}
-	healed := subsetView{claims: slices.Concat(rest.claims, region.claims), backends: full.backends}.settled()
-	c.putOpened(name, before, healed, (loss.To-loss.From)*subsetSize)
+	healed := subsetView{claims: slices.Concat(rest.claims, region.claims), backends: full.backends}.withSettledRanks()
+	c.addOpenedFigures(name, before, healed, (loss.To-loss.From)*subsetSize)
 }
 
-// opened reports what a change opens, over the minimum, and the imbalance after it.
-func (c *collector) opened(name string, before, after subsetView, change subset.ViewChange) {
-	c.putOpened(name, before.subsets(), after, change.MinOpenedConnections())
+// measureOpened adds the number of connections that a change opens, also relative to the minimum, and the imbalance after it.
+func (c *collector) measureOpened(name string, before, after subsetView, change subset.ViewChange) {
+	c.addOpenedFigures(name, before.subsets(), after, change.MinOpenedConnections())
 }
 
-func (c *collector) putOpened(name string, before map[string][]string, after subsetView, minimum int) {
+func (c *collector) addOpenedFigures(name string, before map[string][]string, after subsetView, minimum int) {
 	subsets := after.subsets()
 	opened := subset.OpenedConnections(before, subsets)
 	c.result.SetFigure(name+"_opened", float64(opened))
--- a/internal/lab/scale/decisions/timing.go
+++ b/internal/lab/scale/decisions/timing.go
@@ -7,15 +7,15 @@
 )
 
 const (
-	maxTimingTime = 3 * time.Second // of one decision's samples; further ones are left out
+	maxTimingTime = 3 * time.Second // for the samples of one decision; the remaining ones are skipped
 	minSamples    = 5
-	heapCopies    = 64
+	heapCopies    = 64 // values over which the heap size is averaged
 )
 
-// decisionTimes are statistics of the time of one decision.
-type decisionTimes struct{ p50, p99, worst time.Duration }
+// decisionTimes are statistics over the samples of one decision's time.
+type decisionTimes struct{ p50, p99, max time.Duration }
 
-// timeDecision runs a decision up to samples times and measures each run. A first run, which grows caches, is not measured.
+// timeDecision runs a decision up to samples times and measures each run. An initial run that warms the caches is not measured.
 func timeDecision(samples int, decide func(sample int)) decisionTimes {
 	decide(0)
 	var took []time.Duration
@@ -30,10 +30,10 @@
 	}
 	slices.Sort(took)
 	n := len(took)
-	return decisionTimes{p50: took[n/2], p99: took[(n*99-1)/100], worst: took[n-1]}
+	return decisionTimes{p50: took[n/2], p99: took[(n*99-1)/100], max: took[n-1]}
 }
 
-// meanHeapBytes is the mean heap size, in bytes, of a value that construct returns.
+// meanHeapBytes returns the mean heap size, in bytes, of the values that construct returns.
 func meanHeapBytes(construct func() any) float64 {
 	var before, after runtime.MemStats
 	values := [heapCopies]any{}
--- a/internal/lab/scale/decisions/voters.go
+++ b/internal/lab/scale/decisions/voters.go
@@ -11,17 +11,17 @@
 )
 
 const (
-	voterChangeInterval = 250 * time.Millisecond // that of internal/fleet/consensus
-	maxReplacementTime  = 30 * time.Second       // run after a loss
+	voterChangeInterval = 250 * time.Millisecond // as in internal/fleet/consensus
+	maxReplacementTime  = 30 * time.Second       // emulated time after a loss
 	targetVoters        = 5
-	joinOrders          = 200 // in which the voters of each region are counted; a tenth in the small run
+	joinOrders          = 200 // random join orders in which the voters of each region are counted; a tenth as many in a small run
 	votersSeed          = 0x707e
 )
 
-// voterConfig is that of cmd/thymechute with leases of 2 s.
+// voterConfig is the configuration that cmd/thymechute uses with leases of 2 s.
 var voterConfig = quorum.Config{MaxVoters: targetVoters, MinAge: 2 * time.Second, HoldDown: 4 * time.Second}
 
-// regionKnowledge says whether members name their regions.
+// regionKnowledge is whether members publish their regions.
 type regionKnowledge bool
 
 const (
@@ -29,13 +29,13 @@
 	regionsUnknown regionKnowledge = false
 )
 
-// voterFleet is a fleet with its voters.
+// voterFleet is a fleet whose voters are changed step by step.
 type voterFleet struct {
 	quorum.Fleet
 	layout Layout
 }
 
-// newVoterFleet returns a fleet whose members joined in this order, with its voters chosen one by one.
+// newVoterFleet returns a fleet whose members joined in the given order, with its voters already chosen.
 func newVoterFleet(l Layout, joinOrder []int, knowledge regionKnowledge) *voterFleet {
 	f := &voterFleet{layout: l, Fleet: quorum.Fleet{Members: make([]quorum.Member, l.Size)}}
 	for position, n := range joinOrder {
@@ -52,7 +52,7 @@
 	return f
 }
 
-// change makes the next change of the voters, if there is one.
+// change applies and returns the next change of the voters, quorum.NoChange if there is none.
 func (f *voterFleet) change() quorum.Change {
 	c := quorum.NextChange(f.Fleet, voterConfig)
 	switch c.Kind {
@@ -67,7 +67,7 @@
 	return c
 }
 
-// maxVotersPerRegion returns the most voters that a region has.
+// maxVotersPerRegion returns the largest number of voters in one region.
 func (f *voterFleet) maxVotersPerRegion() (most int) {
 	voters := map[int]int{}
 	for n, m := range f.Members {
@@ -80,8 +80,8 @@
 	return most
 }
 
-// position returns the place of a process among the members.
-func (f *voterFleet) position(process string) int {
+// memberIndex returns the index of a process in Members.
+func (f *voterFleet) memberIndex(process string) int {
 	return slices.IndexFunc(f.Members, func(m quorum.Member) bool { return m.Process == process })
 }
 
@@ -92,21 +92,22 @@
 	return numbers
 }
 
-// measureVoters times a decision with one voter to replace, and measures a membership entry.
+// measureVoters measures the time of a decision while one voter is unreachable, and the size of a membership entry.
 func measureVoters(c *collector, l Layout) error {
 	f := newVoterFleet(l, ascending(l.Size), regionsKnown)
 	if len(f.Voters) != targetVoters {
-		c.result.AddFault("voters: %d of %d chosen among %d", len(f.Voters), targetVoters, l.Size)
+		c.result.AddFault("voters: found %d, expected %d in a fleet of %d members", len(f.Voters), targetVoters, l.Size)
 	}
 	last := f.Voters[targetVoters-1]
-	f.Members[f.position(last)].UnreachableFor = time.Minute
+	f.Members[f.memberIndex(last)].UnreachableFor = time.Minute
 	f.Learners = nil
 	c.addTiming("voters", "log_leader", l.Size, func(int) { quorum.NextChange(f.Fleet, voterConfig) })
 	c.addPoint("log_membership_entry_bytes", "log_leader", 0, l.Size, float64(membershipEntryBytes(l.Size)))
 	return nil
 }
 
-// membershipEntryBytes returns the size of an entry by which a process joins or leaves the log: raft encodes all servers.
+// membershipEntryBytes returns the size of an entry by which a process joins or leaves the log. It contains the configuration of
+// all servers.
 func membershipEntryBytes(size int) int {
 	servers := make([]raft.Server, size)
 	for n := range servers {
@@ -117,8 +118,8 @@
 	return len(raft.EncodeConfiguration(raft.Configuration{Servers: servers}))
 }
 
-// measureVoterLosses measures each loss that takes the first voter, and counts the orders of joining in which a region has a
-// quorum: with regions known, and with zones alone.
+// measureVoterLosses measures each kind of loss that contains the first voter, and counts the join orders in which one region has a
+// quorum of the voters. It does so with the members' regions known, and with only their zones known.
 func measureVoterLosses(c *collector, l Layout) error {
 	for _, knowledge := range []regionKnowledge{regionsKnown, regionsUnknown} {
 		r := newRandom(c.seed, votersSeed)
@@ -128,7 +129,7 @@
 		}
 		for _, kind := range lossKinds {
 			f := newVoterFleet(l, r.Perm(l.Size), knowledge)
-			c.measureReplacement(name+"_"+string(kind), f, l.lossAround(kind, f.position(f.Voters[0])))
+			c.measureReplacement(name+"_"+string(kind), f, l.lossAround(kind, f.memberIndex(f.Voters[0])))
 		}
 		orders, withQuorum := joinOrders, 0
 		if c.samples == smallSamples {
@@ -142,13 +143,14 @@
 		}
 		c.result.SetFigure(name+"_region_with_quorum_part", float64(withQuorum)/float64(orders))
 		if knowledge == regionsKnown && withQuorum > 0 {
-			c.result.AddFault("%s: a region has a quorum in %d of %d orders of joining", name, withQuorum, orders)
+			c.result.AddFault("%s: one region has a quorum of the voters in %d of %d join orders, expected 0", name, withQuorum, orders)
 		}
 	}
 	return nil
 }
 
-// measureReplacement changes voters until all are reachable again, and measures the changes and the time of that.
+// measureReplacement changes voters for maxReplacementTime after a loss, and measures the number of changes and the time of the
+// last one.
 func (c *collector) measureReplacement(name string, f *voterFleet, loss Loss) {
 	lost, changes, took := 0, 0, time.Duration(0)
 	for n, m := range f.Members {
