--- a/internal/lab/scale/raftlog/childprocess.go
+++ b/internal/lab/scale/raftlog/childprocess.go
@@ -16,7 +16,7 @@
 	responses *json.Decoder
 }
 
-// startChild starts this executable with ChildCommand. stop must be called, also after the context has ended.
+// startChild starts this executable with ChildCommand. The caller must call stop, even after the context has ended.
 func startChild(ctx context.Context) (*childProcess, error) {
 	program, err := os.Executable()
 	if err != nil {
@@ -35,22 +35,22 @@
 	return c, c.command.Start()
 }
 
-// call sends a request and waits for the response. The child's own errors are *childError.
+// call sends a request and waits for the response. An error that the child reports is a *childError.
 func (c *childProcess) call(r request) (response, error) {
 	return roundTrip(c.requests, c.responses, r)
 }
 
-// stop ends the process by the end of its input.
+// stop closes the input of the process, which ends it, and waits for it.
 func (c *childProcess) stop() {
 	c.stdin.Close()
 	_ = c.command.Wait()
 }
 
-// electInChild runs the elections of one fleet in a process of its own, as the addresses are a process's.
-func electInChild(ctx context.Context, delayFactor float64) (Election, error) {
+// electInChild runs the elections of one fleet in its own process, as the loopback addresses are per process.
+func electInChild(ctx context.Context, delayFactor float64) (ElectionResult, error) {
 	c, err := startChild(ctx)
 	if err != nil {
-		return Election{}, err
+		return ElectionResult{}, err
 	}
 	defer c.stop()
 	reply, err := c.call(request{Operation: opElect, DelayFactor: delayFactor})
--- a/internal/lab/scale/raftlog/cluster.go
+++ b/internal/lab/scale/raftlog/cluster.go
@@ -8,24 +8,24 @@
 	"thymechute/internal/lab/scale"
 )
 
-const agreementPollInterval = 50 * time.Millisecond
+const followersPollInterval = 50 * time.Millisecond
 
-// cluster is a leader and its followers. The leader has a process of its own, so that its usage is its own; the followers
-// share one.
+// cluster is a leader and its followers. The leader runs in its own process, so that its usage is measured separately. The
+// followers share a process.
 type cluster struct {
 	leader, followers *childProcess
 	followerCount     int
 }
 
-// clusterConfig is the settings of a cluster.
+// clusterConfig configures a cluster.
 type clusterConfig struct {
 	heartbeatTimeout time.Duration
-	voters           int // the leader among them
+	voters           int // including the leader
 	nonVoters        int
-	tenants          int // in the state of the leader's state machine; 0 for none
+	tenants          int // in the state of the leader's state machine; 0 for no state
 }
 
-// startCluster starts a cluster, and returns the leader's response to its start too.
+// startCluster starts a cluster. It also returns the leader's response to opStart.
 func startCluster(ctx context.Context, config clusterConfig) (*cluster, response, error) {
 	c := &cluster{followerCount: config.voters - 1 + config.nonVoters}
 	var err error
@@ -63,24 +63,24 @@
 	c.followers.stop()
 }
 
-// clusterUsage is the usage of both processes at one moment.
+// clusterUsage is the usage of both processes at one time.
 type clusterUsage struct {
 	at                time.Time
 	leader, followers Usage
 }
 
 func (c *cluster) usage() (clusterUsage, error) {
-	leader, err := c.leader.call(request{Operation: opRead})
+	leader, err := c.leader.call(request{Operation: opUsage})
 	if err != nil {
 		return clusterUsage{}, err
 	}
-	followers, err := c.followers.call(request{Operation: opRead})
+	followers, err := c.followers.call(request{Operation: opUsage})
 	return clusterUsage{time.Now(), leader.Usage, followers.Usage}, err
 }
 
-// waitForAgreement waits until all followers have applied what the leader has.
-func (c *cluster) waitForAgreement(ctx context.Context) error {
-	for began := time.Now(); time.Since(began) < agreementTimeout; {
+// waitForFollowers waits until all followers have applied the entries that the leader has applied.
+func (c *cluster) waitForFollowers(ctx context.Context) error {
+	for began := time.Now(); time.Since(began) < followersTimeout; {
 		leader, err := c.leader.call(request{Operation: opApplied})
 		if err != nil {
 			return err
@@ -92,9 +92,9 @@
 		if followers.Applied >= leader.Applied {
 			return nil
 		}
-		if err := scale.Wait(ctx, agreementPollInterval); err != nil {
+		if err := scale.Wait(ctx, followersPollInterval); err != nil {
 			return err
 		}
 	}
-	return fmt.Errorf("followers not caught up within %v", agreementTimeout)
+	return fmt.Errorf("followers did not catch up with the leader within %v", followersTimeout)
 }
--- a/internal/lab/scale/raftlog/conn.go
+++ b/internal/lab/scale/raftlog/conn.go
@@ -6,10 +6,10 @@
 	"time"
 )
 
-// maxQueuedWrites bounds the queue of a delayedConn.
+// maxQueuedWrites is the capacity of the queue of a delayedConn.
 const maxQueuedWrites = 1024
 
-// delayedConn delivers what is written after a fixed delay, in order. A writer blocks while maxQueuedWrites are queued.
+// delayedConn delivers written data in order, after a fixed delay. Write blocks while maxQueuedWrites writes are queued.
 type delayedConn struct {
 	net.Conn
 	delay time.Duration
@@ -18,13 +18,13 @@
 	done  chan struct{}
 }
 
-// delayedWrite is the data of one Write, and when it is delivered.
+// delayedWrite is the data of one Write and its delivery time.
 type delayedWrite struct {
 	due  time.Time
 	data []byte
 }
 
-// newDelayedConn returns the connection itself if there is no delay.
+// newDelayedConn returns the connection with a delay on its writes, or the connection itself if the delay is 0.
 func newDelayedConn(conn net.Conn, delay time.Duration) net.Conn {
 	if delay == 0 {
 		return conn
@@ -34,7 +34,7 @@
 	return c
 }
 
-// deliver writes the queue to the connection, until that is closed or a write fails.
+// deliver writes queued data to the connection until it is closed or a write fails.
 func (c *delayedConn) deliver() {
 	for {
 		select {
@@ -50,7 +50,7 @@
 	}
 }
 
-// Write implements io.Writer. Errors of the delayed write are not returned: they close the connection.
+// Write implements io.Writer. An error of the delayed write is not returned; it closes the connection.
 func (c *delayedConn) Write(b []byte) (int, error) {
 	select {
 	case <-c.done:
--- a/internal/lab/scale/raftlog/cost.go
+++ b/internal/lab/scale/raftlog/cost.go
@@ -6,69 +6,69 @@
 	"thymechute/internal/lab/scale"
 )
 
-// Usage is what a process has spent up to one moment. It is sent from a child to its parent as JSON.
+// Usage is the resource usage of a process so far. A child sends it to its parent as JSON.
 type Usage struct {
-	Sent            int64   `json:"Sent"` // bytes
-	Received        int64   `json:"Received"`
-	Writes          int64   `json:"Writes"` // calls of Write: about one per message
-	ProcessorMillis float64 `json:"ProcessorMillis"`
-	Resident        float64 `json:"Resident"` // bytes
+	SentBytes     int64   `json:"Sent"`
+	ReceivedBytes int64   `json:"Received"`
+	Writes        int64   `json:"Writes"` // calls of Write, about one per message
+	CPUMillis     float64 `json:"ProcessorMillis"`
+	ResidentBytes float64 `json:"Resident"`
 }
 
-// newUsage joins the counts of a process's connections with its CPU time and memory.
+// newUsage combines the counts of a process's connections with its CPU time and memory.
 func newUsage(counts scale.ConnCounts, process scale.Usage) Usage {
 	return Usage{
-		Sent:            counts.SentBytes,
-		Received:        counts.ReceivedBytes,
-		Writes:          counts.Writes,
-		ProcessorMillis: scale.Milliseconds(process.CPU),
-		Resident:        float64(process.ResidentBytes),
+		SentBytes:     counts.SentBytes,
+		ReceivedBytes: counts.ReceivedBytes,
+		Writes:        counts.Writes,
+		CPUMillis:     scale.Milliseconds(process.CPU),
+		ResidentBytes: float64(process.ResidentBytes),
 	}
 }
 
-// since returns the usage after an earlier moment; the memory is the present one.
+// since returns the usage after an earlier one. The memory is the current one.
 func (u Usage) since(before Usage) Usage {
-	u.Sent -= before.Sent
-	u.Received -= before.Received
+	u.SentBytes -= before.SentBytes
+	u.ReceivedBytes -= before.ReceivedBytes
 	u.Writes -= before.Writes
-	u.ProcessorMillis -= before.ProcessorMillis
+	u.CPUMillis -= before.CPUMillis
 	return u
 }
 
-// Cost is what one process spent: the leader, or a follower on average.
+// Cost is the resource usage of one server: the leader, or the average follower.
 type Cost struct {
-	IdleSent, IdleReceived float64 // bytes per second without entries: heartbeats, and the commit index again
-	IdleMessages           float64 // sent per second
-	IdleProcessor          float64 // percent of a core
-	EntryBytes             float64 // both directions, beyond the idle cost, per entry
-	EntryProcessor         float64 // ms, beyond the idle cost, per entry
-	Resident               float64 // bytes
+	IdleSentPerSecond, IdleReceivedPerSecond float64 // bytes without entries: heartbeats and repeated commit indexes
+	IdleMessagesPerSecond                    float64 // sent
+	IdleCPUPercent                           float64 // of one core
+	EntryBytes                               float64 // per entry, both directions, without the idle cost
+	EntryCPUMillis                           float64 // per entry, without the idle cost
+	ResidentBytes                            float64
 }
 
-// idleBytes is the idle traffic in both directions, in bytes per second.
-func (c Cost) idleBytes() float64 { return c.IdleSent + c.IdleReceived }
+// idleBytesPerSecond returns the idle traffic in both directions.
+func (c Cost) idleBytesPerSecond() float64 { return c.IdleSentPerSecond + c.IdleReceivedPerSecond }
 
-// costInput is the usage of processes that share a meter, before and after an idle and a loaded period.
-type costInput struct {
+// usageSamples are the usage of a process that runs one or more servers: at the start, after an idle and after a loaded period.
+type usageSamples struct {
 	start, idle, loaded      Usage
 	idlePeriod, loadedPeriod time.Duration
 	entries                  int // in the loaded period
-	processes                int
+	servers                  int
 }
 
-// cost returns the average of one process, without its memory.
-func (in costInput) cost() Cost {
+// costPerServer returns the average cost of one server, without its memory.
+func (in usageSamples) costPerServer() Cost {
 	idle, loaded := in.idle.since(in.start), in.loaded.since(in.idle)
-	idleSeconds, processes, entries := in.idlePeriod.Seconds(), float64(in.processes), float64(in.entries)
+	idleSeconds, servers, entries := in.idlePeriod.Seconds(), float64(in.servers), float64(in.entries)
 	periodRatio := in.loadedPeriod.Seconds() / idleSeconds
-	extraBytes := float64(loaded.Sent+loaded.Received) - periodRatio*float64(idle.Sent+idle.Received)
-	extraProcessor := loaded.ProcessorMillis - periodRatio*idle.ProcessorMillis
+	extraBytes := float64(loaded.SentBytes+loaded.ReceivedBytes) - periodRatio*float64(idle.SentBytes+idle.ReceivedBytes)
+	extraCPUMillis := loaded.CPUMillis - periodRatio*idle.CPUMillis
 	return Cost{
-		IdleSent:       float64(idle.Sent) / idleSeconds / processes,
-		IdleReceived:   float64(idle.Received) / idleSeconds / processes,
-		IdleMessages:   float64(idle.Writes) / idleSeconds / processes,
-		IdleProcessor:  idle.ProcessorMillis / idleSeconds / 10 / processes,
-		EntryBytes:     extraBytes / entries / processes,
-		EntryProcessor: extraProcessor / entries / processes,
+		IdleSentPerSecond:     float64(idle.SentBytes) / idleSeconds / servers,
+		IdleReceivedPerSecond: float64(idle.ReceivedBytes) / idleSeconds / servers,
+		IdleMessagesPerSecond: float64(idle.Writes) / idleSeconds / servers,
+		IdleCPUPercent:        idle.CPUMillis / idleSeconds / 10 / servers,
+		EntryBytes:            extraBytes / entries / servers,
+		EntryCPUMillis:        extraCPUMillis / entries / servers,
 	}
 }
--- a/internal/lab/scale/raftlog/election.go
+++ b/internal/lab/scale/raftlog/election.go
@@ -2,7 +2,6 @@
 
 import (
 	"context"
-	"errors"
 	"fmt"
 	"net"
 	"slices"
@@ -15,34 +14,34 @@
 const (
 	voterCount           = 5
 	electionTimeout      = 30 * time.Second
-	quietPeriod          = 5 * time.Second // in which the leader should not change
+	stablePeriod         = 5 * time.Second // during which the leader should not change
 	electionPollInterval = 10 * time.Millisecond
 	commitPollInterval   = time.Millisecond
 	measuredCommits      = 5 // before each election
 )
 
-// roundTripsMillis are those between regions: from 40 to 150.
+// roundTripsMillis are the round-trip times between regions, from 40 to 150 ms.
 var roundTripsMillis = [4][4]int{{0, 40, 80, 150}, {40, 0, 60, 120}, {80, 60, 0, 100}, {150, 120, 100, 0}}
 
-// Election is what was measured on one fleet of voters. Times are in milliseconds.
-type Election struct {
-	Takeovers    []float64 `json:"Takeovers"`    // from the end of a leader until another has had an entry committed
-	Commits      []float64 `json:"Commits"`      // from a proposal at the leader until it is committed
-	QuietChanges uint64    `json:"QuietChanges"` // of the term, with nothing failing
+// ElectionResult is what was measured with one fleet of voters. Times are in milliseconds.
+type ElectionResult struct {
+	Takeovers             []float64 `json:"Takeovers"`    // from the end of the leader until its successor has committed an entry
+	Commits               []float64 `json:"Commits"`      // from the proposal of an entry at the leader until it is committed
+	UnexpectedTermChanges uint64    `json:"QuietChanges"` // in quiet periods, without a failure
 }
 
 var (
-	errNoLeader     = errors.New("no leader in time")
-	errNotCommitted = errors.New("entry not committed in time")
+	errNoLeader     = fmt.Errorf("no replica became the leader within %v", electionTimeout)
+	errNotCommitted = fmt.Errorf("proposed entry not committed within %v", electionTimeout)
 )
 
-// voterRegion returns the region of the n-th voter: five over four regions.
+// voterRegion returns the region of the n-th voter. Five voters are distributed over four regions.
 func voterRegion(n int) int { return n % len(roundTripsMillis) }
 
-// Elect runs one fleet of voters whose one-way delays are half the round trips times delayFactor. It ends the leader as
-// long as the quorum remains, which is twice.
-func Elect(ctx context.Context, delayFactor float64) (Election, error) {
-	var out Election
+// RunElections runs one fleet of voters. The one-way delay between regions is delayFactor times half of the round-trip time. It stops
+// the leader as long as a quorum remains after that, which is twice.
+func RunElections(ctx context.Context, delayFactor float64) (ElectionResult, error) {
+	var out ElectionResult
 	g := &replicaGroup{}
 	defer g.stop()
 	if err := g.startVoters(ctx, delayFactor); err != nil {
@@ -58,11 +57,11 @@
 	return out, nil
 }
 
-// startVoters starts voters with the delay of their regions on every connection.
+// startVoters starts voters whose connections have the delay between their regions.
 func (g *replicaGroup) startVoters(ctx context.Context, delayFactor float64) error {
 	delays := regionDelays(delayFactor)
 	for n := range voterCount {
-		if _, err := g.start(replicaConfig{bootstrap: n == 0, heartbeatTimeout: programHeartbeatTimeout, wrapConn: delays}); err != nil {
+		if _, err := g.start(replicaConfig{bootstrap: n == 0, heartbeatTimeout: defaultHeartbeatTimeout, wrapConn: delays}); err != nil {
 			return err
 		}
 	}
@@ -79,7 +78,7 @@
 	return nil
 }
 
-// regionDelays returns a wrapper that delays each connection by the distance of its ends' regions.
+// regionDelays returns a wrapper that adds the one-way delay between the regions of its two ends to each connection.
 func regionDelays(delayFactor float64) func(net.Conn) net.Conn {
 	regions := map[string]int{} // by host
 	for n := range voterCount {
@@ -94,8 +93,8 @@
 	}
 }
 
-// replaceLeader measures commits, a quiet period, and the election after the leader's end. It returns the ended leader.
-func (e *Election) replaceLeader(ctx context.Context, live []*replica) (ended *replica, err error) {
+// replaceLeader measures commits, a quiet period, and the election after the leader is stopped. It returns the stopped leader.
+func (e *ElectionResult) replaceLeader(ctx context.Context, live []*replica) (ended *replica, err error) {
 	leader, err := waitForLeader(ctx, live)
 	if err != nil {
 		return nil, err
@@ -104,10 +103,10 @@
 		return nil, err
 	}
 	term := leader.log.Term()
-	if err := scale.Wait(ctx, quietPeriod); err != nil {
+	if err := scale.Wait(ctx, stablePeriod); err != nil {
 		return nil, err
 	}
-	e.QuietChanges += leader.log.Term() - term
+	e.UnexpectedTermChanges += leader.log.Term() - term
 	if ended, err = waitForLeader(ctx, live); err != nil {
 		return nil, err
 	}
@@ -125,8 +124,8 @@
 	return ended, nil
 }
 
-// measureCommits measures some entries, one after the other.
-func (e *Election) measureCommits(ctx context.Context, leader *replica) error {
+// measureCommits measures the commit times of measuredCommits entries, one after the other.
+func (e *ElectionResult) measureCommits(ctx context.Context, leader *replica) error {
 	for range measuredCommits {
 		began := time.Now()
 		if err := leader.commitEntry(ctx); err != nil {
@@ -151,7 +150,7 @@
 	return nil, errNoLeader
 }
 
-// commitEntry proposes one entry and waits until this replica has applied it.
+// commitEntry proposes one entry and waits until the applied index of this replica has advanced.
 func (r *replica) commitEntry(ctx context.Context) error {
 	before := r.appliedIndex.Load()
 	if err := r.log.Propose(lease.Command{Kind: lease.Announce, Duty: "ring", Member: r.peer.Process, Body: "x"}); err != nil {
--- a/internal/lab/scale/raftlog/protocol.go
+++ b/internal/lab/scale/raftlog/protocol.go
@@ -6,50 +6,50 @@
 	"time"
 )
 
-// operation is what a parent asks of a child.
+// operation is what a parent requests of its child.
 type operation string
 
 const (
-	opStart   operation = "start"   // replicas in the child
-	opAdd     operation = "add"     // servers, at the leader
-	opPropose operation = "propose" // entries
-	opRead    operation = "read"    // the child's usage
-	opApplied operation = "applied" // how far the child's replicas are
-	opElect   operation = "elect"   // run elections
+	opStart   operation = "start"   // start replicas in the child
+	opAdd     operation = "add"     // add servers, at the leader
+	opPropose operation = "propose" // propose entries, at the leader
+	opUsage   operation = "read"    // report the child's usage
+	opApplied operation = "applied" // report how far the child's replicas have applied the log
+	opElect   operation = "elect"   // run the elections of one fleet
 )
 
-// request is one JSON object from the parent.
+// request is a request from the parent to a child, encoded as one JSON object.
 type request struct {
 	Operation operation `json:"Do"`
-	// Count is of replicas (opStart) or of entries (opPropose).
+	// Count is the number of replicas (opStart) or of entries (opPropose).
 	Count int `json:"Count"`
-	// Bootstrap says that the first replica starts a new log (opStart).
+	// Bootstrap makes the first replica start a new log (opStart).
 	Bootstrap        bool          `json:"Found"`
 	HeartbeatTimeout time.Duration `json:"Beat"` // opStart
-	// Tenants is the size of the state, with routes in proportion; 0 for no state (opStart).
+	// Tenants is the size of the state, with a proportional number of routes; 0 for no state (opStart).
 	Tenants int    `json:"State"`
 	Peers   []Peer `json:"Peers"` // opAdd
-	// Voters is how many of Peers vote, the first ones (opAdd).
+	// Voters is the number of Peers, the first ones, that are added as voters (opAdd).
 	Voters int `json:"Voters"`
-	// Interval is the time between two entries; 0: as fast as they are taken (opPropose).
-	Interval      time.Duration `json:"Every"`
-	BodyBytes     int           `json:"Bytes"`   // of an entry (opPropose)
-	CollectMemory bool          `json:"Collect"` // first (opRead)
-	DelayFactor   float64       `json:"Factor"`  // opElect
+	// Interval is the time between two entries; 0 for no pause (opPropose).
+	Interval       time.Duration `json:"Every"`
+	BodyBytes      int           `json:"Bytes"`   // size of an entry's body (opPropose)
+	CollectGarbage bool          `json:"Collect"` // before usage is read (opUsage)
+	DelayFactor    float64       `json:"Factor"`  // opElect
 }
 
-// response is the answer to a request.
+// response is a child's response to a request.
 type response struct {
-	Error        string   `json:"Error"`
-	Peers        []Peer   `json:"Peers"`
-	Usage        Usage    `json:"Reading"`
-	Applied      uint64   `json:"Applied"` // by the slowest replica
-	DecodedBytes int64    `json:"Decoded"` // of state that the last replica restored
-	StateBytes   int      `json:"State"`
-	Election     Election `json:"Election"`
+	Error        string         `json:"Error"`
+	Peers        []Peer         `json:"Peers"`
+	Usage        Usage          `json:"Reading"`
+	Applied      uint64         `json:"Applied"` // index applied by the slowest replica
+	DecodedBytes int64          `json:"Decoded"` // size of the state that the last replica restored
+	StateBytes   int            `json:"State"`
+	Election     ElectionResult `json:"Election"`
 }
 
-// childError is an error that a child reported.
+// childError is an error reported by a child.
 type childError struct {
 	operation operation
 	message   string
--- a/internal/lab/scale/raftlog/raftlog_test.go
+++ b/internal/lab/scale/raftlog/raftlog_test.go
@@ -12,7 +12,7 @@
 	"thymechute/internal/lab/scale"
 )
 
-// TestMain makes the test binary the child process too.
+// TestMain lets the test binary act as the child process.
 func TestMain(m *testing.M) {
 	if len(os.Args) == 2 && os.Args[1] == ChildCommand {
 		if err := RunChild(context.Background(), os.Stdin, os.Stdout); err != nil {
@@ -23,7 +23,7 @@
 	os.Exit(m.Run())
 }
 
-// Where not even the smallest size can run, the error says so and has the trial's own.
+// If not even the smallest size can run, the error reports that size and wraps the error of the trial.
 func TestRunReportsThatTheSmallestSizeFailed(t *testing.T) {
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
@@ -47,15 +47,15 @@
 	}
 	followers := float64(out.Followers)
 	if followers != 6 {
-		t.Fatalf("%v followers, want 6", followers)
+		t.Fatalf("found %v followers, expected 6", followers)
 	}
-	ratio := out.Leader.idleBytes() / (out.Follower.idleBytes() * followers)
-	if out.Follower.idleBytes() <= 0 || ratio < 0.8 || ratio > 1.25 {
-		t.Errorf("idle: leader %.0f B/s, all followers %.0f: expected about the same, as they send to each other only", out.Leader.idleBytes(),
-			out.Follower.idleBytes()*followers)
+	ratio := out.Leader.idleBytesPerSecond() / (out.Follower.idleBytesPerSecond() * followers)
+	if out.Follower.idleBytesPerSecond() <= 0 || ratio < 0.8 || ratio > 1.25 {
+		t.Errorf("idle traffic: leader %.0f B/s, all followers %.0f B/s, expected about the same, as they only send to each other",
+			out.Leader.idleBytesPerSecond(), out.Follower.idleBytesPerSecond()*followers)
 	}
 	if out.Leader.EntryBytes < 300*followers {
-		t.Errorf("%.0f bytes an entry at the leader, want 300 for each of %v at least", out.Leader.EntryBytes, followers)
+		t.Errorf("found %.0f bytes per entry at the leader, expected at least 300 for each of %v followers", out.Leader.EntryBytes, followers)
 	}
 }
 
@@ -71,7 +71,7 @@
 		t.Fatal(err)
 	}
 	if out.DecodedBytes != out.StateBytes || out.LeaderBytes < out.StateBytes {
-		t.Errorf("%+v, want the complete state", out)
+		t.Errorf("found %+v, expected the complete state to be sent and restored", out)
 	}
 	t.Logf("%+v", out)
 }
@@ -92,6 +92,6 @@
 		t.Fatal(err)
 	}
 	if string(got) != "abc" || time.Since(began) < delay {
-		t.Errorf("%q after %v, want abc after %v", got, time.Since(began), delay)
+		t.Errorf("found %q after %v, expected abc after at least %v", got, time.Since(began), delay)
 	}
 }
--- a/internal/lab/scale/raftlog/replica.go
+++ b/internal/lab/scale/raftlog/replica.go
@@ -12,32 +12,32 @@
 )
 
 const (
-	// programHeartbeatTimeout is the program's, with leases of two seconds.
-	programHeartbeatTimeout = 600 * time.Millisecond
-	// longHeartbeatTimeout avoids elections where they are not measured and the machine may be busy.
+	// defaultHeartbeatTimeout is that of cmd/thymechute with leases of two seconds.
+	defaultHeartbeatTimeout = 600 * time.Millisecond
+	// longHeartbeatTimeout avoids unwanted elections on a busy machine, where elections are not measured.
 	longHeartbeatTimeout = 1500 * time.Millisecond
 )
 
-// Peer is a replica as the leader adds it.
+// Peer is the identity and address by which a leader adds a replica.
 type Peer struct {
 	Process string `json:"Process"`
 	Address string `json:"Address"`
 }
 
-// replicaGroup is the replicas that share a process, and what they have cost.
+// replicaGroup holds the replicas that share a process, and counts their traffic.
 type replicaGroup struct {
 	traffic  scale.ConnCounter // of all TCP connections of the process
 	replicas []*replica
 }
 
-// replica is the program's own log without the driver of the leases. It implements consensus.Subscriber and
+// replica is a log of the program without the lease electors that drive it. It implements consensus.Subscriber and
 // consensus.StateMachine.
 type replica struct {
 	peer         Peer
 	log          *consensus.Log
 	appliedIndex atomic.Uint64
 	state        []byte
-	decodedBytes atomic.Int64 // of the state that it restored
+	decodedBytes atomic.Int64 // size of the last state that it restored
 }
 
 // EntryApplied implements consensus.Subscriber.
@@ -58,15 +58,15 @@
 	return nil
 }
 
-// replicaConfig is the settings of a replica.
+// replicaConfig configures a replica.
 type replicaConfig struct {
 	bootstrap        bool
 	heartbeatTimeout time.Duration
 	state            []byte
-	wrapConn         func(net.Conn) net.Conn // beside the counting; nil for none
+	wrapConn         func(net.Conn) net.Conn // applied on top of the byte counting; nil for none
 }
 
-// start starts one more replica.
+// start starts another replica and adds it to the group.
 func (g *replicaGroup) start(config replicaConfig) (*replica, error) {
 	n := len(g.replicas)
 	process := fmt.Sprintf("checkout-%04d#%x", n, time.Now().UnixMilli())
@@ -106,8 +106,8 @@
 	return newUsage(g.traffic.Counts(), process), err
 }
 
-// applied returns how far the slowest replica is.
-func (g *replicaGroup) applied() uint64 {
+// minAppliedIndex returns the applied index of the slowest replica.
+func (g *replicaGroup) minAppliedIndex() uint64 {
 	least := ^uint64(0)
 	for _, r := range g.replicas {
 		least = min(least, r.appliedIndex.Load())
--- a/internal/lab/scale/raftlog/state.go
+++ b/internal/lab/scale/raftlog/state.go
@@ -7,7 +7,7 @@
 	"thymechute/internal/lab/scale"
 )
 
-// tenant and route are settings as the operator's file has them, in JSON.
+// tenant and route are settings as in the operator's file, encoded as JSON.
 type tenant struct {
 	Name  string  `json:"name"`
 	Class string  `json:"class"`
@@ -20,8 +20,9 @@
 	Class   string `json:"class"`
 }
 
-// State returns the encoded settings of that many tenants, and of routes in the target's proportion; nil for no tenants.
-func State(tenants int) []byte {
+// EncodeSettings returns encoded settings with that many tenants and a proportional number of routes, as at the target size; nil for
+// no tenants.
+func EncodeSettings(tenants int) []byte {
 	if tenants == 0 {
 		return nil
 	}
@@ -38,7 +39,7 @@
 	}
 	encoded, err := json.Marshal(state)
 	if err != nil {
-		panic(err) // impossible: plain strings and numbers
+		panic(err) // unreachable: strings and finite numbers can always be encoded
 	}
 	return encoded
 }
--- a/internal/lab/scale/raftlog/trial.go
+++ b/internal/lab/scale/raftlog/trial.go
@@ -7,7 +7,7 @@
 	"thymechute/internal/lab/scale"
 )
 
-// Plan is what one trial does.
+// Plan describes one trial.
 type Plan struct {
 	Voters           int
 	HeartbeatTimeout time.Duration
@@ -15,27 +15,27 @@
 	IdlePeriod       time.Duration
 	Entries          int
 	EntryInterval    time.Duration
-	EntryBytes       int // of an entry's body
+	EntryBytes       int // size of an entry's body
 }
 
 const (
-	agreementTimeout = 30 * time.Second
-	settlePeriod     = time.Second // after the first entry
+	followersTimeout = 30 * time.Second
+	settlePeriod     = time.Second // after the first entry, before the measurement
 )
 
 func defaultPlan(nonVoters int) Plan {
-	return Plan{Voters: voterCount, HeartbeatTimeout: programHeartbeatTimeout, NonVoters: nonVoters, IdlePeriod: 6 * time.Second,
+	return Plan{Voters: voterCount, HeartbeatTimeout: defaultHeartbeatTimeout, NonVoters: nonVoters, IdlePeriod: 6 * time.Second,
 		Entries: 50, EntryInterval: 100 * time.Millisecond, EntryBytes: 300}
 }
 
-// Outcome is what one trial measured.
+// Outcome holds the measurements of one trial.
 type Outcome struct {
-	Followers        int // all servers but the leader
+	Followers        int // all servers except the leader
 	Leader, Follower Cost
 	AddSeconds       float64 // until all followers were added
 }
 
-// runTrial measures a leader and its followers, idle and with entries.
+// runTrial measures the cost of a leader and its followers, idle and with entries.
 func runTrial(ctx context.Context, plan Plan) (Outcome, error) {
 	began := time.Now()
 	c, _, err := startCluster(ctx, clusterConfig{plan.HeartbeatTimeout, plan.Voters, plan.NonVoters, 0})
@@ -47,7 +47,7 @@
 	if _, err := c.leader.call(request{Operation: opPropose, Count: 1, BodyBytes: plan.EntryBytes}); err != nil {
 		return out, err
 	}
-	if err := c.waitForAgreement(ctx); err != nil {
+	if err := c.waitForFollowers(ctx); err != nil {
 		return out, err
 	}
 	if err := scale.Wait(ctx, settlePeriod); err != nil {
@@ -73,27 +73,27 @@
 	if _, err := c.leader.call(entries); err != nil {
 		return err
 	}
-	if err := c.waitForAgreement(ctx); err != nil {
+	if err := c.waitForFollowers(ctx); err != nil {
 		return err
 	}
 	loaded, err := c.usage()
 	if err != nil {
 		return err
 	}
-	leader := costInput{start.leader, idle.leader, loaded.leader, idle.at.Sub(start.at), loaded.at.Sub(idle.at), plan.Entries, 1}
+	leader := usageSamples{start.leader, idle.leader, loaded.leader, idle.at.Sub(start.at), loaded.at.Sub(idle.at), plan.Entries, 1}
 	followers := leader
 	followers.start, followers.idle, followers.loaded = start.followers, idle.followers, loaded.followers
-	followers.processes = c.followerCount
-	out.Leader, out.Follower = leader.cost(), followers.cost()
-	if out.Leader.Resident, err = c.leader.residentBytes(1); err != nil {
+	followers.servers = c.followerCount
+	out.Leader, out.Follower = leader.costPerServer(), followers.costPerServer()
+	if out.Leader.ResidentBytes, err = c.leader.residentBytes(1); err != nil {
 		return err
 	}
-	out.Follower.Resident, err = c.followers.residentBytes(c.followerCount)
+	out.Follower.ResidentBytes, err = c.followers.residentBytes(c.followerCount)
 	return err
 }
 
-// residentBytes returns the memory of a child after a collection, per replica.
+// residentBytes returns the memory of a child per replica, after garbage collection.
 func (c *childProcess) residentBytes(replicas int) (float64, error) {
-	reply, err := c.call(request{Operation: opRead, CollectMemory: true})
-	return reply.Usage.Resident / float64(replicas), err
+	reply, err := c.call(request{Operation: opUsage, CollectGarbage: true})
+	return reply.Usage.ResidentBytes / float64(replicas), err
 }
