--- a/internal/lab/scale/members/doc.go
+++ b/internal/lab/scale/members/doc.go
@@ -1,9 +1,9 @@
-// Package members measures what membership costs. Hollow members (as in Kubernetes' hollow nodes) are members of
-// internal/fleet/membership over memberlist without an instance around them. All members of one fleet size share a process
-// of their own, so that its memory and processor time are that size's alone. They listen on loopback only, and no member
-// or process outlives its trial.
+// Package members measures the cost of membership. It runs hollow members (compare Kubernetes' hollow nodes): members of
+// internal/fleet/membership over memberlist, without the rest of an instance. Each fleet size has its own process, shared by all
+// members of the fleet, so that the memory and CPU time of the process are those of that size. Members listen on loopback only, and
+// no member or process outlives its trial.
 //
-// What is counted is the payload of datagrams and streams, both directions, of all members; IP, UDP and TCP headers and
-// handshakes are left out (28 bytes per datagram, 40 and more per segment). Processor time is that of the whole process:
-// memberlist, the parsing of records, and the counting. Tables hold one entry per member.
+// Bytes are the payload of datagrams and streams of all members in both directions, without handshakes and IP, UDP and TCP headers
+// (28 bytes per datagram, 40 or more per segment). CPU time is that of the whole process: memberlist, the decoding of records, and
+// the counting. Tables have one entry per member.
 package members
--- a/internal/lab/scale/members/faults.go
+++ b/internal/lab/scale/members/faults.go
@@ -7,18 +7,18 @@
 	"thymechute/internal/lab/scale"
 )
 
-// restartDelay is how long the effects of restarts are still measured after all agree.
-const restartDelay = 3 * time.Second
+// restartSettleTime is how long the effects of restarts are measured after all members agree.
+const restartSettleTime = 3 * time.Second
 
-// killAndRestart kills some members at once, measures how long the others take to declare them dead, and restarts them under
-// the same names.
+// killAndRestart kills some members at once, measures how long the others take to declare them dead, and restarts them with the same
+// names.
 func (t *trial) killAndRestart(ctx context.Context) error {
 	killed := t.randomMembers(t.plan.Kills)
 	began := time.Now()
 	for _, h := range killed {
 		h.kill()
 	}
-	if err := t.agree(ctx, "after the kills"); err != nil {
+	if err := t.waitForAgreement(ctx, "after the kills"); err != nil {
 		return err
 	}
 	t.recordDetection(killed, began)
@@ -27,10 +27,10 @@
 			return err
 		}
 	}
-	return t.agree(ctx, "after the killed came back")
+	return t.waitForAgreement(ctx, "after the killed members restarted")
 }
 
-// recordDetection records the first and the last time at which a member declared one of the killed dead.
+// recordDetection records the times until the first and the last declaration of a killed member as dead.
 func (t *trial) recordDetection(killed []*hollowMember, began time.Time) {
 	first, last := time.Duration(0), time.Duration(0)
 	for _, h := range killed {
@@ -46,7 +46,7 @@
 	t.outcome.DetectFirstMillis, t.outcome.DetectAllMillis = scale.Milliseconds(first), scale.Milliseconds(last)
 }
 
-// restartGracefully restarts members one after the other, as a release does, and measures what one restart costs.
+// restartGracefully restarts members one after the other, as in a release, and measures the traffic per restart.
 func (t *trial) restartGracefully(ctx context.Context) error {
 	if err := t.settle(ctx); err != nil {
 		return err
@@ -69,11 +69,11 @@
 		}
 	}
 	began := time.Now()
-	if err := t.agree(ctx, "after the restarts"); err != nil {
+	if err := t.waitForAgreement(ctx, "after the restarts"); err != nil {
 		return err
 	}
 	t.outcome.RestartAgreeMillis = scale.Milliseconds(time.Since(began))
-	if err := scale.Wait(ctx, restartDelay); err != nil {
+	if err := scale.Wait(ctx, restartSettleTime); err != nil {
 		return err
 	}
 	window, err := t.windowSince(before)
@@ -84,8 +84,8 @@
 	return nil
 }
 
-// restartMember restarts a member after a graceful shutdown. It swaps its rank with another's, as the member of the highest rank
-// takes the rank that a leaving one frees.
+// restartMember restarts a member after a graceful shutdown. It swaps the member's rank with that of rankSwap, because in a real fleet
+// the member of the highest rank takes over the rank of a member that leaves.
 func (t *trial) restartMember(h, rankSwap *hollowMember) error {
 	h.leave()
 	t.fleet.takeDeparture(h.name)
@@ -98,7 +98,7 @@
 	return nil
 }
 
-// partitionRegion partitions a random region from the others, and heals it.
+// partitionRegion partitions a random region from the others, and then heals the partition.
 func (t *trial) partitionRegion(ctx context.Context) error {
 	t.outcome.FalseDeaths = t.fleet.falseDeaths.Load()
 	if t.plan.PartitionDuration == 0 {
@@ -119,8 +119,8 @@
 	began := time.Now()
 	t.fleet.network.isolate(region)
 	for time.Since(began) < t.plan.PartitionDuration {
-		if t.outcome.CutAgreeMillis == 0 && t.fleet.sidesAgree(region) {
-			t.outcome.CutAgreeMillis = scale.Milliseconds(time.Since(began))
+		if t.outcome.PartitionAgreeMillis == 0 && t.fleet.sidesAgree(region) {
+			t.outcome.PartitionAgreeMillis = scale.Milliseconds(time.Since(began))
 		}
 		if err := scale.Wait(ctx, pollInterval); err != nil {
 			return err
@@ -130,7 +130,7 @@
 	if err != nil {
 		return err
 	}
-	t.outcome.CutBytes = window.bytesPerSecond()
+	t.outcome.PartitionBytesPerSecond = window.bytesPerSecond()
 	return nil
 }
 
@@ -141,7 +141,7 @@
 	}
 	began := time.Now()
 	t.fleet.network.heal()
-	if err := t.agree(ctx, "after the heal"); err != nil {
+	if err := t.waitForAgreement(ctx, "after the heal"); err != nil {
 		return err
 	}
 	t.outcome.HealAgreeMillis = scale.Milliseconds(time.Since(began))
@@ -150,10 +150,10 @@
 			return err
 		}
 	}
-	if err := t.agree(ctx, "some time after the heal"); err != nil {
+	if err := t.waitForAgreement(ctx, "some time after the heal"); err != nil {
 		return err
 	}
-	t.outcome.FalseDeathsHeal = t.fleet.falseDeaths.Load() - t.outcome.FalseDeaths
+	t.outcome.FalseDeathsAfterHeal = t.fleet.falseDeaths.Load() - t.outcome.FalseDeaths
 	t.outcome.Heal, err = t.windowSince(before)
 	return err
 }
--- a/internal/lab/scale/members/fleet.go
+++ b/internal/lab/scale/members/fleet.go
@@ -14,13 +14,13 @@
 const (
 	regionCount    = scale.TargetRegions
 	zonesPerRegion = scale.TargetZones / regionCount
-	startInterval  = 20 * time.Millisecond // between the starts of two members
+	startInterval  = 20 * time.Millisecond // between the starts of members
 	pollInterval   = 20 * time.Millisecond
 )
 
-var errDisagreement = errors.New("members: not agreed in time")
+var errDisagreement = errors.New("members: sizes of views differ from the number of live members")
 
-// fleet is the hollow members of one process. Its tables hold one entry per member.
+// fleet holds the hollow members of one process. Its tables have one entry per member.
 type fleet struct {
 	probeInterval, syncInterval time.Duration
 	meter                       *meter
@@ -28,15 +28,15 @@
 
 	mu         sync.Mutex // guards the fields below
 	members    []*hollowMember
-	departures map[string]*departure // of members that were killed or left, by name
+	departures map[string]*departure // observed departures of members that were killed or left, by name
 
-	falseDeaths atomic.Int64 // declarations of a live member that is not partitioned from the declaring one
+	falseDeaths atomic.Int64 // removals of a live member from the view of another in the same partition
 }
 
-// departure is when the other members have removed one from their views.
+// departure records when the other members removed a member from their views.
 type departure struct {
 	first, last time.Time
-	reports     int
+	reports     int // number of removals
 }
 
 func newFleet(probeInterval, syncInterval time.Duration) *fleet {
@@ -44,7 +44,7 @@
 		departures: map[string]*departure{}}
 }
 
-// grow starts members until there are size.
+// grow starts members until the fleet has that size.
 func (f *fleet) grow(ctx context.Context, size int) error {
 	for n := len(f.members); n < size; n++ {
 		h := &hollowMember{fleet: f, index: n, name: memberName(n), bind: scale.LoopbackAddress(n), region: n % regionCount, rank: n}
@@ -62,7 +62,7 @@
 	return nil
 }
 
-// liveMembers returns the members that are up, in the order of their first start.
+// liveMembers returns the running members in the order of their first start.
 func (f *fleet) liveMembers() (live []*hollowMember) {
 	for _, h := range f.members {
 		if h.isLive.Load() {
@@ -72,8 +72,8 @@
 	return live
 }
 
-// agree waits until every live member has as many members in its view as are live.
-func (f *fleet) agree(ctx context.Context, timeout time.Duration) error {
+// waitForAgreement waits until the view of every live member has as many members as there are live ones.
+func (f *fleet) waitForAgreement(ctx context.Context, timeout time.Duration) error {
 	live := f.liveMembers()
 	for start := time.Now(); ; {
 		disagreeing := 0
@@ -86,7 +86,7 @@
 			return nil
 		}
 		if time.Since(start) > timeout {
-			return fmt.Errorf("%w: %d of %d apart after %v", errDisagreement, disagreeing, len(live), timeout)
+			return fmt.Errorf("%w: %d of %d views after %v", errDisagreement, disagreeing, len(live), timeout)
 		}
 		if err := scale.Wait(ctx, pollInterval); err != nil {
 			return err
@@ -94,7 +94,7 @@
 	}
 }
 
-// sidesAgree tells whether, while a region is partitioned, every member has as many members in its view as its side has.
+// sidesAgree reports whether, during a partition of a region, the view of every member has as many members as its side has.
 func (f *fleet) sidesAgree(region int) bool {
 	live := f.liveMembers()
 	inside := 0
@@ -115,14 +115,14 @@
 	return true
 }
 
-// expectDeparture starts to record which members remove a member from their views.
-func (f *fleet) expectDeparture(name string) {
+// recordDeparture starts recording when the other members remove a member from their views.
+func (f *fleet) recordDeparture(name string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.departures[name] = &departure{}
 }
 
-// takeDeparture stops the recording of a departure and returns it; nil if there is none.
+// takeDeparture stops recording a departure and returns it; nil if none is recorded.
 func (f *fleet) takeDeparture(name string) *departure {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -131,8 +131,9 @@
 	return d
 }
 
-// reportDeparture notes that a member has removed another from its view.
-func (f *fleet) reportDeparture(by *hollowMember, name string) {
+// observeDeparture handles the removal of a member from the view of another. It counts as a false death if the departure is not
+// recorded and both members are live and on the same side of the partition.
+func (f *fleet) observeDeparture(by *hollowMember, name string) {
 	now := time.Now()
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -145,13 +146,13 @@
 		return
 	}
 	for _, h := range f.members {
-		if h.name == name && h.isLive.Load() && by.isLive.Load() && !f.network.separates(by.region, h.bind) {
+		if h.name == name && h.isLive.Load() && by.isLive.Load() && !f.network.drops(by.region, h.bind) {
 			f.falseDeaths.Add(1)
 		}
 	}
 }
 
-// shutdown ends all members without a graceful shutdown.
+// shutdown stops all members without a graceful leave.
 func (f *fleet) shutdown() {
 	var done sync.WaitGroup
 	for _, h := range f.liveMembers() {
--- a/internal/lab/scale/members/hollow.go
+++ b/internal/lab/scale/members/hollow.go
@@ -14,7 +14,7 @@
 	maxMembers   = 10_000
 )
 
-// hollowMember is a member without an instance. It implements membership.Watcher.
+// hollowMember is a member without the rest of an instance. It implements membership.Watcher.
 type hollowMember struct {
 	fleet    *fleet
 	index    int
@@ -23,11 +23,11 @@
 	region   int
 	member   *membership.Member
 	isLive   atomic.Bool
-	viewSize atomic.Int64 // members in its view
+	viewSize atomic.Int64 // number of members in its view
 	rank     int
 }
 
-// start joins the fleet by a few members.
+// start starts the member, which joins the fleet through its seeds.
 func (h *hollowMember) start() error {
 	h.viewSize.Store(0)
 	var err error
@@ -44,7 +44,7 @@
 		},
 	}, h)
 	if err != nil {
-		return fmt.Errorf("%s: %w", h.name, err)
+		return fmt.Errorf("start member %s: %w", h.name, err)
 	}
 	h.isLive.Store(true)
 	return nil
@@ -60,24 +60,24 @@
 	return addresses
 }
 
-// kill ends the member without a graceful shutdown.
+// kill stops the member without a graceful leave.
 func (h *hollowMember) kill() {
-	h.fleet.expectDeparture(h.name)
+	h.fleet.recordDeparture(h.name)
 	h.isLive.Store(false)
 	_ = h.member.Shutdown()
 }
 
-// leave ends the member as the program does when it drains.
+// leave stops the member with a graceful leave, as the program does when it is drained.
 func (h *hollowMember) leave() {
-	h.fleet.expectDeparture(h.name)
+	h.fleet.recordDeparture(h.name)
 	h.isLive.Store(false)
 	_ = h.member.Leave(leaveTimeout)
 }
 
-// record returns a record as full as that of an instance with a replicated log and a rank: the longest that the program
-// makes.
+// record returns a record with all fields of an instance that has a replicated log and a rank: the longest record that the program
+// publishes.
 func (h *hollowMember) record() membership.Record {
-	mixed := mix(h.index)
+	mixed := mixBits(h.index)
 	epoch := 1_790_000_000_000 + mixed%1_000_000_000
 	return membership.Record{
 		Zone:         fmt.Sprintf("region-%d-zone-%d", h.region, h.index/regionCount%zonesPerRegion),
@@ -101,15 +101,15 @@
 // Left implements membership.Watcher.
 func (h *hollowMember) Left(name string) {
 	h.viewSize.Add(-1)
-	h.fleet.reportDeparture(h, name)
+	h.fleet.observeDeparture(h, name)
 }
 
-// memberName returns the name of the n-th member. Names differ as much as those of hosts do: names with long common parts would
-// compress too well.
-func memberName(n int) string { return fmt.Sprintf("checkout-%010x", mix(n)%(1<<40)) }
+// memberName returns the name of the n-th member. Names differ as much as host names do; names with long common parts would compress
+// unrealistically well.
+func memberName(n int) string { return fmt.Sprintf("checkout-%010x", mixBits(n)%(1<<40)) }
 
-// mix spreads the bits of a number.
-func mix(n int) uint64 {
+// mixBits returns a pseudo-random number that depends on n only.
+func mixBits(n int) uint64 {
 	const goldenRatio, multiplier = 0x9e3779b97f4a7c15, 0xbf58476d1ce4e5b9
 	x := uint64(n+1) * goldenRatio
 	x = (x ^ x>>30) * multiplier
--- a/internal/lab/scale/members/messagekinds.go
+++ b/internal/lab/scale/members/messagekinds.go
@@ -9,15 +9,15 @@
 	"github.com/hashicorp/go-msgpack/v2/codec"
 )
 
-// messageKind is what a message of memberlist is for.
+// messageKind is the purpose of a memberlist message.
 type messageKind int
 
 const (
 	kindProbe    messageKind = iota // health checks: pings, acknowledgements, indirect pings
-	kindSuspect                     // suspicions and deaths in gossip
-	kindAlive                       // records in gossip
+	kindFailure                     // gossiped suspicions and deaths
+	kindAlive                       // gossiped records
 	kindPushPull                    // full state exchanges
-	kindUser                        // messages of membership.Member.Send
+	kindUser                        // messages sent by membership.Member.Send
 	kindOther
 	kindCount
 )
@@ -25,7 +25,7 @@
 // kindNames are part of the names of figures.
 var kindNames = [kindCount]string{"probes", "suspicions_and_deaths", "records", "full_exchange", "own_messages", "other"}
 
-// Message types of memberlist's protocol (its net.go).
+// Message types of memberlist's protocol, from its net.go.
 const (
 	typePing = iota
 	typeIndirectPing
@@ -42,19 +42,19 @@
 	typeChecksum
 )
 
-var kindOfType = map[byte]messageKind{typePing: kindProbe, typeIndirectPing: kindProbe, typeAck: kindProbe, typeNack: kindProbe,
-	typeSuspect: kindSuspect, typeDead: kindSuspect, typeAlive: kindAlive, typePushPull: kindPushPull, typeUser: kindUser}
+var kindByType = map[byte]messageKind{typePing: kindProbe, typeIndirectPing: kindProbe, typeAck: kindProbe, typeNack: kindProbe,
+	typeSuspect: kindFailure, typeDead: kindFailure, typeAlive: kindAlive, typePushPull: kindPushPull, typeUser: kindUser}
 
 const checksumHeaderBytes = 5
 
-// addPacket divides a datagram's bytes among the kinds of the messages in it, by their length before compression.
-func (m *meter) addPacket(b []byte) {
+// countPacketKinds adds a datagram's bytes to the kinds of the messages in it, in proportion to their uncompressed lengths.
+func (m *meter) countPacketKinds(b []byte) {
 	plain := b
 	if len(plain) > checksumHeaderBytes && plain[0] == typeChecksum {
 		plain = plain[checksumHeaderBytes:]
 	}
-	plain = expand(plain)
-	parts := split(plain)
+	plain = decompress(plain)
+	parts := splitCompound(plain)
 	total := 0
 	for _, part := range parts {
 		total += len(part)
@@ -64,23 +64,23 @@
 	}
 }
 
-// addStream counts one message written to a stream; memberlist writes each by one call.
-func (m *meter) addStream(b []byte) {
-	m.kinds[kindOf(expand(b))].Add(int64(len(b)))
+// countStreamKind adds the bytes of one message on a stream to its kind. memberlist writes each message with one call.
+func (m *meter) countStreamKind(b []byte) {
+	m.kinds[kindOf(decompress(b))].Add(int64(len(b)))
 }
 
 func kindOf(message []byte) messageKind {
 	if len(message) == 0 {
 		return kindOther
 	}
-	if k, known := kindOfType[message[0]]; known {
+	if k, known := kindByType[message[0]]; known {
 		return k
 	}
 	return kindOther
 }
 
-// expand decompresses a message; one that can't be decompressed is returned as it is.
-func expand(b []byte) []byte {
+// decompress decompresses a message. A message that is not compressed or cannot be decompressed is returned unchanged.
+func decompress(b []byte) []byte {
 	if len(b) == 0 || b[0] != typeCompressed {
 		return b
 	}
@@ -99,8 +99,9 @@
 	return plain
 }
 
-// split returns the messages in a compound message: its type, a count, a length of two bytes each, the messages.
-func split(b []byte) [][]byte {
+// splitCompound returns the messages in a compound message, which consists of the type, a count, two bytes of length per message, and
+// the messages. Any other message is returned as the only one.
+func splitCompound(b []byte) [][]byte {
 	if len(b) < 2 || b[0] != typeCompound {
 		return [][]byte{b}
 	}
--- a/internal/lab/scale/members/meter.go
+++ b/internal/lab/scale/members/meter.go
@@ -7,32 +7,32 @@
 	"thymechute/internal/lab/scale"
 )
 
-// meter counts what all hollow members of a process send and receive.
+// meter counts the traffic of all hollow members of a process.
 type meter struct {
 	datagramsSent, datagramBytesSent         atomic.Int64
 	datagramsReceived, datagramBytesReceived atomic.Int64
 	streams                                  atomic.Int64 // dialled
 	streamBytes                              scale.ConnCounter
 
-	tracing atomic.Bool // bytes are also counted by kind; off while processor time is measured, as it costs some
+	tracing atomic.Bool // whether sent bytes are also counted by kind; off while CPU time is measured, because the decoding takes some
 	kinds   [kindCount]atomic.Int64
 }
 
-// meterReading is the state of a meter at one moment.
+// meterReading is a snapshot of a meter.
 type meterReading struct {
 	Datagrams, DatagramBytes, Streams, StreamBytes int64 // sent and received; a stream counts once, where it is dialled
 	Kinds                                          [kindCount]int64
 }
 
-// countStream returns one end of a stream with its bytes counted. memberlist writes each message by one call.
+// countStream returns a connection that counts the bytes of one end of a stream.
 func (m *meter) countStream(conn net.Conn) net.Conn {
 	return &scale.CountedConn{Conn: conn, Counter: &m.streamBytes, OnWrite: m.traceStream}
 }
 
-// traceStream counts a message by its kind, while that is switched on.
+// traceStream counts a message by kind while tracing is on.
 func (m *meter) traceStream(written []byte) {
 	if m.tracing.Load() {
-		m.addStream(written)
+		m.countStreamKind(written)
 	}
 }
 
@@ -50,7 +50,7 @@
 	return r
 }
 
-// since returns what was counted after an earlier reading.
+// since returns the difference from an earlier reading.
 func (r meterReading) since(before meterReading) meterReading {
 	r.Datagrams -= before.Datagrams
 	r.DatagramBytes -= before.DatagramBytes
--- a/internal/lab/scale/members/network.go
+++ b/internal/lab/scale/members/network.go
@@ -6,14 +6,14 @@
 	"sync/atomic"
 )
 
-var errPartitioned = errors.New("members: region partitioned")
+var errPartitioned = errors.New("members: destination is on the other side of the partition")
 
-// network knows the region of each address, and which region is partitioned from the others. Its table holds one entry per
+// network simulates a partition between one region and the others. Its table of the regions of addresses has one entry per
 // member.
 type network struct {
 	mu       sync.RWMutex
 	regions  map[string]int
-	isolated atomic.Int64 // the region that is partitioned from all others, plus one; 0: none
+	isolated atomic.Int64 // the region that is partitioned from all others, plus one; 0 for none
 }
 
 func newNetwork() *network { return &network{regions: map[string]int{}} }
@@ -25,8 +25,8 @@
 	n.regions[address] = region
 }
 
-// separates tells whether what is sent from a region to an address crosses the partition.
-func (n *network) separates(from int, address string) bool {
+// drops reports whether traffic from a region to an address crosses the partition.
+func (n *network) drops(from int, address string) bool {
 	isolated := int(n.isolated.Load()) - 1
 	if isolated < 0 {
 		return false
--- a/internal/lab/scale/members/part.go
+++ b/internal/lab/scale/members/part.go
@@ -7,9 +7,9 @@
 	"thymechute/internal/lab/scale"
 )
 
-// Sizes are the fleet sizes that the part runs, all at once, each in a process of its own. The start of a fleet costs each
-// member some milliseconds for each other member, so that the processor time of the machine grows as the square of the size:
-// 400 members at once took more than it has, and members were declared dead.
+// Sizes are the fleet sizes. All run at the same time, each in its own process. During the start of a fleet each member spends some
+// milliseconds on every other member, so the CPU time grows with the square of the size. With 400 members the machine was
+// overloaded, and live members were declared dead.
 var Sizes = []int{32, 64, 128, 256}
 
 // Part implements scale.Part.
--- a/internal/lab/scale/members/transport.go
+++ b/internal/lab/scale/members/transport.go
@@ -9,7 +9,7 @@
 	"thymechute/internal/fleet/membership"
 )
 
-// meteredTransport is a member's transport that counts bytes and drops what crosses a partition. It changes nothing else.
+// meteredTransport wraps a member's transport. It counts the traffic and drops what crosses the partition.
 type meteredTransport struct {
 	membership.Transport
 	meter   *meter
@@ -77,10 +77,10 @@
 	t.meter.datagramsSent.Add(1)
 	t.meter.datagramBytesSent.Add(int64(len(b)))
 	if t.meter.tracing.Load() {
-		t.meter.addPacket(b)
+		t.meter.countPacketKinds(b)
 	}
-	if t.network.separates(t.region, address.Addr) {
-		return time.Now(), nil // dropped
+	if t.network.drops(t.region, address.Addr) {
+		return time.Now(), nil // dropped without an error, as by a real network
 	}
 	return t.Transport.WriteToAddress(b, address)
 }
@@ -92,7 +92,7 @@
 
 // DialAddressTimeout implements memberlist.NodeAwareTransport.
 func (t *meteredTransport) DialAddressTimeout(address memberlist.Address, timeout time.Duration) (net.Conn, error) {
-	if t.network.separates(t.region, address.Addr) {
+	if t.network.drops(t.region, address.Addr) {
 		return nil, errPartitioned
 	}
 	conn, err := t.Transport.DialAddressTimeout(address, timeout)
@@ -103,8 +103,8 @@
 	return t.meter.countStream(conn), nil
 }
 
-// Shutdown implements memberlist.Transport. The listeners of the inner transport end first, as they may wait for a packet to
-// be received.
+// Shutdown implements memberlist.Transport. It first shuts down the inner transport, whose listeners may be blocked until a packet is
+// received from their channel.
 func (t *meteredTransport) Shutdown() error {
 	err := t.Transport.Shutdown()
 	close(t.stop)
--- a/internal/lab/scale/members/trial.go
+++ b/internal/lab/scale/members/trial.go
@@ -13,13 +13,13 @@
 )
 
 const (
-	startGCPercent = 400 // while all members start
+	startGCPercent = 400 // while all members are started
 
-	measuredPushPulls = 8
-	quietDatagrams    = 300 // bytes of datagrams per member and probe interval, below which gossip is quiet
+	pushPullCount         = 8
+	maxQuietDatagramBytes = 300 // datagram bytes per member and probe interval; below it gossip is quiet
 
-	updateInterval = time.Second
-	updateDelay    = 2 * time.Second // until the last update has been passed on
+	updateInterval   = time.Second
+	propagationDelay = 2 * time.Second // for the last update to reach all members
 )
 
 // trial is one run of a plan.
@@ -30,7 +30,7 @@
 	outcome Outcome
 }
 
-// RunTrial runs a plan in this process, which must run nothing else: the figures are those of the process.
+// RunTrial runs a plan in this process, which must do nothing else because the figures are those of the process.
 func RunTrial(ctx context.Context, plan Plan, progress func(string)) (Outcome, error) {
 	t := &trial{plan: plan, fleet: newFleet(plan.ProbeInterval, plan.SyncInterval), random: rand.New(rand.NewPCG(plan.Seed, uint64(plan.Size)))}
 	t.outcome.Size = plan.Size
@@ -55,20 +55,20 @@
 	return t.outcome, nil
 }
 
-// start starts all members. All joins happen in one process, so garbage is collected less often, or the collector would be
-// what is measured; the windows after it run with the usual setting.
+// start starts all members. All joins happen in one process, so the garbage collector runs less often meanwhile; otherwise mainly the
+// collector would be measured. Later windows run with the previous setting.
 func (t *trial) start(ctx context.Context) error {
 	before, err := t.snapshot()
 	if err != nil {
 		return err
 	}
 	began := time.Now()
-	usual := debug.SetGCPercent(startGCPercent)
-	defer debug.SetGCPercent(usual)
+	previous := debug.SetGCPercent(startGCPercent)
+	defer debug.SetGCPercent(previous)
 	if err := t.fleet.grow(ctx, t.plan.Size); err != nil {
 		return err
 	}
-	if err := t.agree(ctx, "after the start"); err != nil {
+	if err := t.waitForAgreement(ctx, "after the start"); err != nil {
 		return err
 	}
 	t.outcome.StartAgreeMillis = scale.Milliseconds(time.Since(began))
@@ -79,9 +79,9 @@
 	return err
 }
 
-// agree waits until all members agree. That they do not in time is recorded as a fault and is no error.
-func (t *trial) agree(ctx context.Context, when string) error {
-	err := t.fleet.agree(ctx, t.plan.AgreementTimeout)
+// waitForAgreement waits until all members agree. A timeout is recorded as a fault and is not an error.
+func (t *trial) waitForAgreement(ctx context.Context, when string) error {
+	err := t.fleet.waitForAgreement(ctx, t.plan.AgreementTimeout)
 	if ctx.Err() != nil {
 		return ctx.Err()
 	}
@@ -91,26 +91,26 @@
 	return nil
 }
 
-// settle waits until hardly anything but health checks is sent.
+// settle waits until little more than health checks is sent. A timeout is counted.
 func (t *trial) settle(ctx context.Context) error {
 	interval := min(time.Second, t.plan.ProbeInterval)
 	for began := time.Now(); time.Since(began) < t.plan.SettleTimeout; {
-		window, err := t.window(ctx, interval)
+		window, err := t.measureWindow(ctx, interval)
 		if err != nil {
 			return err
 		}
-		if window.DatagramBytes < quietDatagrams {
+		if window.DatagramBytes < maxQuietDatagramBytes {
 			return nil
 		}
 	}
-	t.outcome.Unsettled++
+	t.outcome.SettleTimeouts++
 	return nil
 }
 
-// measureQuiet measures while nothing happens: traffic, memory, push/pulls, and bytes by kind of message.
+// measureQuiet measures traffic, memory, push/pulls, and bytes by message kind, without events.
 func (t *trial) measureQuiet(ctx context.Context) error {
 	var err error
-	if t.outcome.Quiet, err = t.window(ctx, t.plan.QuietWindow); err != nil {
+	if t.outcome.Quiet, err = t.measureWindow(ctx, t.plan.QuietWindow); err != nil {
 		return err
 	}
 	runtime.GC()
@@ -120,33 +120,33 @@
 		return err
 	}
 	t.outcome.ResidentBytes = float64(usage.ResidentBytes) / float64(t.plan.Size)
-	if err := t.pushPulls(); err != nil {
+	if err := t.measurePushPulls(); err != nil {
 		return err
 	}
 	t.fleet.meter.tracing.Store(true)
-	t.outcome.Trace, err = t.window(ctx, t.plan.TraceWindow)
+	t.outcome.Trace, err = t.measureWindow(ctx, t.plan.TraceWindow)
 	t.fleet.meter.tracing.Store(false)
 	return err
 }
 
-// pushPulls has some members begin a push/pull. In a large fleet each begins one minutes apart, and members that started
-// together are in step at first, so that a window of some seconds may contain none.
-func (t *trial) pushPulls() error {
+// measurePushPulls triggers push/pulls at some members and measures their size. In a large fleet a member starts one every few
+// minutes, and members that started together are synchronized at first, so a window of some seconds may contain none.
+func (t *trial) measurePushPulls() error {
 	before, err := t.snapshot()
 	if err != nil {
 		return err
 	}
-	for _, h := range t.randomMembers(measuredPushPulls) {
+	for _, h := range t.randomMembers(pushPullCount) {
 		h.member.PushPull()
 	}
 	window, err := t.windowSince(before)
 	if err == nil && window.Streams > 0 {
-		t.outcome.ExchangeBytes = window.StreamBytes / window.Streams
+		t.outcome.PushPullBytes = window.StreamBytes / window.Streams
 	}
 	return err
 }
 
-// updateRecords updates the record of a random member each second.
+// updateRecords updates the record of a random member every second, and measures the cost of an update.
 func (t *trial) updateRecords(ctx context.Context) error {
 	before, err := t.snapshot()
 	if err != nil {
@@ -162,7 +162,7 @@
 			return err
 		}
 	}
-	if err := scale.Wait(ctx, updateDelay); err != nil {
+	if err := scale.Wait(ctx, propagationDelay); err != nil {
 		return err
 	}
 	window, err := t.windowSince(before)
@@ -171,20 +171,20 @@
 	}
 	quiet, updates := t.outcome.Quiet, float64(t.plan.RecordUpdates)
 	quietBytes := quiet.DatagramBytes / quiet.Seconds * window.Seconds
-	t.outcome.ChangeBytes = (window.DatagramBytes - quietBytes) / updates // gossip is sent in datagrams alone
-	quietMillis := quiet.ProcessorMillis / quiet.Seconds * window.Seconds
-	t.outcome.ChangeMillis = (window.ProcessorMillis - quietMillis) / updates
+	t.outcome.UpdateBytes = (window.DatagramBytes - quietBytes) / updates // gossip is sent in datagrams only
+	quietMillis := quiet.CPUMillis / quiet.Seconds * window.Seconds
+	t.outcome.UpdateCPUMillis = (window.CPUMillis - quietMillis) / updates
 	return nil
 }
 
-// setRecord updates a member's record; failures are counted.
+// setRecord updates a member's record. Failures are counted.
 func (t *trial) setRecord(h *hollowMember, record membership.Record) {
 	if err := h.member.SetRecord(record); err != nil {
-		t.outcome.LateChanges++
+		t.outcome.FailedUpdates++
 	}
 }
 
-// randomMembers returns an even number of random live members, count at most and never the seeds.
+// randomMembers returns up to count random live members, but not the seeds. If there are fewer than count, their number is even.
 func (t *trial) randomMembers(count int) []*hollowMember {
 	live := t.fleet.liveMembers()[seedCount+1:]
 	t.random.Shuffle(len(live), func(a, b int) { live[a], live[b] = live[b], live[a] })
--- a/internal/lab/scale/members/window.go
+++ b/internal/lab/scale/members/window.go
@@ -7,21 +7,21 @@
 	"thymechute/internal/lab/scale"
 )
 
-// Window is what a member sent, received and spent on average within a time.
+// Window is the traffic and CPU time of the average member during a period.
 type Window struct {
-	Seconds         float64
-	Bytes           float64 // both directions
-	DatagramBytes   float64
-	StreamBytes     float64
-	Datagrams       float64 // both directions
-	Streams         float64 // dialled
-	ProcessorMillis float64
-	Kinds           map[string]float64 `json:",omitempty"` // bytes sent, by kind of message; of the trace's window only
+	Seconds       float64
+	Bytes         float64 // both directions
+	DatagramBytes float64
+	StreamBytes   float64
+	Datagrams     float64            // both directions
+	Streams       float64            // dialled
+	CPUMillis     float64            `json:"ProcessorMillis"`
+	Kinds         map[string]float64 `json:",omitempty"` // bytes sent by message kind; only in Outcome.Trace
 }
 
 func (w Window) bytesPerSecond() float64 { return w.Bytes / w.Seconds }
 
-// snapshot is the meter and the usage of this process at one moment.
+// snapshot is the state of the meter and the usage of this process at one time.
 type snapshot struct {
 	at      time.Time
 	reading meterReading
@@ -33,8 +33,8 @@
 	return snapshot{at: time.Now(), reading: t.fleet.meter.read(), usage: usage}, err
 }
 
-// window measures for a time.
-func (t *trial) window(ctx context.Context, length time.Duration) (Window, error) {
+// measureWindow measures for that duration.
+func (t *trial) measureWindow(ctx context.Context, length time.Duration) (Window, error) {
 	before, err := t.snapshot()
 	if err != nil {
 		return Window{}, err
@@ -54,13 +54,13 @@
 	used := now.reading.since(before.reading)
 	size := float64(t.plan.Size)
 	window := Window{
-		Seconds:         now.at.Sub(before.at).Seconds(),
-		Bytes:           float64(used.bytes()) / size,
-		DatagramBytes:   float64(used.DatagramBytes) / size,
-		StreamBytes:     float64(used.StreamBytes) / size,
-		Datagrams:       float64(used.Datagrams) / size,
-		Streams:         float64(used.Streams) / size,
-		ProcessorMillis: scale.Milliseconds(now.usage.CPU-before.usage.CPU) / size,
+		Seconds:       now.at.Sub(before.at).Seconds(),
+		Bytes:         float64(used.bytes()) / size,
+		DatagramBytes: float64(used.DatagramBytes) / size,
+		StreamBytes:   float64(used.StreamBytes) / size,
+		Datagrams:     float64(used.Datagrams) / size,
+		Streams:       float64(used.Streams) / size,
+		CPUMillis:     scale.Milliseconds(now.usage.CPU-before.usage.CPU) / size,
 	}
 	for kind, bytes := range used.Kinds {
 		if bytes == 0 {
