--- a/internal/lab/scale/instance/connections.go
+++ b/internal/lab/scale/instance/connections.go
@@ -11,22 +11,22 @@
 )
 
 const (
-	settleTime        = 500 * time.Millisecond // after opening connections, before memory is read
+	settleTime        = 500 * time.Millisecond // between opening connections and reading memory
 	requestTimeout    = 5 * time.Second
-	connectionSockets = 4096    // socket limit of the program; it gives client stubs five eighths, less its own descriptors
-	likelySubset      = 32      // instances that a caller connects to, for the target
-	regionLossFactor  = 4.0 / 3 // connections of an instance after the loss of one of four regions
+	connectionSockets = 4096    // socket limit of the program, which allots five eighths, minus its own descriptors, to client stubs
+	likelySubset      = 32      // expected number of instances that a caller connects to, at the target size
+	regionLossFactor  = 4.0 / 3 // growth of an instance's connections after the loss of one of four regions
 	bytesPerKB        = 1024
 	kbPerMB           = 1024
 	maxDescriptors    = 1024 // the platform's limit
 )
 
-// connectionsAt is the mean number of connections of an instance when each caller connects to a subset of that size.
+// connectionsAt returns the mean number of connections of an instance if each caller connects to a subset of that size.
 func connectionsAt(subset float64) float64 {
 	return scale.TargetCallers * subset / scale.TargetMembers
 }
 
-// measureConnections opens more and more connections to one program, has a request served on each, and leaves them idle.
+// measureConnections opens an increasing number of connections to one program. Each serves one request and is then idle.
 func (m *measurement) measureConnections() error {
 	r, _, err := m.startRig(deploymentPlan{tenants: 2, classes: 1, sockets: connectionSockets})
 	if err != nil {
@@ -36,7 +36,7 @@
 	time.Sleep(settleTime)
 	withoutCallers := r.descriptorCount()
 	memory := scale.Series{Name: "resident_kb_idle_connections", SizeUnit: "connections", Target: connectionsAt(likelySubset) * regionLossFactor,
-		Bound: scale.MaxMemoryBytes / bytesPerKB, Coverage: "idle, each after one request"}
+		Bound: scale.MaxMemoryBytes / bytesPerKB, Coverage: "idle connections, each after one request"}
 	descriptors := memory
 	descriptors.Name, descriptors.Bound = "descriptors", maxDescriptors
 	var conns []net.Conn
@@ -52,7 +52,7 @@
 		time.Sleep(settleTime)
 		open := r.descriptorCount()
 		if open-withoutCallers < size {
-			m.result.AddFault("%d idle connections: %d descriptors more than without", size, open-withoutCallers)
+			m.result.AddFault("%d idle connections: found only %d more descriptors than without connections", size, open-withoutCallers)
 		}
 		residentMB, err := r.residentMB()
 		if err != nil {
@@ -69,19 +69,19 @@
 	return m.addSeries(descriptors)
 }
 
-// connectUpTo opens connections until there are count. After an error it returns those that are open.
+// connectUpTo opens connections until there are count. On an error it also returns the open ones.
 func (r *rig) connectUpTo(conns []net.Conn, count int) ([]net.Conn, error) {
 	for len(conns) < count {
 		c, err := r.connect()
 		if err != nil {
-			return conns, fmt.Errorf("connection %d: %w", len(conns)+1, err)
+			return conns, fmt.Errorf("open connection %d: %w", len(conns)+1, err)
 		}
 		conns = append(conns, c)
 	}
 	return conns, nil
 }
 
-// connect opens a connection and waits for the answer to one request on it.
+// connect opens a connection, sends one request and waits for its answer.
 func (r *rig) connect() (net.Conn, error) {
 	c, err := net.DialTimeout("tcp", r.deploymentPlan.listen, requestTimeout)
 	if err != nil {
--- a/internal/lab/scale/instance/load.go
+++ b/internal/lab/scale/instance/load.go
@@ -12,34 +12,34 @@
 
 const (
 	answerTimeout         = 3 * time.Second  // after a load's last request
-	maxStall              = 12 * time.Second // of the program, for which a load has enough connections
-	requestsPerConnection = 32               // the protocol's limit
+	maxStall              = 12 * time.Second // longest stall of the program for which a load has enough connections
+	requestsPerConnection = 32               // limit of the protocol
 	minConnections        = 8
 	maxConnections        = 400
-	reloadAftermath       = 50 * time.Millisecond // after a reload, in which requests still count as during it
+	reloadAftermath       = 50 * time.Millisecond // period after a reload whose requests still count as during the reload
 )
 
-// loadResult is a load's samples, and the latency that the program added to each request: its latency from when it was due, less
-// its run time. A request without an answer counts with its age.
+// loadResult holds the samples of a load and the latency that the program added to each request: the latency since the request was
+// due, minus its run time. A request without an answer counts with its age.
 type loadResult struct {
 	samples      stub.Samples
 	addedLatency []time.Duration
 }
 
-// loadOptions describe a load.
+// loadOptions are the parameters of a load.
 type loadOptions struct {
-	rate     float64 // requests a second
+	rate     float64 // requests per second
 	duration time.Duration
 	seed     uint64
 	stop     <-chan struct{} // ends the load early when closed; may be nil
 }
 
-// connections is enough to send all requests that are due during maxStall.
+// connections returns enough connections to send all requests that are due during maxStall.
 func (o loadOptions) connections() int {
 	return min(max(int(o.rate*maxStall.Seconds())/requestsPerConnection, minConnections), maxConnections)
 }
 
-// load sends requests of all classes, and of all tenants but the last, whose limit the probe tests.
+// load sends requests of all classes and of all tenants except the last one, whose limit the probe tests.
 func (r *rig) load(ctx context.Context, options loadOptions) (loadResult, error) {
 	r.resetRunTimes()
 	random := rand.New(rand.NewPCG(options.seed, 2))
@@ -68,10 +68,10 @@
 	return result, nil
 }
 
-// runUnderLoad runs act during a load. act starts after 1/leadPart of the load's duration, and the load continues for at least as
-// long after act.
-func (r *rig) runUnderLoad(ctx context.Context, options loadOptions, act func() error) (result loadResult, err error) {
-	duration, lead := options.duration, options.duration/leadPart
+// runUnderLoad runs an action during a load. The action starts after 1/leadDivisor of the load's duration, and the load continues for
+// at least as long after the action.
+func (r *rig) runUnderLoad(ctx context.Context, options loadOptions, action func() error) (result loadResult, err error) {
+	duration, lead := options.duration, options.duration/leadDivisor
 	stop, done := make(chan struct{}), make(chan error, 1)
 	options.duration, options.stop = maxStall, stop
 	go func() {
@@ -81,18 +81,18 @@
 	}()
 	time.Sleep(lead)
 	begin := time.Now()
-	err = act()
+	err = action()
 	time.Sleep(max(duration-lead-time.Since(begin), lead))
 	close(stop)
 	return result, errors.Join(err, <-done)
 }
 
-// distribution is that of the latency added to all requests.
+// distribution returns the distribution of the latency added to all requests.
 func (l loadResult) distribution() *stub.Distribution {
 	return l.distributionOf(func(stub.Sample) bool { return true })
 }
 
-// duringReloads is the distribution over the requests that were due during a reload or in its aftermath.
+// duringReloads returns the distribution over the requests that were due during a reload or within reloadAftermath after it.
 func (l loadResult) duringReloads(reloads []reload) *stub.Distribution {
 	return l.distributionOf(func(s stub.Sample) bool {
 		for _, r := range reloads {
@@ -114,5 +114,5 @@
 	return d
 }
 
-// unservedCount is the number of requests without a result, for any reason.
+// unservedCount returns the number of requests that were not served, for any reason.
 func (l loadResult) unservedCount() int { return len(l.samples) - l.samples.Count(stub.Served) }
--- a/internal/lab/scale/instance/process.go
+++ b/internal/lab/scale/instance/process.go
@@ -18,35 +18,35 @@
 
 const (
 	startTimeout        = 20 * time.Second // from exec to the first successful health check
-	healthCheckTimeout  = time.Second      // of one health check
+	healthCheckTimeout  = time.Second      // for one health check
 	healthCheckInterval = 2 * time.Millisecond
-	maxLogLines         = 10_000 // of the log
+	maxLogLines         = 10_000 // stored lines; further ones are dropped
 	bytesPerMB          = 1 << 20
 )
 
-// logLine is a line of the program's log and when it was read.
+// logLine is a line of the program's log and the time at which it was read.
 type logLine struct {
 	at   time.Time
 	text string
 }
 
-// process is the program under measurement, with up to maxLogLines of its log.
+// process is the measured program, with up to maxLogLines of its log.
 type process struct {
 	listen, file string
 	startTime    time.Time
 	cmd          *exec.Cmd
 	exited       chan struct{}
-	lineAdded    chan struct{} // capacity 1, signalled with each line
+	lineAdded    chan struct{} // capacity 1, signalled for each line
 	mu           sync.Mutex
 	lines        []logLine
 }
 
-// startError is the error of a program that does not serve within startTimeout.
+// startError reports that the program did not serve within startTimeout.
 type startError struct{ reason string }
 
 func (e *startError) Error() string { return "the program did not start: " + e.reason }
 
-// startProcess starts the program with the configuration at that path. The program does not outlive this process.
+// startProcess starts the program with the configuration file at that path. The kernel kills the program if this process ends.
 func startProcess(program, file, listen string) (*process, error) {
 	p := &process{listen: listen, file: file, exited: make(chan struct{}), lineAdded: make(chan struct{}, 1)}
 	p.cmd = exec.Command(program)
@@ -70,7 +70,7 @@
 	return p, nil
 }
 
-// appendLog adds a line of the log and wakes awaitLine.
+// appendLog stores a line of the log and wakes awaitLine.
 func (p *process) appendLog(text string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -83,15 +83,15 @@
 	}
 }
 
-// lineCount is the number of log lines so far.
+// lineCount returns the number of stored log lines.
 func (p *process) lineCount() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return len(p.lines)
 }
 
-// find returns the first line, from index from on, that contains one of the phrases.
-func (p *process) find(from int, phrases []string) (logLine, bool) {
+// findLine returns the first log line, starting at index from, that contains one of the phrases.
+func (p *process) findLine(from int, phrases []string) (logLine, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, line := range p.lines[from:] {
@@ -104,17 +104,17 @@
 	return logLine{}, false
 }
 
-// awaitLine waits for a line, from index from on, that contains one of the phrases; ok is false when none came within limit.
+// awaitLine waits for a log line, starting at index from, that contains one of the phrases. ok is false if there is none within limit.
 func (p *process) awaitLine(ctx context.Context, from int, limit time.Duration, phrases ...string) (logLine, bool) {
 	timeout := time.After(limit)
 	for {
-		if line, ok := p.find(from, phrases); ok {
+		if line, ok := p.findLine(from, phrases); ok {
 			return line, true
 		}
 		select {
 		case <-p.lineAdded:
 		case <-p.exited:
-			return p.find(from, phrases)
+			return p.findLine(from, phrases)
 		case <-timeout:
 			return logLine{}, false
 		case <-ctx.Done():
@@ -123,10 +123,11 @@
 	}
 }
 
-// signalReload asks the program to read its configuration again.
+// signalReload makes the program reload its configuration.
 func (p *process) signalReload() { _ = p.cmd.Process.Signal(syscall.SIGHUP) }
 
-// waitUntilServing waits for the first successful health check, and returns the time since exec. It returns a *startError.
+// waitUntilServing waits for the first successful health check and returns the time since exec. It fails with a *startError, or with
+// the context's error.
 func (p *process) waitUntilServing(ctx context.Context) (time.Duration, error) {
 	for time.Since(p.startTime) < startTimeout && ctx.Err() == nil {
 		if isServing(p.listen) {
@@ -134,17 +135,17 @@
 		}
 		select {
 		case <-p.exited:
-			return 0, &startError{"it ended: " + p.logText()}
+			return 0, &startError{"process exited, log: " + p.logText()}
 		case <-time.After(healthCheckInterval):
 		}
 	}
 	if err := ctx.Err(); err != nil {
 		return 0, err
 	}
-	return 0, &startError{fmt.Sprintf("not serving within %v: %s", startTimeout, p.logText())}
+	return 0, &startError{fmt.Sprintf("no successful health check within %v, log: %s", startTimeout, p.logText())}
 }
 
-// logText is the log so far, in one line.
+// logText returns the stored log in one line.
 func (p *process) logText() string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -155,7 +156,7 @@
 	return text.String()
 }
 
-// isServing runs one health check.
+// isServing reports whether one health check succeeds.
 func isServing(address string) bool {
 	c, err := net.DialTimeout("tcp", address, healthCheckTimeout)
 	if err != nil {
@@ -168,13 +169,13 @@
 	return json.NewDecoder(c).Decode(&answer) == nil && answer.Result.Serving
 }
 
-// residentMB is the resident memory now, in megabytes.
+// residentMB returns the current resident memory in megabytes.
 func (p *process) residentMB() (float64, error) {
 	resident, err := procfs.ResidentBytes(p.cmd.Process.Pid)
 	return float64(resident) / bytesPerMB, err
 }
 
-// peakMB is the highest resident memory so far, in megabytes; 0 when the process has ended.
+// peakMB returns the peak resident memory in megabytes; 0 if the process has ended.
 func (p *process) peakMB() float64 {
 	peak, err := procfs.PeakResidentBytes(p.cmd.Process.Pid)
 	if err != nil {
@@ -183,7 +184,7 @@
 	return float64(peak) / bytesPerMB
 }
 
-// cpuTime is the CPU time used so far, in steps of 10 ms; 0 when the process has ended.
+// cpuTime returns the CPU time used so far, in steps of 10 ms; 0 if the process has ended.
 func (p *process) cpuTime() time.Duration {
 	used, err := procfs.CPUTime(p.cmd.Process.Pid)
 	if err != nil {
@@ -192,7 +193,7 @@
 	return used
 }
 
-// descriptorCount is the number of open file descriptors; 0 when the process has ended.
+// descriptorCount returns the number of open file descriptors; 0 if the process has ended.
 func (p *process) descriptorCount() int {
 	count, err := procfs.DescriptorCount(p.cmd.Process.Pid)
 	if err != nil {
@@ -201,7 +202,7 @@
 	return count
 }
 
-// kill kills the program; its graceful shutdown is not measured.
+// kill kills the program and waits for its end. Its graceful shutdown is not measured.
 func (p *process) kill() {
 	_ = p.cmd.Process.Kill()
 	<-p.exited
--- a/internal/lab/scale/instance/reload.go
+++ b/internal/lab/scale/instance/reload.go
@@ -10,24 +10,24 @@
 )
 
 const (
-	reloadTimeout = 10 * time.Second // for the program's log line
-	// minReloadInterval separates reloads, since the program's logger samples messages beyond 20 a second.
+	reloadTimeout = 10 * time.Second // for the log line about the outcome
+	// minReloadInterval keeps reloads below 20 per second, above which the program's logger samples messages.
 	minReloadInterval = 60 * time.Millisecond
-	// The messages by which the program logs the outcome of a reload.
+	// Log messages of the program for the outcome of a reload.
 	appliedMessage  = "configuration reloaded"
 	rejectedMessage = "configuration rejected"
 )
 
-// outcome is the outcome of a reload, by the program's log.
+// outcome is the outcome of a reload according to the program's log.
 type outcome int
 
 const (
-	unanswered outcome = iota // no message within reloadTimeout
+	unanswered outcome = iota // no log message within reloadTimeout
 	applied
 	rejected
 )
 
-// reload is one reload. It is completed at the time of the program's message, or of the timeout.
+// reload is one reload of the configuration. It is completed when the program logs its outcome, or at the timeout.
 type reload struct {
 	sent, completed time.Time
 	outcome         outcome
@@ -36,7 +36,7 @@
 
 func (r reload) millis() float64 { return scale.Milliseconds(r.completed.Sub(r.sent)) }
 
-// replaceFile writes the configuration file, signals the program, and waits for its message.
+// replaceFile writes the configuration file, signals the program to reload it, and waits until the outcome is logged.
 func (r *rig) replaceFile(ctx context.Context, text []byte) (reload, error) {
 	time.Sleep(minReloadInterval)
 	from := r.lineCount()
@@ -58,7 +58,7 @@
 	return done, ctx.Err()
 }
 
-// reloadPeriodically puts the files into force in turn, one each periodicReloadInterval, until duration is over or one is not
+// reloadPeriodically reloads the two files alternately, one per periodicReloadInterval, until the duration is over or a reload is not
 // applied.
 func (r *rig) reloadPeriodically(ctx context.Context, duration time.Duration, files [2][]byte) (reloads []reload, err error) {
 	begin := time.Now()
--- a/internal/lab/scale/instance/reports.go
+++ b/internal/lab/scale/instance/reports.go
@@ -13,29 +13,30 @@
 )
 
 const (
-	sweepInterval  = 5 * time.Millisecond // between sweeps of the reporters
-	idleFactor     = 3                    // times reportingTime for the program's own reports, as CPU time counts in steps of clockTick
-	headerBytes    = 28                   // of UDP and IPv4, for each datagram
+	sweepInterval  = 5 * time.Millisecond // between passes over the reporters
+	idleFactor     = 3                    // multiple of reportingTime for the idle program, as CPU time has steps of 10 ms
+	headerBytes    = 28                   // UDP and IPv4 headers per datagram
 	listedSubset   = likelySubset
-	reportInterval = 300 * time.Millisecond // of one instance, by internal/catalog
+	reportInterval = 300 * time.Millisecond // interval of one instance's reports in internal/catalog
 )
 
-// reporterSocket is the socket of one simulated reporter; errors of writes are lost reports.
+// reporterSocket is the socket of one simulated reporter. A write error means a lost report.
 type reporterSocket struct{ net.Conn }
 
 func (s reporterSocket) Write(p []byte) { _, _ = s.Conn.Write(p) }
 func (s reporterSocket) Close()         { _ = s.Conn.Close() }
 
-// measureReports measures the reports of the program, and then those of simulated instances, each with a socket in this process.
+// measureReports measures the reports of the program and then those of simulated instances, which each have a socket in this process.
 func (m *measurement) measureReports() error {
 	if err := m.measureOwnReports(); err != nil {
 		return err
 	}
-	reports := scale.Series{Name: "reports_s", SizeUnit: "members", Target: scale.TargetMembers, Coverage: "hollow instances, at size"}
+	reports := scale.Series{Name: "reports_s", SizeUnit: "members", Target: scale.TargetMembers,
+		Coverage: "simulated instances, up to the target size"}
 	bytes := reports
 	reports.Name, bytes.Name = "reports_s", "report_bytes_s"
 	list := reports
-	list.Name, list.Coverage = "list_bytes", "a line of name and address each: the page states no form"
+	list.Name, list.Coverage = "list_bytes", "one line with name and address per instance; the format is an assumption, as none is specified"
 	for _, size := range m.workload.reporters {
 		simulated, err := m.simulateReporters(size)
 		if err != nil {
@@ -57,7 +58,7 @@
 	return nil
 }
 
-// measureOwnReports measures the reports of the program at the catalog, and the CPU time of the program while it is idle.
+// measureOwnReports measures the reports that the catalog receives from the program, and the CPU time of the idle program.
 func (m *measurement) measureOwnReports() error {
 	r, _, err := m.startRig(deploymentPlan{tenants: 2, classes: 1, sockets: maxSockets})
 	if err != nil {
@@ -69,7 +70,7 @@
 	after, seconds := r.catalog.Counts(), time.Since(begin).Seconds()
 	reports := float64(after.Reports - before.Reports)
 	if reports == 0 {
-		m.result.AddFault("no report of the program reached the catalog in %v", m.workload.reportingTime)
+		m.result.AddFault("catalog: found no report of the program after %v, expected at least one", m.workload.reportingTime)
 		return nil
 	}
 	bytes := float64(after.Bytes - before.Bytes)
@@ -80,16 +81,16 @@
 	return nil
 }
 
-// memberName is the name of the n-th simulated instance, from 0.
+// memberName returns the name of the n-th simulated instance, counted from 0.
 func memberName(n int) string { return fmt.Sprintf("n%d", n+1) }
 
-// simulatedReports is what the catalog received from simulated instances.
+// simulatedReports is what the catalog has received from simulated instances.
 type simulatedReports struct {
 	counts fakecatalog.Counts
-	list   []byte // the catalog's list, encoded
+	list   []byte // encoded list of the catalog's healthy instances
 }
 
-// simulateReporters runs the program's reporter for size instances, which report to a catalog of their own.
+// simulateReporters runs the program's reporter for size simulated instances, which report to a new catalog.
 func (m *measurement) simulateReporters(size int) (simulatedReports, error) {
 	c, address, err := fakecatalog.Start("127.0.0.1:0")
 	if err != nil {
@@ -105,11 +106,11 @@
 		defer socket.Close()
 		reporters[n] = catalog.New(memberName(n), func(p loop.Handler) { p.Opened(reporterSocket{socket}) })
 	}
-	m.sweepReporters(reporters)
+	m.runReporters(reporters)
 	counts := c.Counts()
 	names := c.Names(time.Now())
 	if len(names) != size {
-		m.result.AddFault("%d of %d hollow instances listed", len(names), size)
+		m.result.AddFault("catalog: found %d of %d simulated instances in the list, expected all", len(names), size)
 	}
 	if m.result.Figures["list_bytes_subset"] == 0 {
 		subset := fakecatalog.EncodeList(names[:min(listedSubset, size)], listedAddress)
@@ -118,8 +119,8 @@
 	return simulatedReports{counts: counts, list: fakecatalog.EncodeList(names, listedAddress)}, m.ctx.Err()
 }
 
-// sweepReporters lets the reporters report for the workload's time. The first reports are spread over one interval.
-func (m *measurement) sweepReporters(reporters []*catalog.Reporter) {
+// runReporters runs the reporters for the workload's reportingTime. Their first reports are spread over one interval.
+func (m *measurement) runReporters(reporters []*catalog.Reporter) {
 	begin := time.Now()
 	for now := begin; now.Sub(begin) < m.workload.reportingTime && m.ctx.Err() == nil; now = time.Now() {
 		due := len(reporters)
@@ -131,8 +132,8 @@
 		}
 		time.Sleep(sweepInterval)
 	}
-	time.Sleep(sweepInterval) // for datagrams still in the socket
+	time.Sleep(sweepInterval) // for datagrams that are still in the socket buffer
 }
 
-// listedAddress is an address of typical length.
+// listedAddress returns an address of typical length.
 func listedAddress(string) string { return "10.12.104.101:8080" }
--- a/internal/lab/scale/instance/rig.go
+++ b/internal/lab/scale/instance/rig.go
@@ -15,31 +15,31 @@
 	"thymechute/internal/fake/runtime"
 )
 
-// unreachableAddress stands for the index, which no class calls.
+// unreachableAddress is the address of the index, which no class calls.
 const unreachableAddress = "127.0.0.1:9"
 
-// The first byte of a body determines what the fake runtime does with it.
+// The first byte of a request body selects the run time at the fake runtime.
 const (
-	workLoad  = 'l' // runs for loadRunTime
-	workProbe = 'p' // ends at once
+	workLoad  = 'l' // a load's request, runs for loadRunTime
+	workProbe = 'p' // a probe's request, ends immediately
 )
 
 const loadRunTime = time.Millisecond
 
-// rig is a program with the fakes of its runtime and of the catalog.
+// rig is a running program with the fakes of its runtime and of the catalog.
 type rig struct {
 	deploymentPlan
 	*process
 	runtime *runtime.Runtime
 	catalog *catalog.Catalog
 
-	lastID   atomic.Uint64 // request ID of probes and idle connections
+	lastID   atomic.Uint64 // last request ID of probes and idle connections
 	mu       sync.Mutex
 	runTimes map[string]time.Duration // by request body, of the last load
 }
 
-// newRig starts the fakes and the program and waits until the program serves; startTime is the time from exec to then. After an
-// error nothing runs any more; the error is a *startError when the program did not start.
+// newRig starts the fakes and the program, and waits until the program serves. startTime is the time from exec until then. On an error
+// everything is stopped; the error is a *startError if the program did not start.
 func newRig(ctx context.Context, program, folder string, d deploymentPlan) (r *rig, startTime time.Duration, err error) {
 	r = &rig{deploymentPlan: d, runTimes: map[string]time.Duration{}}
 	startTime, err = r.start(ctx, program, folder)
@@ -51,10 +51,10 @@
 }
 
 func (r *rig) start(ctx context.Context, program, folder string) (startTime time.Duration, err error) {
-	if r.runtime, r.deploymentPlan.runtime, err = runtime.Start("127.0.0.1:0", work, func(string, []byte) {}); err != nil {
+	if r.runtime, r.deploymentPlan.runtime, err = runtime.Start("127.0.0.1:0", taskRunTime, func(string, []byte) {}); err != nil {
 		return 0, err
 	}
-	r.runtime.OnEnd(r.observeEnd)
+	r.runtime.OnEnd(r.recordRunTime)
 	if r.catalog, r.deploymentPlan.catalog, err = catalog.Start("127.0.0.1:0"); err != nil {
 		return 0, err
 	}
@@ -71,7 +71,8 @@
 	return r.waitUntilServing(ctx)
 }
 
-// freeAddress is not on 127.0.0.1, from which all peers dial, since an outgoing connection could take its port.
+// freeAddress returns a free address that is not on 127.0.0.1: all peers dial from there, and an outgoing connection could take its
+// port.
 func freeAddress() (string, error) {
 	return faultnet.FreeAddress(fmt.Sprintf("127.2.%d.%d", os.Getpid()>>8&255, os.Getpid()&255))
 }
@@ -89,16 +90,16 @@
 	}
 }
 
-// work is the run time of a task at the fake runtime.
-func work(_ string, body []byte) (time.Duration, []byte) {
+// taskRunTime returns the run time and the result of a task at the fake runtime.
+func taskRunTime(_ string, body []byte) (time.Duration, []byte) {
 	if bytes.HasPrefix(body, []byte{workLoad}) {
 		return loadRunTime, nil
 	}
 	return 0, nil
 }
 
-// observeEnd records the run time of a load's request.
-func (r *rig) observeEnd(body []byte, took time.Duration) {
+// recordRunTime records the run time of a load's request when it ends.
+func (r *rig) recordRunTime(body []byte, took time.Duration) {
 	if len(body) == 0 || body[0] != workLoad {
 		return
 	}
@@ -107,7 +108,7 @@
 	r.runTimes[string(body)] = took
 }
 
-// runTime is the run time of a load's request; 0 when it did not run.
+// runTime returns the run time of a load's request; 0 if it did not run.
 func (r *rig) runTime(body string) time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -120,5 +121,5 @@
 	clear(r.runTimes)
 }
 
-// nextID is the ID of a request that no load sends.
+// nextID returns the ID of a request that is not part of a load.
 func (r *rig) nextID() uint64 { return r.lastID.Add(1) }
--- a/internal/lab/scale/instance/settings.go
+++ b/internal/lab/scale/instance/settings.go
@@ -10,33 +10,33 @@
 )
 
 const (
-	unlimited    = 1e9    // quota of a tenant, requests a second
-	minimalQuota = 0.001  // quota of the tenant whose limit reloads lift and restore, requests a second
-	classSeconds = 30     // latency objective and deadline of every class, long enough that no request expires
-	loadClass    = "load" // class of the first route
-	maxMemoryMB  = 192    // the platform's limit
-	maxSockets   = 1024   // the platform's limit
-	stopMillis   = 3000   // from SIGTERM to SIGKILL, by the platform
+	unlimited        = 1e9    // quota of a tenant without a limit, requests per second
+	minimalQuota     = 0.001  // quota of the tenant whose limit is lifted and restored by reloads, requests per second
+	objectiveSeconds = 30     // latency objective, deadline and key window of every class; long enough that no request expires
+	loadClass        = "load" // class name of the first route
+	maxMemoryMB      = 192    // the platform's limit
+	maxSockets       = 1024   // the platform's limit
+	stopMillis       = 3000   // from SIGTERM to SIGKILL, by the platform
 
 	callerIdleSeconds = 3600
 )
 
-// deploymentPlan is what the measurements vary in the configuration of a program.
+// deploymentPlan is the part of a program's configuration that the measurements vary.
 type deploymentPlan struct {
 	tenants, classes  int
 	listen, runtime   string
 	catalog           string
 	sockets           int
-	lastTenantLimited bool    // the last tenant has minimalQuota; requests beyond a quota have no priority weight and are rejected
-	shorterObjective  float64 // subtracted from the last class's latency objective, seconds
+	lastTenantLimited bool    // whether the last tenant has minimalQuota; requests over quota have no priority weight and are rejected
+	shorterObjective  float64 // seconds subtracted from the last class's latency objective
 }
 
-// methodsPerService shapes the classes' names.
+// methodsPerService is the number of classes that share a service in their names.
 const methodsPerService = 12
 
 func tenantName(n int) string { return fmt.Sprintf("tenant-%05d", n) }
 
-// className is the class of the n-th route, from 0.
+// className returns the class of the n-th route, counted from 0.
 func className(n int) string {
 	if n == 0 {
 		return loadClass
@@ -44,7 +44,7 @@
 	return fmt.Sprintf("service-%03d/method-%02d", n/methodsPerService, n%methodsPerService)
 }
 
-// settings are the settings of the deployment's tenants and classes.
+// settings returns the settings with the plan's tenants and classes.
 func (d deploymentPlan) settings() deployment.Settings {
 	overQuotaWeight := 0.0
 	s := deployment.NewSettings(scale.TargetMembers)
@@ -53,7 +53,7 @@
 	s.Domain.CallerCount = scale.TargetCallers
 	for n := range d.classes {
 		s.AddClass(deployment.Class{Name: className(n), Idempotency: deployment.Safe, PriorityWeight: 1,
-			LatencyObjective: classSeconds, Deadline: classSeconds, KeyWindow: classSeconds})
+			LatencyObjective: objectiveSeconds, Deadline: objectiveSeconds, KeyWindow: objectiveSeconds})
 	}
 	s.Classes[d.classes-1].LatencyObjective -= d.shorterObjective
 	for n := range d.tenants {
--- a/internal/lab/scale/instance/trial.go
+++ b/internal/lab/scale/instance/trial.go
@@ -9,7 +9,7 @@
 	"thymechute/internal/lab/scale"
 )
 
-// trial is the measurements of one program with one configuration.
+// trial holds the measurements of one program with one configuration.
 type trial struct {
 	tenants, routes    int
 	fileBytes          int
@@ -17,15 +17,15 @@
 	limitActiveAtStart bool
 	residentStartMB    float64
 	resident1MB        float64 // after one reload
-	resident5MB        float64 // after probedReloads
-	resident20MB       float64 // after all reloads; not a number when a timeout ended them
+	resident5MB        float64 // after probedReloads reloads
+	resident20MB       float64 // after all reloads; NaN if a timeout ended them early
 	peakMB             float64
-	unserved           int // requests of the loads without reloads
-	sent               int
+	unserved           int // requests that were not served in the loads without reloads
+	sent               int // requests sent in the loads without reloads
 
 	firstReload        reload
-	effectiveMillis    []float64 // of each probed reload, until the limit was in force or not
-	loggedMillis       []float64 // of each probed reload, until it was logged
+	effectiveMillis    []float64 // of each probed reload, until the probe observed the change of the limit
+	loggedMillis       []float64 // of each probed reload, until its outcome was logged
 	reloadLatency      *stub.Distribution
 	cpuMillisPerReload float64
 	unchangedReload    reload
@@ -33,12 +33,12 @@
 	abnormalLatency    *stub.Distribution
 
 	quietLatency     map[float64]*stub.Distribution // by rate, without reloads
-	reloadingLatency map[float64]*stub.Distribution // by rate, with a reload each second
-	sendDelayP99     time.Duration                  // of the load generator
-	failure          string                         // why the trial ended early
+	reloadingLatency map[float64]*stub.Distribution // by rate, with a reload every second
+	sendDelayP99     time.Duration                  // 99th percentile of the load generator's delays
+	failure          string                         // why the trial ended early; empty if it did not
 }
 
-// loadMode is whether a trial includes loads with and without periodic reloads.
+// loadMode is whether a trial includes the loads without reloads and with periodic reloads.
 type loadMode int
 
 const (
@@ -49,13 +49,13 @@
 // hasStarted reports whether the program started.
 func (t *trial) hasStarted() bool { return t.startMillis > 0 }
 
-// hasCompleted reports whether every reload was applied in time.
+// hasCompleted reports whether every reload so far was applied in time.
 func (t *trial) hasCompleted() bool { return t.failure == "" }
 
-// isTruncated reports whether the first reload had not ended when it was last observed, so that latencies were cut off.
+// isTruncated reports whether the observation of the first reload ended before the reload did, which truncates the latencies.
 func (t *trial) isTruncated() bool { return t.firstReload.outcome == unanswered }
 
-// latencyMillis is a latency during reloads in milliseconds; not a number when it was cut off, so that no fit includes it.
+// latencyMillis returns a latency during reloads in milliseconds. It returns NaN for a truncated one, so that no fit includes it.
 func (t *trial) latencyMillis(latency time.Duration) float64 {
 	if t.isTruncated() {
 		return math.NaN()
@@ -63,7 +63,7 @@
 	return scale.Milliseconds(latency)
 }
 
-// truncationPrefix precedes a latency in text that was cut off.
+// truncationPrefix returns the words that precede a truncated latency in text.
 func (t *trial) truncationPrefix() string {
 	if t.isTruncated() {
 		return "at least "
@@ -71,8 +71,8 @@
 	return ""
 }
 
-// runTrial starts a program with that configuration, and takes it through the trial's script. change makes the change that
-// reloads apply and undo. A program that does not start is a failed trial and no error.
+// runTrial starts a program with that configuration and runs the trial's script on it. change makes the change that reloads apply and
+// undo. If the program does not start, the trial has failed, but there is no error.
 func (m *measurement) runTrial(d deploymentPlan, change func(*deploymentPlan), loads loadMode) (*trial, error) {
 	d.sockets, d.lastTenantLimited = maxSockets, true
 	r, startTime, err := m.startRig(d)
--- a/internal/lab/scale/instance/trial_figures.go
+++ b/internal/lab/scale/instance/trial_figures.go
@@ -7,16 +7,16 @@
 	"thymechute/internal/lab/scale"
 )
 
-// The bounds of one instance at the target, beyond those of package scale.
+// Bounds of one instance at the target size, in addition to those of package scale.
 const (
-	boundStartMillis   = 2000
-	boundResidentMB    = 64
-	boundPeakMB        = scale.MaxMemoryBytes >> 20
-	boundReloadMillis  = 200
-	boundLatencyMillis = 20 // of any request during a reload
+	boundStartMillis         = 2000
+	boundResidentMB          = 64
+	boundPeakMB              = scale.MaxMemoryBytes >> 20
+	boundReloadMillis        = 200
+	boundReloadLatencyMillis = 20 // added to any request during a reload
 )
 
-// completeness is what a figure needs of a trial.
+// completeness is whether a figure needs a complete trial.
 type completeness int
 
 const (
@@ -24,7 +24,7 @@
 	completeTrial
 )
 
-// figure is one value of a trial. A figure of a complete trial is measured only when all reloads were applied in time.
+// figure is one value of a trial. With completeTrial it counts as measured only if all reloads were applied in time.
 type figure struct {
 	name         string
 	bound        float64
@@ -32,8 +32,8 @@
 	value        func(*trial) float64
 }
 
-// of is the figure's value in a trial; ok is false when it was not measured.
-func (f figure) of(t *trial) (value float64, ok bool) {
+// valueIn returns the figure's value in a trial. ok is false if it was not measured.
+func (f figure) valueIn(t *trial) (value float64, ok bool) {
 	if !t.hasStarted() {
 		return 0, false
 	}
@@ -44,7 +44,7 @@
 	return value, !math.IsNaN(value)
 }
 
-// maxOrNaN is the largest of values; not a number when there is none.
+// maxOrNaN returns the largest value, or NaN if there is none.
 func maxOrNaN(values []float64) float64 {
 	if len(values) == 0 {
 		return math.NaN()
@@ -52,7 +52,7 @@
 	return slices.Max(values)
 }
 
-// trialFigures are the figures of a trial. Their names are stored with results.
+// trialFigures are the figures of a trial. Stored results contain their names.
 var trialFigures = []figure{
 	{"file_bytes", 0, anyTrial, func(t *trial) float64 { return float64(t.fileBytes) }},
 	{"start_ms", boundStartMillis, anyTrial, func(t *trial) float64 { return t.startMillis }},
@@ -63,10 +63,14 @@
 	{"resident_mb_peak", boundPeakMB, anyTrial, func(t *trial) float64 { return t.peakMB }},
 	{"reload_logged_ms_worst", boundReloadMillis, completeTrial, func(t *trial) float64 { return maxOrNaN(t.loggedMillis) }},
 	{"reload_in_force_ms_worst", boundReloadMillis, completeTrial, func(t *trial) float64 { return maxOrNaN(t.effectiveMillis) }},
-	{"reload_wait_p99_ms", scale.TargetAddedLatencyMillis, anyTrial, func(t *trial) float64 { return t.latencyMillis(t.reloadLatency.Percentile(99)) }},
-	{"reload_wait_longest_ms", boundLatencyMillis, anyTrial, func(t *trial) float64 { return t.latencyMillis(t.reloadLatency.Max()) }},
+	{"reload_wait_p99_ms", scale.TargetAddedLatencyMillis, anyTrial, func(t *trial) float64 {
+		return t.latencyMillis(t.reloadLatency.Percentile(99))
+	}},
+	{"reload_wait_longest_ms", boundReloadLatencyMillis, anyTrial, func(t *trial) float64 { return t.latencyMillis(t.reloadLatency.Max()) }},
 	{"reload_processor_ms", 0, completeTrial, func(t *trial) float64 { return t.cpuMillisPerReload }},
 	{"same_file_ms", 0, completeTrial, func(t *trial) float64 { return t.unchangedReload.millis() }},
 	{"faulty_file_ms", 0, completeTrial, func(t *trial) float64 { return t.malformedReload.millis() }},
-	{"odd_files_wait_longest_ms", boundLatencyMillis, completeTrial, func(t *trial) float64 { return scale.Milliseconds(t.abnormalLatency.Max()) }},
+	{"odd_files_wait_longest_ms", boundReloadLatencyMillis, completeTrial, func(t *trial) float64 {
+		return scale.Milliseconds(t.abnormalLatency.Max())
+	}},
 }
--- a/internal/lab/scale/instance/trial_script.go
+++ b/internal/lab/scale/instance/trial_script.go
@@ -12,22 +12,22 @@
 
 const (
 	periodicReloadInterval = time.Second
-	singleReloadRate       = 200.0            // requests a second during single reloads
-	maxReloadTime          = 5 * time.Second  // a slower reload ends the trial
-	idleReloadsTimeout     = 10 * time.Second // for all reloads without load
-	probedReloads          = 5                // reloads until the end of the probed ones, the first included
-	leadPart               = 5                // a reload starts after this fraction (1/leadPart) of its load
+	singleReloadRate       = 200.0            // requests per second during single reloads
+	maxReloadTime          = 5 * time.Second  // a slower reload fails the trial
+	idleReloadsTimeout     = 10 * time.Second // for all remaining reloads without load
+	probedReloads          = 5                // number of reloads after the probed ones, including the first reload
+	leadDivisor            = 5                // a reload starts after 1/leadDivisor of the duration of its load
 	startProbeTimeout      = 300 * time.Millisecond
 )
 
-// trialScript runs the steps of one trial. It reloads two files in turn: before and after the change of a tenant or a class.
+// trialScript runs the steps of one trial. It reloads two files alternately: before and after the change of a tenant or a class.
 type trialScript struct {
 	measurement *measurement
 	rig         *rig
 	probe       *probe
 	trial       *trial
 	files       [2][]byte
-	limits      [2]limitState // by file
+	limits      [2]limitState // state of the limit under each file
 	active      int           // index of the file in force
 	reloadCount int
 }
@@ -45,7 +45,7 @@
 	return err
 }
 
-// run runs all steps, until a reload fails.
+// run runs all steps until a reload fails.
 func (s *trialScript) run(loads loadMode) error {
 	_, err := s.probe.waitUntil(s.context(), limitActive, startProbeTimeout)
 	s.trial.limitActiveAtStart = err == nil
@@ -65,15 +65,15 @@
 
 func (s *trialScript) workload() workload { return s.measurement.workload }
 
-// load is the options of the next load.
+// load returns the options of the next load.
 func (s *trialScript) load(rate float64, duration time.Duration) loadOptions {
 	return loadOptions{rate: rate, duration: duration, seed: s.measurement.nextSeed()}
 }
 
-// inactiveFile is the file that is not in force.
+// inactiveFile returns the file that is not in force.
 func (s *trialScript) inactiveFile() []byte { return s.files[1-s.active] }
 
-// reloadInactive puts the inactive file into force, and records the reload.
+// reloadInactive reloads the inactive file and records the reload.
 func (s *trialScript) reloadInactive() (reload, error) {
 	done, err := s.rig.replaceFile(s.context(), s.inactiveFile())
 	if err == nil {
@@ -82,23 +82,23 @@
 	return done, err
 }
 
-// recordReload counts a reload of the inactive file, and ends the trial unless it was applied in time.
+// recordReload counts a reload of the inactive file. The trial fails unless the reload was applied in time.
 func (s *trialScript) recordReload(done reload) {
 	s.reloadCount++
 	switch done.outcome {
 	case unanswered:
-		s.trial.failure = fmt.Sprintf("no word of a reload in %v", reloadTimeout)
+		s.trial.failure = fmt.Sprintf("outcome of a reload not logged within %v", reloadTimeout)
 	case rejected:
-		s.trial.failure = fmt.Sprintf("a reload was refused after %.0f ms", done.millis())
+		s.trial.failure = fmt.Sprintf("reload rejected after %.0f ms", done.millis())
 	case applied:
 		s.active = 1 - s.active
 		if done.millis() > scale.Milliseconds(maxReloadTime) {
-			s.trial.failure = fmt.Sprintf("a reload took %.0f ms", done.millis())
+			s.trial.failure = fmt.Sprintf("reload took %.0f ms", done.millis())
 		}
 	}
 }
 
-// runQuietLoads measures the latency at each rate, without reloads.
+// runQuietLoads measures the latency at each rate without reloads.
 func (s *trialScript) runQuietLoads() error {
 	for _, rate := range s.workload().rates {
 		result, err := s.rig.load(s.context(), s.load(rate, s.workload().quietLoad))
@@ -117,7 +117,7 @@
 	s.trial.sendDelayP99 = max(s.trial.sendDelayP99, result.samples.SendDelays().Percentile(99))
 }
 
-// runFirstReload reloads under load, so that the latency during a reload is measured even if the reload is never applied.
+// runFirstReload reloads under load, to measure the latency during a reload even if the reload is never applied.
 func (s *trialScript) runFirstReload() error {
 	load := s.load(singleReloadRate, s.workload().singleReloadLoad)
 	result, err := s.rig.runUnderLoad(s.context(), load, func() (err error) {
@@ -133,7 +133,7 @@
 	return err
 }
 
-// runProbedReloads reloads without load. Where the change is one of a limit, a probe measures when it is in force.
+// runProbedReloads reloads without load. If the change is that of a limit, a probe measures when the change takes effect.
 func (s *trialScript) runProbedReloads() (err error) {
 	for s.reloadCount < probedReloads {
 		done, effective, err := s.runProbedReload()
@@ -153,7 +153,7 @@
 	return err
 }
 
-// runProbedReload reloads once. effective is when the probe saw the changed limit in force; zero when no limit changes.
+// runProbedReload reloads once. effective is the time at which the probe observed the change of the limit; zero if no limit changes.
 func (s *trialScript) runProbedReload() (done reload, effective time.Time, err error) {
 	if s.limits[0] == s.limits[1] {
 		done, err = s.rig.replaceFile(s.context(), s.inactiveFile())
@@ -172,7 +172,7 @@
 	return done, effective, err
 }
 
-// runReloadingLoads measures the latency at each rate, with a reload each second.
+// runReloadingLoads measures the latency at each rate with a reload every second.
 func (s *trialScript) runReloadingLoads() error {
 	for _, rate := range s.workload().rates {
 		var reloads []reload
@@ -195,7 +195,7 @@
 	return nil
 }
 
-// runIdleReloads runs the remaining reloads without load, and measures their CPU time and the memory after them.
+// runIdleReloads runs the remaining reloads without load, and measures their CPU time and the memory afterwards.
 func (s *trialScript) runIdleReloads() error {
 	cpu, countBefore := s.rig.cpuTime(), s.reloadCount
 	for begin := time.Now(); s.reloadCount < s.workload().reloadCount && time.Since(begin) < idleReloadsTimeout; {
@@ -230,14 +230,15 @@
 	return nil
 }
 
-// checkAbnormalFiles checks that a malformed file was rejected without any effect, and that the limit in force before still is.
+// checkAbnormalFiles checks that the unchanged file was applied, that the malformed file was rejected, and that the state of the limit
+// is unchanged.
 func (s *trialScript) checkAbnormalFiles() {
 	t, result := s.trial, s.measurement.result
 	if t.unchangedReload.outcome != applied || t.malformedReload.outcome != rejected {
-		result.AddFault("%d tenants, %d classes: a file that is the same: %q; a faulty one: %q", t.tenants, t.routes,
-			t.unchangedReload.logLine, t.malformedReload.logLine)
+		result.AddFault("%d tenants, %d classes: unchanged file logged %q, expected it to be applied; malformed file logged %q, expected "+
+			"it to be rejected", t.tenants, t.routes, t.unchangedReload.logLine, t.malformedReload.logLine)
 	}
 	if _, err := s.probe.waitUntil(s.context(), s.limits[s.active], startProbeTimeout); err != nil {
-		result.AddFault("%d tenants, %d classes: after a faulty file: %v", t.tenants, t.routes, err)
+		result.AddFault("%d tenants, %d classes: after a malformed file: %v", t.tenants, t.routes, err)
 	}
 }
--- a/internal/lab/scale/instance/trial_series.go
+++ b/internal/lab/scale/instance/trial_series.go
@@ -9,7 +9,7 @@
 	"thymechute/internal/lab/scale"
 )
 
-// measureTenants runs a trial for each number of tenants; the change that reloads apply is the last tenant's limit.
+// measureTenants runs a trial for each number of tenants. Its reloads lift and restore the last tenant's limit.
 func (m *measurement) measureTenants() error {
 	var trials []*trial
 	for _, tenants := range m.workload.tenants {
@@ -24,17 +24,17 @@
 		m.reportTrial(t)
 		trials = append(trials, t)
 		if t.hasStarted() && !t.limitActiveAtStart {
-			m.result.AddFault("%d tenants: the last one's limit does not act after the start", tenants)
+			m.result.AddFault("%d tenants: limit of the last tenant not in force after the start", tenants)
 		}
 	}
 	if err := m.addTrials(trials, "tenants", scale.TargetTenants, func(t *trial) int { return t.tenants }); err != nil {
 		return err
 	}
-	return m.addLatencies(trials)
+	return m.addLatencySeries(trials)
 }
 
-// measureRoutes runs a trial for each number of routes, with few tenants; the change that reloads apply is the last class's latency
-// objective, which only the log shows.
+// measureRoutes runs a trial for each number of routes, with few tenants. Its reloads change the last class's latency objective, which
+// only the log shows.
 func (m *measurement) measureRoutes() error {
 	var trials []*trial
 	for _, routes := range m.workload.routes {
@@ -48,23 +48,23 @@
 	return m.addTrials(trials, "routes", scale.TargetRoutes, func(t *trial) int { return t.routes })
 }
 
-// measureCombined runs one trial with the target's tenants and routes.
+// measureCombined runs one trial with the tenants and routes of the target.
 func (m *measurement) measureCombined() error {
-	if !m.workload.combined {
+	if !m.workload.withCombinedTrial {
 		return nil
 	}
 	t, err := m.runTrial(deploymentPlan{tenants: scale.TargetTenants, classes: scale.TargetRoutes}, liftLimit, withLoads)
 	if err != nil {
-		return fmt.Errorf("tenants and routes together: %w", err)
+		return fmt.Errorf("trial with the target's tenants and routes: %w", err)
 	}
 	m.reportTrial(t)
 	m.recordFailures(t)
 	for _, f := range trialFigures {
-		if value, ok := f.of(t); ok {
+		if value, ok := f.valueIn(t); ok {
 			m.result.SetFigure("together_"+f.name, value)
 		}
 	}
-	m.putLatencies("together_", t)
+	m.addLatencyFigures("together_", t)
 	return nil
 }
 
@@ -79,11 +79,12 @@
 		return
 	}
 	if !t.hasCompleted() {
-		m.result.AddFault("%d tenants, %d routes: %s; the longest wait %s%.0f ms", t.tenants, t.routes, t.failure, t.truncationPrefix(),
+		m.result.AddFault("%d tenants, %d routes: %s; maximum latency %s%.0f ms", t.tenants, t.routes, t.failure, t.truncationPrefix(),
 			scale.Milliseconds(t.reloadLatency.Max()))
 	}
 	if t.unserved > 0 {
-		m.result.AddFault("%d tenants, %d routes: %d of %d requests of a load without reloads not served", t.tenants, t.routes, t.unserved, t.sent)
+		m.result.AddFault("%d tenants, %d routes: %d of %d requests not served in loads without reloads, expected 0",
+			t.tenants, t.routes, t.unserved, t.sent)
 	}
 }
 
@@ -99,12 +100,12 @@
 	for _, f := range trialFigures {
 		s := scale.Series{Name: f.name, SizeUnit: unit, Target: target, Bound: f.bound}
 		for _, t := range trials {
-			if value, ok := f.of(t); ok {
+			if value, ok := f.valueIn(t); ok {
 				s.Points = append(s.Points, scale.Point{Size: float64(size(t)), Value: value})
 			}
 		}
 		if len(s.Points) < len(trials) && len(incomplete) > 0 {
-			s.Coverage = "not had at " + strings.Join(incomplete, ", ")
+			s.Coverage = "not measured at " + strings.Join(incomplete, ", ")
 		}
 		if err := m.addSeries(s); err != nil {
 			return err
@@ -113,7 +114,7 @@
 	return nil
 }
 
-// percentile is a percentile of the latency that the program adds.
+// percentile is a percentile of the latency added by the program.
 type percentile struct {
 	name    string
 	percent float64
@@ -122,9 +123,9 @@
 
 var percentiles = []percentile{{"p50", 50, 0}, {"p99", 99, scale.TargetAddedLatencyMillis}, {"p99.9", 99.9, 0}}
 
-// latencyKind is the latency without reloads, or with a reload each second.
+// latencyKind is the kind of load: without reloads, or with a reload every second.
 type latencyKind struct {
-	suffix string // of the figures' names
+	suffix string // of figure names
 	byRate func(*trial) map[float64]*stub.Distribution
 }
 
@@ -133,8 +134,8 @@
 	{"_a_reload_each_second", func(t *trial) map[float64]*stub.Distribution { return t.reloadingLatency }},
 }
 
-// addLatencies adds a series for each percentile, rate and kind of latency.
-func (m *measurement) addLatencies(trials []*trial) error {
+// addLatencySeries adds a series for each percentile, rate and kind of load.
+func (m *measurement) addLatencySeries(trials []*trial) error {
 	for _, kind := range latencyKinds {
 		for _, rate := range m.workload.rates {
 			for _, p := range percentiles {
@@ -161,13 +162,13 @@
 		}
 	}
 	if len(s.Points) < len(m.workload.loadedTenants) {
-		s.Coverage = "had only where reloads are taken"
+		s.Coverage = "measured only where reloads are applied"
 	}
 	return s
 }
 
-// putLatencies adds the 99th percentiles of one trial as figures of one size.
-func (m *measurement) putLatencies(prefix string, t *trial) {
+// addLatencyFigures adds the 99th percentiles of one trial as single figures.
+func (m *measurement) addLatencyFigures(prefix string, t *trial) {
 	for _, kind := range latencyKinds {
 		for rate, d := range kind.byRate(t) {
 			m.result.SetFigure(fmt.Sprintf("%sadded_ms_p99_at_%.0f_s%s", prefix, rate, kind.suffix), scale.Milliseconds(d.Percentile(99)))
@@ -177,6 +178,6 @@
 
 // reportTrial reports a trial as a line of progress.
 func (m *measurement) reportTrial(t *trial) {
-	m.progress("%d tenants, %d routes: start %.0f ms, %.1f MB, first reload %.0f ms, longest wait %.1f ms %s", t.tenants, t.routes, t.startMillis,
-		t.residentStartMB, t.firstReload.millis(), scale.Milliseconds(t.reloadLatency.Max()), t.failure)
+	m.progress("%d tenants, %d routes: start %.0f ms, %.1f MB, first reload %.0f ms, maximum latency %.1f ms %s", t.tenants, t.routes,
+		t.startMillis, t.residentStartMB, t.firstReload.millis(), scale.Milliseconds(t.reloadLatency.Max()), t.failure)
 }
