--- a/internal/lab/scale/decisions/daily_traffic.go
+++ b/internal/lab/scale/decisions/daily_traffic.go
@@ -29,7 +29,7 @@
 	renewals := c.lastValue("owner_entries_day")
 	c.addDaily("renewals", renewals, c.lastValue("owner_entry_bytes"))
 
-	incarnationChanges := float64(2*(restartsPerDay+machineFailuresPerDay)) * share // each a leave and a join
+	incarnationChanges := float64(2*(restartsPerDay+machineFailuresPerDay)) * share // a leave and a join for each
 	c.addDaily("membership", incarnationChanges, membershipBytes)
 	c.addDaily("release_membership", 2*drainsPerRelease*share, membershipBytes)
 	c.addDaily("release_drains", drainsPerRelease*share+1, c.lastValue("roll_entry_bytes"))
--- a/internal/lab/scale/decisions/decisions_test.go
+++ b/internal/lab/scale/decisions/decisions_test.go
@@ -36,12 +36,12 @@
 		if len(r.Faults) > 0 {
 			t.Fatalf("claims that do not hold: %v", r.Faults)
 		}
-		now := deterministicFigures(r)
+		figures := deterministicFigures(r)
 		if first == nil {
-			first = now
+			first = figures
 			continue
 		}
-		for name, value := range now {
+		for name, value := range figures {
 			if first[name] != value {
 				t.Errorf("%s: %g in the first run, but %g in the second with the same seed", name, first[name], value)
 			}
--- a/internal/lab/scale/decisions/ring.go
+++ b/internal/lab/scale/decisions/ring.go
@@ -67,7 +67,7 @@
 		return err
 	}
 	c.addPoint("ring_snapshot_bytes", "member", 0, l.Size, float64(len(encoded)))
-	c.addPoint("ring_table_heap_bytes", "member", 0, l.Size, meanHeapBytes(func() any { made, _ := l.activeTable(); return made }))
+	c.addPoint("ring_table_heap_bytes", "member", 0, l.Size, meanHeapBytes(func() any { table, _ := l.activeTable(); return table }))
 	freeze, activation, err := migrationEntryBytes(l)
 	if err != nil {
 		return err
@@ -212,11 +212,11 @@
 	for _, kind := range lossKinds {
 		name := "ring_" + l.label() + "_" + string(kind)
 		rest := remainingBackends(backends, l.backendLayout().randomLoss(kind, r))
-		less, err := c.measurePlan(name+"_lost", table, rest)
+		reduced, err := c.measurePlan(name+"_lost", table, rest)
 		if err != nil {
 			return err
 		}
-		if _, err := c.measurePlan(name+"_back", less, backends); err != nil {
+		if _, err := c.measurePlan(name+"_back", reduced, backends); err != nil {
 			return err
 		}
 	}
--- a/internal/lab/scale/fit.go
+++ b/internal/lab/scale/fit.go
@@ -19,7 +19,7 @@
 )
 
 // maxConstantSpread is the maximum ratio of the largest to the smallest value of a constant figure. Repeated measurements on one
-// machine differ by about a tenth.
+// machine differ by up to about a tenth.
 const maxConstantSpread = 1.1
 
 // maxFitError replaces an infinite relative error, which JSON cannot encode: a value was predicted, but 0 was measured.
--- a/internal/lab/scale/instance/instance_test.go
+++ b/internal/lab/scale/instance/instance_test.go
@@ -38,35 +38,35 @@
 	if len(result.Faults) > 0 {
 		t.Errorf("claims that do not hold: %s", strings.Join(result.Faults, "; "))
 	}
-	have := map[string]scale.Series{}
+	seriesByName := map[string]scale.Series{}
 	for _, s := range result.Series {
-		have[s.Name+" by "+s.SizeUnit] = s
+		seriesByName[s.Name+" by "+s.SizeUnit] = s
 	}
 	for _, f := range trialFigures {
-		for _, of := range []string{"tenants", "routes"} {
-			if f.name == "reload_in_force_ms_worst" && of == "routes" {
+		for _, unit := range []string{"tenants", "routes"} {
+			if f.name == "reload_in_force_ms_worst" && unit == "routes" {
 				continue // no probe detects a change of a route
 			}
-			if s, ok := have[f.name+" by "+of]; !ok || len(s.Points) != 4 || s.Bound != f.bound {
-				t.Errorf("%s by %s: found %+v, expected 4 points and the bound %v", f.name, of, s, f.bound)
+			if s, ok := seriesByName[f.name+" by "+unit]; !ok || len(s.Points) != 4 || s.Bound != f.bound {
+				t.Errorf("%s by %s: found %+v, expected 4 points and the bound %v", f.name, unit, s, f.bound)
 			}
 		}
 	}
 	for _, name := range []string{"added_ms_p50_at_200_s by tenants", "added_ms_p99_at_200_s by tenants", "added_ms_p99.9_at_200_s by tenants",
 		"added_ms_p99_at_200_s_a_reload_each_second by tenants", "resident_kb_idle_connections by connections", "descriptors by connections",
 		"reports_s by members", "report_bytes_s by members", "list_bytes by members"} {
-		if s := have[name]; len(s.Points) != 4 {
+		if s := seriesByName[name]; len(s.Points) != 4 {
 			t.Errorf("%s: found %+v, expected 4 points", name, s)
 		}
 	}
-	if slope := have["descriptors by connections"].Fit.Slope; slope < 0.99 || slope > 1.01 {
+	if slope := seriesByName["descriptors by connections"].Fit.Slope; slope < 0.99 || slope > 1.01 {
 		t.Errorf("found %.3f descriptors per connection, expected 1 within 1%%", slope)
 	}
 	if bytes := result.Figures["report_bytes"]; bytes != float64(len("alive n1 passing")) {
 		t.Errorf("found %.2f bytes per report, expected those of \"alive n1 passing\"", bytes)
 	}
 	for name, least := range map[string]float64{"resident_mb_start": 1, "reload_in_force_ms_worst": 0.1, "added_ms_p50_at_200_s": 0.01} {
-		for _, p := range have[name+" by tenants"].Points {
+		for _, p := range seriesByName[name+" by tenants"].Points {
 			if p.Value < least {
 				t.Errorf("%s at %.0f tenants: found %g, expected at least %g", name, p.Size, p.Value, least)
 			}
@@ -114,8 +114,8 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if done, err := r.replaceFile(t.Context(), text); err != nil || done.outcome != applied {
-			t.Fatalf("limited %v: found reload %+v, %v, expected it to be applied", limited, done, err)
+		if reloaded, err := r.replaceFile(t.Context(), text); err != nil || reloaded.outcome != applied {
+			t.Fatalf("limited %v: found reload %+v, %v, expected it to be applied", limited, reloaded, err)
 		}
 		if _, err := p.waitUntil(t.Context(), limitState(limited), reloadTimeout); err != nil {
 			t.Fatal(err)
@@ -124,8 +124,8 @@
 			t.Errorf("limited %v: the probe found %v, %v", limited, isLimited, err)
 		}
 	}
-	if done, err := r.replaceFile(t.Context(), []byte(`{"name":`)); err != nil || done.outcome != rejected {
-		t.Errorf("malformed file: found reload %+v, %v, expected it to be rejected", done, err)
+	if reloaded, err := r.replaceFile(t.Context(), []byte(`{"name":`)); err != nil || reloaded.outcome != rejected {
+		t.Errorf("malformed file: found reload %+v, %v, expected it to be rejected", reloaded, err)
 	}
 	if isLimited, err := p.isLimited(); err != nil || !isLimited {
 		t.Errorf("after a malformed file: the probe found %v, %v, expected the limit to remain in force", isLimited, err)
@@ -157,8 +157,8 @@
 	}
 }
 
-// Each incomplete trial adds a fault and the figures that it measured. The longest latency counts unless it was truncated by the end
-// of the observation.
+// Each incomplete trial adds a fault and the figures that it measured, but no others. Its maximum latency counts unless the end of the
+// observation truncated it.
 func TestIncompleteTrials(t *testing.T) {
 	m := &measurement{workload: smallWorkload(), result: &scale.Result{}}
 	var trials []*trial
--- a/internal/lab/scale/instance/reload.go
+++ b/internal/lab/scale/instance/reload.go
@@ -43,19 +43,19 @@
 	if err := os.WriteFile(r.file, text, 0o600); err != nil {
 		return reload{}, err
 	}
-	done := reload{sent: time.Now()}
+	reloaded := reload{sent: time.Now()}
 	r.signalReload()
 	line, ok := r.awaitLine(ctx, from, reloadTimeout, appliedMessage, rejectedMessage)
-	done.completed, done.logLine = line.at, line.text
+	reloaded.completed, reloaded.logLine = line.at, line.text
 	switch {
 	case !ok:
-		done.completed = time.Now()
+		reloaded.completed = time.Now()
 	case strings.Contains(line.text, appliedMessage):
-		done.outcome = applied
+		reloaded.outcome = applied
 	default:
-		done.outcome = rejected
+		reloaded.outcome = rejected
 	}
-	return done, ctx.Err()
+	return reloaded, ctx.Err()
 }
 
 // reloadPeriodically reloads the two files alternately, one per periodicReloadInterval, until the duration is over or a reload is not
@@ -63,12 +63,12 @@
 func (r *rig) reloadPeriodically(ctx context.Context, duration time.Duration, files [2][]byte) (reloads []reload, err error) {
 	begin := time.Now()
 	for n := 0; time.Since(begin) < duration; n++ {
-		done, err := r.replaceFile(ctx, files[n%2])
+		reloaded, err := r.replaceFile(ctx, files[n%2])
 		if err != nil {
 			return reloads, err
 		}
-		reloads = append(reloads, done)
-		if done.outcome != applied {
+		reloads = append(reloads, reloaded)
+		if reloaded.outcome != applied {
 			return reloads, nil
 		}
 		next := begin.Add(time.Duration(n+1) * periodicReloadInterval)
--- a/internal/lab/scale/instance/reports.go
+++ b/internal/lab/scale/instance/reports.go
@@ -87,7 +87,7 @@
 // simulatedReports is what the catalog has received from simulated instances.
 type simulatedReports struct {
 	counts fakecatalog.Counts
-	list   []byte // encoded list of the catalog's healthy instances
+	list   []byte // encoded list of the instances in the catalog
 }
 
 // simulateReporters runs the program's reporter for size simulated instances, which report to a new catalog.
--- a/internal/lab/scale/instance/trial_script.go
+++ b/internal/lab/scale/instance/trial_script.go
@@ -15,7 +15,7 @@
 	singleReloadRate       = 200.0            // requests per second during single reloads
 	maxReloadTime          = 5 * time.Second  // a slower reload fails the trial
 	idleReloadsTimeout     = 10 * time.Second // for all remaining reloads without load
-	probedReloads          = 5                // number of reloads after the probed ones, including the first reload
+	probedReloads          = 5                // total number of reloads at the end of runProbedReloads
 	leadDivisor            = 5                // a reload starts after 1/leadDivisor of the duration of its load
 	startProbeTimeout      = 300 * time.Millisecond
 )
@@ -75,25 +75,25 @@
 
 // reloadInactive reloads the inactive file and records the reload.
 func (s *trialScript) reloadInactive() (reload, error) {
-	done, err := s.rig.replaceFile(s.context(), s.inactiveFile())
+	reloaded, err := s.rig.replaceFile(s.context(), s.inactiveFile())
 	if err == nil {
-		s.recordReload(done)
+		s.recordReload(reloaded)
 	}
-	return done, err
+	return reloaded, err
 }
 
 // recordReload counts a reload of the inactive file. The trial fails unless the reload was applied in time.
-func (s *trialScript) recordReload(done reload) {
+func (s *trialScript) recordReload(reloaded reload) {
 	s.reloadCount++
-	switch done.outcome {
+	switch reloaded.outcome {
 	case unanswered:
 		s.trial.failure = fmt.Sprintf("outcome of a reload not logged within %v", reloadTimeout)
 	case rejected:
-		s.trial.failure = fmt.Sprintf("reload rejected after %.0f ms", done.millis())
+		s.trial.failure = fmt.Sprintf("reload rejected after %.0f ms", reloaded.millis())
 	case applied:
 		s.active = 1 - s.active
-		if done.millis() > scale.Milliseconds(maxReloadTime) {
-			s.trial.failure = fmt.Sprintf("reload took %.0f ms", done.millis())
+		if reloaded.millis() > scale.Milliseconds(maxReloadTime) {
+			s.trial.failure = fmt.Sprintf("reload took %.0f ms", reloaded.millis())
 		}
 	}
 }
@@ -136,17 +136,17 @@
 // runProbedReloads reloads without load. If the change is that of a limit, a probe measures when the change takes effect.
 func (s *trialScript) runProbedReloads() (err error) {
 	for s.reloadCount < probedReloads {
-		done, effective, err := s.runProbedReload()
+		reloaded, effective, err := s.runProbedReload()
 		if err != nil {
 			return err
 		}
-		s.recordReload(done)
+		s.recordReload(reloaded)
 		if !s.trial.hasCompleted() {
 			return nil
 		}
-		s.trial.loggedMillis = append(s.trial.loggedMillis, done.millis())
+		s.trial.loggedMillis = append(s.trial.loggedMillis, reloaded.millis())
 		if !effective.IsZero() {
-			s.trial.effectiveMillis = append(s.trial.effectiveMillis, max(done.millis(), scale.Milliseconds(effective.Sub(done.sent))))
+			s.trial.effectiveMillis = append(s.trial.effectiveMillis, max(reloaded.millis(), scale.Milliseconds(effective.Sub(reloaded.sent))))
 		}
 	}
 	s.trial.resident5MB, err = s.rig.residentMB()
@@ -154,10 +154,10 @@
 }
 
 // runProbedReload reloads once. effective is the time at which the probe observed the change of the limit; zero if no limit changes.
-func (s *trialScript) runProbedReload() (done reload, effective time.Time, err error) {
+func (s *trialScript) runProbedReload() (reloaded reload, effective time.Time, err error) {
 	if s.limits[0] == s.limits[1] {
-		done, err = s.rig.replaceFile(s.context(), s.inactiveFile())
-		return done, effective, err
+		reloaded, err = s.rig.replaceFile(s.context(), s.inactiveFile())
+		return reloaded, effective, err
 	}
 	wanted, probed := s.limits[1-s.active], make(chan error, 1)
 	go func() {
@@ -165,11 +165,11 @@
 		effective, err = s.probe.waitUntil(s.context(), wanted, reloadTimeout)
 		probed <- err
 	}()
-	done, err = s.rig.replaceFile(s.context(), s.inactiveFile())
-	if probeErr := <-probed; err == nil && done.outcome == applied {
+	reloaded, err = s.rig.replaceFile(s.context(), s.inactiveFile())
+	if probeErr := <-probed; err == nil && reloaded.outcome == applied {
 		err = probeErr
 	}
-	return done, effective, err
+	return reloaded, effective, err
 }
 
 // runReloadingLoads measures the latency at each rate with a reload every second.
@@ -185,8 +185,8 @@
 		if err != nil {
 			return err
 		}
-		for _, done := range reloads {
-			s.recordReload(done)
+		for _, reloaded := range reloads {
+			s.recordReload(reloaded)
 		}
 		s.trial.reloadingLatency[rate] = result.distribution()
 		s.trial.reloadLatency.Merge(result.duringReloads(reloads))
--- a/internal/lab/scale/raftlog/catchup.go
+++ b/internal/lab/scale/raftlog/catchup.go
@@ -68,7 +68,7 @@
 	return out, err
 }
 
-// makeSnapshot proposes enough entries for raft to take a snapshot, and waits until it has.
+// makeSnapshot proposes enough entries for a snapshot, and waits for raft's next check, which takes it.
 func (c *cluster) makeSnapshot(ctx context.Context) error {
 	entries := request{Operation: opPropose, Count: entriesForSnapshot, Interval: entryInterval, BodyBytes: entryBodyBytes}
 	if _, err := c.leader.call(entries); err != nil {
--- a/internal/lab/scale/raftlog/replica.go
+++ b/internal/lab/scale/raftlog/replica.go
@@ -30,7 +30,7 @@
 	replicas []*replica
 }
 
-// replica is a log of the program without the lease electors that drive it. It implements consensus.Subscriber and
+// replica is a replicated log as in the program, but without lease electors. It implements consensus.Subscriber and
 // consensus.StateMachine.
 type replica struct {
 	peer         Peer
--- a/internal/lab/scale/scale.go
+++ b/internal/lab/scale/scale.go
@@ -30,7 +30,7 @@
 	Part    string             `json:"part"`
 	Seed    uint64             `json:"seed"`
 	Series  []Series           `json:"series"`
-	Figures map[string]float64 `json:"single,omitempty"` // by name; figures measured at one size only
+	Figures map[string]float64 `json:"single,omitempty"` // values measured at one size only, by name of the figure
 	NotRun  []string           `json:"not_run,omitempty"`
 	Faults  []string           `json:"faults,omitempty"` // the claims that do not hold, as text
 }
