--- a/internal/lab/scale/decisions/subsets.go
+++ b/internal/lab/scale/decisions/subsets.go
@@ -34,7 +34,7 @@
 // withSettledRanks returns the view after each member has claimed the rank that the view assigns to it.
 func (v subsetView) withSettledRanks() subsetView {
 	v.claims = slices.Clone(v.claims)
-	emulator.SettleRanks(v.claims)
+	emulator.ClaimAssignedRanks(v.claims)
 	return v
 }
 
