--- a/internal/decide/quorum/change.go
+++ b/internal/decide/quorum/change.go
@@ -71,7 +71,7 @@
 
 // remove removes a learner that is no longer needed, or else a voter if the remaining voters keep a quorum.
 func (s *selection) remove() (Change, bool) {
-	if len(s.learners) > 0 && !slices.ContainsFunc(s.learners, func(l string) bool { return s.isNeeded(s.members[l]) }) {
+	if len(s.learners) > 0 && !slices.ContainsFunc(s.learners, func(l string) bool { return s.isUsefulAsVoter(s.members[l]) }) {
 		return Change{RemoveServer, s.learners[0], "the learner is no longer needed"}, true
 	}
 	mustShrink := len(s.voters) > s.targetVoters || s.isPromotionBlocked()
@@ -126,7 +126,7 @@
 	}
 	var best Member
 	for _, m := range s.eligible {
-		if slices.Contains(s.voters, m.Process) || !s.isNeeded(m) {
+		if slices.Contains(s.voters, m.Process) || !s.isUsefulAsVoter(m) {
 			continue
 		}
 		if best.Process == "" || s.distribution.compare(m, best) < 0 {
--- a/internal/decide/quorum/selection.go
+++ b/internal/decide/quorum/selection.go
@@ -95,13 +95,14 @@
 	return len(s.voters) > 1 && s.reachableVoters < Majority(len(s.voters)+1)
 }
 
-// isPromotable reports whether a learner is reachable, has caught up and is needed as a voter.
+// isPromotable reports whether a learner is reachable, has caught up and would be useful as a voter.
 func (s *selection) isPromotable(learner string) bool {
 	m := s.members[learner]
-	return m.UnreachableFor == 0 && m.CaughtUp && s.isNeeded(m)
+	return m.UnreachableFor == 0 && m.CaughtUp && s.isUsefulAsVoter(m)
 }
 
-// isNeeded reports whether another voter is needed, or this member as a voter would improve the distribution.
-func (s *selection) isNeeded(m Member) bool {
+// isUsefulAsVoter reports whether there are too few healthy voters, or whether replacing a voter by this member would
+// improve the distribution.
+func (s *selection) isUsefulAsVoter(m Member) bool {
 	return len(s.healthy) < s.targetVoters || len(s.voters) <= s.targetVoters && s.improvesDistribution(m)
 }
--- a/internal/fleet/consensus/log.go
+++ b/internal/fleet/consensus/log.go
@@ -74,7 +74,7 @@
 }
 
 // ErrNotLeader is returned by Propose if this process is not the leader.
-var ErrNotLeader = errors.New("not the leader")
+var ErrNotLeader = errors.New("consensus: propose: this process is not the leader of the replicated log")
 
 // Start starts a replica. Errors: an address that cannot be bound or resolved, invalid duties, a failed bootstrap.
 func Start(c Config, s Subscriber) (*Log, error) {
--- a/internal/fleet/membership/errors.go
+++ b/internal/fleet/membership/errors.go
@@ -6,7 +6,7 @@
 )
 
 // ErrViewFull reports that a peer was rejected because the view holds Config.MaxMembers members.
-var ErrViewFull = errors.New("view full")
+var ErrViewFull = errors.New("membership view is full")
 
 // ConfigError reports an invalid setting.
 type ConfigError struct {
--- a/internal/fleet/membership/member.go
+++ b/internal/fleet/membership/member.go
@@ -140,7 +140,7 @@
 func (m *Member) admit(node *memberlist.Node) error {
 	_, err := DecodeRecord(node.Name, node.Meta)
 	if err == nil && m.isViewFullFor(node.Name) {
-		err = fmt.Errorf("member %q: %w at %d members", node.Name, ErrViewFull, m.maxMembers)
+		err = fmt.Errorf("fleet: member %q rejected: %w, expected at most %d members", node.Name, ErrViewFull, m.maxMembers)
 	}
 	if err != nil {
 		m.watcher.Rejected(node.Name, err)
--- a/internal/fleet/rolling/member_test.go
+++ b/internal/fleet/rolling/member_test.go
@@ -18,9 +18,9 @@
 
 // Environment variables of a member, and settings of its process.
 const (
-	wantedFileVariable = "ROLLING_WANTED"  // file with the release that all should run
-	zoneVariable       = "ROLLING_ZONE"    // the member's zone
-	releaseVariable    = "ROLLING_RELEASE" // the release that the member runs
+	releaseFileVariable = "ROLLING_WANTED"  // file with the release that all should run
+	zoneVariable        = "ROLLING_ZONE"    // the member's zone
+	releaseVariable     = "ROLLING_RELEASE" // the release that the member runs
 
 	pollInterval = 100 * time.Millisecond
 	flagDraining = "leaving"
@@ -143,11 +143,11 @@
 	return unreachable
 }
 
-// poll reads the wanted release and publishes the applied index until the member drains, and then announces that.
+// poll reads the target release and publishes the applied index until the member drains, and then announces that.
 func (m *testMember) poll() {
 	for {
 		time.Sleep(pollInterval)
-		if b, err := os.ReadFile(os.Getenv(wantedFileVariable)); err == nil {
+		if b, err := os.ReadFile(os.Getenv(releaseFileVariable)); err == nil {
 			m.controller.SetRelease(string(b))
 		}
 		m.PublishApplied()
--- a/internal/fleet/rolling/rolling.go
+++ b/internal/fleet/rolling/rolling.go
@@ -41,8 +41,8 @@
 type Controller struct {
 	config Config
 
-	mu     sync.Mutex // guards wanted
-	wanted string     // the release that all should run, by SetRelease
+	mu            sync.Mutex // guards targetRelease
+	targetRelease string     // that all members should run, set by SetRelease
 
 	rollout        *rollout.Rollout
 	isLeader       bool
@@ -59,14 +59,14 @@
 // members has no effect.
 func (c *Controller) SetRelease(release string) {
 	c.mu.Lock()
-	c.wanted = release
+	c.targetRelease = release
 	c.mu.Unlock()
 }
 
-func (c *Controller) wantedRelease() string {
+func (c *Controller) loadTargetRelease() string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.wanted
+	return c.targetRelease
 }
 
 // LeaseAcquired makes this member the rollout's leader.
@@ -105,13 +105,13 @@
 		return
 	}
 	c.nextStep = now + stepInterval
-	wanted := c.wantedRelease()
-	if wanted != c.rollout.Release {
-		c.propose(command{Release: &wanted})
+	target := c.loadTargetRelease()
+	if target != c.rollout.Release {
+		c.propose(command{Release: &target})
 		return
 	}
 	fleet, load := c.fleet()
-	if wanted != "" && c.plannedRelease != wanted && !c.plan(fleet, load, wanted) {
+	if target != "" && c.plannedRelease != target && !c.plan(fleet, load, target) {
 		return
 	}
 	c.execute(c.rollout.Next(now, fleet, load, c.config.Limits))
--- a/internal/fleet/rolling/rolling_test.go
+++ b/internal/fleet/rolling/rolling_test.go
@@ -32,7 +32,7 @@
 type rolloutCluster struct {
 	*testutil.Cluster[memberEvent]
 	t           *testing.T
-	wantedFile  string
+	releaseFile string
 	installed   atomic.Value  // release
 	done        chan struct{} // closed to stop the supervisors
 	supervisors sync.WaitGroup
@@ -40,8 +40,8 @@
 
 // startRolloutCluster starts all members with the old release.
 func startRolloutCluster(t *testing.T, subnet int) *rolloutCluster {
-	c := &rolloutCluster{t: t, wantedFile: filepath.Join(t.TempDir(), "want"), done: make(chan struct{})}
-	c.setWanted("")
+	c := &rolloutCluster{t: t, releaseFile: filepath.Join(t.TempDir(), "want"), done: make(chan struct{})}
+	c.writeReleaseFile("")
 	c.installed.Store(oldRelease)
 	c.Cluster = testutil.NewCluster(t, subnet, member.PortCount, func(e *memberEvent, name string) { e.member = name })
 	for n := range memberCount {
@@ -59,7 +59,7 @@
 }
 
 func (c *rolloutCluster) environment(n int) []string {
-	return []string{wantedFileVariable + "=" + c.wantedFile, fmt.Sprintf("%s=z%d", zoneVariable, n%zoneCount),
+	return []string{releaseFileVariable + "=" + c.releaseFile, fmt.Sprintf("%s=z%d", zoneVariable, n%zoneCount),
 		releaseVariable + "=" + c.installed.Load().(string)}
 }
 
@@ -81,8 +81,8 @@
 	c.supervisors.Wait()
 }
 
-func (c *rolloutCluster) setWanted(release string) {
-	if err := os.WriteFile(c.wantedFile, []byte(release), 0o600); err != nil {
+func (c *rolloutCluster) writeReleaseFile(release string) {
+	if err := os.WriteFile(c.releaseFile, []byte(release), 0o600); err != nil {
 		c.t.Fatal(err)
 	}
 }
@@ -115,7 +115,7 @@
 	defer c.stopSupervisors()
 	time.Sleep(2 * time.Second) // until members have warmed up and voters are spread over the zones; no check depends on it
 	c.installed.Store(newRelease)
-	c.setWanted(newRelease)
+	c.writeReleaseFile(newRelease)
 	first := c.WaitFor("the first drain", 0, isDrain)
 	c.killOtherThan(first)
 	from := c.EventCount()
--- a/internal/fleet/slots/backend_test.go
+++ b/internal/fleet/slots/backend_test.go
@@ -13,8 +13,8 @@
 	"thymechute/internal/decide/ring"
 )
 
-// setWantedBackends atomically replaces the file from which the members read the wanted backends.
-func setWantedBackends(t *testing.T, file string, backends []ring.Backend) {
+// writeBackendsFile atomically replaces the file from which the members read the target backends.
+func writeBackendsFile(t *testing.T, file string, backends []ring.Backend) {
 	t.Helper()
 	b, _ := json.Marshal(backends)
 	if err := os.WriteFile(file+".new", b, 0o600); err != nil {
@@ -106,7 +106,7 @@
 	isWarmingUp bool // the backend is warming up in the sender's table
 }
 
-// countingBackend records the calls of callAsOftenAsAdmitted to one backend, in the parent process.
+// countingBackend records the calls of callWarmingBackend to one backend, in the parent process.
 type countingBackend struct {
 	mu       sync.Mutex
 	arrivals []arrival
--- a/internal/fleet/slots/leader.go
+++ b/internal/fleet/slots/leader.go
@@ -35,16 +35,16 @@
 	c.proposeGrant(now)
 }
 
-// startMigration starts the migration that the wanted backends require, if any, unless one is in progress.
+// startMigration starts the migration to the target backends, if one is needed and none is in progress.
 func (c *Controller) startMigration(now time.Duration) {
-	if c.migrator.InProgress() || c.state.Pending != nil || len(c.wanted) == 0 {
+	if c.migrator.InProgress() || c.state.Pending != nil || len(c.targetBackends) == 0 {
 		return
 	}
-	active, wanted := c.state.Active, c.wanted
+	active, target := c.state.Active, c.targetBackends
 	if c.warmUp != nil {
-		wanted = c.warmUp.WeightedBackends(now, wanted, active)
+		target = c.warmUp.WeightedBackends(now, target, active)
 	}
-	next, migrations, _, err := active.Plan(wanted, c.config.Bound, nil)
+	next, migrations, _, err := active.Plan(target, c.config.Bound, nil)
 	if err != nil {
 		return
 	}
--- a/internal/fleet/slots/member_test.go
+++ b/internal/fleet/slots/member_test.go
@@ -22,16 +22,16 @@
 
 // Environment variables of a member, and settings of its process.
 const (
-	wantedFileVariable  = "SLOTS_WANTED"   // file with the wanted backends
-	overstayVariable    = "SLOTS_OVERSTAY" // set: the member continues calls after its lease has expired
-	warmUpVariable      = "SLOTS_WARM_UP"  // set: the member calls the backend in slow start as often as the Controller allows
-	cutInboundVariable  = "SLOTS_CUT"      // file; once it exists, the member applies no more entries
-	withoutQuotas       = "without quotas" // value of warmUpVariable: grants exceed any demand
-	keyCount            = 48
-	callerCount         = 8
-	pollInterval        = 20 * time.Millisecond
-	pollsPerPublication = 5
-	pollsPerCount       = 50
+	backendsFileVariable  = "SLOTS_WANTED"   // file with the backends that should own slots
+	callPastLeaseVariable = "SLOTS_OVERSTAY" // set: the member continues calls after its lease has expired
+	warmUpVariable        = "SLOTS_WARM_UP"  // set: the member calls the backend in slow start as often as the Controller allows
+	stopApplyingVariable  = "SLOTS_CUT"      // file; once it exists, the member applies no more entries of the log
+	withoutQuotas         = "without quotas" // value of warmUpVariable: grants exceed any demand
+	keyCount              = 48
+	callerCount           = 8
+	pollInterval          = 20 * time.Millisecond
+	pollsPerPublication   = 5
+	pollsPerCount         = 50
 )
 
 // Kinds of events.
@@ -72,15 +72,15 @@
 // testMember runs in a member's process. It is the log's Watcher and the Controller's Log.
 type testMember struct {
 	*member.Member
-	controller   *Controller
-	isInboundCut atomic.Bool // the member applies no more entries
-	calls        atomic.Int64
-	rejections   atomic.Int64
+	controller         *Controller
+	hasStoppedApplying atomic.Bool // entries are no longer passed to the controller
+	calls              atomic.Int64
+	rejections         atomic.Int64
 }
 
 func runMember(process *member.Member) {
 	m := &testMember{Member: process}
-	if os.Getenv(overstayVariable) != "" {
+	if os.Getenv(callPastLeaseVariable) != "" {
 		terms.CancelDelay = -5 * time.Second // calls continue for five seconds after leaders consider the lease expired
 	}
 	config := Config{Process: m.Process, Incarnation: m.Incarnation, Slots: 64, Terms: terms, Bound: ring.BalanceBound{Slack: 0.05},
@@ -129,7 +129,7 @@
 
 // EntryApplied implements consensus.Watcher.
 func (m *testMember) EntryApplied(_ uint64, entry lease.Command, outcome lease.Outcome) {
-	if !m.isInboundCut.Load() {
+	if !m.hasStoppedApplying.Load() {
 		m.controller.Apply(m.Now(), entry, outcome)
 	}
 }
@@ -145,13 +145,13 @@
 
 var _ consensus.Watcher = (*testMember)(nil)
 
-// poll reads the wanted backends, publishes the applied index, and emits events for the active table and the number of calls.
+// poll reads the target backends, publishes the applied index, and emits events for the active table and the number of calls.
 func (m *testMember) poll() {
 	version := uint64(0)
 	for n := 0; ; n++ {
 		time.Sleep(pollInterval)
 		var backends []ring.Backend
-		if b, err := os.ReadFile(os.Getenv(wantedFileVariable)); err == nil && json.Unmarshal(b, &backends) == nil {
+		if b, err := os.ReadFile(os.Getenv(backendsFileVariable)); err == nil && json.Unmarshal(b, &backends) == nil {
 			m.controller.SetBackends(backends)
 		}
 		if v := m.controller.TableVersion(); v != version {
--- a/internal/fleet/slots/migration_test.go
+++ b/internal/fleet/slots/migration_test.go
@@ -23,7 +23,7 @@
 
 // Shows that the check of the previous test is effective: it must detect members that continue calls after their lease.
 func TestCallsPastTheLeaseAreDetected(t *testing.T) {
-	if calls, violations := runMigrationScript(t, 10, overstayVariable+"=1"); violations == 0 {
+	if calls, violations := runMigrationScript(t, 10, callPastLeaseVariable+"=1"); violations == 0 {
 		t.Errorf("none of %d calls arrived while another backend worked on its key: the check is ineffective", calls)
 	}
 }
@@ -31,10 +31,10 @@
 // migrationScript is the cluster on which runMigrationScript runs.
 type migrationScript struct {
 	*testutil.Cluster[memberEvent]
-	t           *testing.T
-	backends    *recordingBackends
-	allBackends []ring.Backend
-	wantedFile  string
+	t            *testing.T
+	backends     *recordingBackends
+	allBackends  []ring.Backend
+	backendsFile string
 }
 
 // runMigrationScript returns the number of calls, and the number of those that arrived while another backend worked on their
@@ -42,7 +42,7 @@
 // it affects.
 func runMigrationScript(t *testing.T, subnet int, environment ...string) (calls, violations int) {
 	s := startMigrationScript(t, subnet, environment)
-	s.setWanted(s.allBackends[:5]...)
+	s.setBackends(s.allBackends[:5]...)
 	s.awaitTable("without faults", 2, "")
 	faulty := s.suspendMember()
 	s.isolateMember(faulty)
@@ -69,15 +69,15 @@
 // use a table of four backends.
 func startMigrationScript(t *testing.T, subnet int, variables []string) *migrationScript {
 	s := &migrationScript{t: t, backends: &recordingBackends{active: map[string]map[string]int{}},
-		wantedFile: filepath.Join(t.TempDir(), "want.json")}
+		backendsFile: filepath.Join(t.TempDir(), "want.json")}
 	for n := range 6 {
 		name := fmt.Sprint("b", n)
 		s.allBackends = append(s.allBackends, ring.Backend{Name: name, Zone: s.backends.serve(t, name), Weight: 1})
 	}
-	s.setWanted(s.allBackends[:4]...)
+	s.setBackends(s.allBackends[:4]...)
 	s.Cluster = testutil.NewCluster(t, subnet, member.PortCount, func(e *memberEvent, name string) { e.member = name })
 	for n := range 5 {
-		environment := append([]string{wantedFileVariable + "=" + s.wantedFile}, variables...)
+		environment := append([]string{backendsFileVariable + "=" + s.backendsFile}, variables...)
 		if n == 0 {
 			environment = append(environment, member.BootstrapVariable+"=1")
 		}
@@ -96,8 +96,8 @@
 	return s
 }
 
-func (s *migrationScript) setWanted(backends ...ring.Backend) {
-	setWantedBackends(s.t, s.wantedFile, backends)
+func (s *migrationScript) setBackends(backends ...ring.Backend) {
+	writeBackendsFile(s.t, s.backendsFile, backends)
 }
 
 // awaitTable waits until all members use at least this table version, except for the named one, if any.
@@ -119,7 +119,7 @@
 	}
 	s.Signal(name, syscall.SIGSTOP)
 	start := time.Now()
-	s.setWanted(s.allBackends...)
+	s.setBackends(s.allBackends...)
 	s.awaitTable("with one suspended", 3, name)
 	s.t.Logf("with one member suspended the table was active after %v", time.Since(start).Round(time.Millisecond))
 	s.Signal(name, syscall.SIGCONT)
@@ -130,7 +130,7 @@
 // isolateMember isolates a member during a migration. The member continues to call until its lease has expired.
 func (s *migrationScript) isolateMember(name string) {
 	s.Net.Isolate(name, s.Names())
-	s.setWanted(s.allBackends[1:]...)
+	s.setBackends(s.allBackends[1:]...)
 	s.awaitTable("with one isolated", 4, name)
 }
 
@@ -138,12 +138,12 @@
 func (s *migrationScript) killLeader() {
 	first := s.EventCount()
 	killed := s.Last(isLeaseAcquired).member
-	s.setWanted(s.allBackends[1:4]...)
+	s.setBackends(s.allBackends[1:4]...)
 	time.Sleep(30 * time.Millisecond)
 	s.Kill(killed)
 	s.WaitFor("a new leader", first, isLeaseAcquired)
 	s.awaitTable("with the leader killed", 5, killed)
 	first = s.EventCount()
-	s.Start(killed, wantedFileVariable+"="+s.wantedFile)
+	s.Start(killed, backendsFileVariable+"="+s.backendsFile)
 	s.WaitFor("table at the restarted leader", first, isTableAt(killed, 5))
 }
--- a/internal/fleet/slots/slots.go
+++ b/internal/fleet/slots/slots.go
@@ -64,7 +64,7 @@
 	isDiverged    bool // this member's plan differs from the leader's, or its snapshot was invalid
 	isDraining    bool
 
-	wanted           []ring.Backend           // by SetBackends
+	targetBackends   []ring.Backend           // that should own slots, set by SetBackends
 	migrator         *ring.Migrator           // nil unless this member is the leader
 	warmUp           *ring.WarmUpController   // nil unless this member is the leader and there is a budget
 	lastAcknowledged map[string]time.Duration // by process
@@ -104,7 +104,7 @@
 // of the other members have no effect.
 func (c *Controller) SetBackends(backends []ring.Backend) {
 	c.mu.Lock()
-	c.wanted = slices.Clone(backends)
+	c.targetBackends = slices.Clone(backends)
 	c.mu.Unlock()
 }
 
--- a/internal/fleet/slots/warm_up_test.go
+++ b/internal/fleet/slots/warm_up_test.go
@@ -41,26 +41,27 @@
 // startWarmUpCallers starts callers that call the backend in slow start as often as the Controller allows.
 func (m *testMember) startWarmUpCallers() {
 	for n := range warmUpCallerCount {
-		go m.callAsOftenAsAdmitted(rand.New(rand.NewPCG(m.Incarnation, uint64(n))))
+		go m.callWarmingBackend(rand.New(rand.NewPCG(m.Incarnation, uint64(n))))
 	}
-	if file := os.Getenv(cutInboundVariable); file != "" {
-		go m.cutInboundFrom(file)
+	if file := os.Getenv(stopApplyingVariable); file != "" {
+		go m.stopApplyingOnceFileExists(file)
 	}
 }
 
-// cutInboundFrom makes the member apply no more entries once the file exists.
-func (m *testMember) cutInboundFrom(file string) {
+// stopApplyingOnceFileExists waits for the file and then makes the member apply no more entries of the log.
+func (m *testMember) stopApplyingOnceFileExists(file string) {
 	for ; ; time.Sleep(pollInterval) {
 		if _, err := os.Stat(file); err == nil {
-			m.isInboundCut.Store(true)
+			m.hasStoppedApplying.Store(true)
 			return
 		}
 	}
 }
 
-// callAsOftenAsAdmitted draws random keys until the owner of one is warming up, and uses that key as long as its owner is. A
-// call is idempotent with a probability of one half, which must not circumvent the quotas.
-func (m *testMember) callAsOftenAsAdmitted(random *rand.Rand) {
+// callWarmingBackend calls the backend that is warming up as often as the Controller allows. It draws random keys until a
+// warming backend owns one, and uses that key as long as this is so. Half of the calls are idempotent: that must not
+// circumvent the quotas.
+func (m *testMember) callWarmingBackend(random *rand.Rand) {
 	for key := ""; ; {
 		if key == "" {
 			key = fmt.Sprint("k", random.IntN(4096))
@@ -122,20 +123,20 @@
 // warmUpFleet is a cluster of members that call a backend in slow start as often as their Controllers allow.
 type warmUpFleet struct {
 	*testutil.Cluster[memberEvent]
-	t           *testing.T
-	environment []string
-	wantedFile  string
-	backends    []ring.Backend // four at full weight
+	t            *testing.T
+	environment  []string
+	backendsFile string
+	backends     []ring.Backend // four at full weight
 }
 
 // startWarmUpFleet starts the members and waits until all use a table of four backends. mode is the value of warmUpVariable.
 func startWarmUpFleet(t *testing.T, subnet, members int, mode string) *warmUpFleet {
-	f := &warmUpFleet{t: t, wantedFile: filepath.Join(t.TempDir(), "want.json")}
-	f.environment = []string{wantedFileVariable + "=" + f.wantedFile, warmUpVariable + "=" + mode}
+	f := &warmUpFleet{t: t, backendsFile: filepath.Join(t.TempDir(), "want.json")}
+	f.environment = []string{backendsFileVariable + "=" + f.backendsFile, warmUpVariable + "=" + mode}
 	for n := range 4 {
 		f.backends = append(f.backends, ring.Backend{Name: fmt.Sprint("b", n), Zone: new(countingBackend).serve(t), Weight: 1})
 	}
-	setWantedBackends(t, f.wantedFile, f.backends)
+	writeBackendsFile(t, f.backendsFile, f.backends)
 	f.Cluster = testutil.NewCluster(t, subnet, member.PortCount, func(e *memberEvent, name string) { e.member = name })
 	f.Start("m0", append(f.environment, member.BootstrapVariable+"=1")...)
 	f.WaitFor("first leader", 0, isLeaseAcquired)
@@ -148,11 +149,11 @@
 	return f
 }
 
-// addWarmingBackend adds a backend in slow start to the wanted backends, and returns it and the time at which it was added.
+// addWarmingBackend adds a backend in slow start to the target backends, and returns it and the time at which it was added.
 func (f *warmUpFleet) addWarmingBackend() (backend *countingBackend, addedAt time.Time) {
 	backend = &countingBackend{}
 	addedAt = time.Now()
-	setWantedBackends(f.t, f.wantedFile, append(slices.Clone(f.backends),
+	writeBackendsFile(f.t, f.backendsFile, append(slices.Clone(f.backends),
 		ring.Backend{Name: warmingBackend, Zone: backend.serve(f.t), Weight: 1, WarmingUp: true}))
 	return backend, addedAt
 }
@@ -164,7 +165,7 @@
 	const cutName, lateName = "m22", "m23"
 	cutFile := filepath.Join(t.TempDir(), "cut")
 	f := startWarmUpFleet(t, 16, 22, "1")
-	f.Start(cutName, append(f.environment, cutInboundVariable+"="+cutFile)...)
+	f.Start(cutName, append(f.environment, stopApplyingVariable+"="+cutFile)...)
 	f.WaitFor("table at "+cutName, 0, isTableAt(cutName, 0))
 	backend, addedAt := f.addWarmingBackend()
 	testutil.Eventually(t, "calls from the member before its log is cut", func() bool { return hasCallFrom(backend.copyArrivals(), cutName, time.Time{}) })
--- a/policy/admission.go
+++ b/policy/admission.go
@@ -12,11 +12,11 @@
 	// fleetOverloadRejectedShare is the share of rejected requests, 0 to 1, above which the other servers are
 	// assumed to be overloaded too.
 	fleetOverloadRejectedShare = 0.05
-	// requestSizePastSamples is the pastSamples argument of updateAverage for the average request size.
-	requestSizePastSamples = 15
-	// readDelayPastSamples is the pastSamples argument of updateAverage for the average read delay. It is
-	// small so that the average follows congestion quickly.
-	readDelayPastSamples = 3
+	// pastSamplesOfRequestSize gives each new request a weight of 1/16 in the average request size.
+	pastSamplesOfRequestSize = 15
+	// pastSamplesOfReadDelay gives each new request a weight of 1/4 in the average read delay, so that the
+	// average follows congestion quickly.
+	pastSamplesOfReadDelay = 3
 )
 
 // Admit handles a request that has been read: it rejects the request, coalesces it with the original that
@@ -32,8 +32,8 @@
 	if req.Tenant >= 0 && req.Tenant < len(inst.tenants) {
 		req.isOverQuota = !inst.tenants[req.Tenant].Allow(now, inst.server.FleetSize.Or(1))
 	}
-	updateAverage(&inst.memory.averageRequestKB, req.MemoryKB, requestSizePastSamples)
-	updateAverage(&inst.readDelay, req.ReadDelay.Seconds(), readDelayPastSamples)
+	updateAverage(&inst.memory.averageRequestKB, req.MemoryKB, pastSamplesOfRequestSize)
+	updateAverage(&inst.readDelay, req.ReadDelay.Seconds(), pastSamplesOfReadDelay)
 	if req.Original != NoOriginal && !inst.replaceOriginal(now, id) {
 		return
 	}
--- a/policy/dependency_calls.go
+++ b/policy/dependency_calls.go
@@ -22,8 +22,8 @@
 	maxOptionalCallWaitFraction = 0.15
 	// minCallTimeout is the minimum timeout of a call.
 	minCallTimeout = 10 * time.Millisecond
-	// callTimePastSamples is the pastSamples argument of updateAverage for the average call time.
-	callTimePastSamples = 7
+	// pastSamplesOfCallTime gives each new call a weight of 1/8 in the average call time.
+	pastSamplesOfCallTime = 7
 )
 
 // dependencyCalls tracks the calls of running requests to the dependency.
@@ -167,7 +167,7 @@
 		return
 	}
 	if outcome == OK || outcome == TimedOut {
-		updateAverage(&inst.calls.averageTime, took.Seconds(), callTimePastSamples)
+		updateAverage(&inst.calls.averageTime, took.Seconds(), pastSamplesOfCallTime)
 	}
 	if outcome == OK {
 		if inst.calls.isSuspended() {
--- a/policy/idle_timeout.go
+++ b/policy/idle_timeout.go
@@ -13,9 +13,9 @@
 	idleTimeoutGain = 0.1
 	// idleTimeoutStep is the granularity to which the timeout is rounded.
 	idleTimeoutStep = 100 * time.Millisecond
-	// requestsReadPastSamples is the pastSamples argument of updateAverage for the average number of requests
-	// read per period.
-	requestsReadPastSamples = 15
+	// pastSamplesOfRequestsRead gives each new period a weight of 1/16 in the average number of requests read
+	// per period.
+	pastSamplesOfRequestsRead = 15
 )
 
 // idleTimeoutControl adapts the time after which idle connections are closed.
@@ -43,7 +43,7 @@
 	control.fraction = min(max(control.fraction*(1-idleTimeoutGain*spareCapacity), minIdleTimeoutFraction), 1)
 	control.connectionLoadSum = 0
 	control.gaugeSamples = 0
-	updateAverage(&control.requestsPerPeriod, float64(inst.period.read), requestsReadPastSamples)
+	updateAverage(&control.requestsPerPeriod, float64(inst.period.read), pastSamplesOfRequestsRead)
 	fraction := control.fraction
 	if inst.callersReturnWithin(callerTimeout) {
 		fraction = 1
--- a/policy/period.go
+++ b/policy/period.go
@@ -5,9 +5,9 @@
 // periodLength is the time between two samples of lag. Slowly changing controls are updated once per period.
 const periodLength = 500 * time.Millisecond
 
-// sharePastSamples is the pastSamples argument of updateAverage for the averages of the rejected share and
-// the retry share.
-const sharePastSamples = 3
+// pastSamplesOfShares gives each new period a weight of 1/4 in the average rejected share and the average
+// retry share.
+const pastSamplesOfShares = 3
 
 // periodCounters counts the events of the current period.
 type periodCounters struct {
@@ -48,7 +48,7 @@
 		return
 	}
 	retryShare := float64(counts.retries) / float64(counts.read)
-	updateAverage(&inst.retryShare, retryShare, sharePastSamples)
+	updateAverage(&inst.retryShare, retryShare, pastSamplesOfShares)
 	rejectedShare := float64(counts.rejected) / float64(max(counts.read, counts.rejected))
-	updateAverage(&inst.rejectedShare, rejectedShare, sharePastSamples)
+	updateAverage(&inst.rejectedShare, rejectedShare, pastSamplesOfShares)
 }
