--- a/internal/fleet/consensus/transport.go
+++ b/internal/fleet/consensus/transport.go
@@ -18,7 +18,7 @@
 )
 
 // errWrongProcess reports a connection intended for another process, most likely for the predecessor at this address.
-var errWrongProcess = errors.New("consensus: handshake does not name this process")
+var errWrongProcess = errors.New("consensus: connection closed: its handshake does not name this process")
 
 // serverAddress returns the address under which raft knows a process: host:port/process. raft connects to a peer by its
 // address alone, and a restarted process has the address of its predecessor but not its votes and entries. Therefore each
@@ -39,7 +39,7 @@
 func listen(c Config) (*streamLayer, error) {
 	listener, err := net.Listen("tcp", c.Bind)
 	if err != nil {
-		return nil, fmt.Errorf("consensus: %w", err)
+		return nil, fmt.Errorf("consensus: bind transport: %w", err)
 	}
 	l := &streamLayer{Listener: listener, process: c.Process, advertise: listener.Addr(), wrapConn: c.WrapConn}
 	if bound, ok := listener.Addr().(*net.TCPAddr); ok && !bound.IP.IsUnspecified() {
--- a/internal/fleet/membership/member.go
+++ b/internal/fleet/membership/member.go
@@ -86,7 +86,7 @@
 	listConfig.Alive = aliveDelegate{m}
 	transport, err := newTransport(bind, listConfig.LogOutput)
 	if err != nil {
-		return nil, fmt.Errorf("fleet: %w", err)
+		return nil, fmt.Errorf("fleet: bind transport: %w", err)
 	}
 	listConfig.Transport = transport
 	if config.WrapTransport != nil {
@@ -95,7 +95,7 @@
 	list, err := memberlist.Create(listConfig)
 	if err != nil {
 		_ = transport.Shutdown()
-		return nil, fmt.Errorf("fleet: %w", err)
+		return nil, fmt.Errorf("fleet: start memberlist: %w", err)
 	}
 	return list, nil
 }
--- a/internal/fleet/slots/command.go
+++ b/internal/fleet/slots/command.go
@@ -41,7 +41,7 @@
 }
 
 // errFreezeIgnored reports a freeze that cannot be applied: it is out of order, or its backends are invalid.
-var errFreezeIgnored = errors.New("ring: freeze out of order or with invalid backends")
+var errFreezeIgnored = errors.New("ring: freeze ignored: it is out of order or its backends are invalid")
 
 // DigestMismatchError reports that a member's plan differs from the leader's.
 type DigestMismatchError struct {
