--- a/cmd/thymechute/command.go
+++ b/cmd/thymechute/command.go
@@ -13,7 +13,7 @@
 
 const configVariable = "GW_CONFIG" // environment variable with the path of the configuration file
 
-var errNothingToCheck = errors.New("check: found nothing, expected --settings or GW_CONFIG")
+var errNoFileToCheck = errors.New("check: neither the flag --settings nor the environment variable GW_CONFIG is set, expected at least one")
 
 // newCommand returns the root command. Without a sub-command it does what serve does.
 func newCommand(signals <-chan os.Signal) *cobra.Command {
@@ -78,7 +78,7 @@
 func checkConfiguration(operatorFile string) error {
 	hasConfig := os.Getenv(configVariable) != ""
 	if operatorFile == "" && !hasConfig {
-		return errNothingToCheck
+		return errNoFileToCheck
 	}
 	if _, err := loadOperatorFile(operatorFile); err != nil {
 		return err
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -63,7 +63,8 @@
 func Load(getenv func(string) string) (Config, error) {
 	path := getenv("GW_CONFIG")
 	if path == "" {
-		return Config{}, &ValueError{Key: "GW_CONFIG", Found: "nothing", Expected: "the path of the configuration file"}
+		return Config{}, &ValueError{Key: "GW_CONFIG", Found: "an unset or empty environment variable",
+			Expected: "the path of the configuration file"}
 	}
 	file, err := os.Open(path)
 	if err != nil {
--- a/internal/config/keys.go
+++ b/internal/config/keys.go
@@ -24,10 +24,10 @@
 	}
 }
 
-// describe formats a value for an error message, cut to 60 characters.
+// describe formats a value for an error message, cut to 60 characters; nil is the value of a missing key and of null.
 func describe(value any) string {
 	if value == nil {
-		return "nothing"
+		return "a missing or null value"
 	}
 	text, _ := json.Marshal(value)
 	return fmt.Sprintf("%.60s", text)
--- a/internal/index/protocol.go
+++ b/internal/index/protocol.go
@@ -36,7 +36,7 @@
 	body   []byte // points into the decoded text
 }
 
-var errIncomplete = errors.New("incomplete reply")
+var errIncomplete = errors.New("index reply: incomplete, more bytes are expected")
 
 // decodeReply decodes the reply at the start of the text and returns its length in bytes. The error is errIncomplete if the
 // text ends within the reply.
--- a/internal/operator/amqp.go
+++ b/internal/operator/amqp.go
@@ -78,8 +78,8 @@
 	CallerTimeout  string `xml:"patience,attr"` // milliseconds
 }
 
-// complete validates what the schema cannot express, sets the defaults of missing elements, and reads the named files.
-func (a *AMQP) complete(schema *xsd.Schema) error {
+// validateAndLoad validates what the schema cannot express, sets the defaults of missing elements, and reads the named files.
+func (a *AMQP) validateAndLoad(schema *xsd.Schema) error {
 	if a.MinCredit > a.MaxCredit {
 		return &xsd.ValidationError{Line: a.Line, Element: "amqp", Found: fmt.Sprintf("least-credit=%d", a.MinCredit),
 			Expected: fmt.Sprintf("at most most-credit=%d", a.MaxCredit)}
@@ -94,7 +94,7 @@
 	if a.Credentials == nil {
 		a.Credentials = &Credentials{Vhost: "/"}
 	}
-	if err := a.completeQueues(); err != nil {
+	if err := a.validateAndDefaultQueues(); err != nil {
 		return err
 	}
 	if err := a.loadCredentials(); err != nil {
@@ -113,7 +113,8 @@
 	return settings.AMQP.Fields, nil
 }
 
-func (a *AMQP) completeQueues() error {
+// validateAndDefaultQueues rejects duplicate queues and invalid arguments. A queue's name is its default dead-letter routing key.
+func (a *AMQP) validateAndDefaultQueues() error {
 	seen := map[string]bool{}
 	for n := range a.Queues {
 		q := &a.Queues[n]
--- a/internal/operator/fleet.go
+++ b/internal/operator/fleet.go
@@ -37,7 +37,7 @@
 // maxLocationBytes is the maximum length of a zone or region in a member's record (package internal/fleet/membership).
 const maxLocationBytes = 64
 
-// validate checks what the schema cannot express, also for the log, and completes the log's settings.
+// validate checks what the schema cannot express, also for the log, and parses the log's bootstrap time.
 func (f *Fleet) validate() error {
 	for _, location := range []struct{ attribute, value string }{{"zone", f.Zone}, {"region", f.Region}} {
 		if len(location.value) > maxLocationBytes {
@@ -48,11 +48,11 @@
 	if f.Log == nil {
 		return nil
 	}
-	return f.Log.complete()
+	return f.Log.validateAndParse()
 }
 
-// complete validates what the schema cannot express, and parses the bootstrap time.
-func (l *Log) complete() (err error) {
+// validateAndParse validates what the schema cannot express, and parses the bootstrap time.
+func (l *Log) validateAndParse() (err error) {
 	if l.MaxVoters%2 == 0 {
 		return &xsd.ValidationError{Line: l.Line, Element: "log", Found: fmt.Sprintf("voters=%q", strconv.Itoa(l.MaxVoters)), Expected: "3 or 5"}
 	}
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -45,7 +45,7 @@
 		return nil, err
 	}
 	if settings.AMQP != nil {
-		if err := settings.AMQP.complete(schema); err != nil {
+		if err := settings.AMQP.validateAndLoad(schema); err != nil {
 			return nil, err
 		}
 	}
--- a/internal/rpc/conn.go
+++ b/internal/rpc/conn.go
@@ -191,17 +191,18 @@
 
 // Answer implements node.Responder.
 func (c *conn) Answer(id node.MessageID, answer node.Answer) {
-	c.complete(id)
+	c.removePending(id)
 	c.transport.Write(AppendResponse(nil, string(id), answer))
 }
 
 // AnswerHealthCheck implements node.Responder.
 func (c *conn) AnswerHealthCheck(id node.MessageID, result node.HealthCheckResult) {
-	c.complete(id)
+	c.removePending(id)
 	c.transport.Write(AppendHealthStatus(nil, string(id), result))
 }
 
-func (c *conn) complete(id node.MessageID) {
+// removePending removes an answered request, and releases the connection if it is closing and this was its last pending one.
+func (c *conn) removePending(id node.MessageID) {
 	delete(c.pending, string(id))
 	c.lastActive = time.Now()
 	c.releaseIfDone()
--- a/internal/runtimelink/protocol.go
+++ b/internal/runtimelink/protocol.go
@@ -76,7 +76,7 @@
 		return n, err
 	}
 	if n.Verb == "" {
-		return n, errors.New("no verb")
+		return n, errors.New(`field "verb" is missing or empty`)
 	}
 	return n, nil
 }
