--- a/internal/index/protocol.go
+++ b/internal/index/protocol.go
@@ -36,7 +36,7 @@
 	body   []byte // points into the decoded text
 }
 
-var errIncomplete = errors.New("index reply: incomplete, more bytes are expected")
+var errIncomplete = errors.New("index reply: incomplete, expected more bytes")
 
 // decodeReply decodes the reply at the start of the text and returns its length in bytes. The error is errIncomplete if the
 // text ends within the reply.
@@ -55,7 +55,7 @@
 	}
 	r.body = text[line.length : line.length+bodySize]
 	if !bytes.HasSuffix(text[:length], []byte("\r\n")) {
-		return r, 0, errors.New("index reply: expected CR LF after the body")
+		return r, 0, errors.New("index reply: the body of a hit is not followed by CR LF")
 	}
 	return r, length, nil
 }
@@ -77,7 +77,7 @@
 	}
 	words := bytes.Fields(text[:min(end, maxStatusLineBytes)])
 	if end > maxStatusLineBytes || len(words) < 2 || text[max(end-1, 0)] != '\r' {
-		return r, line, fmt.Errorf("index reply: expected an ID, a status and CR LF within %d bytes", maxStatusLineBytes)
+		return r, line, fmt.Errorf("index reply: invalid first line, expected an ID, a status and CR LF within %d bytes", maxStatusLineBytes)
 	}
 	r.id = node.TaskID(words[0])
 	r.status = string(words[1])
