--- a/internal/front/amqp/outcome.go
+++ b/internal/front/amqp/outcome.go
@@ -36,7 +36,7 @@
 	switch answer.Status {
 	case node.Served:
 		f.counts.completed++
-		f.complete(m, answer.Result)
+		f.replyAndAck(m, answer.Result)
 	case node.Rejected:
 		f.counts.rejected++
 		m.retryAfter = answer.RetryAfter
@@ -57,8 +57,8 @@
 	return reasonFailed
 }
 
-// complete settles a processed message. If a reply is requested, the settlement waits until the broker has confirmed the reply.
-func (f *Front) complete(m *message, result []byte) {
+// replyAndAck acks a served message. If its sender wants a reply, the ack waits until the broker has confirmed the reply.
+func (f *Front) replyAndAck(m *message, result []byte) {
 	if m.delivery.ReplyTo == "" {
 		f.settle(m, ack(m.tag))
 		return
