--- a/internal/decide/lease/errors.go
+++ b/internal/decide/lease/errors.go
@@ -7,7 +7,7 @@
 
 // The reasons for which a Table rejects a command. A RejectedError adds the duty and the values found and expected.
 var (
-	ErrUnknownDuty    = errors.New("unknown duty")
+	ErrUnknownDuty    = errors.New("duty is not in the lease table")
 	ErrOldIndex       = errors.New("log index already applied")
 	ErrStaleClaim     = errors.New("claim does not name the log index of the last renewal")
 	ErrNotLeaseHolder = errors.New("command is not from the lease holder")
--- a/internal/decide/lease/table.go
+++ b/internal/decide/lease/table.go
@@ -95,7 +95,7 @@
 	case Acquire:
 		return d.acquire(index, c)
 	}
-	if !t.isFencingDisabled && !d.isHeldBy(c) {
+	if !t.isFencingDisabled && !d.isFromLeaseHolder(c) {
 		found := fmt.Sprintf("token %d of %q (incarnation %d)", c.Token, c.Member, c.Incarnation)
 		expected := fmt.Sprintf("token %d of %q (incarnation %d)", d.Token, d.Holder, d.Incarnation)
 		return &RejectedError{c.Duty, ErrNotLeaseHolder, found, expected}
@@ -127,7 +127,7 @@
 	return nil
 }
 
-// isHeldBy reports whether a command comes from the current holder and carries the current fencing token.
-func (d *DutyState) isHeldBy(c Command) bool {
+// isFromLeaseHolder reports whether a command comes from the current lease holder and carries the current fencing token.
+func (d *DutyState) isFromLeaseHolder(c Command) bool {
 	return c.Token == d.Token && c.Member == d.Holder && c.Incarnation == d.Incarnation
 }
